--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -38,13 +38,13 @@
 MUTATIONS = [
     Mutation(
         "a new discovery is believed at once",
-        "core/process_table.py",
+        "discovery/process_table.py",
         "        earlier = self.carried.get(name)\n        if earlier is not None:\n",
         "        earlier = None\n        if earlier is not None:\n",
     ),
     Mutation(
         "a timer puts the first list's entries back (the incident)",
-        "core/discovery.py",
+        "discovery/discovery_client.py",
         "        self.close_former_if_caught_up()\n\n    def unchanged",
         "        if new:\n"
         "            items = [i for i in update['instances'] if i['lifecycle'] == 'in_service']\n"
@@ -52,7 +52,7 @@
     ),
     Mutation(
         "the new discovery's replayed recall ends an objection",
-        "core/process_table.py",
+        "discovery/process_table.py",
         "        self.words[name] = statement\n",
         "        if not statement.leaves and name in self.words:\n"
         "            self.carried.pop(name, None)\n"
@@ -60,53 +60,55 @@
     ),
     Mutation(
         "the old watch is dropped at once",
-        "core/discovery.py",
+        "discovery/discovery_client.py",
         "        watch.final = True\n        self.former.append(watch)",
         "        watch.close()",
     ),
     Mutation(
         "changes are used half a second late",
-        "core/discovery.py",
+        "discovery/discovery_client.py",
         "            self.lists.apply(outcome.update, full=whole)\n            self.settled(watch)",
         "            self.loop.call_later(0.0 if whole else 0.5, self.lists.apply, outcome.update, False, whole)\n"
         "            self.settled(watch)",
     ),
     Mutation(
         "a start does not wait for its first list",
-        "core/standing.py",
+        "discovery/readiness.py",
         "        return self.open\n",
         "        return True\n",
     ),
-    Mutation("a silent watch is not noticed", "core/asking.py", "BEAT = 2.5 ", "BEAT = 1000.0 "),
-    Mutation("calls to an agent are 3 s apart", "core/asking.py", "GRACE / 2", "3.0"),
+    Mutation(
+        "a silent watch is not noticed", "discovery/subscription_schedule.py", "BEAT = 2.5 ", "BEAT = 1000.0 "
+    ),
+    Mutation("calls to an agent are 3 s apart", "discovery/subscription_schedule.py", "GRACE / 2", "3.0"),
     Mutation(
         "a stop ends at an accept that failed",
-        "node/callers.py",
+        "downstream/connection_manager.py",
         "            if connection is AcceptFailure.CONNECTION_GONE:\n                continue\n"
         "            if connection is AcceptFailure.SHORTAGE:\n                return Backlog.WAITS\n",
         "",
     ),
     Mutation(
         "a socket option that cannot be set closes the connection",
-        "core/listener.py",
+        "downstream/listener.py",
         "        with suppress(OSError):\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)",
         "        try:\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)\n"
         "        except OSError:\n            connection.close()\n            self.dropped()\n            return",
     ),
     Mutation(
         "the time that a request lay unread is not counted",
-        "core/read_delay.py",
+        "downstream/read_delay.py",
         "        bound = self.heartbeat.behind(now)\n",
         "        return 0\n        bound = self.heartbeat.behind(now)\n",
     ),
     Mutation(
         "attempts go out for clients that have left",
-        "core/host.py",
+        "dispatch/dispatcher.py",
         "    def left(self, r: Request) -> None:\n",
         "    def left(self, r: Request) -> None:\n        return\n\n    def really_left(self, r: Request) -> None:\n",
         (
             (
-                "core/presence.py",
+                "platform/peer_state.py",
                 "    return looked(descriptor, ENDED) &",
                 "    return False and looked(descriptor, ENDED) &",
             ),
@@ -126,7 +128,7 @@
     ),
     Mutation(
         "a listener is closed while connections still come",
-        "node/callers.py",
+        "downstream/connection_manager.py",
         "        if not shared:\n",
         "        if False:\n",
     ),
--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -11,8 +11,8 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from harecross.core.asking import Asking, End, asking_terms
-from harecross.core.asking import State as Standing
+from harecross.discovery.subscription_schedule import Asking, End, asking_terms
+from harecross.discovery.subscription_schedule import State as Standing
 from harecross.interface import ListKind, Outcome, ServerEntry, State
 from harecross.policy.balancer import Balancer
 from harecross.settings import read_settings
--- /dev/null
+++ b/harecross/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Membership: the subscription to discovery, the records of server processes, and the endpoint registry."""
--- a/harecross/core/discovery.py
+++ b/harecross/discovery/discovery_client.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import Any
 
-from harecross.core.asking import MOVED, Asking, End, Terms
-from harecross.core.directory import Directory, Lists
-from harecross.core.host import say
-from harecross.core.monotonic import clock
-from harecross.core.process_lines import describe
-from harecross.core.process_table import Outcome, ProcessTable, Source
-from harecross.core.watch import Watch
+from harecross.discovery.endpoint_registry import Directory, Lists
+from harecross.discovery.process_table import Outcome, ProcessTable, Source
+from harecross.discovery.subscription_schedule import MOVED, Asking, End, Terms
+from harecross.discovery.transition_log import describe
+from harecross.discovery.watch import Watch
+from harecross.dispatch.dispatcher import say
 from harecross.interface import ListKind
+from harecross.platform.clock import clock
 
 PUSHED = Terms()
 # After a new configuration the discovery it names may be behind for `MOVED` seconds; what it wrote by then may be on
--- a/harecross/core/directory.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -7,11 +7,11 @@
 from dataclasses import replace
 from typing import Any, NamedTuple, Protocol
 
-from harecross.core.births import LONG_AGO, Births
-from harecross.core.host import Host, say
-from harecross.core.monotonic import clock
-from harecross.core.servers import Servers
+from harecross.discovery.start_times import LONG_AGO, Births
+from harecross.dispatch.dispatcher import Host, say
 from harecross.interface import ListKind, ServerEntry, State
+from harecross.platform.clock import clock
+from harecross.upstream.connection_pool import Servers
 
 STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
 COLD_MOST = 60_000_000  # microseconds after which a server put back is warm anywhere
--- a/harecross/core/roster.py
+++ b/harecross/discovery/endpoint_status.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from harecross.core.directory import Directory
+from harecross.discovery.endpoint_registry import Directory
 
 IN_USE, OUT, DRAINING, GONE = "in use", "out", "draining", "gone"
 
--- a/harecross/core/standing.py
+++ b/harecross/discovery/readiness.py
@@ -14,7 +14,7 @@
 
 from enum import Enum
 
-from harecross.core.asking import BEAT, BINDING, QUEUE, Asking, Terms
+from harecross.discovery.subscription_schedule import BEAT, BINDING, QUEUE, Asking, Terms
 
 # Where lists are pushed the agent answers at once or discovery is down; after so long all that was listed before the
 # start counts as told, and more waiting tells nothing.
--- a/harecross/core/process_lines.py
+++ b/harecross/discovery/transition_log.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from harecross.core.process_table import Cause, State, Transition
+from harecross.discovery.process_table import Cause, State, Transition
 
 NAMES_MOST = 6  # servers named in one line for each kind of change; the rest are counted
 
--- a/harecross/core/watch.py
+++ b/harecross/discovery/watch.py
@@ -8,17 +8,17 @@
 
 from httptools import HttpParserError, HttpResponseParser
 
-from harecross.core.asking import BEAT, Asking, End
-from harecross.core.host import guard, say
-from harecross.core.values import BLANK_LINE, BadValue, Values
-from harecross.core.versions import Verdict, judge
+from harecross.discovery.json_stream import BLANK_LINE, BadValue, Values
+from harecross.discovery.list_versions import Verdict, judge
+from harecross.discovery.subscription_schedule import BEAT, Asking, End
+from harecross.dispatch.dispatcher import guard, say
 
 CONNECT = 1.0  # seconds
 PART_MOST = BEAT  # seconds for which the parts of one list or change count as words
 
 
 class Subscriber(Protocol):
-    """Who is told what a watch brings (`core.discovery.Discovery`)."""
+    """Who is told what a watch brings (`discovery.discovery_client.Discovery`)."""
 
     def received(self, watch: Watch, update: Any, whole: bool, anew: bool) -> None:
         """A list or change. ValueError if it is neither.
--- a/harecross/core/host.py
+++ b/harecross/dispatch/dispatcher.py
@@ -10,15 +10,15 @@
 from time import monotonic
 from typing import Protocol
 
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.exchange import NEVER, Exchange
-from harecross.core.monotonic import clock
-from harecross.core.process_table import Transition
-from harecross.core.requests import Message
-from harecross.core.servers import Servers
-from harecross.core.standing import Standing
+from harecross.discovery.process_table import Transition
+from harecross.discovery.readiness import Standing
+from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.http.request_parser import Message
 from harecross.interface import NEVER_RAN, Effect, FinalReason, ListKind, Outcome, ServerEntry, Settings
+from harecross.platform.clock import clock
 from harecross.policy.balancer import Balancer
+from harecross.upstream.connection_pool import Servers
+from harecross.upstream.exchange import NEVER, Exchange
 
 ROOM = 15_000  # of the client's time is kept for answering
 ROOM_PART = 20  # or one part in so many of a short time
--- a/harecross/doors/ask.py
+++ b/harecross/doors/ask.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One server as one node sees it; `core.roster` says what the fields mean."""
+    """One server as one node sees it; `discovery.endpoint_status` says what the fields mean."""
 
     id: str
     state: str
--- a/harecross/doors/release.py
+++ b/harecross/doors/release.py
@@ -17,7 +17,7 @@
 from math import ceil
 from typing import Literal
 
-from harecross.core.roster import IN_USE, OUT
+from harecross.discovery.endpoint_status import IN_USE, OUT
 from harecross.doors.ask import Look, Row, Said
 
 LOOK_EVERY = 0.5  # seconds
--- a/harecross/doors/run.py
+++ b/harecross/doors/run.py
@@ -13,9 +13,9 @@
 from queue import Empty, SimpleQueue
 from typing import Any
 
-from harecross.core.child import cause
 from harecross.doors.ask import call, look
 from harecross.doors.release import Do, Release
+from harecross.platform.child_process import cause
 
 TICK = 0.1  # seconds between two looks at the clock
 BEFORE_KILL = 5.0  # seconds from SIGTERM to SIGKILL for a restart that takes too long
--- /dev/null
+++ b/harecross/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections from clients: the listener, request reading, uploads and answers."""
--- a/harecross/node/caller.py
+++ b/harecross/downstream/client_connection.py
@@ -11,16 +11,16 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from harecross.core.bodies import BODY_LARGEST, BODY_MOST, Upload, too_many
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.host import Request, guard
-from harecross.core.monotonic import clock
-from harecross.core.presence import has_left, is_quiet
-from harecross.core.read_delay import InfoSocket, ReadDelay, WaitingSocket
-from harecross.core.requests import HEAD_MOST, HEADERS_MOST, BadRequest, Message
+from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.dispatcher import Request, guard
+from harecross.downstream.read_delay import InfoSocket, ReadDelay, WaitingSocket
+from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, Upload, too_many
+from harecross.http.request_parser import HEAD_MOST, HEADERS_MOST, BadRequest, Message
+from harecross.platform.clock import clock
+from harecross.platform.peer_state import has_left, is_quiet
 
 if TYPE_CHECKING:
-    from harecross.node.callers import Callers
+    from harecross.downstream.connection_manager import Callers
 
 AHEAD = 8  # requests that may wait on one connection; callers send one at a time
 OWED = 2_500_000  # from connecting to a message's first byte, from that to the end of its head, between two
--- a/harecross/node/callers.py
+++ b/harecross/downstream/connection_manager.py
@@ -6,15 +6,15 @@
 import socket
 from enum import Enum
 
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.host import Host
-from harecross.core.listener import Listener
-from harecross.core.monotonic import clock
-from harecross.core.read_delay import Heartbeat
-from harecross.core.requests import Reader
-from harecross.core.room import Room
-from harecross.core.system_errors import AcceptFailure
-from harecross.node.caller import OWED, Caller
+from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.dispatcher import Host
+from harecross.downstream.client_connection import OWED, Caller
+from harecross.downstream.listener import Listener
+from harecross.downstream.read_delay import Heartbeat
+from harecross.http.request_parser import Reader
+from harecross.platform.clock import clock
+from harecross.platform.descriptor_budget import Room
+from harecross.platform.system_errors import AcceptFailure
 
 LAGGING = 10_000_000  # a caller that takes nothing of a large answer for so long is put out
 EMPTIED = 1_200_000  # after a standby began, idle connections close; none may be held after 4 s
--- a/harecross/core/listener.py
+++ b/harecross/downstream/listener.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from harecross.core.host import say
-from harecross.core.monotonic import clock
-from harecross.core.read_delay import Heartbeat, WaitingSocket
-from harecross.core.refuse_new import refuse_new_connections
-from harecross.core.system_errors import AcceptFailure, accept_failure
+from harecross.dispatch.dispatcher import say
+from harecross.downstream.accept_filter import refuse_new_connections
+from harecross.downstream.read_delay import Heartbeat, WaitingSocket
+from harecross.platform.clock import clock
+from harecross.platform.system_errors import AcceptFailure, accept_failure
 
 SHORTAGE_TRIES = 8  # in a row where this machine is short of something...
 SHORTAGE_PAUSE = 0.005  # ...and seconds until the next ones
--- a/harecross/core/read_delay.py
+++ b/harecross/downstream/read_delay.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from harecross.core.monotonic import clock
+from harecross.platform.clock import clock
 
 BEAT = 0.025  # seconds between two beats of the loop
 LATE = 10_000  # microseconds after which a beat is late
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -15,8 +15,8 @@
 from math import ceil, inf
 from random import Random
 
-from harecross.core.asking import BEAT, BINDING, GRACE, Asking, End, State, Terms
-from harecross.core.standing import Standing, longest_wait
+from harecross.discovery.readiness import Standing, longest_wait
+from harecross.discovery.subscription_schedule import BEAT, BINDING, GRACE, Asking, End, State, Terms
 from harecross.fleet.discovery import Desk, Reply, Shape
 
 TRIGGERS = ("silent", "ended", "broken", "restart", "down")
--- a/harecross/fleet/sums.py
+++ b/harecross/fleet/sums.py
@@ -1,9 +1,9 @@
 """What a fleet's nodes add up to at each server: connections, handshakes, calls of a pass, calls to cold servers.
 
-Each node takes for itself what `harecross.sizes` says, from its own count of servers and nodes; here hundreds of them
+Each node decides by `harecross.policy.fleet_limits`, from its own count of servers and nodes; here hundreds of them
 call the same servers, with uneven traffic, at a quiet time or at an event, in virtual time and from one seed. Beside
-each sum stands the bound that arithmetic gives, from the fleet's own figures and not from `sizes`: what takes a
-division by nodes out of there is over it. Probes are none: the decision module sends no probe, trials are calls.
+each sum stands the bound that arithmetic gives, from the fleet's own figures and not from `fleet_limits`: a limit that
+lacks its division by nodes exceeds it. There are no health checks: the decision module recovers by real calls.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from math import ceil, sqrt
 from random import Random
 
-from harecross import sizes
+from harecross.policy import fleet_limits
 
 EVENTS = ("calm", "herd", "lost", "replaced", "returned")
 DEVIATIONS = 6  # of a Poisson count that a bound leaves to chance: passed less than once in a billion
@@ -119,7 +119,7 @@
 
     def draw(self) -> list[int]:
         f = self.fleet
-        return self.rng.sample(range(f.servers), sizes.subset(f.servers, f.nodes))
+        return self.rng.sample(range(f.servers), fleet_limits.subset(f.servers, f.nodes))
 
     # ---- the day ------------------------------------------------------------------------------------------
 
@@ -182,16 +182,16 @@
         if warm:
             rate = node.rate / warm  # what a warm member gets of this node now
         else:
-            part = sizes.cold_part(node.cold_part, f.multiple, True, False, 0)
+            part = fleet_limits.cold_part(node.cold_part, f.multiple, True, False, 0)
             rate = part * node.rate / len(node.members)
         had, since = node.tokens.get(server, (0.0, 0.0))
-        tokens = sizes.cold_tokens(had, rate * self.warmth(at), int((at - since) * 1e6))
+        tokens = fleet_limits.cold_tokens(had, rate * self.warmth(at), int((at - since) * 1e6))
         node.tokens[server] = (tokens - 1 if tokens >= 1 else tokens, at)
         return tokens >= 1
 
     def warmth(self, at: float) -> float:
         """Of the cold servers, which all started with the event."""
-        return sizes.warmth(self.fleet.cold_from, max(0.0, self.fleet.cold_s - at), self.fleet.cold_s)
+        return fleet_limits.warmth(self.fleet.cold_from, max(0.0, self.fleet.cold_s - at), self.fleet.cold_s)
 
     # ---- sums and bounds ----------------------------------------------------------------------------------
 
@@ -212,12 +212,12 @@
                 chance((began or n) * each / f.servers) + inside,
             ),
             "calls of a pass": Sum(
-                sum(sizes.pass_limit(len(node.members), f.servers, f.nodes) for node in self.nodes)
+                sum(fleet_limits.pass_limit(len(node.members), f.servers, f.nodes) for node in self.nodes)
                 / f.servers,
                 9 * max(1.0, f.servers / f.nodes),
             ),
             "calls that nobody refuses": Sum(
-                sum(sizes.floor(f.servers, f.nodes) for _ in self.nodes) / f.servers, 3.0
+                sum(fleet_limits.floor(f.servers, f.nodes) for _ in self.nodes) / f.servers, 3.0
             ),
         }
         if self.cold:
--- a/harecross/fleet/waits.py
+++ b/harecross/fleet/waits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from harecross.core.asking import EARLY, Asking, End
+from harecross.discovery.subscription_schedule import EARLY, Asking, End
 
 FORMER_FIRST, FORMER_MOST = 20, 4  # parts of the longest silence allowed
 
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import TextIO
 
-from harecross.core.closings import Closing
-from harecross.core.host import Attempt, Request
-from harecross.core.process_table import Transition
+from harecross.discovery.process_table import Transition
+from harecross.dispatch.close_reasons import Closing
+from harecross.dispatch.dispatcher import Attempt, Request
 from harecross.interface import FinalReason, ListKind, Outcome
 
 MARK = "attempt "  # stands before the object: the log may hold other lines, and what reads it may put times before
--- a/harecross/follow/leaving.py
+++ b/harecross/follow/leaving.py
@@ -12,7 +12,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from harecross.core.asking import BINDING, GRACE
+from harecross.discovery.subscription_schedule import BINDING, GRACE
 from harecross.follow.reader import Event, Logs
 
 NS = 1_000_000_000
--- /dev/null
+++ b/harecross/http/__init__.py
@@ -0,0 +1,1 @@
+"""Parsing of HTTP/1.1 messages, free of I/O."""
--- a/harecross/core/requests.py
+++ b/harecross/http/request_parser.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from harecross.core.bodies import BODY_LARGEST, Upload
+from harecross.http.body_buffer import BODY_LARGEST, Upload
 from harecross.interface import Effect, Settings
 
 HEAD_MOST = 1 << 14
--- a/harecross/core/answers.py
+++ b/harecross/http/response_parser.py
@@ -9,7 +9,7 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
-from harecross.core.bodies import BODY_LARGEST, BODY_MOST, CHUNKS_MOST, too_many
+from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, CHUNKS_MOST, too_many
 from harecross.interface import Outcome
 from harecross.settings import COLUMNS
 
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -14,21 +14,21 @@
 
 import uvloop
 
-from harecross.core.asking import asking_terms
-from harecross.core.directory import Directory, Lists
-from harecross.core.discovery import FORMER_MOST, Discovery
-from harecross.core.host import Host, say
-from harecross.core.monotonic import clock
-from harecross.core.requests import Reader
-from harecross.core.room import Room
-from harecross.core.servers import Servers
-from harecross.core.standing import Standing, Word, longest_wait
-from harecross.core.stopping import LAST_REQUESTS, stopping
-from harecross.node.callers import ACCEPTS, Callers
+from harecross.discovery.discovery_client import FORMER_MOST, Discovery
+from harecross.discovery.endpoint_registry import Directory, Lists
+from harecross.discovery.readiness import Standing, Word, longest_wait
+from harecross.discovery.subscription_schedule import asking_terms
+from harecross.dispatch.dispatcher import Host, say
+from harecross.downstream.connection_manager import ACCEPTS, Callers
+from harecross.http.request_parser import Reader
+from harecross.node.admin_operations import Operations
+from harecross.node.admin_server import ROOM as DOOR_ROOM
 from harecross.node.config import BadConfig, Config, bound_socket, inherited_socket, read_config
-from harecross.node.door import ROOM as DOOR_ROOM
-from harecross.node.operations import Operations
-from harecross.node.store import Store
+from harecross.node.handover_store import Store
+from harecross.node.shutdown_schedule import LAST_REQUESTS, stopping
+from harecross.platform.clock import clock
+from harecross.platform.descriptor_budget import Room
+from harecross.upstream.connection_pool import Servers
 
 if TYPE_CHECKING:
     from harecross.operators import Operators
--- a/harecross/node/operations.py
+++ b/harecross/node/admin_operations.py
@@ -8,16 +8,16 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
-from harecross.core import memory
-from harecross.core.directory import Directory
-from harecross.core.durable import UnsyncedReplace
-from harecross.core.host import say
-from harecross.core.maintenance import Held, difference
-from harecross.core.monotonic import clock
-from harecross.core.roster import roster
-from harecross.node.callers import Callers
-from harecross.node.door import Answer, Door
-from harecross.node.store import Store
+from harecross.discovery.endpoint_registry import Directory
+from harecross.discovery.endpoint_status import roster
+from harecross.dispatch.dispatcher import say
+from harecross.downstream.connection_manager import Callers
+from harecross.node.admin_server import Answer, Door
+from harecross.node.handover_store import Store
+from harecross.node.maintenance import Held, difference
+from harecross.platform.clock import clock
+from harecross.platform.durable_file import UnsyncedReplace
+from harecross.policy import learned_state
 
 LOOK_EVERY = 0.05  # seconds between two looks at what another process was told
 LEARN_EVERY = 1.0  # seconds between two writings of what was learned
@@ -79,7 +79,7 @@
         if text is None:
             return
         try:
-            memory.recall(self.directory.host.balancer, self.directory.numbers, text, clock())
+            learned_state.recall(self.directory.host.balancer, self.directory.numbers, text, clock())
             say("what the other process has learned is taken over")
         except ValueError as e:
             say(f"{self.store.learned}: not taken over: {e}")
@@ -90,7 +90,7 @@
         if self.callers.leaving or now < self.learned_at + LEARN_EVERY:
             return
         self.learned_at = now
-        text = memory.learned(self.directory.host.balancer, self.directory.numbers)
+        text = learned_state.learned(self.directory.host.balancer, self.directory.numbers)
         if text is not None:
             self.store.write_learned(text)
 
--- a/harecross/node/door.py
+++ b/harecross/node/admin_server.py
@@ -8,10 +8,10 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from harecross.core.host import guard, say
-from harecross.core.listener import Listener
-from harecross.core.system_errors import AcceptFailure
+from harecross.dispatch.dispatcher import guard, say
+from harecross.downstream.listener import Listener
 from harecross.node.config import bound_socket
+from harecross.platform.system_errors import AcceptFailure
 
 ROOM = 8  # connections at once
 BACKLOG = 100  # connections that wait to be taken
--- a/harecross/node/store.py
+++ b/harecross/node/handover_store.py
@@ -15,9 +15,9 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from harecross.core.durable import replace_file
-from harecross.core.host import say
-from harecross.core.maintenance import Held, from_json
+from harecross.dispatch.dispatcher import say
+from harecross.node.maintenance import Held, from_json
+from harecross.platform.durable_file import replace_file
 
 LEARNED_FRESH = 5.0  # seconds after which what was learned no longer holds
 
--- /dev/null
+++ b/harecross/platform/__init__.py
@@ -0,0 +1,1 @@
+"""The operating system's side: clock, descriptors, durable files, child processes, system-call errors."""
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -8,10 +8,10 @@
 from harecross.interface import NEVER_RAN, Effect, FinalReason, ListKind, Outcome, ServerEntry, State, View
 from harecross.policy.controller import LATE_MOST, WINDOW
 from harecross.policy.draw import SILENT_FACTOR, Draw
+from harecross.policy.fleet_limits import MIN_LIMIT
 from harecross.policy.health import SLOWEST
 from harecross.policy.members import Kind, Server, Zone
 from harecross.policy.state import Request
-from harecross.sizes import MIN_LIMIT
 
 RETRY_RATIO = 0.1  # further attempts allowed for each first attempt
 TRY_DEVIATIONS = 4  # from the mean round-trip and so many mean deviations on (RFC 6298) a call may be lost...
@@ -35,7 +35,7 @@
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         if kind == ListKind.FAILED:
-            return  # the list in hand holds; the host asks again (core/asking.py)
+            return  # the list in hand holds; the host asks again (discovery/subscription_schedule.py)
         latest = {e.server: e for e in entries}  # an entry twice: the last holds
         if kind != ListKind.CHANGES:
             for server in self.servers.values():
--- a/harecross/policy/controller.py
+++ b/harecross/policy/controller.py
@@ -6,8 +6,8 @@
 from math import ceil, inf, sqrt
 from random import Random
 
-from harecross import sizes
-from harecross.sizes import MIN_LIMIT
+from harecross.policy import fleet_limits
+from harecross.policy.fleet_limits import MIN_LIMIT
 
 # The source's figures, kept as they are; what the design leaves open has its reason in docs/design.md.
 WINDOW = 100_000  # least length of a sampling window
@@ -80,9 +80,9 @@
 
     def resize(self, members: int, servers: int, instances: int) -> None:
         """The floor and the pass's limit follow the subset: an idle member adds a call without queueing."""
-        self.floor = sizes.floor(servers, instances)
-        self.pass_limit = sizes.pass_limit(members, servers, instances)
-        self.start_limit = sizes.start_limit(members, servers, instances)
+        self.floor = fleet_limits.floor(servers, instances)
+        self.pass_limit = fleet_limits.pass_limit(members, servers, instances)
+        self.start_limit = fleet_limits.start_limit(members, servers, instances)
         start = max(2 * self.pass_limit, self.start_limit)
         self.limit = max(self.limit, start if self.passes == 0 else self.floor)
 
--- a/harecross/policy/draw.py
+++ b/harecross/policy/draw.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from harecross import sizes
 from harecross.interface import Effect, Group
+from harecross.policy import fleet_limits
 from harecross.policy.health import EJECT_TIME, Health
 from harecross.policy.members import FADE, Server
 from harecross.policy.state import Request
@@ -115,7 +115,7 @@
         if srv.cold_until <= now:
             return 1.0
         s = self.settings
-        return sizes.warmth(s.cold_share, srv.cold_until - now, s.cold_time)
+        return fleet_limits.warmth(s.cold_share, srv.cold_until - now, s.cold_time)
 
     def may_send(self, now: int, srv: Server) -> bool:
         """Slow start: a cold server takes its present share of what a warm member gets from this copy.
@@ -126,7 +126,7 @@
         if srv.cold_until <= now:
             return True
         rate = self.warm_rate * self.warmth(now, srv)
-        srv.tokens = sizes.cold_tokens(srv.tokens, rate, now - srv.tokens_at)
+        srv.tokens = fleet_limits.cold_tokens(srv.tokens, rate, now - srv.tokens_at)
         srv.tokens_at = now
         if srv.tokens < 1:
             return False
--- a/harecross/policy/health.py
+++ b/harecross/policy/health.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from harecross import sizes
 from harecross.interface import Outcome
+from harecross.policy import fleet_limits
 from harecross.policy.controller import LATE_MOST, LOST_LATE, PASS_JITTER
 from harecross.policy.members import FADE, Server
 from harecross.policy.state import EJECT_SHARE, Copy, Request
@@ -238,7 +238,7 @@
             rate = self.cold_part * self.asked * 1e6 / span / len(self.members)
         ctl, most = self.controller, self.settings.fall_multiple
         good = ctl.late <= LATE_MOST and ctl.lost <= LOST_LATE
-        self.cold_part = sizes.cold_part(self.cold_part, most, good, warm > 0, span)
+        self.cold_part = fleet_limits.cold_part(self.cold_part, most, good, warm > 0, span)
         if rate >= 0:
             self.warm_rate += min(1.0, span / 2e6) * (rate - self.warm_rate)
         self.warm_sent = self.asked = 0
--- a/harecross/policy/state.py
+++ b/harecross/policy/state.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from harecross import sizes
 from harecross.interface import Actions, Effect, FinalReason, Settings
+from harecross.policy import fleet_limits
 from harecross.policy.controller import AIM_SHARE, GradientController
+from harecross.policy.fleet_limits import MIN_LIMIT
 from harecross.policy.members import Kind, Server, Zone
 from harecross.policy.shares import Shares
-from harecross.sizes import MIN_LIMIT
 
 EJECT_SHARE = 0.34  # of the members, at most
 TRY_ABOVE = 2  # further deviations for each tier below, which is to cut off first
@@ -116,7 +116,7 @@
         self.members = [m for m in self.members if m.member]
         self.stand_ins = [m for m in self.stand_ins if m.member]
         listed = sum(srv.in_list for srv in self.servers.values())
-        self.wanted = wanted = sizes.subset(listed, self.settings.instances, self.settings.subset_most)
+        self.wanted = wanted = fleet_limits.subset(listed, self.settings.instances, self.settings.subset_most)
         # Failure prevented: a node in a zone that is cut off from the others has one or two members left of
         # its subset, and buries them under all its calls while the zone's other servers are idle.
         away = sum(self.zones[m.zone].cut for m in self.members)
@@ -152,7 +152,7 @@
         self.controller.resize(len(self.members), listed, self.settings.instances)
         if self.zoned and self.members:
             near = sum(m.zone == self.settings.zone for m in self.members)
-            self.spill_least = sizes.leaving_zone(near, len(self.members), self.settings.instances)
+            self.spill_least = fleet_limits.leaving_zone(near, len(self.members), self.settings.instances)
             self.spill = max(self.spill, self.spill_least)
         self.sort_members()
 
--- a/harecross/sources/keep.py
+++ b/harecross/sources/keep.py
@@ -13,8 +13,8 @@
 from math import isfinite
 from pathlib import Path
 
-from harecross.core.durable import replace_file
 from harecross.dns.srv import Endpoint, Found
+from harecross.platform.durable_file import replace_file
 
 VERSION = b"harecross-sources 1 "
 SIZE_MOST = 1 << 28
--- a/harecross/sources/membership.py
+++ b/harecross/sources/membership.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TYPE_CHECKING, Any, Protocol
 
-from harecross.core.lines import Roster
+from harecross.discovery.listed_endpoints import Roster
 from harecross.settings import address
 from harecross.sources.ledger import Box, Credit, Ledger, Limits, Priorities, Stated
 
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -12,9 +12,9 @@
 from random import Random, SystemRandom
 from typing import TYPE_CHECKING, Any
 
-from harecross.core.directory import Directory
-from harecross.core.host import guard, say
-from harecross.core.monotonic import clock
+from harecross.discovery.endpoint_registry import Directory
+from harecross.dispatch.dispatcher import guard, say
+from harecross.platform.clock import clock
 from harecross.sources.config import File, SourcesTable, Srv, name_of
 from harecross.sources.files import BadFile, read_file
 from harecross.sources.ledger import Credit, Priorities
--- /dev/null
+++ b/harecross/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to servers: the pool, connects, exchanges and health checks."""
--- a/harecross/core/server_connection.py
+++ b/harecross/upstream/connection.py
@@ -8,14 +8,14 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, cast
 
-from harecross.core.answers import Answer, Reading, read_report
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.exchange import Exchange, Probe, Target
-from harecross.core.monotonic import clock
+from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.http.response_parser import Answer, Reading, read_report
 from harecross.interface import Outcome
+from harecross.platform.clock import clock
+from harecross.upstream.exchange import Exchange, Probe, Target
 
 if TYPE_CHECKING:
-    from harecross.core.servers import Servers
+    from harecross.upstream.connection_pool import Servers
 
 # A second answer may come some milliseconds after the first (STANDING, "Days at full size") and would be taken for the
 # next exchange's. A kept connection rests for so long before that one, or for one part in so many of what the last one
--- a/harecross/core/servers.py
+++ b/harecross/upstream/connection_pool.py
@@ -9,17 +9,17 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from harecross.core.answers import report_places
-from harecross.core.bodies import STREAM_MOST, stream_buffer
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.exchange import NEVER, Exchange, Probe, Target
-from harecross.core.monotonic import clock
-from harecross.core.presence import is_quiet
-from harecross.core.requests import HOST
-from harecross.core.room import Room
-from harecross.core.server_connection import Connection
-from harecross.core.system_errors import is_local_shortage
+from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.http.body_buffer import STREAM_MOST, stream_buffer
+from harecross.http.request_parser import HOST
+from harecross.http.response_parser import report_places
 from harecross.interface import Outcome
+from harecross.platform.clock import clock
+from harecross.platform.descriptor_budget import Room
+from harecross.platform.peer_state import is_quiet
+from harecross.platform.system_errors import is_local_shortage
+from harecross.upstream.connection import Connection
+from harecross.upstream.exchange import NEVER, Exchange, Probe, Target
 
 IDLE_MARGIN = 1_500_000  # an idle connection is dropped so long before the server would close it
 PASSING = 1 << 25  # bytes of large answers that may stand here, where nothing else is told
--- a/harecross/core/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from harecross.core.bodies import Upload
+from harecross.http.body_buffer import Upload
 from harecross.interface import Outcome
 
 if TYPE_CHECKING:
-    from harecross.core.server_connection import Connection
+    from harecross.upstream.connection import Connection
 
 NEVER = 1 << 62  # no time at all
 
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -7,17 +7,17 @@
 from random import Random
 from typing import Any
 
-from harecross.core.directory import Directory
-from harecross.core.discovery import Discovery
-from harecross.core.exchange import Exchange
-from harecross.core.host import Host, guard, say
-from harecross.core.lines import Roster
-from harecross.core.monotonic import clock
-from harecross.core.room import Room
-from harecross.core.servers import Servers
+from harecross.discovery.discovery_client import Discovery
+from harecross.discovery.endpoint_registry import Directory
+from harecross.discovery.listed_endpoints import Roster
+from harecross.dispatch.dispatcher import Host, guard, say
 from harecross.interface import ClassSettings, Effect, Outcome, Settings
+from harecross.platform.clock import clock
+from harecross.platform.descriptor_budget import Room
 from harecross.settings import COLUMNS, address
 from harecross.sources.run import Sources
+from harecross.upstream.connection_pool import Servers
+from harecross.upstream.exchange import Exchange
 from harecross.xds.config import ClusterTable
 from harecross.xds.loads import Loads
 from harecross.xds.probes import Schedule
--- a/harecross/xds/fleet.py
+++ b/harecross/xds/fleet.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from harecross.core.child import Child, cause
+from harecross.platform.child_process import Child, cause
 from harecross.settings import address
 from harecross.xds.link import (
     Ask,
--- a/harecross/xds/inside.py
+++ b/harecross/xds/inside.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from harecross.core.directory import Directory
-from harecross.core.host import Host, say
+from harecross.discovery.endpoint_registry import Directory
+from harecross.dispatch.dispatcher import Host, say
 from harecross.xds.feed import Feed
 from harecross.xds.press import Press
 from harecross.xds.resources import Encoder
--- a/harecross/xds/press.py
+++ b/harecross/xds/press.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from harecross.core.host import guard
-from harecross.core.monotonic import clock
+from harecross.dispatch.dispatcher import guard
+from harecross.platform.clock import clock
 from harecross.xds.feed import Feed
 from harecross.xds.fleet import Fleet
 from harecross.xds.publish import Publisher, Told, calls_out
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -26,7 +26,7 @@
     PERCENTILE,
     WINDOW,
 )
-from harecross.sizes import MIN_LIMIT
+from harecross.policy.fleet_limits import MIN_LIMIT
 from harecross.xds.cache import CDS, EDS, LDS, RDS, Resource, Snapshot
 from harecross.xds.publish import Endpoint, Told, priority
 
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from harecross.core.host import say
+from harecross.dispatch.dispatcher import say
 from harecross.operators import BadFile
 from harecross.xds.access import allowed
 from harecross.xds.config import ControlFile, read_control
--- a/harecross/xds/worker.py
+++ b/harecross/xds/worker.py
@@ -10,7 +10,7 @@
 from itertools import count
 from typing import Any
 
-from harecross.core.host import guard
+from harecross.dispatch.dispatcher import guard
 from harecross.xds import status
 from harecross.xds.access import allowed
 from harecross.xds.front import encoder, front, listen
--- a/tests/crossing_support.py
+++ b/tests/crossing_support.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from harecross.core.servers import Servers
+from harecross.upstream.connection_pool import Servers
 from tests.node_support import SETTINGS, Client, World, ids
 
 KINDS = [("/read/1", ""), ("/put/1", "k"), ("/pay/1", "")]  # safe, keyed, unsafe
--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -10,9 +10,9 @@
 
 import uvloop
 
-from harecross.core.monotonic import clock
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.platform.clock import clock
 from harecross.standins.discovery import chunk, entry, line, update
 from harecross.standins.http import answer, header, listen, read_message
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -12,8 +12,8 @@
 from test_adapter import ENV
 
 from harecross.adapter import ASK_AGAIN, Host
-from harecross.core import asking
-from harecross.core.asking import FIRST_WORD, GRACE, Asking, End, State, Terms
+from harecross.discovery import subscription_schedule as schedule
+from harecross.discovery.subscription_schedule import FIRST_WORD, GRACE, Asking, End, State, Terms
 from harecross.fleet.discovery import Desk, Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, bound
 from harecross.fleet.waits import WAITS
@@ -42,11 +42,11 @@
     a.begin(1.0)
     assert a.state is State.WAITING
     a.calling(1.0)
-    assert a.state is State.ASKING and a.patience_ends() == 1.0 + asking.QUEUE
+    assert a.state is State.ASKING and a.patience_ends() == 1.0 + schedule.QUEUE
     a.word(2.9)  # at the last moment of its wait
     a.good()
     assert a.state is State.SUBSCRIBED and a.waited == pytest.approx(1.9)
-    assert a.patience_ends() == 2.9 + asking.BEAT and a.binding_at() == 2.9 + asking.BINDING
+    assert a.patience_ends() == 2.9 + schedule.BEAT and a.binding_at() == 2.9 + schedule.BINDING
     assert not a.overdue(8.8) and a.overdue(9.0)
     a.word(4.0)
     assert not a.overdue(9.0)
@@ -63,14 +63,19 @@
             a.ended(10.0, end)
             waits.append(a.next_at - 10.0)
         a = subscribed(replace(FLEET, number=number))
-        a.long = asking.LONG_CALLS
+        a.long = schedule.LONG_CALLS
         a.ended(10.0, End.SILENT)
         long.append(a.next_at - 10.0)
-    assert max(ended) <= asking.EARLY + asking.ALONE
-    for waits, length in ((silent, asking.longest_round()), (long, asking.ROUND)):
-        assert max(waits) <= asking.EARLY + length
+    assert max(ended) <= schedule.EARLY + schedule.ALONE
+    for waits, length in (
+        (silent, schedule.longest_round()),
+        (long, schedule.ROUND),
+    ):
+        assert max(waits) <= schedule.EARLY + length
         # One in each fortieth of the round: nodes stand evenly, whatever their seeds.
-        slots = sorted(int((w - asking.EARLY) / length * 40 + 40 - 40 * asking.GOLDEN) % 40 for w in waits)
+        slots = sorted(
+            int((w - schedule.EARLY) / length * 40 + 40 - 40 * schedule.GOLDEN) % 40 for w in waits
+        )
         assert len(set(slots)) >= 38
 
 
@@ -81,27 +86,33 @@
         a = subscribed(Terms(True, nodes, number, 10.0), seed=number)
         for _ in range(3):
             a.ended(10.0, End.SILENT)
-            assert asking.BEAT + a.next_at - 10.0 + asking.ANSWER <= asking.BINDING + 1e-9
+            assert schedule.BEAT + a.next_at - 10.0 + schedule.ANSWER <= schedule.BINDING + 1e-9
             a.calling(a.next_at)
-            a.word(a.asked_at + asking.ANSWER)
+            a.word(a.asked_at + schedule.ANSWER)
             a.good()
         for _ in range(12):  # down: called in vain for as long as that lasts
             a.calling(20.0)
             a.ended(20.0, End.FAILED)
-            assert a.next_at - 20.0 + asking.QUEUE <= asking.BINDING
+            assert a.next_at - 20.0 + schedule.QUEUE <= schedule.BINDING
         moving = Asking(Terms(True, nodes, number, 10.0), Random(number), moving=True)
         moving.begin(0.0)
         moving.calling(0.0)
         moving.ended(moving.patience_ends(), End.FAILED)
-        assert moving.next_at + asking.ANSWER <= asking.MOVED + 1e-9
+        assert moving.next_at + schedule.ANSWER <= schedule.MOVED + 1e-9
 
 
 def test_only_a_call_failed_in_line_tells_of_a_long_one():
-    for after, long in ((0.0, False), (1.0, False), (2.0, True), (2.4, True), (asking.QUEUE, False)):
+    for after, long in (
+        (0.0, False),
+        (1.0, False),
+        (2.0, True),
+        (2.4, True),
+        (schedule.QUEUE, False),
+    ):
         a = subscribed()
         a.calling(10.0)
         a.ended(10.0 + after, End.FAILED)
-        assert (a.next_at - 10.0 - after >= asking.PAUSE) == long
+        assert (a.next_at - 10.0 - after >= schedule.PAUSE) == long
         for still in (long, long, False):
             a.calling(20.0)
             a.word(20.1)
@@ -109,7 +120,7 @@
             assert bool(a.long) == still
     a.calling(30.0)
     a.word(31.9)
-    assert a.long and a.round() == asking.ROUND
+    assert a.long and a.round() == schedule.ROUND
 
 
 def test_calls_that_fail_pause_and_their_rounds_grow_until_a_list_comes():
@@ -121,14 +132,14 @@
         a.calling(now)
         a.ended(now + 2, End.FAILED)
         wait = a.next_at - now - 2
-        assert asking.PAUSE <= wait <= asking.PAUSE + a.round()
+        assert schedule.PAUSE <= wait <= schedule.PAUSE + a.round()
         longest.append(a.round())
-    assert longest[:3] == [5.0, 10.0, 20.0] and longest[-1] == asking.ROUND_MOST * 10.0
+    assert longest[:3] == [5.0, 10.0, 20.0] and longest[-1] == schedule.ROUND_MOST * 10.0
     a.calling(now)
     a.word(now + 1)
     a.good()
     a.ended(now + 2, End.SILENT)
-    assert a.round() == asking.ROUND
+    assert a.round() == schedule.ROUND
 
 
 def test_an_answer_that_breaks_off_again_and_again_takes_its_turn():
@@ -139,20 +150,20 @@
         a.word(1.0)
         a.ended(1.0, End.BROKEN)
         waits.append(a.round())
-        assert a.next_at - 1.0 <= asking.EARLY + (asking.ALONE if len(waits) < 2 else a.round())
+        assert a.next_at - 1.0 <= schedule.EARLY + (schedule.ALONE if len(waits) < 2 else a.round())
     assert waits[-1] > waits[0] and a.failures == 4
 
 
 def test_an_agent_is_asked_at_once():
     a = subscribed(Terms())
     a.ended(1.0, End.SILENT)
-    assert a.next_at == pytest.approx(1.0 + asking.BACKOFF_FIRST)
+    assert a.next_at == pytest.approx(1.0 + schedule.BACKOFF_FIRST)
     for _ in range(10):
         a.calling(2.0)
         a.ended(2.0, End.FAILED)
-    assert a.next_at == pytest.approx(2.0 + asking.BACKOFF_MOST)
+    assert a.next_at == pytest.approx(2.0 + schedule.BACKOFF_MOST)
     a.calling(3.0)
-    assert a.patience_ends() == 3.0 + asking.FIRST_WORD
+    assert a.patience_ends() == 3.0 + schedule.FIRST_WORD
 
 
 # ---- the fleet ------------------------------------------------------------------------------------------
@@ -196,14 +207,14 @@
 
 def test_two_nodes_are_back_as_soon_as_one_round_lets_them():
     r = fleet(2, 2.0, backlog=0.0)
-    assert r.back[-1] <= asking.BEAT + asking.EARLY + asking.ROUND + 2.0 and r.in_vain == 0
+    assert r.back[-1] <= schedule.BEAT + schedule.EARLY + schedule.ROUND + 2.0 and r.in_vain == 0
 
 
 @pytest.mark.parametrize("trigger", ["ended", "broken", "restart", "down"])
 def test_other_triggers_come_back_too(trigger):
     for seconds in (2.0, 4.9, 8.0):
         r = fleet(40, seconds, trigger=trigger, backlog=0.0)
-        assert r.recovered and r.back[-1] <= 4 * bound(r.day) + asking.PAUSE
+        assert r.recovered and r.back[-1] <= 4 * bound(r.day) + schedule.PAUSE
 
 
 def test_more_nodes_than_can_be_answered_within_the_longest_silence_come_back_all_the_same():
@@ -238,7 +249,7 @@
 
 def test_a_node_whose_watch_falls_silent_asks_in_its_turn_and_one_that_is_failed_pauses(monkeypatch):
     for name, value in (("BEAT", 0.2), ("ROUND", 0.2), ("PAUSE", 0.1), ("ALONE", 0.02), ("EARLY", 0.01)):
-        monkeypatch.setattr(asking, name, value)
+        monkeypatch.setattr(schedule, name, value)
 
     async def test() -> None:
         address, came = await held_calls()
@@ -275,7 +286,7 @@
     reply = bytes(host.batch(1, failed, 2_000_000))
     assert reply[4] == 69
     _, _, delay, token = struct.unpack("<BHIQ", reply[4:19])
-    assert token == ASK_AGAIN and delay >= asking.PAUSE * 1e6
+    assert token == ASK_AGAIN and delay >= schedule.PAUSE * 1e6
     reply = host.batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
     assert reply[4] == 75 and host.asking[3].calls == 2
     host.batch(1, struct.pack("<BH", 9, 3), 9_000_000)
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harecross.core import births
-from harecross.core.births import LONG_AGO, Births
-from harecross.core.monotonic import clock
+from harecross.discovery import start_times
+from harecross.discovery.start_times import LONG_AGO, Births
+from harecross.platform.clock import clock
 from tests.node_support import Catalog, World, entry, line, until, with_node
 
 SECOND = 1_000_000
@@ -43,7 +43,7 @@
 
 
 def test_what_is_remembered_is_bounded(monkeypatch):
-    monkeypatch.setattr(births, "BIRTHS_MOST", 3)
+    monkeypatch.setattr(start_times, "BIRTHS_MOST", 3)
     found = Births(0)
     for i in range(50):
         found.ready_at(f"s{i}", i + 1, SECOND)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,13 +13,20 @@
 from node_support import entry, until, with_node
 from support import ask, balancer, end
 
-from harecross.core import servers
-from harecross.core.answers import Answer, Reading
-from harecross.core.bodies import BODY_LARGEST, BODY_MOST, STREAM_LEAST, STREAM_MOST, Upload, stream_buffer
+from harecross.downstream import client_connection, connection_manager
+from harecross.http.body_buffer import (
+    BODY_LARGEST,
+    BODY_MOST,
+    STREAM_LEAST,
+    STREAM_MOST,
+    Upload,
+    stream_buffer,
+)
+from harecross.http.response_parser import Answer, Reading
 from harecross.interface import Outcome
-from harecross.node import caller, callers
 from harecross.node.__main__ import bodies_part
 from harecross.standins.http import read_body, read_message
+from harecross.upstream import connection_pool
 
 BIG = bytes(i * 7 % 251 for i in range(300_000))
 
@@ -313,7 +320,7 @@
 
 
 def test_a_server_that_stalls_within_a_long_answer_is_given_up(monkeypatch):
-    monkeypatch.setattr(servers, "STALLED", 50_000)
+    monkeypatch.setattr(connection_pool, "STALLED", 50_000)
 
     async def stalls(reader, writer) -> None:
         await read_message(reader)
@@ -331,7 +338,7 @@
 
 
 def test_a_caller_that_does_not_read_stops_the_server_and_is_put_out(monkeypatch):
-    monkeypatch.setattr(callers, "LAGGING", 300_000)
+    monkeypatch.setattr(connection_manager, "LAGGING", 300_000)
     written, stopped = [0], asyncio.Event()
 
     async def pours(reader, writer) -> None:
@@ -525,8 +532,8 @@
 
 
 def test_a_body_that_stops_half_way_ends_its_request(monkeypatch):
-    monkeypatch.setattr(callers, "OWED", 100_000)
-    monkeypatch.setattr(caller, "OWED", 100_000)
+    monkeypatch.setattr(connection_manager, "OWED", 100_000)
+    monkeypatch.setattr(client_connection, "OWED", 100_000)
     heads: list[bytes] = []
 
     async def test(w) -> None:
@@ -542,8 +549,8 @@
 
 
 def test_a_body_by_the_byte_is_cut_off(monkeypatch):
-    monkeypatch.setattr(callers, "OWED", 60_000)
-    monkeypatch.setattr(caller, "OWED", 60_000)
+    monkeypatch.setattr(connection_manager, "OWED", 60_000)
+    monkeypatch.setattr(client_connection, "OWED", 60_000)
 
     async def test(w) -> None:
         client = await w.client()
@@ -595,7 +602,7 @@
 
 
 def test_a_body_beyond_the_largest_is_turned_away(monkeypatch):
-    monkeypatch.setattr(caller, "BODY_LARGEST", 200_000)
+    monkeypatch.setattr(client_connection, "BODY_LARGEST", 200_000)
     bodies: list[bytes] = []
 
     async def test(w) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -21,8 +21,8 @@
 from node_support import node_at, run  # noqa: E402
 from xds_support import Caller, backend  # noqa: E402
 
-from harecross.core.child import cause  # noqa: E402
 from harecross.operators import BadFile  # noqa: E402
+from harecross.platform.child_process import cause  # noqa: E402
 from harecross.standins.discovery import Catalog, entry  # noqa: E402
 from harecross.standins.model import Shape  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
@@ -651,7 +651,7 @@
 
 
 async def command(*args: object) -> tuple[int, str]:
-    # Not by uvloop, whose fork would run grpc's handlers in the child (harecross.core.child).
+    # Not by uvloop, whose fork would run grpc's handlers in the child (harecross.platform.child_process).
     made = await asyncio.to_thread(
         subprocess.run,
         [sys.executable, "-m", "harecross", *map(str, args)],
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -14,7 +14,7 @@
     GradientController,
     percentile,
 )
-from harecross.sizes import LEAST_MOST, MIN_LIMIT, START_MOST
+from harecross.policy.fleet_limits import LEAST_MOST, MIN_LIMIT, START_MOST
 
 
 def controller(allowance: int = 100_000, members: int = 5, **state) -> GradientController:
--- a/tests/test_crossings_left.py
+++ b/tests/test_crossings_left.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from harecross.core.monotonic import clock
+from harecross.platform.clock import clock
 from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns, warm
 from tests.node_support import World, first, until, with_node
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from harecross.core import asking, discovery, process_table
-from harecross.core.asking import BINDING, GRACE
+from harecross.discovery import discovery_client, process_table, subscription_schedule
+from harecross.discovery.subscription_schedule import BINDING, GRACE
 from harecross.standins.discovery import chunk
 from tests.crossing_support import turns
 from tests.node_support import (
@@ -61,7 +61,7 @@
 
     async def one(node: Node, came, address: str) -> None:
         await begun(came)
-        await until(lambda: node.discovery.asking.state is asking.State.SUBSCRIBED)
+        await until(lambda: node.discovery.asking.state is subscription_schedule.State.SUBSCRIBED)
         silent_since = node.loop.time()
         writer = await came.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
@@ -78,7 +78,7 @@
 
     async def one(node: Node, came, address: str) -> None:
         writer = await begun(came)
-        await until(lambda: node.discovery.asking.state is asking.State.SUBSCRIBED)
+        await until(lambda: node.discovery.asking.state is subscription_schedule.State.SUBSCRIBED)
         writer.transport.abort()
         for _ in range(3):  # down: each call is failed at once
             writer = await came.get()
@@ -101,7 +101,7 @@
 
     async def one(node: Node, came, address: str) -> None:
         await begun(came)
-        await until(lambda: node.discovery.asking.state is asking.State.SUBSCRIBED)
+        await until(lambda: node.discovery.asking.state is subscription_schedule.State.SUBSCRIBED)
         other, calls = await held_calls()
         moved = node.loop.time()
         assert node.discovery.move(place(other))
@@ -110,7 +110,7 @@
         whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole))
         await until(lambda: not node.directory.listed)
-        late.append(node.loop.time() - moved - asking.MOVED - GRACE)
+        late.append(node.loop.time() - moved - subscription_schedule.MOVED - GRACE)
 
     asking_nodes(one)
     assert len(late) == 4 and max(late) < 0
@@ -121,7 +121,7 @@
 def test_a_new_discovery_that_has_not_heard_of_a_drain_brings_nobody_back(state, then, monkeypatch):
     """SIGHUP right after the old watch told of it; the new list was made before."""
     if then == "it says that nothing is new":
-        monkeypatch.setattr(discovery, "CAUGHT_UP", 0.2)
+        monkeypatch.setattr(discovery_client, "CAUGHT_UP", 0.2)
         monkeypatch.setattr(process_table, "FIRST_LIST_SETTLES", 0.2)
 
     async def test(w: World) -> None:
@@ -186,18 +186,18 @@
 
 
 def test_moves_in_a_row_leave_a_bounded_number_of_old_watches_and_none_once_caught_up(monkeypatch):
-    monkeypatch.setattr(discovery, "CAUGHT_UP", 0.2)
+    monkeypatch.setattr(discovery_client, "CAUGHT_UP", 0.2)
     monkeypatch.setattr(process_table, "FIRST_LIST_SETTLES", 0.2)
 
     async def test(w: World) -> None:
         await w.watch()
         entries = [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
-        for number in range(discovery.FORMER_MOST + 4):
+        for number in range(discovery_client.FORMER_MOST + 4):
             other = await Catalog().start()
             other.whole = line(5, *entries, reset=True)
             assert w.node.discovery.move(place(other.address))
             _, watch = await other.watches.get()
-            assert len(w.node.discovery.former) == min(number + 1, discovery.FORMER_MOST)
+            assert len(w.node.discovery.former) == min(number + 1, discovery_client.FORMER_MOST)
         await asyncio.sleep(0.5)
         Catalog.push(watch, b"")
         await until(lambda: not w.node.discovery.former and not w.node.discovery.table.carried)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from harecross.core import server_connection
-from harecross.core.closings import CloseReason
+from harecross.dispatch.close_reasons import CloseReason
 from harecross.interface import Outcome
+from harecross.upstream import connection
 from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, turns, warm
 from tests.node_support import SETTINGS, World, first, until, with_node
 
@@ -70,7 +70,7 @@
         await server.request(conn)
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
-        await asyncio.sleep(server_connection.REST_MOST / 1e6 + 0.01)
+        await asyncio.sleep(connection.REST_MOST / 1e6 + 0.01)
         target = w.node.servers.targets[1]
         assert len(target.idle) == 1
 
@@ -141,7 +141,7 @@
             assert (await client.answer())[2] == b"%d" % n
             (kept,) = w.node.servers.targets[1].idle
             rest = kept.rested - kept.since
-            assert rest <= server_connection.REST_MOST
+            assert rest <= connection.REST_MOST
             await asyncio.sleep(max(0, rest) / 1e6 + 0.002)
             client.send("/pay/1")
         assert w.node.servers.open == 1
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from harecross.core import stopping
-from harecross.node import caller, callers
+from harecross.downstream import client_connection, connection_manager
+from harecross.node import shutdown_schedule
 from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns
 from tests.node_support import SETTINGS, World, with_node
 
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("path", ["goes at once", "serves on"])
 def test_a_request_that_crosses_the_end_of_a_kept_connection_at_a_stop(kind, path, monkeypatch):
     if path == "goes at once":
-        monkeypatch.setattr(stopping, "KILL_MOST", 0.2)
+        monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 0.2)
 
     async def test(w: World) -> None:
         for origin in w.origins:
@@ -116,9 +116,9 @@
 @every_kind
 @pytest.mark.parametrize("group", ["silent", "resting", "half a head"])
 def test_a_request_that_crosses_a_sweep(kind, group, monkeypatch):
-    monkeypatch.setattr(callers, "RESTING", 300_000)
-    monkeypatch.setattr(callers, "OWED", 300_000)
-    monkeypatch.setattr(caller, "OWED", 300_000)
+    monkeypatch.setattr(connection_manager, "RESTING", 300_000)
+    monkeypatch.setattr(connection_manager, "OWED", 300_000)
+    monkeypatch.setattr(client_connection, "OWED", 300_000)
 
     async def test(w: World) -> None:
         for origin in w.origins:
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("what", ["a connect is pending", "a repeat is due", "its server hangs"])
 def test_a_stop_with_a_request_in_the_middle_of_it_answers_in_time(kind, what, monkeypatch):
     """Late for the kill, it is answered before it; nothing is written for it after its answer."""
-    monkeypatch.setattr(stopping, "COUNTED", 0.0)
+    monkeypatch.setattr(shutdown_schedule, "COUNTED", 0.0)
 
     async def test(w: World) -> None:
         client = Plain(w.node.address)
@@ -226,8 +226,8 @@
         groups = w.node.callers
         (one,) = groups.silent
         groups.stand(True)
-        groups.stood_at -= callers.EMPTIED + 1
-        groups.silent[one] -= callers.EMPTIED
+        groups.stood_at -= connection_manager.EMPTIED + 1
+        groups.silent[one] -= connection_manager.EMPTIED
         client.send(*kind)
         groups.sweep()
         assert await status(client) == 200
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from harecross.core.listener import Listener
-from harecross.core.monotonic import clock
-from harecross.core.read_delay import Heartbeat, ReadDelay, WaitingSocket
-from harecross.core.system_errors import AcceptFailure
+from harecross.downstream.listener import Listener
+from harecross.downstream.read_delay import Heartbeat, ReadDelay, WaitingSocket
+from harecross.platform.clock import clock
+from harecross.platform.system_errors import AcceptFailure
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
 from tests.node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
--- a/tests/test_drain_after_move.py
+++ b/tests/test_drain_after_move.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from harecross.core.asking import GRACE
+from harecross.discovery.subscription_schedule import GRACE
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
 from tests.node_support import Client, Origin, config_of, entry, run, until
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -11,9 +11,9 @@
 from typer.testing import CliRunner
 
 from harecross.cli import app
-from harecross.core import server_connection
 from harecross.follow.attempts import AttemptLog
 from harecross.follow.reader import read
+from harecross.upstream import connection
 
 S = 1_000_000_000
 
@@ -63,7 +63,7 @@
 
 def test_a_node_writes_what_becomes_of_a_request(tmp_path, monkeypatch):
     # A kept connection rests for a part of what its last exchange took: longer on a busy machine than the retry waits.
-    monkeypatch.setattr(server_connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "REST_MOST", 0)
     path = tmp_path / "n0.log"
 
     async def test(w: World) -> None:
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harecross.core import process_table
-from harecross.core.asking import Asking, Terms
-from harecross.core.directory import Directory
-from harecross.core.discovery import Discovery
-from harecross.core.room import Room
-from harecross.core.servers import Servers
-from harecross.core.versions import Verdict, judge
-from harecross.core.watch import Watch
+from harecross.discovery import process_table
+from harecross.discovery.discovery_client import Discovery
+from harecross.discovery.endpoint_registry import Directory
+from harecross.discovery.list_versions import Verdict, judge
+from harecross.discovery.subscription_schedule import Asking, Terms
+from harecross.discovery.watch import Watch
+from harecross.platform.descriptor_budget import Room
+from harecross.upstream.connection_pool import Servers
 from tests.node_support import (
     Catalog,
     Node,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,9 +12,9 @@
 from support import ask, balancer, end
 from test_operations import Site, tell, with_site
 
-from harecross.core.memory import learned, recall
 from harecross.interface import Outcome, ServerEntry
-from harecross.node.store import LEARNED_FRESH, Store
+from harecross.node.handover_store import LEARNED_FRESH, Store
+from harecross.policy.learned_state import learned, recall
 
 MS = 1000
 NAMES = {f"s{i}": i for i in range(1, 5)}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,25 +32,27 @@
     with_node,
 )
 
-from harecross.core import asking, server_connection, stopping
-from harecross.core.answers import Answer, read_report, report_places
-from harecross.core.closings import CloseReason
-from harecross.core.directory import Directory
-from harecross.core.exchange import Exchange
-from harecross.core.host import Request
-from harecross.core.monotonic import clock
-from harecross.core.requests import time_left
-from harecross.core.room import Room
-from harecross.core.server_connection import Connection
-from harecross.core.servers import Servers
+from harecross.discovery import subscription_schedule
+from harecross.discovery.endpoint_registry import Directory
+from harecross.dispatch.close_reasons import CloseReason
+from harecross.dispatch.dispatcher import Request
+from harecross.downstream import connection_manager
+from harecross.http.request_parser import time_left
+from harecross.http.response_parser import Answer, read_report, report_places
 from harecross.interface import ListKind, Outcome, State
-from harecross.node import callers
+from harecross.node import shutdown_schedule
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.platform.clock import clock
+from harecross.platform.descriptor_budget import Room
 from harecross.policy import balancer
 from harecross.policy.balancer import Balancer
 from harecross.policy.controller import GradientController
 from harecross.standins.discovery import chunk
+from harecross.upstream import connection
+from harecross.upstream.connection import Connection
+from harecross.upstream.connection_pool import Servers
+from harecross.upstream.exchange import Exchange
 
 ROOT = Path(__file__).parent.parent
 
@@ -60,7 +62,7 @@
 
 @pytest.fixture
 def _no_rest(monkeypatch):
-    monkeypatch.setattr(server_connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "REST_MOST", 0)
 
 
 # Which connection comes next is asked right after an answer; how long one rests is in test_crossings_servers.py.
@@ -226,7 +228,7 @@
 )
 def test_callers_that_stop_half_way_are_let_go(text, monkeypatch):
     """Silence and half requests held a connection, and its descriptor, for good."""
-    monkeypatch.setattr(callers, "OWED", 100_000)
+    monkeypatch.setattr(connection_manager, "OWED", 100_000)
 
     async def test(w: World) -> None:
         client = await w.client()
@@ -239,7 +241,7 @@
 
 
 def test_idle_connections_are_let_go(monkeypatch):
-    monkeypatch.setattr(callers, "RESTING", 100_000)
+    monkeypatch.setattr(connection_manager, "RESTING", 100_000)
 
     async def test(w: World) -> None:
         client = await w.client()
@@ -253,10 +255,10 @@
 
 def test_a_caller_that_does_not_read_is_let_go(monkeypatch):
     """Its answers piled up in memory without bound."""
-    monkeypatch.setattr(callers, "OWED", 300_000)
+    monkeypatch.setattr(connection_manager, "OWED", 300_000)
     full = asyncio.Event()
-    pause = callers.Caller.pause_writing
-    monkeypatch.setattr(callers.Caller, "pause_writing", lambda c: (full.set(), pause(c))[1])
+    pause = connection_manager.Caller.pause_writing
+    monkeypatch.setattr(connection_manager.Caller, "pause_writing", lambda c: (full.set(), pause(c))[1])
 
     async def test(w: World) -> None:
         sock = socket.socket()
@@ -1047,7 +1049,7 @@
                 for target in w.node.servers.targets.values():
                     w.node.servers.close_idle(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
-            kinds = (Answer, callers.Caller, Connection, Request)
+            kinds = (Answer, connection_manager.Caller, Connection, Request)
             assert not [o for o in gc.get_objects() if isinstance(o, kinds)]
         finally:
             gc.enable()
@@ -1056,7 +1058,7 @@
 
 
 def test_near_the_descriptor_limit_work_is_refused(monkeypatch):
-    monkeypatch.setattr(callers, "YOUNG", 10**9)
+    monkeypatch.setattr(connection_manager, "YOUNG", 10**9)
 
     async def test(w: World) -> None:
         clients = [await w.client() for _ in range(4)]
@@ -1080,7 +1082,7 @@
 
 def test_connections_beyond_the_limit_are_closed_at_once_and_usual_callers_last(monkeypatch):
     """Hundreds of connections that said nothing took every descriptor; then no server could be reached."""
-    monkeypatch.setattr(callers, "YOUNG", 0)
+    monkeypatch.setattr(connection_manager, "YOUNG", 0)
 
     async def test(w: World) -> None:
         usual = await w.client()
@@ -1096,7 +1098,7 @@
         (await w.origins[0].arrived.get()).answer()
         assert (await usual.answer())[0] == 200
         # Where nothing may be put out, the newest is turned away and costs no more than that.
-        monkeypatch.setattr(callers, "YOUNG", 10**9)
+        monkeypatch.setattr(connection_manager, "YOUNG", 10**9)
         usual.send()
         at = await w.origins[0].arrived.get()
         extra = [await w.client() for _ in range(most)]
@@ -1143,7 +1145,7 @@
 def test_a_planned_restart_loses_nothing(monkeypatch):
     """Where answers are quick beside the time that is left the node serves on, until others have taken over."""
     classes = [{**c, "goal_time": 12_000_000, "hard_limit": 15_000_000} for c in SETTINGS["classes"]]
-    monkeypatch.setattr(stopping, "KILL_MOST", 15.0)
+    monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 15.0)
 
     async def test(w: World) -> None:
         origin, address = w.origins[0], w.node.address
@@ -1177,8 +1179,8 @@
 
 def test_a_stop_keeps_to_the_kill_where_deadlines_are_longer(monkeypatch):
     """Of the longest deadline 3 s count: what came late had its time to the deadline, and was killed unanswered."""
-    monkeypatch.setattr(stopping, "KILL_MOST", 0.2)
-    monkeypatch.setattr(stopping, "COUNTED", 0.1)
+    monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 0.2)
+    monkeypatch.setattr(shutdown_schedule, "COUNTED", 0.1)
 
     async def test(w: World) -> None:
         origin, address = w.origins[0], w.node.address
@@ -1308,8 +1310,8 @@
 
 def test_a_watch_that_never_says_a_word_is_given_up_at_once_and_the_next_one_counts(monkeypatch):
     """Two silent watches in a row outlast the time after which a drain is binding."""
-    monkeypatch.setattr(asking, "FIRST_WORD", 0.05)
-    monkeypatch.setattr(asking, "BEAT", 4 * WAIT)
+    monkeypatch.setattr(subscription_schedule, "FIRST_WORD", 0.05)
+    monkeypatch.setattr(subscription_schedule, "BEAT", 4 * WAIT)
 
     async def test() -> None:
         origin = await Origin().start()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,12 +19,13 @@
 from hypothesis import strategies as st
 from node_support import Catalog, Client, Origin, config_of, entry, line, run, until, update
 
-from harecross.core import durable
-from harecross.core.maintenance import Held, difference, from_json
-from harecross.node import callers, door
+from harecross.downstream import connection_manager
+from harecross.node import admin_server
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
-from harecross.node.store import Store
+from harecross.node.handover_store import Store
+from harecross.node.maintenance import Held, difference, from_json
+from harecross.platform import durable_file
 from harecross.standins.http import read_message
 
 ROOT = Path(__file__).parent.parent
@@ -79,7 +80,7 @@
 
 def test_a_lock_tells_who_lives_and_a_killed_process_does_not(tmp_path):
     script = (
-        "import sys, time; from harecross.node.store import Store; "
+        "import sys, time; from harecross.node.handover_store import Store; "
         "s = Store(sys.argv[1], 'n0'); s.live(); print('lives', flush=True); time.sleep(60)"
     )
     store = Store(str(tmp_path), "n0")
@@ -134,7 +135,7 @@
     """The process is killed in the write, before the sync, before and after the new name."""
     script = (
         "import os, signal, sys\n"
-        "from harecross.node.store import Store\n"
+        "from harecross.node.handover_store import Store\n"
         "store = Store(sys.argv[1], 'n0')\n"
         "name, half = sys.argv[2], sys.argv[3] == 'half'\n"
         "real = getattr(os, name)\n"
@@ -161,7 +162,7 @@
     async def test(site: Site) -> None:
         async with site.node() as node:
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
-            monkeypatch.setattr(durable, "sync_folder", failing)
+            monkeypatch.setattr(durable_file, "sync_folder", failing)
             status, text = await tell(node, "/maintenance/exit", "s0")
             assert status == 500 and b"may undo it" in text
             assert not node.directory.out and node.operations.store.held.out == frozenset()
@@ -339,11 +340,11 @@
     async def test(site: Site) -> None:
         async with site.node() as node:
             address = node.operations.door.address
-            silent = [await asyncio.open_connection(*address) for _ in range(3 * door.ROOM)]
+            silent = [await asyncio.open_connection(*address) for _ in range(3 * admin_server.ROOM)]
             for i, (_, writer) in enumerate(silent):
                 writer.write(b"POST /standby HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"[: 3 * i])
             assert (await tell(node, "/status"))[0] == 200
-            assert len(node.operations.door.open) <= door.ROOM
+            assert len(node.operations.door.open) <= admin_server.ROOM
             assert not node.callers.standing_by
             for _, writer in silent:
                 writer.close()
@@ -352,7 +353,7 @@
 
 
 def test_half_a_call_is_put_out(tmp_path, monkeypatch):
-    monkeypatch.setattr(door, "PATIENCE", 0.05)
+    monkeypatch.setattr(admin_server, "PATIENCE", 0.05)
 
     async def test(site: Site) -> None:
         async with site.node() as node:
@@ -378,7 +379,7 @@
 
 
 def test_a_standby_empties_the_node_and_active_fills_it_again(tmp_path, monkeypatch):
-    monkeypatch.setattr(callers, "EMPTIED", 100_000)
+    monkeypatch.setattr(connection_manager, "EMPTIED", 100_000)
 
     async def test(site: Site) -> None:
         async with site.node() as node:
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -6,8 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harecross.core import process_table
-from harecross.core.process_table import FIRST_LIST_SETTLES, Cause, Lifecycle, ProcessTable, Source, State
+from harecross.discovery import process_table
+from harecross.discovery.process_table import (
+    FIRST_LIST_SETTLES,
+    Cause,
+    Lifecycle,
+    ProcessTable,
+    Source,
+    State,
+)
 from tests.node_support import entry, update
 
 OLD, NEW = Source("old:1", 0), Source("new:1", 1, behind_until=5.0)
@@ -251,7 +258,7 @@
 
 
 def test_the_words_of_the_log_name_who_said_what_and_when():
-    from harecross.core.process_lines import describe
+    from harecross.discovery.transition_log import describe
 
     table = ProcessTable(OLD)
     table.receive(0.0, OLD, told("terminating", version=43), whole=True)
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from harecross.core import server_connection
-from harecross.core.closings import CloseReason
+from harecross.dispatch.close_reasons import CloseReason
+from harecross.downstream import connection_manager
 from harecross.follow.attempts import AttemptLog
 from harecross.follow.reader import Event, read
 from harecross.interface import FinalReason
-from harecross.node import callers
+from harecross.upstream import connection
 from tests.node_support import Catalog, World, entry, line, until, with_node
 
 
@@ -112,9 +112,9 @@
     ids=name_of,
 )
 def test_the_end_of_a_client_s_connection_has_its_reason(happens, reason, tmp_path, monkeypatch):
-    monkeypatch.setattr(callers, "OWED", 500_000)
+    monkeypatch.setattr(connection_manager, "OWED", 500_000)
     if reason is CloseReason.IDLE:
-        monkeypatch.setattr(callers, "RESTING", 100_000)
+        monkeypatch.setattr(connection_manager, "RESTING", 100_000)
 
     async def test(w: World) -> None:
         logged = Logged(w, tmp_path / "log")
@@ -183,7 +183,7 @@
 def test_the_end_of_a_connection_to_a_server_has_its_reason_and_its_request(
     happens, reason, request_id, tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(server_connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "REST_MOST", 0)
 
     async def test(w: World) -> None:
         logged = Logged(w, tmp_path / "log")
--- a/tests/test_refuse_new.py
+++ b/tests/test_refuse_new.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from harecross.core import listener as listener_module
-from harecross.core.listener import Listener
-from harecross.core.refuse_new import refuse_new_connections
+from harecross.downstream import listener as listener_module
+from harecross.downstream.accept_filter import refuse_new_connections
+from harecross.downstream.listener import Listener
 from tests.node_support import run
 
 REFUSED_WITHIN = 5.0  # seconds; Linux asks again after one
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -14,7 +14,7 @@
 import pytest
 from node_support import Catalog, Origin, config_of, entry, line, run, until, update
 
-from harecross.core.roster import IN_USE, OUT
+from harecross.discovery.endpoint_status import IN_USE, OUT
 from harecross.doors.ask import Look, Row, Said
 from harecross.doors.release import Do, Limits, Phase, Release
 from harecross.node.__main__ import Node
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from node_support import Client, until, with_node
 
-from harecross.core.room import Room
-from harecross.node import callers
+from harecross.downstream import connection_manager
+from harecross.platform.descriptor_budget import Room
 
 HALF = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: r"
 
@@ -41,8 +41,8 @@
 
 
 def test_half_heads_that_stay_make_room_and_slow_ones_are_served(monkeypatch):
-    monkeypatch.setattr(callers, "STUCK", 1_000_000)
-    monkeypatch.setattr(callers, "QUEUED", 20_000_000)
+    monkeypatch.setattr(connection_manager, "STUCK", 1_000_000)
+    monkeypatch.setattr(connection_manager, "QUEUED", 20_000_000)
 
     async def test(w) -> None:
         w.origins[0].answer_all()
@@ -70,7 +70,7 @@
 
 
 def test_a_new_connection_waits_for_a_place_and_is_served(monkeypatch):
-    monkeypatch.setattr(callers, "QUEUED", 20_000_000)
+    monkeypatch.setattr(connection_manager, "QUEUED", 20_000_000)
 
     async def test(w) -> None:
         w.node.room.callers += 1000  # all places are held by requests
@@ -86,7 +86,7 @@
 
 
 def test_a_new_connection_does_not_wait_for_good(monkeypatch):
-    monkeypatch.setattr(callers, "QUEUED", 30_000)
+    monkeypatch.setattr(connection_manager, "QUEUED", 30_000)
 
     async def test(w) -> None:
         w.node.room.callers += 1000
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from harecross.core import standing
-from harecross.core.asking import Asking, End, Terms
-from harecross.core.standing import ASKED_MOST, PUSHED_MOST, Standing, Word, longest_wait
+from harecross.discovery import readiness
+from harecross.discovery.readiness import ASKED_MOST, PUSHED_MOST, Standing, Word, longest_wait
+from harecross.discovery.subscription_schedule import Asking, End, Terms
 from harecross.fleet import rehearsal
 from harecross.fleet.discovery import Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, Result
 from harecross.node import __main__ as node_main
-from harecross.node import operations
+from harecross.node import admin_operations
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
 from tests.node_support import (
@@ -116,7 +116,7 @@
 
 def test_the_door_says_yes_no_sooner_than_the_node_may_send(monkeypatch):
     monkeypatch.setattr(node_main, "FIRST_WORD", 0.01)
-    monkeypatch.setattr(operations, "FIRST_LIST", 0.0)
+    monkeypatch.setattr(admin_operations, "FIRST_LIST", 0.0)
 
     async def test(s: Starting) -> None:
         await s.node.ready.wait()
@@ -131,7 +131,7 @@
 def test_a_start_never_waits_for_ever(monkeypatch):
     """Discovery is down: after the longest wait the list from before will do."""
     monkeypatch.setattr(node_main, "FIRST_WORD", 0.01)
-    monkeypatch.setattr(standing, "PUSHED_MOST", 0.2)
+    monkeypatch.setattr(readiness, "PUSHED_MOST", 0.2)
 
     async def test(s: Starting) -> None:
         client = await s.client()
@@ -278,8 +278,8 @@
 
 @pytest.mark.parametrize("pushed", [True, False])
 def test_without_the_wait_the_rehearsal_counts_what_was_sent_by_the_list_from_before(pushed, monkeypatch):
-    monkeypatch.setattr(standing, "ASKED_MOST", 0.0)
-    monkeypatch.setattr(standing, "PUSHED_MOST", 0.0)
+    monkeypatch.setattr(readiness, "ASKED_MOST", 0.0)
+    monkeypatch.setattr(readiness, "PUSHED_MOST", 0.0)
     if pushed:
         monkeypatch.setattr(
             rehearsal, "BOOT", 0.31
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from harecross.core.stopping import stopping
+from harecross.node.shutdown_schedule import stopping
 
 CONNECTIONS_COME = 0.4  # seconds after SIGTERM (PROTOCOL, "Figures")
 KILL_AFTER = 0.7  # seconds after the longest deadline, of which 3 s count
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harecross.core import asking
-from harecross.core import values as values_module
-from harecross.core import watch as watch_module
-from harecross.core.asking import Asking, Terms
-from harecross.core.values import BLANK_LINE, VALUE_MOST, BadValue, Values
-from harecross.core.watch import Stream
+from harecross.discovery import json_stream as values_module
+from harecross.discovery import subscription_schedule
+from harecross.discovery import watch as watch_module
+from harecross.discovery.json_stream import BLANK_LINE, VALUE_MOST, BadValue, Values
+from harecross.discovery.subscription_schedule import Asking, Terms
+from harecross.discovery.watch import Stream
 from tests.node_support import STARTED, World, entry, run, update, with_node
 
 UPDATES = st.lists(
@@ -160,7 +160,7 @@
 
 
 def test_a_list_that_dribbles_in_does_not_keep_up_a_watch(monkeypatch):
-    monkeypatch.setattr(asking, "BEAT", 0.3)
+    monkeypatch.setattr(subscription_schedule, "BEAT", 0.3)
     monkeypatch.setattr(watch_module, "PART_MOST", 0.3)
 
     async def test(w: World) -> None:
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from harecross.core.lines import Roster
 from harecross.decide import Balancer
+from harecross.discovery.listed_endpoints import Roster
 from harecross.interface import ClassSettings, Effect, ListKind, ServerEntry, Settings, State
 from harecross.xds.access import allowed, loopback
 from harecross.xds.loads import Loads
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -7,8 +7,8 @@
 
 from node_support import entry, update
 
-from harecross.core import lines
-from harecross.core.lines import Roster
+from harecross.discovery import listed_endpoints
+from harecross.discovery.listed_endpoints import Roster
 from harecross.xds.publish import HOLD, Health, Publisher, ServerView, urgent
 
 
@@ -78,7 +78,7 @@
     assert set(roster.ended) == {"a"} and set(roster.lines) == {"b"}
     roster.apply(update(4, entry("a", "h:1")), full=False, cached=False)
     assert not roster.ended
-    monkeypatch.setattr(lines, "ENDED_MOST", 3)
+    monkeypatch.setattr(listed_endpoints, "ENDED_MOST", 3)
     for i in range(20):
         roster.apply(update(i, entry(f"x{i}", "h:3", "terminated")), full=False, cached=False)
     assert list(roster.ended) == ["x17", "x18", "x19"]
