--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -12,8 +12,8 @@
 from typing import Any, BinaryIO
 
 from harecross.discovery.subscription_schedule import Asking, End, asking_terms
-from harecross.discovery.subscription_schedule import State as Standing
-from harecross.interface import ListKind, Outcome, ServerEntry, State
+from harecross.discovery.subscription_schedule import State as SubscriptionState
+from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind, Outcome
 from harecross.policy.balancer import Balancer
 from harecross.settings import read_settings
 
@@ -55,7 +55,13 @@
     444: Outcome.CANCELLED,
     409: Outcome.NOT_SENT,
 }
-STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
+UPDATE_KINDS = (
+    EndpointUpdateKind.CHANGES,
+    EndpointUpdateKind.FULL,
+    EndpointUpdateKind.CACHED,
+    EndpointUpdateKind.FAILED,
+)
+STATES = {0: EndpointState.GONE, 1: EndpointState.READY, 2: EndpointState.DRAINING}
 REPEAT_FLAG = 2
 LONGEST_TIMER = 4_260_000_000
 EVERY_PEER = 0xFFFF
@@ -81,31 +87,31 @@
     def cancel(self, request: int, attempt: int) -> None:
         self.out += WITHDRAW.pack(68, self.node, request, attempt)
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def shed(self, request: int, retry_after: int) -> None:
         self.out += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
 
     def fail(self, request: int) -> None:
         self.out += END_FAILED.pack(67, self.node, request)
 
-    def probe(self, server: int) -> None:
+    def health_check(self, server: int) -> None:
         self.out += PROBE.pack(70, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
         self.out += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), LONGEST_TIMER), token)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_peer_message(self, peer: int, data: bytes) -> None:
         self.out += NOTIFY.pack(72, self.node, EVERY_PEER if peer < 0 else peer, len(data)) + data
 
-    def watch(self, on: bool) -> None:
+    def subscribe(self, on: bool) -> None:
         self.out += LISTEN.pack(75, self.node, on)
 
-    def fetch(self) -> None:
+    def poll_endpoints(self) -> None:
         self.out += QUERY_ALL.pack(76, self.node)
 
-    def close(self, server: int) -> None:
+    def close_idle(self, server: int) -> None:
         self.out += RELEASE.pack(71, self.node, server)
 
-    def log(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         data = text.encode()[:0xFFFF]
         self.out += JOURNAL_LINE.pack(73, self.node, len(data)) + data
 
@@ -121,7 +127,7 @@
         self.out = bytearray()
         self.nodes: dict[int, Balancer] = {}
         self.asking: dict[int, Asking] = {}  # where lists are asked for
-        self.banks: dict[int, list[ServerEntry]] = {}
+        self.banks: dict[int, list[Endpoint]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
         """Handles one batch and returns the framed reply."""
@@ -161,7 +167,7 @@
         text = take(body, pos, size)
         settings = read_settings(text)
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
-        if settings.list_on_request:
+        if settings.discovery_polled:
             self.asking[node] = Asking(asking_terms(settings), Random(seed))
             self.asking[node].calling(now / 1e6)
         self.tell(node, "start", now)
@@ -173,7 +179,7 @@
         raw = take(body, pos, count * ENTRY.size)
         self.banks[bank] = [
             # The platform's weights are nominal sizes, and the module measures speeds itself.
-            ServerEntry(server, STATES.get(state, State.DRAINING), cell, zone, kind, 1.0, ready_at)
+            Endpoint(server, STATES.get(state, EndpointState.DRAINING), cell, zone, kind, 1.0, ready_at)
             for server, cell, ready_at, zone, _, state, kind in ENTRY.iter_unpack(raw)
         ]
         return pos + int(count) * ENTRY.size
@@ -182,15 +188,15 @@
         node, kind, _, bank = TARGETS.unpack_from(body, pos)
         if kind > 3:
             raise WireError(f"unknown list kind {kind}")
-        list_kind = (ListKind.CHANGES, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)[kind]
-        entries: list[ServerEntry] = []
-        if list_kind != ListKind.FAILED:
+        list_kind = UPDATE_KINDS[kind]
+        entries: list[Endpoint] = []
+        if list_kind != EndpointUpdateKind.FAILED:
             if bank not in self.banks:
                 raise WireError(f"list {bank} was never sent")
             entries = self.banks[bank]
-        self.tell(node, "server_list", now, list_kind, entries)
-        if node in self.asking and list_kind != ListKind.CACHED:
-            self.heard(now / 1e6, node, list_kind != ListKind.FAILED)
+        self.tell(node, "endpoint_update", now, list_kind, entries)
+        if node in self.asking and list_kind != EndpointUpdateKind.CACHED:
+            self.heard(now / 1e6, node, list_kind != EndpointUpdateKind.FAILED)
         return pos + TARGETS.size
 
     def heard(self, now: float, node: int, good: bool) -> None:
@@ -200,25 +206,25 @@
             asking.word(now)
             asking.good()
             return
-        if asking.state is Standing.WAITING:
+        if asking.state is SubscriptionState.WAITING:
             return
-        asking.ended(now, End.ENDED if asking.state is Standing.SUBSCRIBED else End.FAILED)
+        asking.ended(now, End.ENDED if asking.state is SubscriptionState.SUBSCRIBED else End.FAILED)
         WireActions(self.out, node).set_timer(int((asking.next_at - now) * 1e6), ASK_AGAIN)
 
     def accept(self, now: int, body: bytes, pos: int) -> int:
-        node, request, _, tenant, flags, left, _, klass = ACCEPT.unpack_from(body, pos)
-        self.tell(node, "request", now, request, klass, tenant, left, bool(flags & REPEAT_FLAG))
+        node, request, _, tenant, flags, left, _, request_class = ACCEPT.unpack_from(body, pos)
+        self.tell(node, "request", now, request, request_class, tenant, left, bool(flags & REPEAT_FLAG))
         return pos + ACCEPT.size
 
     def client_left(self, now: int, body: bytes, pos: int) -> int:
         node, request = CLIENT_LEFT.unpack_from(body, pos)
-        self.tell(node, "client_left", now, request)
+        self.tell(node, "client_disconnected", now, request)
         return pos + CLIENT_LEFT.size
 
     def check_result(self, now: int, body: bytes, pos: int) -> int:
         node, took, status, server, n = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
-        self.tell(node, "probed", now, server, status == 200, took, floats(body, pos, n))
+        self.tell(node, "health_checked", now, server, status == 200, took, floats(body, pos, n))
         return pos + 4 * int(n)
 
     def opened(self, now: int, body: bytes, pos: int) -> int:
@@ -232,7 +238,7 @@
             self.tell(node, "timer", now, token)
         elif node in self.nodes:
             self.asking[node].calling(now / 1e6)
-            WireActions(self.out, node).watch(True)
+            WireActions(self.out, node).subscribe(True)
         return pos + WAKE.size
 
     def shutdown(self, now: int, body: bytes, pos: int) -> int:
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -14,7 +14,7 @@
 from harecross.discovery.transition_log import describe
 from harecross.discovery.watch import Watch
 from harecross.dispatch.dispatcher import say
-from harecross.interface import ListKind
+from harecross.interface import EndpointUpdateKind
 from harecross.platform.clock import clock
 
 PUSHED = Terms()
@@ -228,4 +228,4 @@
             self.failed()
 
     def failed(self) -> None:
-        self.directory.host.server_list(ListKind.FAILED, [])
+        self.directory.host.endpoint_update(EndpointUpdateKind.FAILED, [])
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -9,11 +9,15 @@
 
 from harecross.discovery.start_times import LONG_AGO, Births
 from harecross.dispatch.dispatcher import Host, say
-from harecross.interface import ListKind, ServerEntry, State
+from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind
 from harecross.platform.clock import clock
 from harecross.upstream.connection_pool import Servers
 
-STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.GONE,
+}
 COLD_MOST = 60_000_000  # microseconds after which a server put back is warm anywhere
 
 
@@ -40,7 +44,7 @@
 class Listed(NamedTuple):
     """What discovery says of a server in service."""
 
-    entry: ServerEntry
+    entry: Endpoint
     address: str
     started: int  # Unix time in milliseconds
 
@@ -68,7 +72,7 @@
         self.kinds = Names(kinds)
         self.numbers: dict[str, int] = {}
         self.last = 0
-        self.listed: dict[int, ServerEntry] = {}  # in service, as last told
+        self.listed: dict[int, Endpoint] = {}  # in service, as last told
         self.draining: set[str] = set()  # names that discovery lists as such
         self.out: dict[str, Listed | None] = {}  # held out: what discovery says of them meanwhile
         self.back: dict[str, int] = {}  # when they were put back
@@ -98,7 +102,7 @@
         full = full or cached or bool(update.get("reset"))
         trace = self.host.trace
         before = set(self.listed) if trace is not None else set()
-        entries: dict[int, ServerEntry] = {}
+        entries: dict[int, Endpoint] = {}
         for item in update["instances"]:
             try:
                 for entry in self.entries(item):
@@ -111,8 +115,14 @@
             names = {str(item.get("instanceId")) for item in update["instances"] if isinstance(item, dict)}
             self.draining &= names
             self.out.update({name: None for name in self.out if name not in names})
-        kind = ListKind.CACHED if cached else ListKind.FULL if full else ListKind.CHANGES
-        self.host.server_list(kind, list(entries.values()))
+        kind = (
+            EndpointUpdateKind.CACHED
+            if cached
+            else EndpointUpdateKind.FULL
+            if full
+            else EndpointUpdateKind.CHANGES
+        )
+        self.host.endpoint_update(kind, list(entries.values()))
         if trace is not None:
             named = {number: name for name, number in self.numbers.items()}
             now_listed = set(self.listed)
@@ -122,14 +132,14 @@
         if self.heard is not None:
             self.heard(update, full, cached)
 
-    def entries(self, item: Any) -> list[ServerEntry]:
+    def entries(self, item: Any) -> list[Endpoint]:
         """What one line says, of its server and of one whose address it takes over."""
         name = str(item["instanceId"])
         # A state never heard of counts as draining: nothing new is sent.
-        state = STATES.get(item["lifecycle"], State.DRAINING)
+        state = STATES.get(item["lifecycle"], EndpointState.DRAINING)
         self.draining.discard(name)
-        if state != State.READY:
-            if state == State.DRAINING:
+        if state != EndpointState.READY:
+            if state == EndpointState.DRAINING:
                 self.draining.add(name)
             if name in self.out:
                 self.out[name] = None
@@ -138,11 +148,11 @@
         started = int(item.get("startedAtMs") or 0)
         address = str(item["hostPort"])
         number = self.number(name)
-        entry = ServerEntry(
+        entry = Endpoint(
             server=number,
             cell=int(item.get("cell") or 0),
             zone=self.zones.place(str(item.get("zone", ""))),
-            kind=self.kinds.place(str(item.get("machineType", ""))),
+            machine_type=self.kinds.place(str(item.get("machineType", ""))),
             weight=float(item.get("weight", 1.0)) if self.weighted else 1.0,
             ready_at=self.births.ready_at(name, started, clock()) if started > 0 else LONG_AGO,
         )
@@ -152,7 +162,7 @@
             return []
         return self.place(name, listed)
 
-    def place(self, name: str, listed: Listed) -> list[ServerEntry]:
+    def place(self, name: str, listed: Listed) -> list[Endpoint]:
         """Uses a server, unless a younger one listens at its address."""
         entry, address, started = listed
         number = entry.server
@@ -188,7 +198,9 @@
         self.out[name] = None
         if entry is not None and target is not None:
             self.out[name] = Listed(entry, target.address, target.started)
-            self.host.server_list(ListKind.CHANGES, [self.withdraw(number, State.DRAINING)])
+            self.host.endpoint_update(
+                EndpointUpdateKind.CHANGES, [self.withdraw(number, EndpointState.DRAINING)]
+            )
 
     def put_back(self, name: str) -> None:
         """Uses the server again if discovery lists it, as one that has just started."""
@@ -199,12 +211,14 @@
         self.back[name] = clock()
         if listed is not None:
             entry = replace(listed.entry, server=self.number(name))
-            self.host.server_list(ListKind.CHANGES, self.place(name, listed._replace(entry=entry)))
+            self.host.endpoint_update(
+                EndpointUpdateKind.CHANGES, self.place(name, listed._replace(entry=entry))
+            )
 
-    def withdraw(self, number: int, state: State = State.GONE) -> ServerEntry:
+    def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
         self.servers.withdraw(number)
         self.listed.pop(number, None)
-        return ServerEntry(number, state)
+        return Endpoint(number, state)
 
     def forget(self) -> None:
         """Guards against: where servers are replaced all day, what was known of those gone piles up."""
@@ -215,4 +229,4 @@
         self.back = {name: at for name, at in self.back.items() if name in self.numbers or at > cold}
         self.owners = {address: n for address, n in self.owners.items() if n in self.listed}
         self.zones.keep({e.zone for e in self.listed.values()})
-        self.kinds.keep({e.kind for e in self.listed.values()})
+        self.kinds.keep({e.machine_type for e in self.listed.values()})
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -85,8 +85,8 @@
 
 def asking_terms(settings: Settings) -> Terms:
     """What a node's settings say of its discovery."""
-    within = settings.list_ask_within / 1e6
-    return Terms(settings.list_on_request, settings.instances, settings.number, within)
+    within = settings.max_poll_interval / 1e6
+    return Terms(settings.discovery_polled, settings.instance_count, settings.instance_index, within)
 
 
 class Asking:
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -14,7 +14,15 @@
 from harecross.discovery.readiness import Standing
 from harecross.dispatch.close_reasons import CloseReason, Closing
 from harecross.http.request_parser import Message
-from harecross.interface import NEVER_RAN, Effect, FinalReason, ListKind, Outcome, ServerEntry, Settings
+from harecross.interface import (
+    NEVER_RAN,
+    Endpoint,
+    EndpointUpdateKind,
+    FinalReason,
+    Idempotency,
+    Outcome,
+    Settings,
+)
 from harecross.platform.clock import clock
 from harecross.policy.balancer import Balancer
 from harecross.upstream.connection_pool import Servers
@@ -75,7 +83,7 @@
         """A server process changed its state; `now` in monotonic seconds."""
 
     def listed(
-        self, kind: ListKind, generation: object, came: Iterable[str], left: Iterable[str]
+        self, kind: EndpointUpdateKind, generation: object, came: Iterable[str], left: Iterable[str]
     ) -> None: ...
 
 
@@ -200,7 +208,7 @@
 
     def usual_time(self) -> float:
         """Seconds within which nearly every request is answered; the longest aim at most."""
-        b, aim = self.balancer, max(c.aim for c in self.settings.classes)
+        b, aim = self.balancer, max(c.latency_objective for c in self.settings.classes)
         usual = max(m + 4 * d for m, d in zip(b.mean_rtt, b.deviation, strict=True))
         return min(usual, aim) / 1e6
 
@@ -236,7 +244,9 @@
         if message.upload is None or message.upload.complete:
             r.timer = self.loop.call_later((until - now) / 1e6, self.overdue, r)
         try:
-            self.balancer.request(now, r.id, message.klass, message.tenant, until - now, message.repeat)
+            self.balancer.request(
+                now, r.id, message.request_class, message.tenant, until - now, message.repeat
+            )
         except Exception:
             guard("request")
             self.give_up(r, FinalReason.INTERNAL)
@@ -294,9 +304,9 @@
 
     def tell_left(self, r: Request) -> None:
         try:
-            self.balancer.client_left(clock(), r.id)
+            self.balancer.client_disconnected(clock(), r.id)
         except Exception:
-            guard("client_left")
+            guard("client_disconnected")
 
     def overdue(self, r: Request) -> None:
         """The caller's time runs out.
@@ -401,7 +411,7 @@
                 self.finish(r, "failed", FinalReason.ANSWER_BROKE)
             self.forget(r)
             if outcome not in (Outcome.OK, Outcome.CANCELLED):
-                self.balancer.reported(clock(), exchange.server, 0, 1, ())
+                self.balancer.load_reported(clock(), exchange.server, 0, 1, ())
             return
         if outcome == Outcome.OK:
             self.finish(r, "served", body=body)
@@ -412,15 +422,17 @@
     def probe_ended(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
         now = clock()
         try:
-            self.balancer.probed(now, exchange.server, outcome == Outcome.OK, now - exchange.began, report)
+            self.balancer.health_checked(
+                now, exchange.server, outcome == Outcome.OK, now - exchange.began, report
+            )
         except Exception:
-            guard("probed")
+            guard("health_checked")
 
-    def server_list(self, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
+    def endpoint_update(self, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
         try:
-            self.balancer.server_list(clock(), kind, entries)
+            self.balancer.endpoint_update(clock(), kind, entries)
         except Exception:
-            guard("server_list")
+            guard("endpoint_update")
 
     # ---- Actions --------------------------------------------------------------------------------------
 
@@ -441,11 +453,11 @@
         attempt.host = self
         attempt.upload = upload
         attempt.patience = min(timeout, r.message.time_left) if timeout > 0 else r.message.time_left
-        c = self.settings.classes[min(r.message.klass, len(self.settings.classes) - 1)]
-        if c.effect == Effect.KEYED and r.ran_at is not None:
+        c = self.settings.classes[min(r.message.request_class, len(self.settings.classes) - 1)]
+        if c.idempotency == Idempotency.IDEMPOTENCY_KEY and r.ran_at is not None:
             # Guards against: the repeat was decided within the window in which servers would drop it, and goes out
             # behind it, once its connection has come up.
-            attempt.begin_by = r.ran_at + c.window
+            attempt.begin_by = r.ran_at + c.deduplication_window
         attempt.request = r
         attempt.number = r.attempts
         r.attempts += 1
@@ -465,7 +477,7 @@
                 # The outcome follows, never within the module's own call.
                 self.loop.call_soon(self.servers.abandon, out, Outcome.CANCELLED)
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def shed(self, request: int, retry_after: int) -> None:
         r = self.requests.get(request)
         if r is not None:
             retry_after = min(retry_after, self.settings.max_retry_after)
@@ -476,7 +488,7 @@
         if r is not None:
             self.finish(r, "failed", self.balancer.final_reason)
 
-    def probe(self, server: int) -> None:
+    def health_check(self, server: int) -> None:
         self.servers.send(self.servers.probe(server, self.probe_ended))
 
     def set_timer(self, delay: int, token: int) -> None:
@@ -488,20 +500,20 @@
         except Exception:
             guard("timer")
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_peer_message(self, peer: int, data: bytes) -> None:
         """Nodes do not talk to one another: the module decides from its own traffic and never calls this."""
         raise NotImplementedError
 
-    def watch(self, on: bool) -> None:
+    def subscribe(self, on: bool) -> None:
         self.on_watch(on)
 
-    def fetch(self) -> None:
+    def poll_endpoints(self) -> None:
         self.on_fetch()
 
-    def close(self, server: int) -> None:
+    def close_idle(self, server: int) -> None:
         self.servers.close(server)
 
-    def log(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         say(text)
 
     # ---- connections ----------------------------------------------------------------------------------
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -16,7 +16,7 @@
 from harecross.discovery.process_table import Transition
 from harecross.dispatch.close_reasons import Closing
 from harecross.dispatch.dispatcher import Attempt, Request
-from harecross.interface import FinalReason, ListKind, Outcome
+from harecross.interface import EndpointUpdateKind, FinalReason, Outcome
 
 MARK = "attempt "  # stands before the object: the log may hold other lines, and what reads it may put times before
 FLUSHING = frozenset(("start", "list", "process", "final"))
@@ -76,7 +76,11 @@
 
     def taken(self, r: Request, now: int) -> None:
         """A request has come; it is to be answered within `time_left` microseconds. Classes go by their numbers."""
-        more = {"request.class": str(r.message.klass), "time_left": r.until - now, "url.path": self.path(r)}
+        more = {
+            "request.class": str(r.message.request_class),
+            "time_left": r.until - now,
+            "url.path": self.path(r),
+        }
         self.write("taken", r, **more)
 
     def sent(self, a: Attempt) -> None:
@@ -106,7 +110,9 @@
         more = {"server.address": closing.peer} if closing.peer else {}
         self.tell("closed", closing.request, side=closing.side, reason=closing.reason.value, **more)
 
-    def listed(self, kind: ListKind, generation: object, came: Iterable[str], left: Iterable[str]) -> None:
+    def listed(
+        self, kind: EndpointUpdateKind, generation: object, came: Iterable[str], left: Iterable[str]
+    ) -> None:
         """A list was read: which servers are in service by it that were not before, and which no longer are."""
         self.tell("list", kind=kind.name.lower(), generation=generation, came=sorted(came), left=sorted(left))
 
--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from harecross.http.body_buffer import BODY_LARGEST, Upload
-from harecross.interface import Effect, Settings
+from harecross.interface import Idempotency, Settings
 
 HEAD_MOST = 1 << 14
 HEADERS_MOST = 64
@@ -38,7 +38,7 @@
     """A caller's request as it was read; `head` is what goes to a server, up to X-Timeout."""
 
     id: bytes
-    klass: int
+    request_class: int
     tenant: int
     repeat: bool
     time_left: int
@@ -105,8 +105,8 @@
         for mark in (url.find(b"/", 1), url.find(b"?", 1)):
             if 0 < mark < end:
                 end = mark
-        klass = self.classes.get(url[1:end])
-        if klass is None:
+        request_class = self.classes.get(url[1:end])
+        if request_class is None:
             raise BadRequest(404)
         found: dict[bytes, bytes] = {}
         lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, url, HOST)]
@@ -119,17 +119,17 @@
                     raise BadRequest(400)
                 found[low] = value
                 lines.append(b"%s: %s\r\n" % (name, value))
-        c = self.settings.classes[klass]
+        c = self.settings.classes[request_class]
         left = time_left(found.get(b"x-timeout", b""))
         request = found.get(b"x-request-id")
         # Guards against: a keyed request with no key would be counted on to be dropped when repeated, and one
         # that looks safe to whoever passes it on but is not could run again.
-        safe = c.effect == Effect.SAFE
+        safe = c.idempotency == Idempotency.IDEMPOTENT
         if (
             left is None
             or request is None
             or method != (b"GET" if safe else b"POST")
-            or (b"idempotency-key" in found) != (c.effect == Effect.KEYED)
+            or (b"idempotency-key" in found) != (c.idempotency == Idempotency.IDEMPOTENCY_KEY)
             or (safe and (body or upload is not None))
         ):
             raise BadRequest(400)
@@ -140,7 +140,7 @@
             lines.append(b"Content-Length: %d\r\n" % length)
         return Message(
             id=request,
-            klass=klass,
+            request_class=request_class,
             tenant=self.tenants.get(found.get(b"x-tenant-id", b""), len(self.tenants)),
             repeat=found.get(b"x-retried", b"").strip() == b"1",
             time_left=min(left, c.deadline),
--- a/harecross/interface.py
+++ b/harecross/interface.py
@@ -12,15 +12,15 @@
 from typing import Protocol
 
 
-class Effect(IntEnum):
+class Idempotency(IntEnum):
     """What a repeat of a request does."""
 
-    SAFE = 0  # may run any number of times
-    KEYED = 1  # a group of servers discards repeats for a while
-    UNSAFE = 2  # must never run twice (also: any effect the host does not recognise)
+    IDEMPOTENT = 0  # may run any number of times
+    IDEMPOTENCY_KEY = 1  # a group of servers discards repeats for a while
+    NON_IDEMPOTENT = 2  # must never run twice (also: any effect the host does not recognise)
 
 
-class Group(IntEnum):
+class DeduplicationScope(IntEnum):
     """Which servers discard the repeats of a keyed request."""
 
     ALL = 0
@@ -65,7 +65,7 @@
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     """A server's state in the list."""
 
     GONE = 0
@@ -73,7 +73,7 @@
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class EndpointUpdateKind(IntEnum):
     """What a server-list event carries."""
 
     CHANGES = 0
@@ -86,13 +86,13 @@
 class ClassSettings:
     """One class of requests."""
 
-    effect: Effect
-    aim: int  # an answer within this time earns the full worth
+    idempotency: Idempotency
+    latency_objective: int  # an answer within this time earns the full worth
     deadline: int  # the client's whole patience, over all its tries
-    worth: float
-    late_worth: float = 0.0  # share of the worth for an answer after the aim
-    group: Group = Group.ALL
-    window: int = 0  # how long a keyed request's group remembers it
+    priority_weight: float
+    late_priority_weight: float = 0.0  # share of the worth for an answer after the aim
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: int = 0  # how long a keyed request's group remembers it
     stream: bool = False
 
 
@@ -112,24 +112,24 @@
     tier: int = 0  # the tier this instance sends to; above 0 its callers are servers
     tiers: int = 1
     zone: int = 0
-    instances: int = 1  # instances that send to this tier, this one included
-    number: int = 0  # this one's number among them
+    instance_count: int = 1  # instances that send to this tier, this one included
+    instance_index: int = 0  # this one's number among them
     tick: int = 1000  # least time between two batches of events
     max_attempts: int = 1
     cancel: bool = False
     retry_after: bool = False
     max_retry_after: int = 0
     max_open: int = 20000
-    list_on_request: bool = False  # the server list must be asked for
-    list_ask_within: int = 0  # where it must be asked for: the longest silence allowed
-    cold_time: int = 0  # a fresh server is warm within this time
-    cold_share: float = 1.0  # and starts at this share of its capacity or more
-    fall_multiple: float = 0.0  # sent more than this multiple of its present capacity
-    fall_time: int = 0  # for this long, it falls over
-    cross_zone_price: float = 0.0
-    over_share_worth: float = 1.0
+    discovery_polled: bool = False  # the server list must be asked for
+    max_poll_interval: int = 0  # where it must be asked for: the longest silence allowed
+    slow_start_duration: int = 0  # a fresh server is warm within this time
+    slow_start_min_capacity: float = 1.0  # and starts at this share of its capacity or more
+    overload_multiple: float = 0.0  # sent more than this multiple of its present capacity
+    overload_duration: int = 0  # for this long, it falls over
+    cross_zone_cost: float = 0.0
+    over_quota_weight: float = 1.0
     report_fields: Sequence[str] = ()
-    subset_most: int = 0  # members of the subset at most; 0: as many as a node takes
+    subset_max: int = 0  # members of the subset at most; 0: as many as a node takes
 
     def __post_init__(self) -> None:
         def need(ok: bool, key: str) -> None:
@@ -138,44 +138,44 @@
 
         need(len(self.classes) > 0, "classes")
         for i, c in enumerate(self.classes):
-            need(c.aim > 0, f"classes[{i}].aim")
+            need(c.latency_objective > 0, f"classes[{i}].latency_objective")
             need(c.deadline > 0, f"classes[{i}].deadline")
-            need(c.worth >= 0, f"classes[{i}].worth")
-            need(c.window >= 0, f"classes[{i}].window")
+            need(c.priority_weight >= 0, f"classes[{i}].priority_weight")
+            need(c.deduplication_window >= 0, f"classes[{i}].deduplication_window")
         for i, t in enumerate(self.tenants):
             need(t.quota >= 0, f"tenants[{i}].quota")
         need(0 <= self.tier < self.tiers, "tier")
-        need(self.instances >= 1, "instances")
-        need(self.number >= 0, "number")
+        need(self.instance_count >= 1, "instance_count")
+        need(self.instance_index >= 0, "instance_index")
         need(self.max_attempts >= 1, "max_attempts")
         need(self.max_open >= 1, "max_open")
         need(self.tick > 0, "tick")
-        need(self.cold_time >= 0, "cold_time")
-        need(0 < self.cold_share <= 1, "cold_share")
-        need(self.fall_multiple >= 0, "fall_multiple")
-        need(self.fall_time >= 0, "fall_time")
-        need(self.subset_most >= 0, "subset_most")
+        need(self.slow_start_duration >= 0, "slow_start_duration")
+        need(0 < self.slow_start_min_capacity <= 1, "slow_start_min_capacity")
+        need(self.overload_multiple >= 0, "overload_multiple")
+        need(self.overload_duration >= 0, "overload_duration")
+        need(self.subset_max >= 0, "subset_max")
 
 
 @dataclass(frozen=True)
-class ServerEntry:
+class Endpoint:
     """One line of the server list."""
 
     server: int
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     cell: int = 0
     zone: int = 0
-    kind: int = 0
+    machine_type: int = 0
     weight: float = 1.0
     ready_at: int = 0  # when it last started; 0 = long ago
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class EndpointSnapshot:
     """What a Balancer thinks of one server, for those who hand it on."""
 
     server: int
-    state: State  # DRAINING where it has left the list with calls still out
+    state: EndpointState  # DRAINING where it has left the list with calls still out
     ejected: bool
     warmth: float  # present part of a warm server's capacity, in (0, 1]
     cost: float  # expected time of one more call, in mean round-trips or, where it reports, mean reports
@@ -191,31 +191,31 @@
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for an attempt; its outcome still follows."""
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def shed(self, request: int, retry_after: int) -> None:
         """Final answer: not served, a retry does no harm."""
 
     def fail(self, request: int) -> None:
         """Final answer: not served, with no promise about effects."""
 
-    def probe(self, server: int) -> None:
+    def health_check(self, server: int) -> None:
         """Test a server; one `probed` event follows."""
 
     def set_timer(self, delay: int, token: int) -> None:
         """Ask for a `timer` event; timers cannot be withdrawn."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_peer_message(self, peer: int, data: bytes) -> None:
         """Send a short message to another instance of this tier (-1: to all)."""
 
-    def watch(self, on: bool) -> None:
+    def subscribe(self, on: bool) -> None:
         """Subscribe to changes of the server list."""
 
-    def fetch(self) -> None:
+    def poll_endpoints(self) -> None:
         """Ask for the whole server list once."""
 
-    def close(self, server: int) -> None:
+    def close_idle(self, server: int) -> None:
         """Close idle connections to a server."""
 
-    def log(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         """Record a change of state."""
 
 
@@ -224,10 +224,10 @@
 
     def start(self, now: int) -> None: ...
 
-    def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
+    def endpoint_update(self, now: int, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None: ...
 
     def request(
-        self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool
+        self, now: int, request: int, request_class: int, tenant: int, time_left: int, repeat: bool
     ) -> None: ...
 
     def outcome(
@@ -246,11 +246,13 @@
 
     def uploading(self, now: int, request: int, on: bool) -> None: ...
 
-    def client_left(self, now: int, request: int) -> None: ...
+    def client_disconnected(self, now: int, request: int) -> None: ...
 
-    def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None: ...
+    def health_checked(
+        self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]
+    ) -> None: ...
 
-    def reported(self, now: int, server: int, good: int, bad: int, report: Sequence[float]) -> None: ...
+    def load_reported(self, now: int, server: int, good: int, bad: int, report: Sequence[float]) -> None: ...
 
     def timer(self, now: int, token: int) -> None: ...
 
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -5,12 +5,21 @@
 from collections.abc import Sequence
 from math import sqrt
 
-from harecross.interface import NEVER_RAN, Effect, FinalReason, ListKind, Outcome, ServerEntry, State, View
+from harecross.interface import (
+    NEVER_RAN,
+    Endpoint,
+    EndpointSnapshot,
+    EndpointState,
+    EndpointUpdateKind,
+    FinalReason,
+    Idempotency,
+    Outcome,
+)
 from harecross.policy.controller import LATE_MOST, WINDOW
 from harecross.policy.draw import SILENT_FACTOR, Draw
 from harecross.policy.fleet_limits import MIN_LIMIT
 from harecross.policy.health import SLOWEST
-from harecross.policy.members import Kind, Server, Zone
+from harecross.policy.members import MachineType, Server, Zone
 from harecross.policy.state import Request
 
 RETRY_RATIO = 0.1  # further attempts allowed for each first attempt
@@ -30,25 +39,25 @@
         self.controller.start_pass(now)
         self.spill_at = now
         self.shares.at = now
-        if self.settings.list_on_request:
-            self.actions.watch(True)
+        if self.settings.discovery_polled:
+            self.actions.subscribe(True)
 
-    def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        if kind == ListKind.FAILED:
+    def endpoint_update(self, now: int, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
+        if kind == EndpointUpdateKind.FAILED:
             return  # the list in hand holds; the host asks again (discovery/subscription_schedule.py)
         latest = {e.server: e for e in entries}  # an entry twice: the last holds
-        if kind != ListKind.CHANGES:
+        if kind != EndpointUpdateKind.CHANGES:
             for server in self.servers.values():
                 if server.in_list and server.id not in latest:
                     self.drop(server)
         for entry in latest.values():
             known = self.servers.get(entry.server)
-            if entry.state != State.READY:
+            if entry.state != EndpointState.READY:
                 if known is not None:
                     self.drop(known)
                 continue
             if known is None:
-                known = Server(entry.server, self.kinds.setdefault(entry.kind, Kind()))
+                known = Server(entry.server, self.machine_types.setdefault(entry.machine_type, MachineType()))
                 self.servers[entry.server] = known
             if known.ready_at != entry.ready_at:
                 if known.ejected:
@@ -60,28 +69,34 @@
             known.cell, known.zone, known.weight = entry.cell, entry.zone, entry.weight
             if entry.zone not in self.zones:
                 self.zones[entry.zone] = Zone(entry.zone)
-            if entry.ready_at > 0 and now < entry.ready_at + self.settings.cold_time:
+            if entry.ready_at > 0 and now < entry.ready_at + self.settings.slow_start_duration:
                 # Failure prevented: a restarted server looks idle and draws a flood that pushes it over.
                 if known.cold_until == 0:
                     known.tokens_at = now
-                known.cold_until = entry.ready_at + self.settings.cold_time
+                known.cold_until = entry.ready_at + self.settings.slow_start_duration
         self.forget_gone()
         self.refill(now)
 
-    def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
+    def request(
+        self, now: int, request: int, request_class: int, tenant: int, time_left: int, repeat: bool
+    ) -> None:
         s = self.settings
         # Failure prevented: a class never told of runs twice, since it is taken for one that may.
-        effect = s.classes[klass].effect if klass < len(s.classes) else Effect.UNSAFE
-        klass = min(klass, len(s.classes) - 1)
-        c = s.classes[klass]
+        effect = (
+            s.classes[request_class].idempotency
+            if request_class < len(s.classes)
+            else Idempotency.NON_IDEMPOTENT
+        )
+        request_class = min(request_class, len(s.classes) - 1)
+        c = s.classes[request_class]
         useful = time_left
-        if c.late_worth <= 0 and c.aim - 2 * s.tick < useful:
+        if c.late_priority_weight <= 0 and c.latency_objective - 2 * s.tick < useful:
             # Late work is waste: an answer after the aim is worth nothing here, so nothing waits for it.
-            useful = max(s.tick, c.aim - 2 * s.tick)
+            useful = max(s.tick, c.latency_objective - 2 * s.tick)
         self.asked += 1
         if now - self.spill_at >= WINDOW:
             self.each_window(now)
-        r = Request(request, klass, effect, now + useful)
+        r = Request(request, request_class, effect, now + useful)
         self.requests[request] = r
         ctl = self.controller
         self.retry_tokens = min(self.retry_tokens + RETRY_RATIO, max(float(MIN_LIMIT), sqrt(ctl.limit)))
@@ -90,13 +105,13 @@
             # Trunk reservation: a class of lesser worth for its time leaves sqrt(limit) slots for
             # what is worth more, a tenant beyond its share twice that.
             over = not self.shares.take(now, tenant)
-            limit -= (self.rank[klass] + 2 * over) * ctl.headroom()
-            admitted = ctl.admits(now, limit, self.mean_rtt[klass])
-            if not admitted or (over and s.over_share_worth < SHARE_WORTH):
+            limit -= (self.rank[request_class] + 2 * over) * ctl.headroom()
+            admitted = ctl.admits(now, limit, self.mean_rtt[request_class])
+            if not admitted or (over and s.over_quota_weight < SHARE_WORTH):
                 self.blocked += 1
                 self.finish(r, refuse=True, reason=self.why_blocked(admitted))
                 return
-        elif not ctl.admits(now, limit, self.mean_rtt[klass]):
+        elif not ctl.admits(now, limit, self.mean_rtt[request_class]):
             self.hold(now, r)
             return
         self.attempt(now, r)
@@ -145,12 +160,12 @@
         step, r.parked = -1 if on else 1, on
         r.out.in_flight += step
         if not r.out.aside:
-            self.controller.count(now, step, self.controller.allowed(), self.mean_rtt[r.klass])
+            self.controller.count(now, step, self.controller.allowed(), self.mean_rtt[r.request_class])
         if not on:
             r.useful_until += now - r.sent_at
             r.sent_at = r.out.quiet_since = now
 
-    def client_left(self, now: int, request: int) -> None:
+    def client_disconnected(self, now: int, request: int) -> None:
         r = self.requests.pop(request, None)
         if r is not None and r.held:
             # Failure prevented: calls whose client left fill the room for calls that wait for a slot.
@@ -159,19 +174,19 @@
         if r is None or r.out is None or r.begun:
             return
         waited = now - r.sent_at
-        if waited > self.controller.target[r.klass] and not r.out.aside:
+        if waited > self.controller.target[r.request_class] and not r.out.aside:
             # Failure prevented: clients give up before any time-out, calls end as cancelled, and a copy whose
             # servers answer nobody in time sees no sample of it.
-            self.controller.sample(now, r.klass, waited)
-            self.learn_speed(r.out, min(waited / self.mean_rtt[r.klass], SLOWEST))
+            self.controller.sample(now, r.request_class, waited)
+            self.learn_speed(r.out, min(waited / self.mean_rtt[r.request_class], SLOWEST))
         if self.settings.cancel:
             self.actions.cancel(request, r.attempts - 1)
 
-    def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
+    def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
         """The module asks for no probes: its trials are real calls. A control service probes by itself."""
-        self.reported(now, server, int(ok), int(not ok), report)
+        self.load_reported(now, server, int(ok), int(not ok), report)
 
-    def reported(self, now: int, server: int, good: int, bad: int, report: Sequence[float]) -> None:
+    def load_reported(self, now: int, server: int, good: int, bad: int, report: Sequence[float]) -> None:
         """Calls that others made to a server, and how many failed."""
         if server in self.servers:
             self.observe(now, self.servers[server], good, bad, report)
@@ -213,15 +228,15 @@
             "rq_overtaken": self.overtaken,
         }
 
-    def view(self, now: int) -> list[View]:
+    def view(self, now: int) -> list[EndpointSnapshot]:
         """What is thought of each server. Changes nothing."""
         mean, memory = min(self.mean_rtt), self.memory()
         limit = self.controller.allowed() / max(1, len(self.able))
         views = []
         for srv in self.servers.values():
             cost = srv.load(now, mean, memory, self.mean_cost) / (srv.in_flight + 1)
-            state = State.READY if srv.in_list else State.DRAINING
-            views.append(View(srv.id, state, srv.ejected, self.warmth(now, srv), cost, limit))
+            state = EndpointState.READY if srv.in_list else EndpointState.DRAINING
+            views.append(EndpointSnapshot(srv.id, state, srv.ejected, self.warmth(now, srv), cost, limit))
         return views
 
     # ---- a request's life -----------------------------------------------------------------------------
@@ -233,14 +248,16 @@
             self.finish(r, refuse=r.ran_on is None, reason=FinalReason.NO_SERVER)
             return
         timeout = r.useful_until - now
-        if srv.aside and r.effect != Effect.UNSAFE:
+        if srv.aside and r.idempotency != Idempotency.NON_IDEMPOTENT:
             # A trial of an ejected server or a cut zone must not cost the request its whole time.
-            timeout = min(timeout, max(self.settings.tick, int(SILENT_FACTOR * self.mean_rtt[r.klass])))
+            timeout = min(
+                timeout, max(self.settings.tick, int(SILENT_FACTOR * self.mean_rtt[r.request_class]))
+            )
         if srv.in_flight == 0:
             srv.quiet_since = now
         srv.in_flight += 1
         if not srv.aside:
-            self.controller.count(now, 1, self.controller.allowed(), self.mean_rtt[r.klass])
+            self.controller.count(now, 1, self.controller.allowed(), self.mean_rtt[r.request_class])
         zone = self.zones[srv.zone]
         if zone.sent == 0:
             zone.sent_since = now
@@ -251,8 +268,8 @@
         r.sent_at = now
         r.attempts += 1
         self.actions.send(r.id, srv.id, timeout)
-        if r.effect != Effect.UNSAFE:
-            mean, deviation = self.mean_rtt[r.klass], self.deviation[r.klass]
+        if r.idempotency != Idempotency.NON_IDEMPOTENT:
+            mean, deviation = self.mean_rtt[r.request_class], self.deviation[r.request_class]
             first = mean + (TRY_DEVIATIONS + self.above) * deviation
             wait = min(first, timeout - mean - deviation)
             if wait >= first / 2:
@@ -277,7 +294,7 @@
         assert srv is not None
         if not s.cancel or r.begun or r.parked or r.attempts >= s.max_attempts:
             return
-        mean, deviation = self.mean_rtt[r.klass], self.deviation[r.klass]
+        mean, deviation = self.mean_rtt[r.request_class], self.deviation[r.request_class]
         answered = srv.heard > r.sent_at + mean
         lost = answered or now - r.sent_at >= mean + (TRY_MOST + self.above) * deviation
         if lost and self.controller.late <= LATE_MOST and self.retry_tokens >= 1:
@@ -300,7 +317,7 @@
         r.cut = False
         why_not = self.why_no_retry(now, r, price)
         if why_not is not None:
-            self.finish(r, refuse=not ran or r.effect == Effect.SAFE, reason=why_not)
+            self.finish(r, refuse=not ran or r.idempotency == Idempotency.IDEMPOTENT, reason=why_not)
             return
         # Retries multiply through tiers and clients: each copy spends a share of its first attempts.
         self.retry_tokens -= price
@@ -314,15 +331,17 @@
 
     def why_no_retry(self, now: int, r: Request, price: int) -> FinalReason | None:
         """What forbids a further attempt, which costs so many retry tokens; None if nothing does."""
-        window = self.settings.classes[r.klass].window
-        repeatable = r.effect == Effect.SAFE or (r.effect == Effect.KEYED and now < r.ran_at + window)
+        window = self.settings.classes[r.request_class].deduplication_window
+        repeatable = r.idempotency == Idempotency.IDEMPOTENT or (
+            r.idempotency == Idempotency.IDEMPOTENCY_KEY and now < r.ran_at + window
+        )
         if r.ran_on is not None and not repeatable:
             return FinalReason.MAY_HAVE_RUN
         if r.attempts >= self.settings.max_attempts:
             return FinalReason.ATTEMPTS_USED
         if self.retry_tokens < price:
             return FinalReason.RETRY_BUDGET
-        if now + self.mean_rtt[r.klass] >= r.useful_until:
+        if now + self.mean_rtt[r.request_class] >= r.useful_until:
             return FinalReason.NO_TIME_TO_RETRY
         return None
 
@@ -337,8 +356,8 @@
         if s.retry_after:
             # Failure prevented: told to stay away for long, clients come back when the aim has passed and
             # their calls, served late, are worth little.
-            after = min(s.max_retry_after, s.classes[r.klass].aim // 8)
-        self.actions.refuse(r.id, after)
+            after = min(s.max_retry_after, s.classes[r.request_class].latency_objective // 8)
+        self.actions.shed(r.id, after)
 
     def hold(self, now: int, r: Request) -> None:
         """Below the first tier a refusal wastes the work already sunk above: the call waits for a free slot.
--- a/harecross/policy/controller.py
+++ b/harecross/policy/controller.py
@@ -133,12 +133,14 @@
         self.flight_sum = self.latency_sum = 0
 
     def end_pass(self, now: int) -> None:
-        for klass, samples in enumerate(self.pass_samples):
+        for request_class, samples in enumerate(self.pass_samples):
             if len(samples) >= MIN_LIMIT:
-                self.min_rtt[klass] = percentile(samples, PERCENTILE)
+                self.min_rtt[request_class] = percentile(samples, PERCENTILE)
                 # Failure prevented: a min_rtt measured under load lets queues grow past the aim.
-                most = AIM_MOST / AIM_SHARE * self.allowance[klass]
-                self.target[klass] = min(max(self.min_rtt[klass] * (1 + BUFFER), self.allowance[klass]), most)
+                most = AIM_MOST / AIM_SHARE * self.allowance[request_class]
+                self.target[request_class] = min(
+                    max(self.min_rtt[request_class] * (1 + BUFFER), self.allowance[request_class]), most
+                )
         taken = PASS_CALLS - self.pass_count
         if self.passes == 0 and taken and all(m <= t for m, t in zip(self.min_rtt, self.target, strict=True)):
             self.usual = self.flight_sum / taken  # what the first pass carried, in good time
@@ -149,17 +151,17 @@
         self.flight_sum = self.latency_sum = 0
         self.window_start = now
 
-    def sample(self, now: int, klass: int, latency: int) -> None:
+    def sample(self, now: int, request_class: int, latency: int) -> None:
         """A served call's latency, or the time-out of one that timed out."""
         if self.in_pass:
-            self.pass_samples[klass].append(latency)
+            self.pass_samples[request_class].append(latency)
             self.pass_count -= 1
             self.flight_sum += self.in_flight
             # Failure prevented: a pass that ends at its last answer has seen only the short calls.
             if now >= self.pass_until + (0 if self.pass_count <= 0 else 2 * WINDOW * WINDOW_STRETCH):
                 self.end_pass(now)
             return
-        self.samples.append((latency / self.target[klass], now - latency < self.judged_at))
+        self.samples.append((latency / self.target[request_class], now - latency < self.judged_at))
         self.flight_sum += self.in_flight
         self.latency_sum += latency
         self.roll(now)
@@ -172,10 +174,10 @@
         """
         return self.lost > (LOST_LATE if self.late > LATE_MOST else LOST_MOST)
 
-    def failure(self, now: int, klass: int) -> None:
+    def failure(self, now: int, request_class: int) -> None:
         """A failed call while the whole subset fails: overload in a window, no measure of min_rtt."""
         if not self.in_pass:
-            self.sample(now, klass, int(2 * self.target[klass]))
+            self.sample(now, request_class, int(2 * self.target[request_class]))
         elif now >= self.pass_until:
             self.end_pass(now)
 
--- a/harecross/policy/draw.py
+++ b/harecross/policy/draw.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from harecross.interface import Effect, Group
+from harecross.interface import DeduplicationScope, Idempotency
 from harecross.policy import fleet_limits
 from harecross.policy.health import EJECT_TIME, Health
 from harecross.policy.members import FADE, Server
@@ -18,12 +18,12 @@
 
     def draw(self, now: int, r: Request) -> Server | None:
         """Two random members; the one with less in flight takes the call."""
-        effect = r.effect
-        if r.ran_on is not None and effect == Effect.KEYED:
+        effect = r.idempotency
+        if r.ran_on is not None and effect == Idempotency.IDEMPOTENCY_KEY:
             return self.draw_in_group(now, r)
         # Failure prevented: a copy with unsafe calls only never tries an ejected member or a cut zone again.
         # They may be tried with one once no other call has come for as long as a first ejection.
-        wait = EJECT_TIME if effect == Effect.UNSAFE else 0
+        wait = EJECT_TIME if effect == Idempotency.NON_IDEMPOTENT else 0
         if self.ejected and now >= self.next_trial + wait:
             for trial in self.ejected:
                 if trial.trial_at + wait <= now and not trial.trial_out and self.may_send(now, trial):
@@ -93,10 +93,10 @@
     def draw_in_group(self, now: int, r: Request) -> Server | None:
         """A keyed request that may have run goes only to the servers that would discard its repeat."""
         first = r.ran_on
-        group = self.settings.classes[r.klass].group
+        group = self.settings.classes[r.request_class].deduplication_scope
         assert first is not None
-        zone = first.zone if group == Group.ZONE else None
-        cell = first.cell if group == Group.CELL else None
+        zone = first.zone if group == DeduplicationScope.ZONE else None
+        cell = first.cell if group == DeduplicationScope.CELL else None
         pool = [m for m in self.able if zone in (None, m.zone) and cell in (None, m.cell)]
         # Failure prevented: a cell with one server left has nowhere to send a repeat. The server that may
         # have run it drops its repeats as well as the others do, and an answer lost on the way says little
@@ -115,7 +115,7 @@
         if srv.cold_until <= now:
             return 1.0
         s = self.settings
-        return fleet_limits.warmth(s.cold_share, srv.cold_until - now, s.cold_time)
+        return fleet_limits.warmth(s.slow_start_min_capacity, srv.cold_until - now, s.slow_start_duration)
 
     def may_send(self, now: int, srv: Server) -> bool:
         """Slow start: a cold server takes its present share of what a warm member gets from this copy.
--- a/harecross/policy/fleet_limits.py
+++ b/harecross/policy/fleet_limits.py
@@ -3,7 +3,7 @@
 Whatever is harmless in one node and harmful in hundreds is decided here, from facts of configuration and list: how
 many servers a node calls, how many calls it may hold whatever happens, what it gives a cold server, what leaves its
 zone. The decision module asks it in the node and the simulator's adapter; `fleet/sums.py` adds it up over a fleet.
-Servers are those listed for the tier, nodes those that call it (`Settings.instances`), calls are calls in flight.
+Servers are those listed for the tier, nodes those that call it (`Settings.instance_count`), calls are calls in flight.
 """
 
 from __future__ import annotations
--- a/harecross/policy/health.py
+++ b/harecross/policy/health.py
@@ -52,18 +52,18 @@
         if r is not None and outcome != Outcome.TIMEOUT and outcome != Outcome.CONNECT_FAILED:
             srv.heard = max(srv.heard, r.sent_at)
         if r is not None and (ok or outcome == Outcome.TIMEOUT) and not overtaken:
-            klass = r.klass
+            request_class = r.request_class
             if srv.slowness < OUTLIER and not srv.ejected:
-                ctl.late += SMOOTH_ALL * ((latency > ctl.target[klass]) - ctl.late)
-                ctl.sample(now, klass, latency)
-            self.learn_speed(srv, min(latency / self.mean_rtt[klass], SLOWEST))
+                ctl.late += SMOOTH_ALL * ((latency > ctl.target[request_class]) - ctl.late)
+                ctl.sample(now, request_class, latency)
+            self.learn_speed(srv, min(latency / self.mean_rtt[request_class], SLOWEST))
             if srv.zone == self.settings.zone:
-                self.near_ratio += SMOOTH_ALL * (latency / ctl.target[klass] - self.near_ratio)
+                self.near_ratio += SMOOTH_ALL * (latency / ctl.target[request_class] - self.near_ratio)
             else:
-                self.far_ratio += SMOOTH_ALL * (latency / ctl.target[klass] - self.far_ratio)
-            off = latency - self.mean_rtt[klass]
-            self.deviation[klass] += SMOOTH_ALL * (abs(off) - self.deviation[klass])
-            self.mean_rtt[klass] += SMOOTH_ALL * off
+                self.far_ratio += SMOOTH_ALL * (latency / ctl.target[request_class] - self.far_ratio)
+            off = latency - self.mean_rtt[request_class]
+            self.deviation[request_class] += SMOOTH_ALL * (abs(off) - self.deviation[request_class])
+            self.mean_rtt[request_class] += SMOOTH_ALL * off
         srv.calls += 1
         self.gap += SMOOTH_KIND * (min(now - self.ended_at, FADE) - self.gap)
         self.ended_at = now
@@ -79,7 +79,7 @@
             if bad and r is not None and ctl.losing():
                 # Failure prevented: the tiers below have lost servers, most calls sink work and come back as
                 # errors, and errors that add no sample leave the limit where it was.
-                ctl.failure(now, r.klass)
+                ctl.failure(now, r.request_class)
         if ok:
             srv.fails_in_row = 0
             if srv.ejected and (srv.trial_out or srv.silent):
@@ -135,7 +135,7 @@
 
     def learn_speed(self, srv: Server, ratio: float) -> None:
         """Books a round-trip, in mean round-trips, to the member and to its kind."""
-        kind = srv.kind
+        kind = srv.machine_type
         kind.calls += 1
         kind.slowness += max(SMOOTH_KIND, 1 / (kind.calls + 1)) * (ratio - kind.slowness)
         srv.slowness = max(FASTEST, srv.slowness + SMOOTH * (ratio - srv.slowness))
@@ -152,7 +152,7 @@
             cost *= 1 + max(report[at["queue"]], 0.0)
         if not 0 < cost < LARGEST_COST:
             return  # a report that cannot be: one of them would stay in the averages for good
-        kind = srv.kind
+        kind = srv.machine_type
         kind.reports += 1
         kind.cost += max(SMOOTH_KIND, 1 / kind.reports) * (cost - kind.cost)
         srv.cost += (SMOOTH_REPORT if srv.cost else 1.0) * (cost - srv.cost)
@@ -167,7 +167,9 @@
                 return
             srv.ejected = True
             self.ejected.append(srv)
-            self.actions.log(f"eject server={srv.id} silent={int(silent)} fail_rate={srv.fail_rate:.2f}")
+            self.actions.log_event(
+                f"eject server={srv.id} silent={int(silent)} fail_rate={srv.fail_rate:.2f}"
+            )
         srv.silent = silent
         # Failure prevented: a thin copy sends an ejected member more trials than it would have drawn it.
         base = max(EJECT_TIME, int(self.gap * len(self.members)))
@@ -192,7 +194,7 @@
         self.ejected.remove(srv)
         if self.ejected:
             self.next_trial = min(e.trial_at for e in self.ejected)
-        self.actions.log(f"readmit server={srv.id}")
+        self.actions.log_event(f"readmit server={srv.id}")
         self.sort_members()
 
     def watch_zone(self, now: int, srv: Server, outcome: Outcome) -> None:
@@ -207,14 +209,14 @@
             if zone.cut:
                 zone.cut = False
                 self.cut.remove(zone)
-                self.actions.log(f"restore zone={zone.id}")
+                self.actions.log_event(f"restore zone={zone.id}")
                 self.refill(now)
             return
         if srv.id != zone.last_bad:
             zone.unanswered += 1
             zone.last_bad = srv.id
         # Failure prevented: the first slow call to a zone seldom visited, cut off early, cuts off the zone.
-        waited = now - zone.sent_since > min(c.aim for c in self.settings.classes)
+        waited = now - zone.sent_since > min(c.latency_objective for c in self.settings.classes)
         silent = zone.sent >= EJECT_FAILS and waited
         if zone.cut or not (silent or zone.unanswered >= EJECT_FAILS):
             return
@@ -223,7 +225,7 @@
             zone.trials = 0
             zone.trial_at = now + EJECT_TIME
             self.cut.append(zone)
-            self.actions.log(f"cut zone={zone.id}")
+            self.actions.log_event(f"cut zone={zone.id}")
             self.refill(now)
 
     def each_window(self, now: int) -> None:
@@ -236,7 +238,7 @@
             rate = self.warm_sent * 1e6 / span / warm
         elif self.members:
             rate = self.cold_part * self.asked * 1e6 / span / len(self.members)
-        ctl, most = self.controller, self.settings.fall_multiple
+        ctl, most = self.controller, self.settings.overload_multiple
         good = ctl.late <= LATE_MOST and ctl.lost <= LOST_LATE
         self.cold_part = fleet_limits.cold_part(self.cold_part, most, good, warm > 0, span)
         if rate >= 0:
@@ -252,7 +254,7 @@
             if self.spill < 0.05:
                 self.far_ratio += SMOOTH * (self.best_ratio - self.far_ratio)
             self.best_ratio *= 1.001
-            patience = 1 + CROSSING * self.settings.cross_zone_price
+            patience = 1 + CROSSING * self.settings.cross_zone_cost
             step = SPILL_GAIN * (self.near_ratio / max(self.far_ratio, 1e-9) - patience)
             self.spill += min(SPILL_STEP, max(-SPILL_STEP, step))
             self.spill = min(1.0, max(self.spill_least, self.spill))
--- a/harecross/policy/members.py
+++ b/harecross/policy/members.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from harecross.interface import ServerEntry
+from harecross.interface import Endpoint
 
 FAIL_WEIGHT = 8  # a member that fails all its calls counts as so many times slower
 FADE = 5_000_000  # what is known of a member is forgotten after so long without an outcome of it...
 
 
-class Kind:
+class MachineType:
     """What this copy knows of one kind of machine, pooled over the members of that kind."""
 
     __slots__ = ("slowness", "calls", "cost", "reports")
@@ -27,7 +27,7 @@
     """What this copy knows of one server."""
 
     id: int
-    kind: Kind
+    machine_type: MachineType
     ready_at: int = -1
     cell: int = 0
     zone: int = 0
@@ -54,10 +54,10 @@
     tokens: float = 0.0
     tokens_at: int = 0
 
-    def renew(self, entry: ServerEntry) -> None:
+    def renew(self, entry: Endpoint) -> None:
         """A new process: nothing learned of the old one holds."""
         self.ready_at = entry.ready_at
-        self.slowness = self.kind.slowness
+        self.slowness = self.machine_type.slowness
         self.cost = 0.0
         self.fail_rate = 0.0
         self.fails_in_row = 0
@@ -79,9 +79,9 @@
         quiet = now - self.seen_at
         # Failure prevented: where servers call servers a round-trip hides the member's own part, and the
         # slowest are crowded before it shows. What members report of themselves goes before round-trips.
-        usual, own = self.kind.slowness, self.slowness
-        if self.kind.cost:
-            usual = self.kind.cost / mean_cost
+        usual, own = self.machine_type.slowness, self.slowness
+        if self.machine_type.cost:
+            usual = self.machine_type.cost / mean_cost
             own = (own + self.cost / mean_cost) / 2 if self.cost else usual
         speed = usual + (own - usual) * max(0.0, 1 - quiet / FADE)
         fails = FAIL_WEIGHT * self.fail_rate * max(0.0, 1 - quiet / memory)
--- a/harecross/policy/state.py
+++ b/harecross/policy/state.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from random import Random
 
-from harecross.interface import Actions, Effect, FinalReason, Settings
+from harecross.interface import Actions, FinalReason, Idempotency, Settings
 from harecross.policy import fleet_limits
 from harecross.policy.controller import AIM_SHARE, GradientController
 from harecross.policy.fleet_limits import MIN_LIMIT
-from harecross.policy.members import Kind, Server, Zone
+from harecross.policy.members import MachineType, Server, Zone
 from harecross.policy.shares import Shares
 
 EJECT_SHARE = 0.34  # of the members, at most
 TRY_ABOVE = 2  # further deviations for each tier below, which is to cut off first
 ZONE_PRICE = 0.01  # calls keep to their zone only where a crossing costs this share of a request's worth
-KINDS_MOST = 64  # kinds of machine remembered while no server of theirs is listed
+MAX_MACHINE_TYPES = 64  # kinds of machine remembered while no server of theirs is listed
 
 
 @dataclass(slots=True, eq=False)
@@ -24,8 +24,8 @@
     """An open request. At most one attempt is out at a time."""
 
     id: int
-    klass: int
-    effect: Effect
+    request_class: int
+    idempotency: Idempotency
     useful_until: int
     attempts: int = 0
     out: Server | None = None
@@ -47,7 +47,7 @@
         self.actions = actions
         self.rng = Random(seed)
         self.servers: dict[int, Server] = {}
-        self.kinds: dict[int, Kind] = {}
+        self.machine_types: dict[int, MachineType] = {}
         self.report_cost = {
             f: i for i, f in enumerate(s.report_fields) if f in ("latency_ms", "util", "queue")
         }
@@ -67,8 +67,10 @@
         self.waiting: deque[Request] = deque()
         classes = len(s.classes)
         share = AIM_SHARE * (s.tiers - s.tier) / s.tiers
-        self.controller = GradientController([int(c.aim * share) for c in s.classes], s.max_open, self.rng, 0)
-        self.mean_rtt = [c.aim * share / 2 for c in s.classes]  # until measured
+        self.controller = GradientController(
+            [int(c.latency_objective * share) for c in s.classes], s.max_open, self.rng, 0
+        )
+        self.mean_rtt = [c.latency_objective * share / 2 for c in s.classes]  # until measured
         self.deviation = [m / 2 for m in self.mean_rtt]
         self.above = TRY_ABOVE * (s.tiers - 1 - s.tier)
         self.cuts = self.overtaken = 0  # per-try timeouts; time-outs whose server had answered later calls
@@ -79,12 +81,12 @@
         self.near_ratio = 0.5  # mean latency over what the class can bear, for servers of this zone...
         self.far_ratio = 0.5  # ...and of the others
         self.best_ratio = 0.0
-        self.zoned = s.cross_zone_price >= ZONE_PRICE
+        self.zoned = s.cross_zone_cost >= ZONE_PRICE
         self.spill = 0.0 if self.zoned else 1.0  # share of calls that may leave the zone
         self.spill_least = self.spill
         self.spill_at = 0
         self.retry_tokens = float(MIN_LIMIT)
-        self.shares = Shares([t.quota / s.instances for t in s.tenants])
+        self.shares = Shares([t.quota / s.instance_count for t in s.tenants])
         self.rank = [0] * classes
         self.warm_rate = 0.0  # sends a second to a warm member, smoothed
         self.warm_sent = 0
@@ -95,7 +97,9 @@
 
     def rank_classes(self) -> None:
         """Rank 1 for classes whose worth for their time is under half the best class's."""
-        density = [c.worth / max(1.0, self.mean_rtt[i]) for i, c in enumerate(self.settings.classes)]
+        density = [
+            c.priority_weight / max(1.0, self.mean_rtt[i]) for i, c in enumerate(self.settings.classes)
+        ]
         best = max(density)
         self.rank = [int(d < best / 2) for d in density]
 
@@ -106,9 +110,9 @@
         used = {srv.zone for srv in self.servers.values()}
         if len(self.zones) > len(used):
             self.zones = {k: zone for k, zone in self.zones.items() if k in used or zone.cut}
-        if len(self.kinds) > KINDS_MOST:
-            kept = {srv.kind for srv in self.servers.values()}
-            self.kinds = {k: kind for k, kind in self.kinds.items() if kind in kept}
+        if len(self.machine_types) > MAX_MACHINE_TYPES:
+            kept = {srv.machine_type for srv in self.servers.values()}
+            self.machine_types = {k: kind for k, kind in self.machine_types.items() if kind in kept}
 
     def refill(self, now: int) -> None:
         """Members that left are replaced by random others, up to the bound; who joins may replace one."""
@@ -116,7 +120,9 @@
         self.members = [m for m in self.members if m.member]
         self.stand_ins = [m for m in self.stand_ins if m.member]
         listed = sum(srv.in_list for srv in self.servers.values())
-        self.wanted = wanted = fleet_limits.subset(listed, self.settings.instances, self.settings.subset_most)
+        self.wanted = wanted = fleet_limits.subset(
+            listed, self.settings.instance_count, self.settings.subset_max
+        )
         # Failure prevented: a node in a zone that is cut off from the others has one or two members left of
         # its subset, and buries them under all its calls while the zone's other servers are idle.
         away = sum(self.zones[m.zone].cut for m in self.members)
@@ -143,16 +149,18 @@
                 old = self.members[i]
                 if not old.ejected and not self.zones[old.zone].cut:
                     old.member, srv.member, self.members[i] = False, True, srv
-                    self.actions.close(old.id)
+                    self.actions.close_idle(old.id)
         if whole and self.stand_ins:
             for srv in self.stand_ins:
                 srv.member = srv.ejected
             self.stand_ins.clear()
             self.members = [m for m in self.members if m.member]
-        self.controller.resize(len(self.members), listed, self.settings.instances)
+        self.controller.resize(len(self.members), listed, self.settings.instance_count)
         if self.zoned and self.members:
             near = sum(m.zone == self.settings.zone for m in self.members)
-            self.spill_least = fleet_limits.leaving_zone(near, len(self.members), self.settings.instances)
+            self.spill_least = fleet_limits.leaving_zone(
+                near, len(self.members), self.settings.instance_count
+            )
             self.spill = max(self.spill, self.spill_least)
         self.sort_members()
 
--- a/harecross/settings.py
+++ b/harecross/settings.py
@@ -6,10 +6,14 @@
 from math import isfinite
 from typing import Any
 
-from harecross.interface import ClassSettings, Effect, Group, Settings, TenantSettings
+from harecross.interface import ClassSettings, DeduplicationScope, Idempotency, Settings, TenantSettings
 
-EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.IDEMPOTENCY_KEY,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 COLUMNS = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -79,13 +83,13 @@
 def read_class(c: Table) -> ClassSettings:
     """An effect not known counts as unsafe, a group not known as the narrowest."""
     return ClassSettings(
-        effect=EFFECTS.get(c.text("effect"), Effect.UNSAFE),
-        aim=c.whole("goal_time"),
+        idempotency=EFFECTS.get(c.text("effect"), Idempotency.NON_IDEMPOTENT),
+        latency_objective=c.whole("goal_time"),
         deadline=c.whole("hard_limit"),
-        worth=c.number("worth"),
-        late_worth=c.number("late_value", 0.0),
-        group=GROUPS.get(c.text("group", ""), Group.CELL),
-        window=c.whole("window", 0),
+        priority_weight=c.number("worth"),
+        late_priority_weight=c.number("late_value", 0.0),
+        deduplication_scope=GROUPS.get(c.text("group", ""), DeduplicationScope.CELL),
+        deduplication_window=c.whole("window", 0),
         stream=c.flag("stream"),
     )
 
@@ -114,21 +118,21 @@
         tier=env.whole("tier", 0),
         tiers=max(1, len(env.texts("layers"))),
         zone=env.whole("zone", 0),
-        instances=env.whole("group_size"),
-        number=env.whole("self_index", 0),
+        instance_count=env.whole("group_size"),
+        instance_index=env.whole("self_index", 0),
         tick=env.whole("tick"),
         max_attempts=limits.whole("max_attempts"),
         cancel=limits.flag("cancel"),
         retry_after=limits.flag("retry_after"),
         max_retry_after=limits.whole("max_retry_after", 0),
         max_open=limits.whole("max_open", 20000),
-        list_on_request=env.text("discovery", "") == "ask",
-        list_ask_within=rules.whole("ask_within", 0),
-        cold_time=rules.whole("cold"),
-        cold_share=rules.number("start_capacity"),
-        fall_multiple=rules.number("fall_multiple"),
-        fall_time=rules.whole("tip_after"),
-        cross_zone_price=env.table("deductions", {}).number("cross_zone", 0.0),
-        over_share_worth=env.number("over_share_worth", 1.0),
+        discovery_polled=env.text("discovery", "") == "ask",
+        max_poll_interval=rules.whole("ask_within", 0),
+        slow_start_duration=rules.whole("cold"),
+        slow_start_min_capacity=rules.number("start_capacity"),
+        overload_multiple=rules.number("fall_multiple"),
+        overload_duration=rules.whole("tip_after"),
+        cross_zone_cost=env.table("deductions", {}).number("cross_zone", 0.0),
+        over_quota_weight=env.number("over_share_worth", 1.0),
         report_fields=tuple(COLUMNS.get(f, f) for f in env.table("report", {}).texts("columns")),
     )
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -11,7 +11,7 @@
 from harecross.discovery.endpoint_registry import Directory
 from harecross.discovery.listed_endpoints import Roster
 from harecross.dispatch.dispatcher import Host, guard, say
-from harecross.interface import ClassSettings, Effect, Outcome, Settings
+from harecross.interface import ClassSettings, Idempotency, Outcome, Settings
 from harecross.platform.clock import clock
 from harecross.platform.descriptor_budget import Room
 from harecross.settings import COLUMNS, address
@@ -76,7 +76,7 @@
             number = self.directory.numbers.get(s.server)
             if number is not None:
                 report = (s.latency_ms,) if timed and s.latency_ms else ()
-                self.host.balancer.reported(clock(), number, s.good, s.bad, report)
+                self.host.balancer.load_reported(clock(), number, s.good, s.bad, report)
 
     def close(self) -> None:
         self.directory.heard = None
@@ -88,7 +88,7 @@
     changed: Callable[[], None] = staticmethod(lambda: None)
     name = ""
 
-    def log(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         say(f"{self.name}: {text}")
         self.changed()
 
@@ -100,12 +100,19 @@
         self.told = told
         columns = [COLUMNS.get(c, c) for c in told.columns]
         settings = Settings(
-            classes=(ClassSettings(Effect.SAFE, aim=1_000_000, deadline=2_000_000, worth=1.0),),
-            cold_time=int(told.cold_s * 1e6),
-            cold_share=told.cold_start,
-            cross_zone_price=told.cross_zone_price,
+            classes=(
+                ClassSettings(
+                    Idempotency.IDEMPOTENT,
+                    latency_objective=1_000_000,
+                    deadline=2_000_000,
+                    priority_weight=1.0,
+                ),
+            ),
+            slow_start_duration=int(told.cold_s * 1e6),
+            slow_start_min_capacity=told.cold_start,
+            cross_zone_cost=told.cross_zone_price,
             report_fields=tuple(columns) or ("latency_ms",),
-            subset_most=ALL,
+            subset_max=ALL,
         )
         servers = Servers(int(told.probe.timeout_s * 1e6), 15_000_000, told.columns, Room(8 * PROBES_MOST))
         host = Judge(settings, seed, servers)
@@ -179,7 +186,7 @@
             except (OSError, TimeoutError):
                 pass
         self.schedule.ended(server)
-        self.host.balancer.probed(clock(), server, ok, clock() - began, ())
+        self.host.balancer.health_checked(clock(), server, ok, clock() - began, ())
 
     def close(self) -> None:
         super().close()
--- a/harecross/xds/inside.py
+++ b/harecross/xds/inside.py
@@ -25,7 +25,7 @@
     async def start(self, host: Host, directory: Directory) -> None:
         """OSError if it cannot listen."""
         self.press = press = Press(self.control, Encoder(), self.interval_s)
-        press.add(Feed(self.cluster, host, directory, press.changed), host.settings.cross_zone_price, None)
+        press.add(Feed(self.cluster, host, directory, press.changed), host.settings.cross_zone_cost, None)
         press.every_step = self.open_when_known
         await self.control.start(self.listen)
         say(f"xds: listening on port {self.control.port}, cluster {self.cluster}")
--- a/harecross/xds/publish.py
+++ b/harecross/xds/publish.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Endpoint:
+class PublishedEndpoint:
     """What proxies are told of one server."""
 
     name: str
@@ -59,7 +59,7 @@
 class Told:
     """All that proxies are told of one cluster. `endpoints` is None while nothing is known of them."""
 
-    endpoints: tuple[Endpoint, ...] | None
+    endpoints: tuple[PublishedEndpoint, ...] | None
     limit: int = 0  # calls that one proxy may have out; 0 for no bound
     zoned: bool = False  # servers of a proxy's own zone come first
 
@@ -79,7 +79,7 @@
 class Publisher:
     """One cluster's publication, with the memory that keeps it steady."""
 
-    told: dict[str, Endpoint] = field(default_factory=dict)
+    told: dict[str, PublishedEndpoint] = field(default_factory=dict)
     missing: dict[str, Absence] = field(default_factory=dict)  # by server
     seen: dict[str, ServerView] = field(default_factory=dict)
     limit: int = 0
@@ -107,7 +107,9 @@
         self.seen = {v.name: v for v in [*views, *kept]}
         return [*views, *kept]
 
-    def decide(self, now: int, views: Sequence[ServerView], ended: Container[str] = ()) -> list[Endpoint]:
+    def decide(
+        self, now: int, views: Sequence[ServerView], ended: Container[str] = ()
+    ) -> list[PublishedEndpoint]:
         """What is told of each server from now on, by name. Views name a server once; `ended` were said to be gone."""
         views = self.believe(now, views, ended)
         ready = [v for v in views if not v.draining]
@@ -124,7 +126,7 @@
                 health = Health.UNHEALTHY
             # In panic not DEGRADED: gRPC takes endpoints that are not HEALTHY for absent (gRFC A27).
             weight = WEIGHT_LEAST if v.ejected else self.weight(v, mean)
-            told[v.name] = Endpoint(v.name, v.address, v.zone, health, weight)
+            told[v.name] = PublishedEndpoint(v.name, v.address, v.zone, health, weight)
         self.told = told
         return list(told.values())
 
@@ -171,7 +173,7 @@
     return max(CALLS_LEAST, ceil(room * 2 / max(2, proxies)))
 
 
-def urgent(before: Sequence[Endpoint], after: Sequence[Endpoint]) -> bool:
+def urgent(before: Sequence[PublishedEndpoint], after: Sequence[PublishedEndpoint]) -> bool:
     """Whether a change must go out at once: a drain, an ejection, a removal, a new address. Weights can wait."""
     old = {e.name: e for e in before}
     new = {e.name: e for e in after}
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -28,7 +28,7 @@
 )
 from harecross.policy.fleet_limits import MIN_LIMIT
 from harecross.xds.cache import CDS, EDS, LDS, RDS, Resource, Snapshot
-from harecross.xds.publish import Endpoint, Told, priority
+from harecross.xds.publish import PublishedEndpoint, Told, priority
 
 RETRY_PERCENT = 100 * RETRY_RATIO  # of the calls out may be retries
 
@@ -56,7 +56,7 @@
     return encoded(name, c)
 
 
-def assignment(name: str, endpoints: Sequence[Endpoint], zone: str = "") -> Resource:
+def assignment(name: str, endpoints: Sequence[PublishedEndpoint], zone: str = "") -> Resource:
     """One locality for each server, its sub-zone the server's name; those of `zone`, if it has any, go first.
 
     gRPC's own client follows the weights of localities but, in round robin, not those of endpoints (gRFC A27);
--- a/tests/support.py
+++ b/tests/support.py
@@ -4,25 +4,51 @@
 
 from dataclasses import replace
 
-from harecross.interface import ClassSettings, Effect, Group, ListKind, Outcome, ServerEntry, Settings
+from harecross.interface import (
+    ClassSettings,
+    DeduplicationScope,
+    Endpoint,
+    EndpointUpdateKind,
+    Idempotency,
+    Outcome,
+    Settings,
+)
 from harecross.policy.balancer import Balancer
 
 SEC = 1_000_000
-SAFE = ClassSettings(Effect.SAFE, aim=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2)
+SAFE = ClassSettings(
+    Idempotency.IDEMPOTENT,
+    latency_objective=1 * SEC,
+    deadline=3 * SEC,
+    priority_weight=1,
+    late_priority_weight=0.2,
+)
 KEYED = ClassSettings(
-    Effect.KEYED, aim=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2, group=Group.CELL, window=2 * SEC
+    Idempotency.IDEMPOTENCY_KEY,
+    latency_objective=1 * SEC,
+    deadline=3 * SEC,
+    priority_weight=1,
+    late_priority_weight=0.2,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window=2 * SEC,
+)
+UNSAFE = ClassSettings(
+    Idempotency.NON_IDEMPOTENT,
+    latency_objective=1 * SEC,
+    deadline=3 * SEC,
+    priority_weight=1,
+    late_priority_weight=0.2,
 )
-UNSAFE = ClassSettings(Effect.UNSAFE, aim=1 * SEC, deadline=3 * SEC, worth=1, late_worth=0.2)
 BASE = Settings(
     classes=(SAFE, KEYED, UNSAFE),
     max_attempts=4,
     cancel=True,
     retry_after=True,
     max_retry_after=2 * SEC,
-    cold_time=4 * SEC,
-    cold_share=0.4,
-    fall_multiple=3.0,
-    fall_time=SEC,
+    slow_start_duration=4 * SEC,
+    slow_start_min_capacity=0.4,
+    overload_multiple=3.0,
+    overload_duration=SEC,
 )
 
 
@@ -39,22 +65,22 @@
         return [c for c in calls if not names or c[0] in names]
 
 
-def balancer(servers: int | list[ServerEntry] = 4, seed: int = 1, **changes) -> tuple[Balancer, Recorder]:
+def balancer(servers: int | list[Endpoint] = 4, seed: int = 1, **changes) -> tuple[Balancer, Recorder]:
     recorder = Recorder()
     node = Balancer(replace(BASE, **changes), seed, recorder)
     node.start(0)
-    entries = [ServerEntry(i + 1) for i in range(servers)] if isinstance(servers, int) else servers
-    node.server_list(0, ListKind.CACHED, entries)
+    entries = [Endpoint(i + 1) for i in range(servers)] if isinstance(servers, int) else servers
+    node.endpoint_update(0, EndpointUpdateKind.CACHED, entries)
     recorder.take()
     return node, recorder
 
 
 def ask(
-    node: Balancer, recorder: Recorder, now: int, request: int, klass: int = 0, left: int = 3 * SEC
+    node: Balancer, recorder: Recorder, now: int, request: int, request_class: int = 0, left: int = 3 * SEC
 ) -> tuple:
     """Sends a request in and returns the one action it leads to."""
-    node.request(now, request, klass, 0, left, False)
-    (action,) = recorder.take("send", "refuse", "fail")
+    node.request(now, request, request_class, 0, left, False)
+    (action,) = recorder.take("send", "shed", "fail")
     return action
 
 
@@ -70,4 +96,4 @@
 ) -> list[tuple]:
     final = outcome == Outcome.OK
     node.outcome(now, request, attempt, server, outcome, latency, final, ())
-    return recorder.take("send", "refuse", "fail")
+    return recorder.take("send", "shed", "fail")
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,7 +12,7 @@
 
 from harecross import adapter
 from harecross.adapter import Host, WireActions, WireError, read_settings, serve
-from harecross.interface import Effect, Group
+from harecross.interface import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent
 ENV = {
@@ -42,8 +42,8 @@
     return struct.pack("<BII", 1, 0, len(servers)) + entries + struct.pack("<BHBII", 7, node, kind, 1, 0)
 
 
-def accept(node=3, request=1, klass=0, left=5000000):
-    return struct.pack("<BHQQHBIIH", 3, node, request, 0, 0, 0, left, 0, klass)
+def accept(node=3, request=1, request_class=0, left=5000000):
+    return struct.pack("<BHQQHBIIH", 3, node, request, 0, 0, 0, left, 0, request_class)
 
 
 def verdict(node=3, request=1, status=200, server=11, report_size=0):
@@ -74,7 +74,7 @@
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = Host()
     host.batch(3, create() + members(servers=(11,)), 0)
-    host.batch(1, accept(klass=1), 0)
+    host.batch(1, accept(request_class=1), 0)
     assert host.batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
 
 
@@ -143,7 +143,7 @@
     "bad json": (frame(create(b"{nope")), "not JSON"),
     "missing key": (frame(create({k: v for k, v in ENV.items() if k != "group_size"})), "group_size"),
     "impossible value": (frame(create({**ENV, "tick": "soon"})), "tick"),
-    "zero instances": (frame(create({**ENV, "group_size": 0})), "instances"),
+    "zero instances": (frame(create({**ENV, "group_size": 0})), "instance_count"),
     "unsent list": (frame(create(), struct.pack("<BHBII", 7, 3, 1, 1, 9)), "list 9"),
     "unknown list kind": (frame(create(), members(kind=8)), "record 2 at byte .* list kind 8"),
     "cut list": (frame(struct.pack("<BII", 1, 0, 5)), "record 0 .* event 1 is cut short"),
@@ -206,17 +206,17 @@
 def test_what_is_not_known_counts_as_the_most_careful():
     odd = {**ENV["classes"][0], "effect": "guarded", "group": "galaxy"}
     (c, _) = read_settings(json.dumps({**ENV, "classes": [odd, ENV["classes"][1]]}).encode()).classes
-    assert c.group == Group.CELL
-    assert read_settings(json.dumps(ENV).encode()).classes[1].effect == Effect.UNSAFE
+    assert c.deduplication_scope == DeduplicationScope.CELL
+    assert read_settings(json.dumps(ENV).encode()).classes[1].idempotency == Idempotency.NON_IDEMPOTENT
     # An outcome never heard of may have run: this request of an unsafe class is failed, not sent again.
-    reply = run(frame(create(), members(), accept(klass=1)) + frame(verdict(status=599)))
+    reply = run(frame(create(), members(), accept(request_class=1)) + frame(verdict(status=599)))
     assert reply[4] == 65 and reply[-11] == 67
 
 
 def test_settings_are_read_with_their_own_names():
     s = read_settings(json.dumps(ENV).encode())
-    assert s.report_fields == ("inflight", "odd") and s.instances == 2 and s.tiers == 2
-    assert [int(c.effect) for c in s.classes] == [1, 2]
+    assert s.report_fields == ("inflight", "odd") and s.instance_count == 2 and s.tiers == 2
+    assert [int(c.idempotency) for c in s.classes] == [1, 2]
 
 
 def day(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
@@ -227,7 +227,7 @@
         replies.append(host.batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
     for i in range(60):
         for node in nodes:
-            reply = host.batch(1, accept(node, i, klass=i % 2), 1000 * i)
+            reply = host.batch(1, accept(node, i, request_class=i % 2), 1000 * i)
             replies.append(reply)
             if reply[4:5] == b"\x41":
                 server = struct.unpack_from("<I", reply, 15)[0]
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -139,7 +139,7 @@
 
 def test_a_body_on_its_way_holds_no_slot_and_takes_no_time():
     node, recorder = balancer(servers=1)
-    _, request, server, _ = ask(node, recorder, 1000, 1, klass=1)
+    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
     srv, ctl = node.servers[server], node.controller
     assert (srv.in_flight, ctl.in_flight) == (1, 1)
     node.uploading(1000, request, True)
@@ -157,7 +157,7 @@
 
 def test_a_call_is_not_cut_off_while_its_body_is_on_the_way():
     node, recorder = balancer(servers=2)
-    _, request, server, _ = ask(node, recorder, 1000, 1, klass=1)
+    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
     node.uploading(1000, request, True)
     node.per_try_timeout(2_900_000, node.requests[request])
     assert not recorder.take("cancel", "set_timer")
@@ -166,14 +166,14 @@
 @pytest.mark.parametrize("first", [None, Outcome.RESET])
 def test_what_cannot_be_sent_again_is_refused_only_where_it_cannot_have_run(first):
     node, recorder = balancer(servers=2)
-    _, request, server, _ = ask(node, recorder, 1000, 1, klass=1)
+    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
     attempt = 0
     if first is not None:  # an attempt before this one may have run
         ((_, _, server, _),) = end(node, recorder, 2000, request, 0, server, first)
         attempt = 1
     node.response_started(3000, request, attempt, server, 0)
     (action,) = end(node, recorder, 4000, request, attempt, server, Outcome.NOT_SENT)
-    assert action[0] == ("refuse" if first is None else "fail")
+    assert action[0] == ("shed" if first is None else "fail")
 
 
 # ---- over sockets --------------------------------------------------------------------------------------
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -10,13 +10,13 @@
 from harecross.interface import (
     NEVER_RAN,
     ClassSettings,
-    Effect,
-    Group,
-    ListKind,
+    DeduplicationScope,
+    Endpoint,
+    EndpointState,
+    EndpointUpdateKind,
+    Idempotency,
     Outcome,
-    ServerEntry,
     Settings,
-    State,
     TenantSettings,
 )
 from harecross.policy.balancer import Balancer
@@ -30,7 +30,7 @@
     node, rec = balancer(1)
     limit = int(node.controller.allowed())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
-    assert answers == ["send"] * limit + ["refuse"]
+    assert answers == ["send"] * limit + ["shed"]
     node.request(0, 99, 0, 0, 3 * SEC, False)
     ((_, request, retry_after),) = rec.take()
     assert request == 99 and 0 < retry_after <= 2 * SEC
@@ -39,9 +39,9 @@
 
 @pytest.mark.parametrize("outcome", sorted(NEVER_RAN))
 @pytest.mark.parametrize("klass", [0, 1, 2])
-def test_an_attempt_that_never_ran_goes_to_another_try(outcome, klass):
+def test_an_attempt_that_never_ran_goes_to_another_try(outcome, request_class):
     node, rec = balancer()
-    _, _, server, _ = ask(node, rec, 0, 1, klass)
+    _, _, server, _ = ask(node, rec, 0, 1, request_class)
     ((action, *_),) = end(node, rec, 1000, 1, 0, server, outcome)
     assert action == "send"
 
@@ -60,17 +60,23 @@
     ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
     assert action == "send"
     ((action, *_),) = end(node, rec, 2000, 1, 1, other, outcome)
-    assert action == "refuse"
+    assert action == "shed"
 
 
 def test_keyed_repeats_stay_in_the_group_and_window():
-    for group, field in ((Group.CELL, "cell"), (Group.ZONE, "zone")):
-        entries = [ServerEntry(i + 1, **{field: i % 2}) for i in range(8)]
-        klass = ClassSettings(
-            Effect.KEYED, aim=SEC, deadline=9 * SEC, worth=1, late_worth=0.5, group=group, window=SEC
+    for group, field in ((DeduplicationScope.CELL, "cell"), (DeduplicationScope.ZONE, "zone")):
+        entries = [Endpoint(i + 1, **{field: i % 2}) for i in range(8)]
+        request_class = ClassSettings(
+            Idempotency.IDEMPOTENCY_KEY,
+            latency_objective=SEC,
+            deadline=9 * SEC,
+            priority_weight=1,
+            late_priority_weight=0.5,
+            deduplication_scope=group,
+            deduplication_window=SEC,
         )
         for seed in range(10):
-            node, rec = balancer(entries, seed=seed, classes=(klass,))
+            node, rec = balancer(entries, seed=seed, classes=(request_class,))
             _, _, server, _ = ask(node, rec, 0, 1)
             ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, Outcome.ERROR)
             assert action == "send" and other % 2 == server % 2 and other != server
@@ -79,21 +85,21 @@
 
 def test_keyed_goes_back_to_the_same_server_when_its_group_has_no_other():
     """A cell with one server left failed every keyed request whose answer was lost on the way."""
-    cells = [ServerEntry(1, cell=1), ServerEntry(2, cell=2)]
+    cells = [Endpoint(1, cell=1), Endpoint(2, cell=2)]
     node, rec = balancer(cells)
     _, _, server, _ = ask(node, rec, 0, 1, 1)
     assert end(node, rec, 1000, 1, 0, server, Outcome.RESET)[0][:3] == ("send", 1, server)
     # Started again since, it no longer knows what it has run.
     _, _, server, _ = ask(node, rec, 2000, 2, 1)
-    node.server_list(2500, ListKind.CHANGES, [replace(cells[server - 1], ready_at=2400)])
+    node.endpoint_update(2500, EndpointUpdateKind.CHANGES, [replace(cells[server - 1], ready_at=2400)])
     assert end(node, rec, 3000, 2, 0, server, Outcome.RESET) == [("fail", 2)]
 
 
 def test_a_further_attempt_avoids_the_server_of_the_one_before():
     """The only server of this zone turned its calls away, and each further attempt went there again."""
-    near, far = ServerEntry(1, zone=0), ServerEntry(2, zone=1)
+    near, far = Endpoint(1, zone=0), Endpoint(2, zone=1)
     for seed in range(10):
-        node, rec = balancer([near, far], seed=seed, cross_zone_price=0.05)
+        node, rec = balancer([near, far], seed=seed, cross_zone_cost=0.05)
         node.spill = 0.0
         _, _, first, _ = ask(node, rec, 0, 1)
         assert end(node, rec, 1000, 1, 0, first, Outcome.REJECTED)[0][:3] == ("send", 1, 3 - first)
@@ -128,9 +134,9 @@
 
 
 def test_time_out_at_the_deadline_gets_the_final_answer():
-    for klass, answer in ((0, "refuse"), (1, "fail"), (2, "fail")):
+    for request_class, answer in ((0, "shed"), (1, "fail"), (2, "fail")):
         node, rec = balancer()
-        _, _, server, timeout = ask(node, rec, 0, 1, klass)
+        _, _, server, timeout = ask(node, rec, 0, 1, request_class)
         assert timeout == 3 * SEC
         ((action, *_),) = end(node, rec, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
         assert action == answer
@@ -139,21 +145,23 @@
 
 def test_a_class_without_late_worth_is_not_waited_for_beyond_its_aim():
     """Late work is waste."""
-    klass = ClassSettings(Effect.SAFE, aim=SEC, deadline=3 * SEC, worth=1)
-    node, rec = balancer(classes=(klass,))
+    request_class = ClassSettings(
+        Idempotency.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=1
+    )
+    node, rec = balancer(classes=(request_class,))
     assert ask(node, rec, 0, 1)[3] < SEC
 
 
 def test_no_eligible_server_is_an_answer_at_once():
-    for klass in (0, 1, 2):
+    for request_class in (0, 1, 2):
         node, rec = balancer(0)
-        assert ask(node, rec, 0, 1, klass)[0] == "refuse"
+        assert ask(node, rec, 0, 1, request_class)[0] == "shed"
 
 
 def test_nothing_new_goes_to_a_draining_or_gone_server():
-    for state in (State.DRAINING, State.GONE):
+    for state in (EndpointState.DRAINING, EndpointState.GONE):
         node, rec = balancer(4)
-        node.server_list(10, ListKind.CHANGES, [ServerEntry(2, state)])
+        node.endpoint_update(10, EndpointUpdateKind.CHANGES, [Endpoint(2, state)])
         rec.take()
         servers = set()
         for i in range(5):
@@ -167,10 +175,10 @@
 
 def test_a_full_list_removes_what_it_does_not_name():
     node, rec = balancer(4)
-    node.server_list(10, ListKind.FULL, [ServerEntry(1), ServerEntry(1, zone=3), ServerEntry(4)])
+    node.endpoint_update(10, EndpointUpdateKind.FULL, [Endpoint(1), Endpoint(1, zone=3), Endpoint(4)])
     assert sorted(m.id for m in node.members) == [1, 4]
     assert node.servers[1].zone == 3
-    node.server_list(10, ListKind.FAILED, [])
+    node.endpoint_update(10, EndpointUpdateKind.FAILED, [])
     assert len(node.members) == 2
 
 
@@ -182,7 +190,7 @@
         _, request, server, _ = ask(node, rec, 0, i, 2)
         held.append((request, server))
     drained = max(range(1, 5), key=[server for _, server in held].count)
-    node.server_list(1, ListKind.CHANGES, [ServerEntry(drained, State.DRAINING)])
+    node.endpoint_update(1, EndpointUpdateKind.CHANGES, [Endpoint(drained, EndpointState.DRAINING)])
     for request, server in held:
         end(node, rec, 2, request, 0, server, Outcome.ERROR if server == drained else Outcome.OK)
     assert sum(server == drained for _, server in held) >= 3 and node.ejected == []
@@ -197,7 +205,7 @@
     size = len(node.members)
     assert size < 60
     first = node.members[0].id
-    node.server_list(1, ListKind.CHANGES, [ServerEntry(first, State.GONE)])
+    node.endpoint_update(1, EndpointUpdateKind.CHANGES, [Endpoint(first, EndpointState.GONE)])
     assert len(node.members) == size and first not in {m.id for m in node.members}
 
 
@@ -244,7 +252,7 @@
     for i in range(400):
         now += 10_000
         if i == 200:
-            node.server_list(now, ListKind.CHANGES, [ServerEntry(2, ready_at=now)])
+            node.endpoint_update(now, EndpointUpdateKind.CHANGES, [Endpoint(2, ready_at=now)])
             rec.take()
         action = ask(node, rec, now, i)
         cold += i >= 200 and action[2] == 2
@@ -259,14 +267,14 @@
     sent = []
     for i in range(4):
         node.request(0, i, 0, 0, 3 * SEC, False)
-        sent += rec.take("send", "refuse")
+        sent += rec.take("send", "shed")
     assert [a[0] for a in sent] == ["send"] * 3
     ((action, request, *_),) = end(node, rec, 1000, 0, 0, 1, Outcome.OK)
     assert (action, request) == ("send", 3)
     node.request(2000, 9, 0, 0, 3 * SEC, False)
     ((_, delay, token),) = rec.take()
     node.timer(2000 + delay, token)
-    assert rec.take()[0][:2] == ("refuse", 9)
+    assert rec.take()[0][:2] == ("shed", 9)
 
 
 def test_beyond_its_share_a_tenant_leaves_room():
@@ -275,8 +283,8 @@
     answers = []
     for i in range(60):
         node.request(0, i, 0, 0, 3 * SEC, False)
-        answers += [a[0] for a in rec.take("send", "refuse")]
-    assert answers[:8] == ["send"] * 8 and answers[-1] == "refuse"
+        answers += [a[0] for a in rec.take("send", "shed")]
+    assert answers[:8] == ["send"] * 8 and answers[-1] == "shed"
     node.request(0, 99, 0, 1, 3 * SEC, False)
     assert rec.take()[0][0] == "send"
 
@@ -309,36 +317,40 @@
 
 def test_calls_beyond_a_share_of_little_worth_are_refused_though_the_limit_is_far():
     tenants = (TenantSettings(quota=2), TenantSettings(quota=2))
-    node, rec = balancer(8, tenants=tenants, over_share_worth=0.05)
+    node, rec = balancer(8, tenants=tenants, over_quota_weight=0.05)
     answers = []
     for i in range(40):
         node.request(i * SEC // 10, i, 0, 0, 3 * SEC, False)
-        answers += rec.take("send", "refuse")
+        answers += rec.take("send", "shed")
         if answers[-1][0] == "send":
             end(node, rec, i * SEC // 10 + 5000, i, 0, answers[-1][2], Outcome.OK, 5000)
-    refused = [a for a in answers if a[0] == "refuse"]
+    refused = [a for a in answers if a[0] == "shed"]
     assert len(refused) > 10
-    assert all(a[2] < SAFE.aim / 2 for a in refused), "a client told to stay away for long comes back late"
+    assert all(a[2] < SAFE.latency_objective / 2 for a in refused), (
+        "a client told to stay away for long comes back late"
+    )
 
 
 def test_a_class_of_lesser_worth_leaves_room():
-    rich = ClassSettings(Effect.UNSAFE, aim=SEC, deadline=3 * SEC, worth=10)
+    rich = ClassSettings(
+        Idempotency.NON_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=10
+    )
     node, rec = balancer(8, classes=(SAFE, rich))
     answers = [ask(node, rec, 0, i)[0] for i in range(70)]
-    assert answers[-1] == "refuse"
+    assert answers[-1] == "shed"
     assert ask(node, rec, 0, 99, 1)[0] == "send"
 
 
 def test_a_client_that_left_is_cancelled_and_gets_no_answer():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
-    node.client_left(10, 1)
+    node.client_disconnected(10, 1)
     assert rec.take() == [("cancel", 1, 0)]
     assert end(node, rec, 20, 1, 0, server, Outcome.CANCELLED) == []
     assert node.controller.in_flight == 0
     node, rec = balancer(cancel=False)
     ask(node, rec, 0, 1)
-    node.client_left(10, 1)
+    node.client_disconnected(10, 1)
     assert rec.take() == []
 
 
@@ -351,12 +363,12 @@
 
 def test_odd_events_are_ignored():
     node, rec = balancer()
-    node.client_left(0, 5)
+    node.client_disconnected(0, 5)
     node.outcome(0, 5, 0, 77, Outcome.OK, 1, True, ())
     node.response_started(0, 5, 0, 1, 1)
     node.timer(0, 123)
     node.timer(0, 2 << 56 | 5)
-    node.probed(0, 1, True, 5, ())
+    node.health_checked(0, 1, True, 5, ())
     node.peer_message(0, 1, b"x")
     _, _, server, _ = ask(node, rec, 0, 1)
     end(node, rec, 1, 1, 0, server, Outcome.OK)
@@ -366,37 +378,43 @@
 
 def test_a_class_never_told_of_is_never_run_twice():
     node, rec = balancer(classes=(SAFE,))
-    kind, _, server, _ = ask(node, rec, 0, 1, klass=7)
+    kind, _, server, _ = ask(node, rec, 0, 1, request_class=7)
     assert kind == "send"
     assert end(node, rec, 1000, 1, 0, server, Outcome.ERROR) == [("fail", 1)]
 
 
 def test_an_asked_for_list_is_watched_and_one_that_fails_leaves_the_list_in_hand():
-    node, rec = balancer(list_on_request=True, list_ask_within=10 * SEC)
+    node, rec = balancer(discovery_polled=True, max_poll_interval=10 * SEC)
     node.start(0)
-    assert rec.take("watch") == [("watch", True)]
+    assert rec.take("subscribe") == [("subscribe", True)]
     members = list(node.members)
-    node.server_list(0, ListKind.FAILED, [])
+    node.endpoint_update(0, EndpointUpdateKind.FAILED, [])
     assert node.members == members and rec.take() == []
 
 
-@pytest.mark.parametrize("key", ["classes", "instances", "max_attempts", "tick", "cold_share", "tier"])
+@pytest.mark.parametrize(
+    "key", ["classes", "instance_count", "max_attempts", "tick", "slow_start_min_capacity", "tier"]
+)
 def test_impossible_settings_name_their_key(key):
     values = {f: getattr(BASE, f) for f in BASE.__dataclass_fields__}
     values[key] = () if key == "classes" else -1
     with pytest.raises(ValueError, match=key):
         Settings(**values)
-    with pytest.raises(ValueError, match="aim"):
-        Settings(classes=(ClassSettings(Effect.SAFE, aim=0, deadline=1, worth=1),))
+    with pytest.raises(ValueError, match="latency_objective"):
+        Settings(
+            classes=(
+                ClassSettings(Idempotency.IDEMPOTENT, latency_objective=0, deadline=1, priority_weight=1),
+            )
+        )
 
 
 def test_support_classes_cover_each_effect():
-    assert [c.effect for c in (SAFE, KEYED, UNSAFE)] == list(Effect)
+    assert [c.idempotency for c in (SAFE, KEYED, UNSAFE)] == list(Idempotency)
 
 
 def test_failures_of_the_whole_subset_close_the_limit():
     """With servers lost below, most calls come back as errors; without samples the limit would stay."""
-    node, rec = balancer(6, instances=6)
+    node, rec = balancer(6, instance_count=6)
     now, out = 0, []
 
     def play(steps: int, outcome: Outcome) -> None:
@@ -422,7 +440,7 @@
 
     Returns it with the attempts of each request of the second half.
     """
-    node, rec = balancer(10, instances=4)
+    node, rec = balancer(10, instance_count=4)
     out: list[tuple[int, int, int, int]] = []  # (ends, request, attempt, server)
     now, tries = 0, {}
     for step in range(2 * rounds):
@@ -476,7 +494,7 @@
 
     Returns it with the calls that each member got in the last half.
     """
-    node, rec = balancer(10, instances=4)
+    node, rec = balancer(10, instance_count=4)
     rng, now, out, got = Random(5), 0, [], dict.fromkeys(range(1, 11), 0)
     for step in range(seconds * 100):
         now += 10_000
@@ -522,10 +540,10 @@
 
 def test_calls_keep_to_their_zone_only_where_a_crossing_costs():
     """Own calls in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
-    entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
+    entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
 
     def near_share(price: float) -> float:
-        node, rec = balancer(entries, cross_zone_price=price)
+        node, rec = balancer(entries, cross_zone_cost=price)
         now = near = 0
         for i in range(400):
             now += 20_000
@@ -540,8 +558,8 @@
 
 def test_a_crowded_zone_spills():
     """One zone's servers drown while another's stand idle."""
-    entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
-    node, rec = balancer(entries, cross_zone_price=0.04)
+    entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
+    node, rec = balancer(entries, cross_zone_cost=0.04)
     now, far = 0, 0
     for i in range(2000):
         now += 10_000
@@ -555,8 +573,8 @@
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
 def test_a_node_leaves_its_zone_with_what_exceeds_the_zones_part(nodes, least):
     """A zone's one server would take all calls of the one node beside it."""
-    entries = [ServerEntry(i + 1, zone=min(i, 1)) for i in range(6)]
-    node, rec = balancer(entries, cross_zone_price=0.04, instances=nodes)
+    entries = [Endpoint(i + 1, zone=min(i, 1)) for i in range(6)]
+    node, rec = balancer(entries, cross_zone_cost=0.04, instance_count=nodes)
     assert node.spill == pytest.approx(least)
     now = far = 0
     for i in range(600):
@@ -568,8 +586,8 @@
     assert node.spill >= least
 
 
-def two_zones() -> list[ServerEntry]:
-    return [ServerEntry(i + 1, zone=i % 2) for i in range(8)]
+def two_zones() -> list[Endpoint]:
+    return [Endpoint(i + 1, zone=i % 2) for i in range(8)]
 
 
 def parted(node, rec, alive: int | None, start: int, count: int) -> list[int]:
@@ -613,7 +631,7 @@
     now = 0
     for i in range(60):
         now += 100_000
-        action = ask(node, rec, now, i, klass=2)  # not tried again
+        action = ask(node, rec, now, i, request_class=2)  # not tried again
         if action[0] == "send" and node.servers[action[2]].zone == 1:
             stuck += 1
             if stuck > 4:
@@ -629,7 +647,7 @@
 
 def alone_in_its_zone():
     """A node of zone 0, with 60 servers in five zones, that the others are cut off from."""
-    node, rec = balancer([ServerEntry(i + 1, zone=i % 5) for i in range(60)], instances=60)
+    node, rec = balancer([Endpoint(i + 1, zone=i % 5) for i in range(60)], instance_count=60)
     before = node.controller.limit, set(node.members)
     parted(node, rec, 0, 1, 200)
     assert sorted(zone.id for zone in node.cut) == [1, 2, 3, 4]
@@ -652,7 +670,7 @@
 
 def test_the_limit_follows_what_is_left_of_the_subset():
     """One or two servers got the calls that were right for twenty-four."""
-    node, _ = balancer([ServerEntry(i + 1, zone=int(i > 1)) for i in range(24)], instances=24)
+    node, _ = balancer([Endpoint(i + 1, zone=int(i > 1)) for i in range(24)], instance_count=24)
     node.controller.limit, node.controller.usual = 96.0, 80.0
     node.zones[1].cut = True
     node.refill(0)
@@ -716,7 +734,7 @@
     node, rec = balancer(4)
     node.eject(0, node.servers[1], silent=False)
     node.servers[1].slowness = 5.0
-    node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC - 1)])
+    node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC - 1)])
     assert not node.servers[1].ejected and node.servers[1].slowness == 1.0
     assert node.servers[1].cold_until == SEC - 1 + 4 * SEC
 
@@ -725,7 +743,7 @@
     """A call saved up while nobody watched would come on top of every other node's."""
     node, rec = balancer(2)
     node.warm_rate = 10.0
-    node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
+    node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC)])
     cold = node.servers[1]
     assert not node.may_send(SEC, cold)
     assert [node.may_send(SEC + 500_000, cold) for _ in range(3)] == [True, False, False]
@@ -734,14 +752,14 @@
 def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
     node, rec = balancer(4)
     node.eject(0, node.servers[1], silent=True)
-    assert ask(node, rec, 3 * SEC, 1, klass=2)[2] != 1
-    action = ask(node, rec, 5 * SEC, 2, klass=0, left=3 * SEC)
+    assert ask(node, rec, 3 * SEC, 1, request_class=2)[2] != 1
+    action = ask(node, rec, 5 * SEC, 2, request_class=0, left=3 * SEC)
     assert action[2] == 1 and action[3] < 3 * SEC
 
 
 def test_unvisited_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
-    entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
-    node, rec = balancer(entries, cross_zone_price=0.04, instances=12)
+    entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
+    node, rec = balancer(entries, cross_zone_cost=0.04, instance_count=12)
     node.far_ratio, node.best_ratio, node.near_ratio = 5.0, 0.2, 0.6
     for i in range(1, 60):
         node.each_window(i * 100_000)
@@ -749,7 +767,7 @@
 
 
 def test_when_the_drawn_are_all_cold_another_member_serves():
-    entries = [ServerEntry(i + 1, ready_at=SEC) for i in range(20)] + [ServerEntry(21)]
+    entries = [Endpoint(i + 1, ready_at=SEC) for i in range(20)] + [Endpoint(21)]
     node, rec = balancer(entries)
     assert {ask(node, rec, SEC + 1000 * i, i)[2] for i in range(20)} == {21}
 
@@ -763,8 +781,8 @@
     return server
 
 
-def two_kinds() -> list[ServerEntry]:
-    return [ServerEntry(i, kind=i % 2) for i in range(20)]
+def two_kinds() -> list[Endpoint]:
+    return [Endpoint(i, machine_type=i % 2) for i in range(20)]
 
 
 def test_a_thin_copy_draws_by_kind_what_it_has_forgotten_of_the_member():
@@ -839,11 +857,11 @@
     node, rec = balancer()
     ctl = node.controller
     _, _, server, _ = ask(node, rec, 0, 1)
-    node.client_left(10_000, 1)  # impatient: tells nothing
+    node.client_disconnected(10_000, 1)  # impatient: tells nothing
     before = ctl.pass_count
     _, _, server, _ = ask(node, rec, 0, 2)
     slowness = node.servers[server].slowness
-    node.client_left(2 * SEC, 2)
+    node.client_disconnected(2 * SEC, 2)
     assert ctl.pass_count == before - 1
     assert node.servers[server].slowness > slowness
 
@@ -853,7 +871,7 @@
 )
 def test_the_subset_is_as_small_as_the_number_of_copies_lets_it_be(servers, instances, size):
     """A copy with a call a second knows none of many members and keeps no connection to them."""
-    node, _ = balancer(servers, instances=instances)
+    node, _ = balancer(servers, instance_count=instances)
     assert len(node.members) == size
 
 
@@ -873,24 +891,26 @@
     that one server got in any second.
     """
     s, rng, alive = SEC, Random(seed), list(range(1, 13))
-    entries = [ServerEntry(i, ready_at=1) for i in alive]
-    node, recorder = balancer(entries, seed, cold_time=8 * SEC)
+    entries = [Endpoint(i, ready_at=1) for i in alive]
+    node, recorder = balancer(entries, seed, slow_start_duration=8 * SEC)
     open_, refused, asked, got = [], 0, 0, Counter()
     for now in range(0, 30 * s, s // 20):
         if now % (s // 2) == 0 and now:
             gone, new = alive.pop(0), alive[-1] + 1
             alive.append(new)
-            node.server_list(
-                now, ListKind.CHANGES, [ServerEntry(gone, State.GONE), ServerEntry(new, ready_at=now)]
+            node.endpoint_update(
+                now,
+                EndpointUpdateKind.CHANGES,
+                [Endpoint(gone, EndpointState.GONE), Endpoint(new, ready_at=now)],
             )
         for due, request, server in [o for o in open_ if o[0] <= now]:
             open_.remove((due, request, server))
             end(node, recorder, now, request, 0, server, Outcome.OK, (1_900_000 if late else 100_000))
         number = now // (s // 20) + 1
-        action = ask(node, recorder, now, number, klass=2)
+        action = ask(node, recorder, now, number, request_class=2)
         if now >= 15 * s:
             asked += 1
-            refused += action[0] == "refuse"
+            refused += action[0] == "shed"
         if action[0] == "send":
             got[action[2], now // s] += 1
             open_.append((now + (1_900_000 if late else 100_000) + rng.randrange(20_000), number, action[2]))
@@ -908,7 +928,7 @@
 
 def test_what_cold_members_may_get_is_kept_while_one_is_warm_and_given_up_when_calls_are_lost():
     """Where servers are replaced all day one is warm now and then; the next cold one began anew at a quarter."""
-    node, _ = balancer([ServerEntry(i, ready_at=1) for i in range(1, 5)])
+    node, _ = balancer([Endpoint(i, ready_at=1) for i in range(1, 5)])
     now, parts = 1, []
     for step in range(40):
         now += 100_000
@@ -926,9 +946,9 @@
 
 def test_when_every_member_is_cold_each_gets_its_part_of_what_is_asked():
     """After a mass restart a copy would refuse all until the warm-up has passed."""
-    cold = [ServerEntry(i, ready_at=10 * SEC) for i in range(1, 5)]
-    node, rec = balancer([ServerEntry(i) for i in range(1, 5)])
-    node.server_list(10 * SEC, ListKind.FULL, cold)
+    cold = [Endpoint(i, ready_at=10 * SEC) for i in range(1, 5)]
+    node, rec = balancer([Endpoint(i) for i in range(1, 5)])
+    node.endpoint_update(10 * SEC, EndpointUpdateKind.FULL, cold)
     sent: dict[int, list[int]] = {i: [] for i in range(1, 5)}
     for i in range(400):
         now = 10 * SEC + i * SEC // 100
@@ -961,23 +981,25 @@
     for i in range(40):
         node.request(0, i, 0, 0, 3 * SEC, False)
     held = len(node.waiting)
-    assert held > 0 and rec.take("refuse")
-    node.client_left(10, node.waiting[0].id)
+    assert held > 0 and rec.take("shed")
+    node.client_disconnected(10, node.waiting[0].id)
     assert len(node.waiting) == held - 1
     node.request(20, 99, 0, 0, 3 * SEC, False)
-    assert len(node.waiting) == held and not rec.take("refuse", "fail", "send")
+    assert len(node.waiting) == held and not rec.take("shed", "fail", "send")
 
 
 def subset_after_a_release(seed: int, nodes: int = 200, servers: int = 120, replaced: int = 36) -> set[int]:
     """A third of the servers drains in three steps, and only then others come in their place, a few at a time."""
-    node, rec = balancer(servers, seed=seed, instances=nodes)
+    node, rec = balancer(servers, seed=seed, instance_count=nodes)
     for step in range(3):
         gone = range(step * 12 + 1, step * 12 + 13)
-        node.server_list(SEC * (step + 1), ListKind.CHANGES, [ServerEntry(s, State.DRAINING) for s in gone])
+        node.endpoint_update(
+            SEC * (step + 1), EndpointUpdateKind.CHANGES, [Endpoint(s, EndpointState.DRAINING) for s in gone]
+        )
     for first in range(0, replaced, 4):
         now = SEC * (5 + first)
-        came = [ServerEntry(1001 + i, ready_at=now) for i in range(first, first + 4)]
-        node.server_list(now, ListKind.CHANGES, came)
+        came = [Endpoint(1001 + i, ready_at=now) for i in range(first, first + 4)]
+        node.endpoint_update(now, EndpointUpdateKind.CHANGES, came)
     rec.take()
     return {m.id for m in node.members}
 
@@ -998,16 +1020,16 @@
 
 
 def test_who_gives_up_a_place_finishes_its_calls_and_its_idle_connections_are_closed():
-    node, rec = balancer(40, instances=80)
+    node, rec = balancer(40, instance_count=80)
     before = set(node.members)
     for n in range(1, 13):
         ask(node, rec, n * 1000, n)
     out = {r.out for r in node.requests.values()}
     in_flight = node.controller.in_flight
-    node.server_list(SEC, ListKind.CHANGES, [ServerEntry(s) for s in range(101, 241)])
+    node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 241)])
     displaced = before - set(node.members)
     assert displaced and len(before) == 10 and len(node.members) == 24
-    assert {c[1] for c in rec.take("close")} >= {m.id for m in displaced}
+    assert {c[1] for c in rec.take("close_idle")} >= {m.id for m in displaced}
     assert node.controller.in_flight == in_flight and displaced & out
     for n, r in list(node.requests.items()):
         end(node, rec, SEC + 1000, n, 0, r.out.id, Outcome.OK)
@@ -1016,17 +1038,17 @@
 
 
 def test_the_same_list_again_changes_no_subset():
-    node, rec = balancer(120, instances=200)
+    node, rec = balancer(120, instance_count=200)
     before = list(node.members)
     for n in range(50):
-        node.server_list(n, ListKind.FULL, [ServerEntry(i + 1) for i in range(120)])
-    assert node.members == before and not rec.take("close")
+        node.endpoint_update(n, EndpointUpdateKind.FULL, [Endpoint(i + 1) for i in range(120)])
+    assert node.members == before and not rec.take("close_idle")
 
 
 def test_an_ejected_member_and_one_in_a_cut_zone_give_up_no_place():
-    node, rec = balancer(40, instances=80)
+    node, rec = balancer(40, instance_count=80)
     for m in node.members[:3]:
         node.eject(0, m, silent=False)
     ejected = list(node.ejected)
-    node.server_list(SEC, ListKind.CHANGES, [ServerEntry(s) for s in range(101, 401)])
+    node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 401)])
     assert ejected and all(m.member and m in node.members for m in ejected)
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from harecross.interface import ListKind, Outcome, ServerEntry
+from harecross.interface import Endpoint, EndpointUpdateKind, Outcome
 from tests.node_support import (
     SETTINGS,
     Client,
@@ -139,13 +139,13 @@
 
 
 def test_a_node_with_one_request_a_second_for_ten_minutes_refuses_none_and_finds_the_bad_server():
-    node, recorder = balancer(24, instances=40)
+    node, recorder = balancer(24, instance_count=40)
     rng, now, bad, sent = Random(1), 0, 0, [0] * 25
     for n in range(1, 601):
         now += SEC
         node.request(now, n, 0, 0, 3 * SEC, False)
         attempt = 0
-        actions = [a for a in recorder.take() if a[0] in ("send", "refuse", "fail")]
+        actions = [a for a in recorder.take() if a[0] in ("send", "shed", "fail")]
         while actions and actions[0][0] == "send":
             server = actions[0][2]
             sent[server] += 1
@@ -194,7 +194,7 @@
 
 def test_a_server_that_accepts_and_never_speaks_is_left_out_by_a_thin_node():
     """At two requests a second its first silent calls are what a node learns from: they cost their time, no more."""
-    node, recorder = balancer([ServerEntry(i + 1) for i in range(6)], instances=6)
+    node, recorder = balancer([Endpoint(i + 1) for i in range(6)], instance_count=6)
     now, sent, queue = 0, [0] * 7, []
     for n in range(1, 241):
         now += SEC // 2
@@ -230,17 +230,17 @@
     with_node(test)
 
 
-@pytest.mark.parametrize("kind", [ListKind.CHANGES, ListKind.FULL])
+@pytest.mark.parametrize("kind", [EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL])
 def test_seven_in_ten_nodes_are_gone_and_the_rest_give_cold_servers_no_more_than_their_part(kind):
     """A node at three times its traffic beside members that have just started: each gets a warm one's part, cooled."""
-    node, recorder = balancer(10, instances=10)
+    node, recorder = balancer(10, instance_count=10)
     now, n, sent = 0, 0, [0] * 11
     cold: set[int] = set()
     for rate, seconds in ((20, 6), (60, 3)):
         if rate == 60:
             cold = {8, 9, 10}
-            node.server_list(
-                now, kind, [ServerEntry(i, ready_at=now if i in cold else 0) for i in range(1, 11)]
+            node.endpoint_update(
+                now, kind, [Endpoint(i, ready_at=now if i in cold else 0) for i in range(1, 11)]
             )
             sent = [0] * 11
         for _ in range(rate * seconds):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,13 +12,13 @@
 from support import ask, balancer, end
 from test_operations import Site, tell, with_site
 
-from harecross.interface import Outcome, ServerEntry
+from harecross.interface import Endpoint, Outcome
 from harecross.node.handover_store import LEARNED_FRESH, Store
 from harecross.policy.learned_state import learned, recall
 
 MS = 1000
 NAMES = {f"s{i}": i for i in range(1, 5)}
-ENTRIES = [ServerEntry(i, zone=i % 2) for i in range(1, 5)]
+ENTRIES = [Endpoint(i, zone=i % 2) for i in range(1, 5)]
 
 
 def used():
@@ -27,7 +27,7 @@
     now = 0
     for i in range(1, 900):
         now += 5 * MS
-        action = ask(node, recorder, now, i, klass=2)
+        action = ask(node, recorder, now, i, request_class=2)
         if action[0] != "send":
             continue
         server = action[2]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -39,7 +39,7 @@
 from harecross.downstream import connection_manager
 from harecross.http.request_parser import time_left
 from harecross.http.response_parser import Answer, read_report, report_places
-from harecross.interface import ListKind, Outcome, State
+from harecross.interface import EndpointState, EndpointUpdateKind, Outcome
 from harecross.node import shutdown_schedule
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
@@ -986,22 +986,22 @@
         directory.apply(update(1, entry("a", "127.0.0.1:1"), item, at_2, "junk"), cached=True)
         directory.apply(update(2, item, {**at_2, "lifecycle": "resting"}))
         (kind, (a, b, _)), (later, (b2, c)) = host.got
-        assert (kind, later) == (ListKind.CACHED, ListKind.CHANGES)
-        assert (a.ready_at, b.cell, b.zone, b.kind) == (0, 3, 1, 1)
-        assert b == b2 and c.state == State.DRAINING  # the same number and start in every list
+        assert (kind, later) == (EndpointUpdateKind.CACHED, EndpointUpdateKind.CHANGES)
+        assert (a.ready_at, b.cell, b.zone, b.machine_type) == (0, 3, 1, 1)
+        assert b == b2 and c.state == EndpointState.DRAINING  # the same number and start in every list
         assert abs(clock() - b.ready_at) < 60_000_000
         # A line on a server that goes holds even where the rest of it is missing.
         directory.apply(update(3, {"instanceId": "a", "lifecycle": "terminated"}))
-        assert host.got[-1][1][0].state == State.GONE and a.server not in pool.targets
+        assert host.got[-1][1][0].state == EndpointState.GONE and a.server not in pool.targets
         directory.apply(update(4, item, reset=True))
-        assert host.got[-1][0] == ListKind.FULL
+        assert host.got[-1][0] == EndpointUpdateKind.FULL
         # What has gone, and holds nothing, is forgotten; a line on one never heard of makes nothing.
         directory.apply(update(5, entry("z", "127.0.0.1:9", "terminated")))
         assert list(pool.targets) == list(directory.listed) == list(directory.numbers.values()) == [b.server]
         # A new server at an old address is another process: nothing is sent there under the old name.
         directory.apply(update(6, entry("d", "127.0.0.1:3", startedAtMs=now_ms)))
         gone, d = host.got[-1][1]
-        assert (gone.server, gone.state, d.server) == (b.server, State.GONE, 4)
+        assert (gone.server, gone.state, d.server) == (b.server, EndpointState.GONE, 4)
         directory.apply(update(7, item))  # an old line, late
         assert list(directory.listed) == [d.server] == list(pool.targets)
         for n in range(20):
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -15,12 +15,12 @@
 from harecross.interface import (
     NEVER_RAN,
     ClassSettings,
-    Effect,
-    Group,
-    ListKind,
+    DeduplicationScope,
+    Endpoint,
+    EndpointState,
+    EndpointUpdateKind,
+    Idempotency,
     Outcome,
-    ServerEntry,
-    State,
     TenantSettings,
 )
 from harecross.policy.balancer import Balancer
@@ -31,13 +31,13 @@
 def some_settings(rng: Random):
     classes = tuple(
         ClassSettings(
-            Effect(rng.randrange(3)),
-            aim=rng.choice([SEC // 2, SEC, 2 * SEC]),
+            Idempotency(rng.randrange(3)),
+            latency_objective=rng.choice([SEC // 2, SEC, 2 * SEC]),
             deadline=4 * SEC,
-            worth=rng.choice([1, 8, 24]),
-            late_worth=rng.choice([0, 0.3]),
-            group=Group(rng.randrange(3)),
-            window=rng.choice([SEC // 2, 3 * SEC]),
+            priority_weight=rng.choice([1, 8, 24]),
+            late_priority_weight=rng.choice([0, 0.3]),
+            deduplication_scope=DeduplicationScope(rng.randrange(3)),
+            deduplication_window=rng.choice([SEC // 2, 3 * SEC]),
         )
         for _ in range(rng.randint(1, 3))
     )
@@ -48,14 +48,14 @@
         tier=rng.randrange(2),
         tiers=2,
         zone=rng.randrange(2),
-        instances=rng.choice([1, 3, 200]),
-        over_share_worth=rng.choice([0.05, 1.0]),
+        instance_count=rng.choice([1, 3, 200]),
+        over_quota_weight=rng.choice([0.05, 1.0]),
         report_fields=rng.choice([(), ("latency_ms", "util"), ("queue", "util", "inflight")]),
         max_attempts=rng.choice([1, 2, 4]),
         cancel=rng.random() < 0.5,
         retry_after=rng.random() < 0.5,
-        list_on_request=rng.random() < 0.5,
-        list_ask_within=10 * SEC,
+        discovery_polled=rng.random() < 0.5,
+        max_poll_interval=10 * SEC,
     )
 
 
@@ -69,9 +69,9 @@
         self.rec = Recorder()
         self.node = Balancer(self.s, seed, self.rec)
         self.now = 0
-        self.listed: dict[int, State] = {}
+        self.listed: dict[int, EndpointState] = {}
         self.unsent_after: dict[int, int] = {}  # server -> when it was told not ready
-        self.entries: dict[int, ServerEntry] = {}
+        self.entries: dict[int, Endpoint] = {}
         self.open: dict[int, dict] = {}
         self.closed: set[int] = set()
         self.out: list[dict] = []
@@ -80,7 +80,7 @@
         self.top_rate = 0.0
         self.cold_sends: dict[int, list[int]] = {}
         self.node.start(0)
-        self.list_event(ListKind.CACHED)
+        self.list_event(EndpointUpdateKind.CACHED)
         for i in range(steps):
             self.step(i)
         while self.out or self.open:
@@ -88,27 +88,27 @@
             assert before, "a request was left without an answer"
             self.advance(SEC)
 
-    def list_event(self, kind: ListKind) -> None:
+    def list_event(self, kind: EndpointUpdateKind) -> None:
         rng = self.rng
         names = rng.sample(range(1, self.pool + 1), rng.randint(0, 2 * self.pool // 3))
         entries = []
         for server in names:
-            state = rng.choice([State.READY] * 4 + [State.DRAINING])
-            if kind == ListKind.CHANGES and rng.random() < 0.2:
-                state = State.GONE
-            ready_at = self.now if rng.random() < 0.3 and kind != ListKind.CACHED else 0
+            state = rng.choice([EndpointState.READY] * 4 + [EndpointState.DRAINING])
+            if kind == EndpointUpdateKind.CHANGES and rng.random() < 0.2:
+                state = EndpointState.GONE
+            ready_at = self.now if rng.random() < 0.3 and kind != EndpointUpdateKind.CACHED else 0
             place = {"cell": server % 3, "zone": server % 2, "kind": server % 4}
-            entries.append(ServerEntry(server, state, ready_at=ready_at, **place))
-        if kind != ListKind.CHANGES:
+            entries.append(Endpoint(server, state, ready_at=ready_at, **place))
+        if kind != EndpointUpdateKind.CHANGES:
             for server in set(self.entries) - set(names):
                 self.unsent_after.setdefault(server, self.now)
         for e in entries:
             self.entries[e.server] = e
-            if e.state == State.READY:
+            if e.state == EndpointState.READY:
                 self.unsent_after.pop(e.server, None)
             else:
                 self.unsent_after.setdefault(e.server, self.now)
-        self.node.server_list(self.now, kind, entries)
+        self.node.endpoint_update(self.now, kind, entries)
         self.check()
 
     def step(self, i: int) -> None:
@@ -116,9 +116,9 @@
         roll = rng.random()
         if roll < 0.5:
             left = rng.choice([SEC // 10, SEC, 4 * SEC])
-            klass = rng.randrange(len(self.s.classes))
-            self.open[i] = {"klass": klass, "until": self.now + left, "attempts": [], "ran": None}
-            self.node.request(self.now, i, klass, rng.randrange(2), left, False)
+            request_class = rng.randrange(len(self.s.classes))
+            self.open[i] = {"klass": request_class, "until": self.now + left, "attempts": [], "ran": None}
+            self.node.request(self.now, i, request_class, rng.randrange(2), left, False)
             self.check()
         elif roll < 0.85 and self.out:
             a = self.out.pop(rng.randrange(len(self.out)))
@@ -127,10 +127,10 @@
             request = rng.choice(sorted(self.open))
             del self.open[request]
             self.closed.add(request)
-            self.node.client_left(self.now, request)
+            self.node.client_disconnected(self.now, request)
             self.check()
         elif roll < 0.92:
-            self.list_event(rng.choice([ListKind.CHANGES, ListKind.FULL]))
+            self.list_event(rng.choice([EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL]))
         else:
             self.advance(rng.choice([1000, 20_000, 300_000]))
 
@@ -173,24 +173,37 @@
         for action in self.rec.take():
             self.log.append((self.now, *action))
             name, *args = action
-            assert name in {"send", "refuse", "fail", "cancel", "set_timer", "log", "watch", "close"}
+            assert name in {
+                "send",
+                "shed",
+                "fail",
+                "cancel",
+                "set_timer",
+                "log_event",
+                "subscribe",
+                "close_idle",
+            }
             if name == "set_timer":
                 self.timers.append((self.now + args[0], args[1]))
             elif name == "cancel":
                 assert self.s.cancel
             elif name == "send":
                 self.sent(*args)
-            elif name in ("refuse", "fail"):
+            elif name in ("shed", "fail"):
                 r = self.open.pop(args[0])  # rule 1: only an open request, once
                 self.closed.add(args[0])
                 assert self.now <= r["until"]
-                if name == "refuse":
+                if name == "shed":
                     self.refused(r, *args)
 
     def refused(self, r: dict, request: int, retry_after: int) -> None:
         c = self.s.classes[r["klass"]]
         assert retry_after == 0 or (self.s.retry_after and retry_after <= self.s.max_retry_after)
-        assert r["ran"] is None or c.effect == Effect.SAFE or (c.effect, c.group) == (Effect.KEYED, Group.ALL)
+        assert (
+            r["ran"] is None
+            or c.idempotency == Idempotency.IDEMPOTENT
+            or (c.idempotency, c.deduplication_scope) == (Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL)
+        )
         assert not any(a["request"] == request for a in self.out)
 
     def sent(self, request: int, server: int, timeout: int) -> None:
@@ -202,20 +215,20 @@
         assert server in self.entries and server not in self.unsent_after, "rule 3"
         first = r["ran"]
         if first is not None:
-            assert c.effect != Effect.UNSAFE, "rule 2"
-            if c.effect == Effect.KEYED:
-                assert self.now <= first["at"] + c.window
-                if c.group == Group.CELL:
+            assert c.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2"
+            if c.idempotency == Idempotency.IDEMPOTENCY_KEY:
+                assert self.now <= first["at"] + c.deduplication_window
+                if c.deduplication_scope == DeduplicationScope.CELL:
                     assert server % 3 == first["server"] % 3
-                elif c.group == Group.ZONE:
+                elif c.deduplication_scope == DeduplicationScope.ZONE:
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
-        if ready_at and self.now < ready_at + self.s.cold_time:
+        if ready_at and self.now < ready_at + self.s.slow_start_duration:
             # Rule 4, from one copy: no more in any window than a warm member has had at the most.
             sends = self.cold_sends.setdefault(server, [])
             sends.append(self.now)
-            recent = [t for t in sends if t > self.now - self.s.fall_time]
-            assert len(recent) <= 2 + self.top_rate * self.s.fall_time / SEC, "rule 4"
+            recent = [t for t in sends if t > self.now - self.s.overload_duration]
+            assert len(recent) <= 2 + self.top_rate * self.s.overload_duration / SEC, "rule 4"
         a = {"request": request, "server": server, "attempt": len(r["attempts"]), "at": self.now}
         a["until"] = self.now + timeout
         r["attempts"].append(a)
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -145,11 +145,13 @@
             rate = 900 if 14 <= second < 16 else 250
             while self.rng.random() < rate * TICK / 1e6 / (1 + rate * TICK / 1e6):
                 request += 1
-                klass = self.rng.choice((0, 0, 1, 1, 2))
+                request_class = self.rng.choice((0, 0, 1, 1, 2))
                 node = self.rng.randrange(NODES)
-                left = CLASSES[klass]["hard_limit"]
+                left = CLASSES[request_class]["hard_limit"]
                 tenant = self.rng.randrange(2)
-                self.pending.append(struct.pack("<BHQQHBIIH", 3, node, request, 0, tenant, 0, left, 0, klass))
+                self.pending.append(
+                    struct.pack("<BHQQHBIIH", 3, node, request, 0, tenant, 0, left, 0, request_class)
+                )
                 if self.rng.random() < 0.02:
                     self.later(now + 200 * MS, struct.pack("<BHQ", 11, node, request))
             while self.due and self.due[0][0] <= now:
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -6,11 +6,18 @@
 
 from harecross.decide import Balancer
 from harecross.discovery.listed_endpoints import Roster
-from harecross.interface import ClassSettings, Effect, ListKind, ServerEntry, Settings, State
+from harecross.interface import (
+    ClassSettings,
+    Endpoint,
+    EndpointState,
+    EndpointUpdateKind,
+    Idempotency,
+    Settings,
+)
 from harecross.xds.access import allowed, loopback
 from harecross.xds.loads import Loads
 from harecross.xds.probes import Schedule
-from harecross.xds.publish import Endpoint, Health, Publisher, ServerView, Told, calls_out, priority
+from harecross.xds.publish import Health, PublishedEndpoint, Publisher, ServerView, Told, calls_out, priority
 from harecross.xds.release import Release
 
 SECOND = 1_000_000
@@ -25,7 +32,7 @@
 
 def judge(**more) -> Balancer:
     settings = Settings(
-        classes=(ClassSettings(Effect.SAFE, SECOND, 2 * SECOND, 1.0),), subset_most=1 << 30,
+        classes=(ClassSettings(Idempotency.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),), subset_max=1 << 30,
         report_fields=("latency_ms",), **more,
     )  # fmt: skip
     b = Balancer(settings, 1, Silent())
@@ -34,7 +41,7 @@
 
 
 def listed(b: Balancer, n: int, now: int = 0, **more) -> None:
-    b.server_list(now, ListKind.FULL, [ServerEntry(i, **more) for i in range(1, n + 1)])
+    b.endpoint_update(now, EndpointUpdateKind.FULL, [Endpoint(i, **more) for i in range(1, n + 1)])
 
 
 # ---- the module's view --------------------------------------------------------------------------------
@@ -46,7 +53,9 @@
     before = b.stats()
     views = b.view(0)
     assert {v.server for v in views} == set(range(1, 201)) and b.stats() == before
-    assert all(v.state == State.READY and not v.ejected and v.warmth == 1 and v.cost == 1 for v in views)
+    assert all(
+        v.state == EndpointState.READY and not v.ejected and v.warmth == 1 and v.cost == 1 for v in views
+    )
 
 
 def test_probes_that_fail_eject_and_a_good_one_after_the_ejection_readmits():
@@ -54,15 +63,15 @@
     listed(b, 5)
     for n in range(3):
         for server in (2, 3, 4, 5):
-            b.probed(n * SECOND, server, True, 1000, ())
-        b.probed(n * SECOND, 1, False, 1000, ())
+            b.health_checked(n * SECOND, server, True, 1000, ())
+        b.health_checked(n * SECOND, 1, False, 1000, ())
     assert [v.server for v in b.view(0) if v.ejected] == [1]
-    b.probed(2 * SECOND + 1, 1, True, 1000, ())
+    b.health_checked(2 * SECOND + 1, 1, True, 1000, ())
     assert b.view(0)[0].ejected  # not before its time
-    b.probed(9 * SECOND, 1, False, 1000, ())
-    b.probed(10 * SECOND, 1, True, 1000, ())
+    b.health_checked(9 * SECOND, 1, False, 1000, ())
+    b.health_checked(10 * SECOND, 1, True, 1000, ())
     assert b.view(0)[0].ejected  # failed its trial: a longer time
-    b.probed(60 * SECOND, 1, True, 1000, ())
+    b.health_checked(60 * SECOND, 1, True, 1000, ())
     assert not b.view(0)[0].ejected
 
 
@@ -71,17 +80,17 @@
     listed(b, 9)
     for n in range(5):
         for server in range(1, 10):
-            b.reported(n * SECOND, server, *((0, 100) if server <= 6 else (100, 0)), ())
+            b.load_reported(n * SECOND, server, *((0, 100) if server <= 6 else (100, 0)), ())
     assert 1 <= sum(v.ejected for v in b.view(0)) <= 3
 
 
 def test_a_slow_server_costs_more_and_a_cold_one_shows_its_warmth():
-    b = judge(cold_time=10 * SECOND, cold_share=0.2)
+    b = judge(slow_start_duration=10 * SECOND, slow_start_min_capacity=0.2)
     listed(b, 3, now=SECOND)
-    b.server_list(SECOND, ListKind.CHANGES, [ServerEntry(4, ready_at=SECOND)])
+    b.endpoint_update(SECOND, EndpointUpdateKind.CHANGES, [Endpoint(4, ready_at=SECOND)])
     for n in range(20):
         for server, ms in ((1, 10), (2, 10), (3, 40)):
-            b.reported(SECOND + n, server, 50, 0, (ms,))
+            b.load_reported(SECOND + n, server, 50, 0, (ms,))
     views = {v.server: v for v in b.view(SECOND + 20)}
     assert views[3].cost > 2 * views[1].cost and 0.19 < views[4].warmth < 0.21
     later = {v.server: v.warmth for v in b.view(6 * SECOND)}
@@ -91,10 +100,10 @@
 def test_a_report_that_cannot_be_changes_nothing():
     b = judge()
     listed(b, 3)
-    b.reported(0, 99, 5, 5, ())
-    b.reported(0, 1, 0, 0, ())
-    b.reported(0, 1, 1, 0, (float("nan"),))
-    b.reported(0, 2, 1, 0, (-5.0,))
+    b.load_reported(0, 99, 5, 5, ())
+    b.load_reported(0, 1, 0, 0, ())
+    b.load_reported(0, 1, 1, 0, (float("nan"),))
+    b.load_reported(0, 2, 1, 0, (-5.0,))
     assert all(0 < v.cost < 1e9 and not v.ejected for v in b.view(0))
 
 
@@ -104,7 +113,7 @@
 def told(*weights: int, drained: int | None = None, limit: int = 0) -> Told:
     return Told(
         tuple(
-            Endpoint(f"s{i}", f"h:{i}", "", Health.DRAINING if i == drained else Health.HEALTHY, w)
+            PublishedEndpoint(f"s{i}", f"h:{i}", "", Health.DRAINING if i == drained else Health.HEALTHY, w)
             for i, w in enumerate(weights)
         ),
         limit,
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -16,7 +16,7 @@
 from harecross.standins.xds import ASSIGNMENT, DRAINING, XdsProxy  # noqa: E402
 from harecross.xds import server as front  # noqa: E402
 from harecross.xds.cache import CDS, EDS, Snapshot  # noqa: E402
-from harecross.xds.publish import Endpoint, Health, Told  # noqa: E402
+from harecross.xds.publish import Health, PublishedEndpoint, Told  # noqa: E402
 from harecross.xds.resources import Encoder, Published  # noqa: E402
 from harecross.xds.server import Control, Limits  # noqa: E402
 from harecross.xds.status import status_table  # noqa: E402
@@ -26,7 +26,7 @@
 
 def endpoints(addresses: list[str], drained: tuple[int, ...] = (), weights: dict[int, int] | None = None):
     return [
-        Endpoint(
+        PublishedEndpoint(
             f"s{i}",
             a,
             "here",
@@ -425,7 +425,9 @@
 def test_a_proxy_prefers_its_own_zone_where_crossing_has_a_price():
     async def body() -> None:
         told = Told(
-            tuple(Endpoint(f"s{i}", a, f"z{i}", Health.HEALTHY, 100) for i, a in enumerate(HERE)), 7, True
+            tuple(PublishedEndpoint(f"s{i}", a, f"z{i}", Health.HEALTHY, 100) for i, a in enumerate(HERE)),
+            7,
+            True,
         )
         control, address = await started(Published(Encoder(adaptive=True), {"svc": told}))
         async with grpc.aio.insecure_channel(address) as channel:
