--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -11,8 +11,8 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from harecross.discovery.subscription_schedule import Asking, End, asking_terms
-from harecross.discovery.subscription_schedule import State as SubscriptionState
+from harecross.discovery.subscription_schedule import CallEnd, SubscriptionSchedule, discovery_terms
+from harecross.discovery.subscription_schedule import SubscriptionState as SubscriptionState
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind, Outcome
 from harecross.policy.balancer import Balancer
 from harecross.settings import read_settings
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         self.out = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.asking: dict[int, Asking] = {}  # where lists are asked for
+        self.asking: dict[int, SubscriptionSchedule] = {}  # where lists are asked for
         self.banks: dict[int, list[Endpoint]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
@@ -168,7 +168,7 @@
         settings = read_settings(text)
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
         if settings.discovery_polled:
-            self.asking[node] = Asking(asking_terms(settings), Random(seed))
+            self.asking[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
             self.asking[node].calling(now / 1e6)
         self.tell(node, "start", now)
         return pos + int(size)
@@ -208,7 +208,7 @@
             return
         if asking.state is SubscriptionState.WAITING:
             return
-        asking.ended(now, End.ENDED if asking.state is SubscriptionState.SUBSCRIBED else End.FAILED)
+        asking.ended(now, CallEnd.ENDED if asking.state is SubscriptionState.SUBSCRIBED else CallEnd.FAILED)
         WireActions(self.out, node).set_timer(int((asking.next_at - now) * 1e6), ASK_AGAIN)
 
     def accept(self, now: int, body: bytes, pos: int) -> int:
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -8,35 +8,36 @@
 from random import Random
 from typing import Any
 
-from harecross.discovery.endpoint_registry import Directory, Lists
-from harecross.discovery.process_table import Outcome, ProcessTable, Source
-from harecross.discovery.subscription_schedule import MOVED, Asking, End, Terms
+from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
+from harecross.discovery.process_table import ProcessTable, Source, TableUpdate
+from harecross.discovery.subscription_schedule import MOVED, CallEnd, DiscoveryTerms, SubscriptionSchedule
 from harecross.discovery.transition_log import describe
 from harecross.discovery.watch import Watch
-from harecross.dispatch.dispatcher import say
+from harecross.dispatch.dispatcher import log_line
 from harecross.interface import EndpointUpdateKind
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 
-PUSHED = Terms()
+PUSHED = DiscoveryTerms()
 # After a new configuration the discovery it names may be behind for `MOVED` seconds; what it wrote by then may be on
 # its way for a moment more.
 CAUGHT_UP = MOVED + 1.0
 FORMER_MOST = 4  # watches of discoveries that have been left, until they end: one is open for 1.5 s (LATER)
 
 
-class Discovery:
+class DiscoveryClient:
     """The watch in use and, while the node moves to another address, the one that comes up there.
 
-    A watch comes back by itself when its `Asking` says; where lists are asked for, the module is told of the end. The
-    old watch counts until the new one has brought its first list, and from then on for what leaves, until it ends.
+    A watch is reopened when its `SubscriptionSchedule` says; where lists are polled, the module is notified of its end.
+    The old watch counts until the new one has brought its first list; from then on only what it says of servers that
+    drain or are gone counts, until it ends.
     """
 
     def __init__(
         self,
-        directory: Directory,
+        directory: EndpointRegistry,
         address: tuple[str, int],
-        terms: Terms = PUSHED,
-        lists: Lists | None = None,
+        terms: DiscoveryTerms = PUSHED,
+        lists: EndpointListConsumer | None = None,
         seed: int = 0,
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -48,7 +49,7 @@
         self.asked = terms.asked
         self.rng = Random(seed)
         self.monotonic = monotonic
-        self.asking = Asking(terms, self.rng)
+        self.asking = SubscriptionSchedule(terms, self.rng)
         self.generation: int | None = 0
         self.lineage = 0  # counts the moves
         self.moved_at: float | None = None  # when the last one began
@@ -103,7 +104,7 @@
         if self.current is None:
             self.generation = None
         else:
-            asking = Asking(self.terms, self.rng, moving=True)
+            asking = SubscriptionSchedule(self.terms, self.rng, moving=True)
             self.coming = Watch(self, address, None, asking, self.lineage)
         return True
 
@@ -124,7 +125,7 @@
         self.heard_all(watch)
         self.log(watch, update.get("generation"), outcome, now)
         if new and (held := self.table.held()):
-            say(f"discovery: {watch.place} has not heard of {len(held)} that leave")
+            log_line(f"discovery: {watch.place} has not heard of {len(held)} that leave")
         self.close_former_if_caught_up()
 
     def unchanged(self, watch: Watch) -> None:
@@ -143,7 +144,7 @@
     def heard_all(self, watch: Watch) -> None:
         """What the present discovery lists has been told up to now: what appears later has started later."""
         if watch is self.current:
-            self.directory.births.listed_all(clock())
+            self.directory.births.listed_all(monotonic_us())
 
     def reached(self, watch: Watch, good: bool) -> None:
         """The watch has just spoken, or its connection has ended or come to nothing."""
@@ -177,11 +178,11 @@
             watch.asking.moving = False
             if old is not None:
                 self.leave(old)
-            say(f"discovery: moved to {watch.place}")
+            log_line(f"discovery: moved to {watch.place}")
 
-    def log(self, watch: Watch, version: object, outcome: Outcome, now: float) -> None:
+    def log(self, watch: Watch, version: object, outcome: TableUpdate, now: float) -> None:
         for line in describe(outcome.transitions, now):
-            say(f"discovery: {watch.place} v{version}: {line}")
+            log_line(f"discovery: {watch.place} v{version}: {line}")
         trace = self.directory.host.trace
         if trace is not None:
             for transition in outcome.transitions:
@@ -222,9 +223,11 @@
         watch = self.current
         if watch is None:
             return self.failed()
-        once = Asking(self.terms, self.rng)  # what the call brings is no word of the watch that is open
+        once = SubscriptionSchedule(
+            self.terms, self.rng
+        )  # what the call brings is no word of the watch that is open
         once.calling(time.monotonic())
-        if await watch.call(b"/catalog/members", once, own=False) is not End.ENDED:
+        if await watch.call(b"/catalog/members", once, own=False) is not CallEnd.ENDED:
             self.failed()
 
     def failed(self) -> None:
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -7,11 +7,11 @@
 from dataclasses import replace
 from typing import Any, NamedTuple, Protocol
 
-from harecross.discovery.start_times import LONG_AGO, Births
-from harecross.dispatch.dispatcher import Host, say
+from harecross.discovery.start_times import LONG_AGO, StartTimes
+from harecross.dispatch.dispatcher import RequestDispatcher, log_line
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind
-from harecross.platform.clock import clock
-from harecross.upstream.connection_pool import Servers
+from harecross.platform.clock import monotonic_us
+from harecross.upstream.connection_pool import ConnectionPool
 
 STATES = {
     "in_service": EndpointState.READY,
@@ -21,7 +21,7 @@
 COLD_MOST = 60_000_000  # microseconds after which a server put back is warm anywhere
 
 
-class Names:
+class NameIndex:
     """Positions of names: those in the settings keep theirs, others get one for as long as it is in use."""
 
     def __init__(self, names: Sequence[str]) -> None:
@@ -41,7 +41,7 @@
         self.others = {name: at for name, at in self.others.items() if at in used}
 
 
-class Listed(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """What discovery says of a server in service."""
 
     entry: Endpoint
@@ -49,7 +49,7 @@
     started: int  # Unix time in milliseconds
 
 
-class Lists(Protocol):
+class EndpointListConsumer(Protocol):
     """Who is told what a watch brings: the directory itself, or what stands between where there are more sources."""
 
     def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
@@ -59,22 +59,24 @@
         """The watch has just spoken, or its connection has ended or come to nothing."""
 
 
-class Directory:
+class EndpointRegistry:
     """Makes lists of discovery into the module's entries, and tells the connections of them.
 
     A server that operators hold out is DRAINING to the module, whatever discovery says of it.
     """
 
-    def __init__(self, host: Host, servers: Servers, zones: Sequence[str], kinds: Sequence[str]) -> None:
+    def __init__(
+        self, host: RequestDispatcher, servers: ConnectionPool, zones: Sequence[str], kinds: Sequence[str]
+    ) -> None:
         self.host = host
         self.servers = servers
-        self.zones = Names(zones)
-        self.kinds = Names(kinds)
+        self.zones = NameIndex(zones)
+        self.kinds = NameIndex(kinds)
         self.numbers: dict[str, int] = {}
         self.last = 0
         self.listed: dict[int, Endpoint] = {}  # in service, as last told
         self.draining: set[str] = set()  # names that discovery lists as such
-        self.out: dict[str, Listed | None] = {}  # held out: what discovery says of them meanwhile
+        self.out: dict[str, ListedEndpoint | None] = {}  # held out: what discovery says of them meanwhile
         self.back: dict[str, int] = {}  # when they were put back
         self.owners: dict[str, int] = {}  # who listens at an address
         self.weighted = False  # the platform's weights are nominal, and the module measures speeds itself
@@ -82,7 +84,7 @@
         self.heard: Callable[[Any, bool, bool], None] | None = (
             None  # each update, whether full, whether cached
         )
-        self.births = Births(time.time_ns() // 1000 - clock())
+        self.births = StartTimes(time.time_ns() // 1000 - monotonic_us())
 
     def reached(self, good: bool) -> None:
         """The only source there is: its last list holds however old it is."""
@@ -108,7 +110,7 @@
                 for entry in self.entries(item):
                     entries[entry.server] = entry
             except (KeyError, TypeError, ValueError) as e:
-                say(f"discovery: bad entry {item!r:.200}: {e!r}")
+                log_line(f"discovery: bad entry {item!r:.200}: {e!r}")
         if full:
             for server in [n for n in self.listed if n not in entries]:
                 self.withdraw(server)
@@ -154,15 +156,15 @@
             zone=self.zones.place(str(item.get("zone", ""))),
             machine_type=self.kinds.place(str(item.get("machineType", ""))),
             weight=float(item.get("weight", 1.0)) if self.weighted else 1.0,
-            ready_at=self.births.ready_at(name, started, clock()) if started > 0 else LONG_AGO,
+            ready_at=self.births.ready_at(name, started, monotonic_us()) if started > 0 else LONG_AGO,
         )
-        listed = Listed(entry, address, started)
+        listed = ListedEndpoint(entry, address, started)
         if name in self.out:
             self.out[name] = listed
             return []
         return self.place(name, listed)
 
-    def place(self, name: str, listed: Listed) -> list[Endpoint]:
+    def place(self, name: str, listed: ListedEndpoint) -> list[Endpoint]:
         """Uses a server, unless a younger one listens at its address."""
         entry, address, started = listed
         number = entry.server
@@ -197,7 +199,7 @@
         entry, target = self.listed.get(number), self.servers.targets.get(number)
         self.out[name] = None
         if entry is not None and target is not None:
-            self.out[name] = Listed(entry, target.address, target.started)
+            self.out[name] = ListedEndpoint(entry, target.address, target.started)
             self.host.endpoint_update(
                 EndpointUpdateKind.CHANGES, [self.withdraw(number, EndpointState.DRAINING)]
             )
@@ -208,7 +210,7 @@
         if name not in self.out:
             return
         listed = self.out.pop(name)
-        self.back[name] = clock()
+        self.back[name] = monotonic_us()
         if listed is not None:
             entry = replace(listed.entry, server=self.number(name))
             self.host.endpoint_update(
@@ -225,7 +227,7 @@
         for name, number in list(self.numbers.items()):
             if number not in self.listed and self.servers.forget(number):
                 del self.numbers[name]
-        cold = clock() - COLD_MOST
+        cold = monotonic_us() - COLD_MOST
         self.back = {name: at for name, at in self.back.items() if name in self.numbers or at > cold}
         self.owners = {address: n for address, n in self.owners.items() if n in self.listed}
         self.zones.keep({e.zone for e in self.listed.values()})
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -5,12 +5,14 @@
 from collections.abc import Mapping
 from typing import Any
 
-from harecross.discovery.endpoint_registry import Directory
+from harecross.discovery.endpoint_registry import EndpointRegistry
 
 IN_USE, OUT, DRAINING, GONE = "in use", "out", "draining", "gone"
 
 
-def roster(directory: Directory, out_on: Mapping[int, int], now: int) -> list[dict[str, Any]]:
+def endpoint_status_rows(
+    directory: EndpointRegistry, out_on: Mapping[int, int], now: int
+) -> list[dict[str, Any]]:
     """A row for each server that discovery lists, operators hold out, or something is still out on.
 
     `out_on` counts what is out by server number. A row holds `id`, `state` (one of the four above), `listed`
--- a/harecross/discovery/listed_endpoints.py
+++ b/harecross/discovery/listed_endpoints.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Roster:
+class ListedEndpoints:
     """One cluster's lines, as they came; a server that drains stays until the list leaves it out."""
 
     lines: dict[str, dict[str, Any]] = field(default_factory=dict)
--- a/harecross/discovery/process_table.py
+++ b/harecross/discovery/process_table.py
@@ -43,7 +43,7 @@
     GONE = "gone"
 
 
-class State(Enum):
+class ProcessState(Enum):
     """What a record amounts to."""
 
     IN_SERVICE = "in service"
@@ -52,7 +52,7 @@
     GONE = "gone"
 
 
-class Cause(Enum):
+class TransitionCause(Enum):
     """Why a record's state changed."""
 
     SAID = "said"  # the present discovery's word
@@ -88,13 +88,13 @@
     """A server's state changed: one line of the log."""
 
     name: str
-    before: State
-    after: State
-    cause: Cause
+    before: ProcessState
+    after: ProcessState
+    cause: TransitionCause
     statement: Statement  # what decided it
 
 
-class Outcome(NamedTuple):
+class TableUpdate(NamedTuple):
     """What a word comes to: the list or change to use, and what changed by it."""
 
     update: dict[str, Any]
@@ -107,9 +107,9 @@
     "terminated": Lifecycle.GONE,
 }
 AS_STATE = {
-    Lifecycle.IN_SERVICE: State.IN_SERVICE,
-    Lifecycle.DRAINING: State.DRAINING,
-    Lifecycle.GONE: State.GONE,
+    Lifecycle.IN_SERVICE: ProcessState.IN_SERVICE,
+    Lifecycle.DRAINING: ProcessState.DRAINING,
+    Lifecycle.GONE: ProcessState.GONE,
 }
 
 
@@ -160,7 +160,7 @@
 
     # ---- what is said -----------------------------------------------------------------------------------
 
-    def receive(self, now: float, source: Source, update: Any, whole: bool) -> Outcome:
+    def receive(self, now: float, source: Source, update: Any, whole: bool) -> TableUpdate:
         """A list or change, and what is to be used in its place. ValueError for what is neither.
 
         `whole`: a server that it does not name is gone.
@@ -180,24 +180,26 @@
             for name in [n for n in (*self.words, *self.carried) if n not in said]:
                 self.omit(name, now, update.get("generation"))
         transitions = [
-            self.transition(name, was, Cause.SAID if name in said else Cause.OMITTED)
+            self.transition(name, was, TransitionCause.SAID if name in said else TransitionCause.OMITTED)
             for name, was in before.items()
             if name in self.words and self.state(name) is not was
         ]
         used = [self.entry_for(item) for item in instances]
         settled = self.settle(now)
-        return Outcome(
+        return TableUpdate(
             {**update, "instances": used + settled.update["instances"]}, transitions + settled.transitions
         )
 
-    def spoke(self, now: float, source: Source) -> Outcome:
+    def spoke(self, now: float, source: Source) -> TableUpdate:
         """A word without news: the watch is alive, and nothing is new."""
-        return self.settle(now) if source.number == self.present.number else Outcome({"instances": []}, [])
+        return (
+            self.settle(now) if source.number == self.present.number else TableUpdate({"instances": []}, [])
+        )
 
-    def receive_from_earlier(self, now: float, source: Source, update: Any, whole: bool) -> Outcome:
+    def receive_from_earlier(self, now: float, source: Source, update: Any, whole: bool) -> TableUpdate:
         """What the old discovery still says: that a server leaves counts at once."""
         if not self.catching_up:
-            return Outcome({"instances": []}, [])
+            return TableUpdate({"instances": []}, [])
         said = self.statements(now, source, update)
         if whole:
             for name, by_source in self.carried.items():
@@ -209,10 +211,10 @@
         used, transitions = [], []
         for name, (state, entry) in before.items():
             if self.state(name) is not state:
-                transitions.append(self.transition(name, state, Cause.SAID_BEFORE))
+                transitions.append(self.transition(name, state, TransitionCause.SAID_BEFORE))
             if self.entry(name) != entry:
                 used.append(self.entry(name))
-        return Outcome({"instances": used}, transitions)
+        return TableUpdate({"instances": used}, transitions)
 
     def statements(self, now: float, source: Source, update: Any) -> dict[str, Statement]:
         """What a list or change says, by server."""
@@ -266,30 +268,30 @@
         self.catching_up = True
         self.caught_up_after = max(source.behind_until, now + FIRST_LIST_SETTLES)
 
-    def settle(self, now: float) -> Outcome:
+    def settle(self, now: float) -> TableUpdate:
         """Drops what earlier discoveries said, if the present one has caught up; the entries to use by it."""
         if not self.catching_up or now < self.caught_up_after:
-            return Outcome({"instances": []}, [])
+            return TableUpdate({"instances": []}, [])
         held = {name: self.state(name) for name in self.carried if self.differs(name)}
         self.catching_up = False
         self.carried = {}
         transitions = [
-            self.transition(name, state, Cause.CAUGHT_UP)
+            self.transition(name, state, TransitionCause.CAUGHT_UP)
             for name, state in held.items()
-            if state is State.HELD
+            if state is ProcessState.HELD
         ]
-        return Outcome({"instances": [self.words[name].item for name in held]}, transitions)
+        return TableUpdate({"instances": [self.words[name].item for name in held]}, transitions)
 
     # ---- what records amount to -------------------------------------------------------------------------
 
-    def state(self, name: str) -> State:
+    def state(self, name: str) -> ProcessState:
         """Of a server never heard of: GONE."""
         word = self.words.get(name)
         if word is None:
-            return State.GONE
+            return ProcessState.GONE
         if word.lifecycle is not Lifecycle.IN_SERVICE:
             return AS_STATE[word.lifecycle]
-        return State.IN_SERVICE if self.objection(name, word) is None else State.HELD
+        return ProcessState.IN_SERVICE if self.objection(name, word) is None else ProcessState.HELD
 
     def entry(self, name: str) -> Item:
         """The entry to use of a server of which the present discovery has said something: its own, if it decides."""
@@ -316,7 +318,7 @@
 
     def held(self) -> list[str]:
         """The servers that the present discovery lists as in service and that get nothing new all the same."""
-        return [name for name in self.carried if self.state(name) is State.HELD]
+        return [name for name in self.carried if self.state(name) is ProcessState.HELD]
 
     def objection(self, name: str, word: Statement) -> Statement | None:
         """An earlier discovery's word that this process, or a later one of the server, leaves."""
@@ -333,8 +335,8 @@
             yield self.words[name]
         yield from self.carried.get(name, {}).values()
 
-    def transition(self, name: str, before: State, cause: Cause) -> Transition:
+    def transition(self, name: str, before: ProcessState, cause: TransitionCause) -> Transition:
         word = self.words[name]
         after = self.state(name)
-        decided = self.objection(name, word) if after is State.HELD else None
+        decided = self.objection(name, word) if after is ProcessState.HELD else None
         return Transition(name, before, after, cause, decided or word)
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -14,7 +14,13 @@
 
 from enum import Enum
 
-from harecross.discovery.subscription_schedule import BEAT, BINDING, QUEUE, Asking, Terms
+from harecross.discovery.subscription_schedule import (
+    BEAT,
+    BINDING,
+    QUEUE,
+    DiscoveryTerms,
+    SubscriptionSchedule,
+)
 
 # Where lists are pushed the agent answers at once or discovery is down; after so long all that was listed before the
 # start counts as told, and more waiting tells nothing.
@@ -25,7 +31,7 @@
 BESIDE_MOST = 1.0  # where another process serves on as this node meanwhile, and is to be replaced in time
 
 
-class Word(Enum):
+class Freshness(Enum):
     """Of when the list in hand is."""
 
     NONE = "none"  # there is no list
@@ -35,14 +41,14 @@
     BINDING = "binding"  # something may count as told that this node has not heard
 
 
-def longest_wait(terms: Terms, beside: bool = False) -> float:
+def longest_wait(terms: DiscoveryTerms, beside: bool = False) -> float:
     """How long a start waits for discovery's first word, in seconds, before it serves by the list it has."""
     if beside:
         return BESIDE_MOST
     return ASKED_MOST if terms.asked else PUSHED_MOST
 
 
-class Standing:
+class ListReadiness:
     """One node's list, from its start on. A host tells it `told` and asks `may_send` whenever it is about to send."""
 
     __slots__ = ("until", "listed", "heard", "open")
@@ -68,10 +74,10 @@
             self.open = True
         return self.open
 
-    def word(self, now: float, asking: Asking) -> Word:
+    def word(self, now: float, asking: SubscriptionSchedule) -> Freshness:
         """`asking` is the watch in use."""
         if not self.heard:
-            return Word.KNOWN if self.listed else Word.NONE
+            return Freshness.KNOWN if self.listed else Freshness.NONE
         if asking.overdue(now):
-            return Word.BINDING
-        return Word.STALE if now > asking.heard_at + BEAT else Word.CURRENT
+            return Freshness.BINDING
+        return Freshness.STALE if now > asking.heard_at + BEAT else Freshness.CURRENT
--- a/harecross/discovery/start_times.py
+++ b/harecross/discovery/start_times.py
@@ -12,17 +12,17 @@
 from typing import NamedTuple
 
 LONG_AGO = 0  # a process that is warm, whenever it started
-BIRTHS_MOST = 16_384  # servers whose processes are remembered, also while no list names them
+MAX_START_TIMES = 16_384  # servers whose processes are remembered, also while no list names them
 
 
-class Birth(NamedTuple):
+class ProcessStart(NamedTuple):
     """One process of a server."""
 
     started: int  # Unix milliseconds, as discovery tells it
     ready_at: int  # monotonic microseconds, fixed once: the module takes another time for another process
 
 
-class Births:
+class StartTimes:
     """What is known of each server's latest process. Times are monotonic microseconds."""
 
     __slots__ = ("unix_offset", "known", "absent_at")
@@ -30,7 +30,7 @@
     def __init__(self, unix_offset: int) -> None:
         """`unix_offset` is the wall clock's Unix time less the monotonic time, in microseconds, at one moment."""
         self.unix_offset = unix_offset
-        self.known: dict[str, Birth] = {}
+        self.known: dict[str, ProcessStart] = {}
         self.absent_at = LONG_AGO  # a process that no list has named by now was not listed at that time
 
     def listed_all(self, now: int) -> None:
@@ -44,8 +44,8 @@
             return known.ready_at
         ready_at = self.judge(started, now)
         self.known.pop(name, None)
-        self.known[name] = Birth(started, ready_at)
-        while len(self.known) > BIRTHS_MOST:
+        self.known[name] = ProcessStart(started, ready_at)
+        while len(self.known) > MAX_START_TIMES:
             del self.known[next(iter(self.known))]
         return ready_at
 
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -55,7 +55,7 @@
     return (MOVED - QUEUE if moving else BINDING - BEAT) - EARLY - ANSWER
 
 
-class State(Enum):
+class SubscriptionState(Enum):
     """Where a node stands with discovery."""
 
     IDLE = "idle"  # nobody listens
@@ -64,7 +64,7 @@
     SUBSCRIBED = "subscribed"  # it has
 
 
-class End(Enum):
+class CallEnd(Enum):
     """How a call or a watch came to its end."""
 
     ENDED = "ended"  # by itself, after words
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class DiscoveryTerms:
     """What a node is told of its discovery. `within` in seconds."""
 
     asked: bool = False  # the list is asked for; else an agent of the node's own pushes it
@@ -83,13 +83,13 @@
     within: float = 10.0  # the longest silence allowed to a node without a watch
 
 
-def asking_terms(settings: Settings) -> Terms:
+def discovery_terms(settings: Settings) -> DiscoveryTerms:
     """What a node's settings say of its discovery."""
     within = settings.max_poll_interval / 1e6
-    return Terms(settings.discovery_polled, settings.instance_count, settings.instance_index, within)
+    return DiscoveryTerms(settings.discovery_polled, settings.instance_count, settings.instance_index, within)
 
 
-class Asking:
+class SubscriptionSchedule:
     """One watch: its state, how old its word is, and when to call next.
 
     The host calls `begin`, then `calling` when `next_at` has come, `word` for whatever the call brings and `ended` at
@@ -113,11 +113,11 @@
         "end",
     )
 
-    def __init__(self, terms: Terms, rng: Random, moving: bool = False) -> None:
+    def __init__(self, terms: DiscoveryTerms, rng: Random, moving: bool = False) -> None:
         """`moving`: of a watch that is to take another's place."""
         self.terms = terms
         self.rng = rng
-        self.state = State.IDLE
+        self.state = SubscriptionState.IDLE
         self.next_at = inf
         self.asked_at = -inf
         self.heard_at = -inf  # when the last word came
@@ -127,22 +127,22 @@
         self.waited = 0.0  # how long the last call that was answered had waited for its first word
         self.calls = 0
         self.moving = moving
-        self.end = End.ENDED  # how the last one did
+        self.end = CallEnd.ENDED  # how the last one did
         self.long = 0  # above 0: the line in front of discovery is long
 
     def begin(self, now: float) -> None:
         """Somebody listens from now on."""
-        self.state = State.WAITING
+        self.state = SubscriptionState.WAITING
         self.next_at = now
 
     def stop(self) -> None:
         """Nobody does any more."""
-        self.state = State.IDLE
+        self.state = SubscriptionState.IDLE
         self.next_at = inf
 
     def calling(self, now: float) -> None:
         """The call goes out."""
-        self.state = State.ASKING
+        self.state = SubscriptionState.ASKING
         self.next_at = inf
         self.asked_at = now
         self.told = False
@@ -150,8 +150,8 @@
 
     def word(self, now: float) -> None:
         """The call has brought something, were it an empty line."""
-        if self.state is State.ASKING:
-            self.state = State.SUBSCRIBED
+        if self.state is SubscriptionState.ASKING:
+            self.state = SubscriptionState.SUBSCRIBED
             self.waited = now - self.asked_at
             self.long = LONG_CALLS if self.waited >= LONG_WAIT else max(0, self.long - 1)
         self.heard_at = now
@@ -161,21 +161,21 @@
         self.told = True
         self.failures = 0
 
-    def ended(self, now: float, end: End) -> None:
+    def ended(self, now: float, end: CallEnd) -> None:
         """The call is over; `next_at` is when the next one goes out."""
-        if self.state is State.IDLE:
+        if self.state is SubscriptionState.IDLE:
             return
         if not self.told:
             self.failures += 1
-        if end is End.FAILED and STOOD <= now - self.asked_at < QUEUE:
+        if end is CallEnd.FAILED and STOOD <= now - self.asked_at < QUEUE:
             self.long = LONG_CALLS
-        self.state, self.end = State.WAITING, end
+        self.state, self.end = SubscriptionState.WAITING, end
         self.next_at = now + (self.turn_wait(end) if self.terms.asked else self.agent_wait())
 
     def agent_wait(self) -> float:
         return min(BACKOFF_FIRST * 2.0 ** min(self.failures, 10), BACKOFF_MOST)
 
-    def turn_wait(self, end: End) -> float:
+    def turn_wait(self, end: CallEnd) -> float:
         """The wait for this node's turn in the present round.
 
         A call failed in line tells that more stands there than can be waited for. What comes while that is worked off
@@ -184,9 +184,9 @@
         it lists once it is back is binding 6 s later.
         """
         self.turn += 1
-        if end is End.FAILED and self.long:
+        if end is CallEnd.FAILED and self.long:
             return PAUSE + self.round() * self.place()
-        alone = end is not End.SILENT and self.failures <= 1
+        alone = end is not CallEnd.SILENT and self.failures <= 1
         return EARLY + (ALONE if alone else self.round()) * self.place()
 
     def round(self) -> float:
@@ -195,7 +195,7 @@
         if not self.long:
             short = min(SLOT * self.terms.nodes, longest_round(self.moving)) * growth
             # What cannot be read comes from a discovery that is there and works for each call.
-            return float(short if self.end is End.BROKEN else min(short, longest_round(self.moving)))
+            return float(short if self.end is CallEnd.BROKEN else min(short, longest_round(self.moving)))
         return float(min(ROUND * growth, max(ROUND, ROUND_MOST * self.terms.within)))
 
     def place(self) -> float:
@@ -207,9 +207,9 @@
 
     def patience_ends(self) -> float:
         """When the call that is out, or the watch, is given up unless a word comes."""
-        if self.state is State.ASKING:
+        if self.state is SubscriptionState.ASKING:
             return self.asked_at + (QUEUE if self.terms.asked else FIRST_WORD)
-        return self.heard_at + BEAT if self.state is State.SUBSCRIBED else inf
+        return self.heard_at + BEAT if self.state is SubscriptionState.SUBSCRIBED else inf
 
     def binding_at(self) -> float:
         """When the first change that this node may have missed counts as told to it."""
--- a/harecross/discovery/transition_log.py
+++ b/harecross/discovery/transition_log.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from harecross.discovery.process_table import Cause, State, Transition
+from harecross.discovery.process_table import ProcessState, Transition, TransitionCause
 
 NAMES_MOST = 6  # servers named in one line for each kind of change; the rest are counted
 
@@ -21,12 +21,12 @@
 
     A change that is the present discovery's own word of this moment names no more than the servers.
     """
-    groups: dict[tuple[State, State, Cause], list[Transition]] = {}
+    groups: dict[tuple[ProcessState, ProcessState, TransitionCause], list[Transition]] = {}
     for transition in transitions:
         groups.setdefault((transition.before, transition.after, transition.cause), []).append(transition)
     lines = []
     for (before, after, cause), group in groups.items():
-        own = cause in (Cause.SAID, Cause.OMITTED) and after is not State.HELD
+        own = cause in (TransitionCause.SAID, TransitionCause.OMITTED) and after is not ProcessState.HELD
         shown = [t.name if own else f"{t.name} ({word_of(t, now)})" for t in group[:NAMES_MOST]]
         if len(group) > NAMES_MOST:
             shown.append(f"{len(group) - NAMES_MOST} more")
--- a/harecross/discovery/watch.py
+++ b/harecross/discovery/watch.py
@@ -10,8 +10,8 @@
 
 from harecross.discovery.json_stream import BLANK_LINE, BadValue, Values
 from harecross.discovery.list_versions import Verdict, judge
-from harecross.discovery.subscription_schedule import BEAT, Asking, End
-from harecross.dispatch.dispatcher import guard, say
+from harecross.discovery.subscription_schedule import BEAT, CallEnd, SubscriptionSchedule
+from harecross.dispatch.dispatcher import log_exception, log_line
 
 CONNECT = 1.0  # seconds
 PART_MOST = BEAT  # seconds for which the parts of one list or change count as words
@@ -36,10 +36,10 @@
         """One of the watch's own calls is over."""
 
 
-class Stream(asyncio.Protocol):
+class DiscoveryCall(asyncio.Protocol):
     """One call to discovery: a whole list, or a watch that lasts until its connection ends."""
 
-    def __init__(self, watch: Watch, path: bytes, asking: Asking, own: bool) -> None:
+    def __init__(self, watch: Watch, path: bytes, asking: SubscriptionSchedule, own: bool) -> None:
         """`own`: it is the watch's own call, none beside it."""
         self.watch = watch
         self.first = own  # the next list or change is the first word of the watch's own call
@@ -116,7 +116,7 @@
         except (ValueError, RecursionError) as e:
             self.spoilt(f"bad list: {e}")
         except Exception:
-            guard("discovery")
+            log_exception("discovery")
 
     def spoilt(self, what: str) -> None:
         """Ends the call.
@@ -126,7 +126,7 @@
         """
         if self.ended.done():
             return
-        say(f"discovery: {what}")
+        log_line(f"discovery: {what}")
         self.good, self.bad = False, True
         self.stop()
 
@@ -137,14 +137,14 @@
 
 
 class Watch:
-    """A watch at one address, opened anew when its `Asking` says, until `close`."""
+    """A watch at one address, opened anew when its `SubscriptionSchedule` says, until `close`."""
 
     def __init__(
         self,
         subscriber: Subscriber,
         address: tuple[str, int],
         generation: int | None,
-        asking: Asking,
+        asking: SubscriptionSchedule,
         lineage: int,
     ) -> None:
         """`lineage` counts the configurations that named a discovery: watches of one lineage follow one another."""
@@ -180,7 +180,9 @@
         if isinstance(generation, int):
             verdict = judge(self.generation, generation, bool(update.get("reset")), first)
             if verdict is not Verdict.NEWER:
-                say(f"discovery: {self.place}: version {generation} after {self.generation}: {verdict.value}")
+                log_line(
+                    f"discovery: {self.place}: version {generation} after {self.generation}: {verdict.value}"
+                )
             if verdict is Verdict.OLDER:
                 return
             if verdict is Verdict.UNUSABLE:
@@ -208,16 +210,16 @@
                 path += b"?watch=1&after=%d" % had
             self.asking.calling(time.monotonic())
             end = await self.call(path, self.asking, own=True)
-            if had is None and self.generation is not None and end is End.ENDED:
+            if had is None and self.generation is not None and end is CallEnd.ENDED:
                 self.asking.begin(time.monotonic())  # the whole list is here: its watch follows
                 continue
             self.asking.ended(time.monotonic(), end)
             self.subscriber.call_ended(self)
 
-    async def call(self, path: bytes, asking: Asking, own: bool) -> End:
+    async def call(self, path: bytes, asking: SubscriptionSchedule, own: bool) -> CallEnd:
         """One call from connect to end, and how it ended; `own` for that of the watch, not one beside it."""
-        stream = Stream(self, path, asking, own)
-        end: End | None = None
+        stream = DiscoveryCall(self, path, asking, own)
+        end: CallEnd | None = None
         try:
             async with asyncio.timeout(CONNECT):
                 await asyncio.get_running_loop().create_connection(lambda: stream, *self.address)
@@ -226,17 +228,17 @@
             while not stream.ended.done():
                 left = asking.patience_ends() - time.monotonic()
                 if left <= 0:
-                    say(f"discovery: {self.place}: silent")
-                    end = End.SILENT
+                    log_line(f"discovery: {self.place}: silent")
+                    end = CallEnd.SILENT
                     break
                 await asyncio.wait([stream.ended], timeout=left)
         except (OSError, TimeoutError) as e:
-            say(f"discovery: {self.place}: {e!r}")
+            log_line(f"discovery: {self.place}: {e!r}")
         finally:
             stream.stop()
         self.subscriber.reached(self, False)
         if stream.bad:
-            return End.BROKEN
+            return CallEnd.BROKEN
         if not stream.good:
-            return End.FAILED
-        return end or End.ENDED
+            return CallEnd.FAILED
+        return end or CallEnd.ENDED
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 
 from harecross.discovery.process_table import Transition
-from harecross.discovery.readiness import Standing
+from harecross.discovery.readiness import ListReadiness
 from harecross.dispatch.close_reasons import CloseReason, Closing
-from harecross.http.request_parser import Message
+from harecross.http.request_parser import ParsedRequest
 from harecross.interface import (
     NEVER_RAN,
     Endpoint,
@@ -23,9 +23,9 @@
     Outcome,
     Settings,
 )
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 from harecross.policy.balancer import Balancer
-from harecross.upstream.connection_pool import Servers
+from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import NEVER, Exchange
 
 ROOM = 15_000  # of the client's time is kept for answering
@@ -33,17 +33,17 @@
 UNLISTED_RETRY = 250_000  # when to come back to a node that waits for its list
 
 
-def say(text: str) -> None:
+def log_line(text: str) -> None:
     """One line of the log."""
     print(f"harecross: {text}", file=sys.stderr, flush=True)
 
 
-def guard(what: str) -> None:
+def log_exception(what: str) -> None:
     """Logs the exception being handled; the process goes on."""
-    say(f"{what}: {traceback.format_exc()}")
+    log_line(f"{what}: {traceback.format_exc()}")
 
 
-class Answers(Protocol):
+class ResponseWriter(Protocol):
     """Where a request came from."""
 
     def waits(self) -> bool:
@@ -62,18 +62,18 @@
     def failed(self) -> None: ...
 
 
-class Trace(Protocol):
+class RequestTracer(Protocol):
     """Told of what becomes of each request (`follow.attempts.AttemptLog`)."""
 
-    def taken(self, r: Request, now: int) -> None: ...
+    def taken(self, r: DispatchedRequest, now: int) -> None: ...
 
-    def sent(self, a: Attempt) -> None: ...
+    def sent(self, a: UpstreamAttempt) -> None: ...
 
-    def written(self, a: Attempt, fresh: bool, whole: bool) -> None: ...
+    def written(self, a: UpstreamAttempt, fresh: bool, whole: bool) -> None: ...
 
-    def ended(self, a: Attempt, outcome: Outcome, report: Sequence[float]) -> None: ...
+    def ended(self, a: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None: ...
 
-    def final(self, r: Request, how: str, reason: FinalReason | None = None) -> None:
+    def final(self, r: DispatchedRequest, how: str, reason: FinalReason | None = None) -> None:
         """The caller has its one answer, or has left. `reason`: why it was refused or failed."""
 
     def closed(self, closing: Closing) -> None:
@@ -87,14 +87,14 @@
     ) -> None: ...
 
 
-class Attempt(Exchange):
+class UpstreamAttempt(Exchange):
     """One attempt of a request."""
 
     __slots__ = ("request", "number", "host")
 
-    request: Request
+    request: DispatchedRequest
     number: int
-    host: Host
+    host: RequestDispatcher
 
     def begin(self, length: int | None, report: Sequence[float]) -> bool:
         return self.host.answer_begins(self, length, report)
@@ -117,7 +117,7 @@
             self.host.trace.written(self, fresh, whole)
 
 
-class Request:
+class DispatchedRequest:
     """A request that has been taken. `caller` is None once it has had its one final answer."""
 
     __slots__ = (
@@ -133,28 +133,28 @@
         "last_outcome",
     )
 
-    def __init__(self, number: int, caller: Answers, message: Message, until: int) -> None:
+    def __init__(self, number: int, caller: ResponseWriter, message: ParsedRequest, until: int) -> None:
         self.id = number
-        self.caller: Answers | None = caller
+        self.caller: ResponseWriter | None = caller
         self.message = message
         self.until = until
         self.attempts = 0
-        self.out: list[Attempt] = []
+        self.out: list[UpstreamAttempt] = []
         self.timer: asyncio.TimerHandle | None = None
         self.ran_at: int | None = None  # when the first attempt was sent that may have run
         self.fresh = True  # it is being taken, and its caller was there a moment ago
         self.last_outcome: Outcome | None = None  # of the attempt that ended last: why the next one is sent
 
 
-class Host:
+class RequestDispatcher:
     """Runs the module's actions and tells it what happens."""
 
-    def __init__(self, settings: Settings, seed: int, servers: Servers) -> None:
+    def __init__(self, settings: Settings, seed: int, servers: ConnectionPool) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.servers = servers
         servers.on_closed = self.connection_closed
-        self.requests: dict[int, Request] = {}
+        self.requests: dict[int, DispatchedRequest] = {}
         self.names: set[bytes] = set()  # the callers' ids of these
         self.last_id = 0
         self.latest: int | None = None  # once the node stops: nothing that came...
@@ -164,14 +164,16 @@
         self.outcomes = [0] * len(Outcome)
         self.reasons: Counter[tuple[str, FinalReason]] = Counter()  # of refusals and failures
         self.closings: Counter[CloseReason] = Counter()  # of connections, on both sides
-        self.trace: Trace | None = None
-        self.standing: Standing | None = None  # of the list; None: it may be used from the first moment on
+        self.trace: RequestTracer | None = None
+        self.standing: ListReadiness | None = (
+            None  # of the list; None: it may be used from the first moment on
+        )
         self.on_watch: Callable[[bool], None] = lambda on: None
         self.on_fetch: Callable[[], None] = lambda: None
         self.balancer = Balancer(settings, seed, self)
 
     def start(self) -> None:
-        self.balancer.start(clock())
+        self.balancer.start(monotonic_us())
 
     def report(
         self,
@@ -199,7 +201,7 @@
         if self.unlisted:
             parts["unlisted"] = self.unlisted
         parts.update(lists or {})
-        say(" ".join(f"{k}={v}" for k, v in parts.items()))
+        log_line(" ".join(f"{k}={v}" for k, v in parts.items()))
 
     def may_send(self) -> bool:
         """Whether anything new may go to a server, by the list that there is."""
@@ -222,13 +224,13 @@
         """Whether a request of that id has no answer yet, or is still out on a server."""
         return name in self.names
 
-    def take(self, caller: Answers, message: Message) -> Request:
+    def take(self, caller: ResponseWriter, message: ParsedRequest) -> DispatchedRequest:
         """A request has come. It gets its one answer through `caller`, perhaps within this call."""
         self.last_id += 1
-        now = clock()
+        now = monotonic_us()
         # Counted from when the message came, not from when its turn on the connection came.
         until = self.answer_by(message, message.came, message.unread_for)
-        r = Request(self.last_id, caller, message, until)
+        r = DispatchedRequest(self.last_id, caller, message, until)
         if self.trace is not None:
             self.trace.taken(r, now)
         if until <= now or len(self.requests) >= self.settings.max_open:
@@ -248,42 +250,42 @@
                 now, r.id, message.request_class, message.tenant, until - now, message.repeat
             )
         except Exception:
-            guard("request")
+            log_exception("request")
             self.give_up(r, FinalReason.INTERNAL)
         r.fresh = False
         return r
 
-    def answer_by(self, message: Message, came: int, unread_for: int = 0) -> int:
+    def answer_by(self, message: ParsedRequest, came: int, unread_for: int = 0) -> int:
         """When a request that was read at that time, and may have waited before, is to have its answer."""
         until = came - unread_for + message.time_left - min(ROOM, message.time_left // ROOM_PART)
         # Guards against: a request taken late in a planned restart is still open when the kill comes.
         return until if self.latest is None or came < self.late_from else min(until, self.latest)
 
-    def body_came(self, r: Request, unread_for: int = 0) -> None:
+    def body_came(self, r: DispatchedRequest, unread_for: int = 0) -> None:
         """The last byte of a large body has come: the time to answer it counts from now."""
         if r.caller is None or r.timer is not None:
             return
-        now = clock()
+        now = monotonic_us()
         r.until = self.answer_by(r.message, now, unread_for)
         r.timer = self.loop.call_later(max(0, r.until - now) / 1e6, self.overdue, r)
 
-    def uploading(self, r: Request, on: bool) -> None:
+    def uploading(self, r: DispatchedRequest, on: bool) -> None:
         """Tells the module whether the request's body is still on the way to a server."""
         upload = r.message.upload
         if upload is None or (on and (not r.out or r.out[0].over or upload.complete)):
             return
         try:
-            self.balancer.uploading(clock(), r.id, on)
+            self.balancer.uploading(monotonic_us(), r.id, on)
         except Exception:
-            guard("uploading")
+            log_exception("uploading")
 
-    def upload_grew(self, r: Request) -> None:
+    def upload_grew(self, r: DispatchedRequest) -> None:
         """Once the beginning of a body is gone no other attempt is possible."""
         upload = r.message.upload
         if upload is not None and not upload.replayable and r.caller is not None:
-            self.balancer.response_started(clock(), r.id, r.attempts - 1, 0, 0)
+            self.balancer.response_started(monotonic_us(), r.id, r.attempts - 1, 0, 0)
 
-    def left(self, r: Request) -> None:
+    def left(self, r: DispatchedRequest) -> None:
         """The caller has gone: no answer is owed, and what has not been sent on is not sent any more.
 
         Guards against: a call whose connection still comes up is sent for nobody. That it ends here is no cancel,
@@ -302,13 +304,13 @@
         self.uploading(r, False)
         self.tell_left(r)
 
-    def tell_left(self, r: Request) -> None:
+    def tell_left(self, r: DispatchedRequest) -> None:
         try:
-            self.balancer.client_disconnected(clock(), r.id)
+            self.balancer.client_disconnected(monotonic_us(), r.id)
         except Exception:
-            guard("client_disconnected")
+            log_exception("client_disconnected")
 
-    def overdue(self, r: Request) -> None:
+    def overdue(self, r: DispatchedRequest) -> None:
         """The caller's time runs out.
 
         Guards against: whatever the module does, a request it holds or forgets is answered in time.
@@ -319,12 +321,12 @@
             self.give_up(r, FinalReason.DEADLINE)
             self.tell_left(r)
 
-    def give_up(self, r: Request, reason: FinalReason) -> None:
+    def give_up(self, r: DispatchedRequest, reason: FinalReason) -> None:
         self.finish(r, "failed", reason)
 
     # ---- the one place that ends a request ------------------------------------------------------------
 
-    def end(self, r: Request) -> Answers | None:
+    def end(self, r: DispatchedRequest) -> ResponseWriter | None:
         """Ends a request; the caller the first time, None after that."""
         caller, r.caller = r.caller, None
         if r.timer is not None:
@@ -335,14 +337,14 @@
         self.forget(r)
         return caller
 
-    def forget(self, r: Request) -> None:
+    def forget(self, r: DispatchedRequest) -> None:
         """Keeps nothing of a request that is answered and no longer out anywhere."""
         if r.caller is None and not r.out and self.requests.pop(r.id, None) is not None:
             self.names.discard(r.message.id)
 
     def finish(
         self,
-        r: Request,
+        r: DispatchedRequest,
         how: str,
         reason: FinalReason | None = None,
         body: bytes = b"",
@@ -366,7 +368,7 @@
 
     # ---- from servers ---------------------------------------------------------------------------------
 
-    def answer_begins(self, attempt: Attempt, length: int | None, report: Sequence[float]) -> bool:
+    def answer_begins(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
         """A large answer begins to come; whether its caller still waits.
 
         The module has the outcome now: the first bytes are what its caller's time is about, and a slow
@@ -381,21 +383,23 @@
         self.tell_outcome(attempt, Outcome.OK, True, report)
         return True
 
-    def tell_outcome(self, attempt: Attempt, outcome: Outcome, final: bool, report: Sequence[float]) -> None:
+    def tell_outcome(
+        self, attempt: UpstreamAttempt, outcome: Outcome, final: bool, report: Sequence[float]
+    ) -> None:
         self.outcomes[outcome] += 1
-        r, now = attempt.request, clock()
+        r, now = attempt.request, monotonic_us()
         self.uploading(r, False)
         try:
             self.balancer.outcome(
                 now, r.id, attempt.number, attempt.server, outcome, now - attempt.began, final, report
             )
         except Exception:
-            guard("outcome")
+            log_exception("outcome")
             self.give_up(r, FinalReason.INTERNAL)
 
     def ended(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
         """An attempt has ended; the first good answer goes to the caller before the module hears of it."""
-        assert isinstance(exchange, Attempt)
+        assert isinstance(exchange, UpstreamAttempt)
         r = exchange.request
         r.out.remove(exchange)
         r.last_outcome = outcome
@@ -411,7 +415,7 @@
                 self.finish(r, "failed", FinalReason.ANSWER_BROKE)
             self.forget(r)
             if outcome not in (Outcome.OK, Outcome.CANCELLED):
-                self.balancer.load_reported(clock(), exchange.server, 0, 1, ())
+                self.balancer.load_reported(monotonic_us(), exchange.server, 0, 1, ())
             return
         if outcome == Outcome.OK:
             self.finish(r, "served", body=body)
@@ -420,19 +424,19 @@
         self.tell_outcome(exchange, outcome, r.caller is None, report)
 
     def probe_ended(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
-        now = clock()
+        now = monotonic_us()
         try:
             self.balancer.health_checked(
                 now, exchange.server, outcome == Outcome.OK, now - exchange.began, report
             )
         except Exception:
-            guard("health_checked")
+            log_exception("health_checked")
 
     def endpoint_update(self, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
         try:
-            self.balancer.endpoint_update(clock(), kind, entries)
+            self.balancer.endpoint_update(monotonic_us(), kind, entries)
         except Exception:
-            guard("endpoint_update")
+            log_exception("endpoint_update")
 
     # ---- Actions --------------------------------------------------------------------------------------
 
@@ -440,7 +444,7 @@
         r = self.requests.get(request)
         if r is None or r.caller is None:
             return
-        now, upload = clock(), r.message.upload
+        now, upload = monotonic_us(), r.message.upload
         if upload is not None and not upload.replayable:
             until = now  # its beginning is gone: nothing can be sent
         elif not (r.fresh or r.caller.waits()):
@@ -449,7 +453,7 @@
             until = NEVER
         else:
             until = min(now + timeout, r.until) if timeout > 0 else r.until
-        attempt = Attempt(server, r.message.head, r.message.body, until, self.ended)
+        attempt = UpstreamAttempt(server, r.message.head, r.message.body, until, self.ended)
         attempt.host = self
         attempt.upload = upload
         attempt.patience = min(timeout, r.message.time_left) if timeout > 0 else r.message.time_left
@@ -496,9 +500,9 @@
 
     def timer(self, token: int) -> None:
         try:
-            self.balancer.timer(clock(), token)
+            self.balancer.timer(monotonic_us(), token)
         except Exception:
-            guard("timer")
+            log_exception("timer")
 
     def send_peer_message(self, peer: int, data: bytes) -> None:
         """Nodes do not talk to one another: the module decides from its own traffic and never calls this."""
@@ -514,7 +518,7 @@
         self.servers.close(server)
 
     def log_event(self, text: str) -> None:
-        say(text)
+        log_line(text)
 
     # ---- connections ----------------------------------------------------------------------------------
 
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -12,15 +12,15 @@
 from httptools import HttpParserError, HttpRequestParser
 
 from harecross.dispatch.close_reasons import CloseReason, Closing
-from harecross.dispatch.dispatcher import Request, guard
+from harecross.dispatch.dispatcher import DispatchedRequest, log_exception
 from harecross.downstream.read_delay import InfoSocket, ReadDelay, WaitingSocket
 from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, Upload, too_many
-from harecross.http.request_parser import HEAD_MOST, HEADERS_MOST, BadRequest, Message
-from harecross.platform.clock import clock
+from harecross.http.request_parser import HEAD_MOST, HEADERS_MOST, BadRequest, ParsedRequest
+from harecross.platform.clock import monotonic_us
 from harecross.platform.peer_state import has_left, is_quiet
 
 if TYPE_CHECKING:
-    from harecross.downstream.connection_manager import Callers
+    from harecross.downstream.connection_manager import ConnectionManager
 
 AHEAD = 8  # requests that may wait on one connection; callers send one at a time
 OWED = 2_500_000  # from connecting to a message's first byte, from that to the end of its head, between two
@@ -42,7 +42,7 @@
 }
 
 
-class Caller(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection from a caller. One request at a time is handled; what comes early waits."""
 
     __slots__ = (
@@ -84,7 +84,7 @@
         "close_reason",
     )
 
-    def __init__(self, front: Callers, waiting: WaitingSocket | None = None) -> None:
+    def __init__(self, front: ConnectionManager, waiting: WaitingSocket | None = None) -> None:
         """`waiting`: since when what comes first may have waited."""
         self.front = front
         self.sock: InfoSocket | None = None
@@ -94,8 +94,8 @@
         self.descriptor = -1
         self.transport: asyncio.Transport | None = None
         self.parser: HttpRequestParser | None = None
-        self.request: Request | None = None
-        self.queue: deque[Message | int] = deque()  # a number: the status of what is answered here
+        self.request: DispatchedRequest | None = None
+        self.queue: deque[ParsedRequest | int] = deque()  # a number: the status of what is answered here
         self.closing = False  # no further request is read
         self.busy = False  # a request is being handled
         self.keep = True
@@ -167,7 +167,7 @@
                 self.paused = True
                 self.transport.pause_reading()
             return
-        self.unread_for = self.read_delay.of(clock(), self.sock)
+        self.unread_for = self.read_delay.of(monotonic_us(), self.sock)
         try:
             self.parser.feed_data(data)
         except HttpParserError as e:
@@ -177,7 +177,7 @@
             self.refuse_rest(e.status)
         else:
             if self.reading:
-                self.heard = clock()
+                self.heard = monotonic_us()
                 self.unread = 0 if self.unread < 0 or self.head_done else self.unread + len(data)
                 if self.unread > HEAD_MOST:
                     self.refuse_rest(431)
@@ -190,14 +190,14 @@
             self.front.owes_nothing(self)
         elif not self.queue:
             return
-        self.paused, self.paused_at = True, clock()
+        self.paused, self.paused_at = True, monotonic_us()
         self.transport.pause_reading()
 
     def read_on(self) -> None:
         """Reads again; what has come since the pause has waited."""
         if self.transport is not None:
             self.paused = False
-            self.read_delay.waiting = WaitingSocket(clock(), self.paused_at)
+            self.read_delay.waiting = WaitingSocket(monotonic_us(), self.paused_at)
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
@@ -229,7 +229,7 @@
             return
         self.clear()
         self.reading = True
-        self.begun = clock()
+        self.begun = monotonic_us()
         self.front.owes(self)
 
     def grown(self, size: int) -> None:
@@ -304,7 +304,7 @@
         self.size += len(data)
         if self.size > BODY_LARGEST:
             raise BadRequest(413)
-        late = clock() - self.begun - OWED
+        late = monotonic_us() - self.begun - OWED
         if late > 0 and not self.waited and self.size * 1_000_000 < SLOWEST * late:
             # Guards against: a byte now and then holds a connection, and a server's, for good.
             raise BadRequest(408)
@@ -350,7 +350,7 @@
             self.queue.clear()
             raise BadRequest(400)
 
-    def message(self, upload: Upload | None = None) -> Message:
+    def message(self, upload: Upload | None = None) -> ParsedRequest:
         """The request that has been read, all but an upload."""
         assert self.parser is not None
         return self.front.reader.read(
@@ -359,7 +359,7 @@
             self.headers,
             self.body,
             self.parser.should_keep_alive(),
-            clock(),
+            monotonic_us(),
             upload,
             self.parser.get_http_version() == "1.1",
             self.unread_for,
@@ -411,7 +411,7 @@
             try:
                 request = self.front.host.take(self, item)
             except Exception:
-                guard("request")
+                log_exception("request")
                 self.failed()
                 continue
             if self.busy:
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -7,13 +7,13 @@
 from enum import Enum
 
 from harecross.dispatch.close_reasons import CloseReason, Closing
-from harecross.dispatch.dispatcher import Host
-from harecross.downstream.client_connection import OWED, Caller
+from harecross.dispatch.dispatcher import RequestDispatcher
+from harecross.downstream.client_connection import OWED, ClientConnection
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat
-from harecross.http.request_parser import Reader
-from harecross.platform.clock import clock
-from harecross.platform.descriptor_budget import Room
+from harecross.http.request_parser import RequestReader
+from harecross.platform.clock import monotonic_us
+from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.system_errors import AcceptFailure
 
 LAGGING = 10_000_000  # a caller that takes nothing of a large answer for so long is put out
@@ -35,7 +35,7 @@
     WAITS = "what waits goes on waiting: there is no room, or this machine is short of something"
 
 
-def taken(group: dict[Caller, int], time: int) -> list[Caller]:
+def taken(group: dict[ClientConnection, int], time: int) -> list[ClientConnection]:
     """Takes out those that have been there since before `time`; the oldest stand first."""
     old = []
     for caller, since in group.items():
@@ -47,14 +47,16 @@
     return old
 
 
-class Callers:
+class ConnectionManager:
     """The listener and its connections.
 
     `silent`, `owing`, `resting`, `ending` and `lagging` hold connections and since when, the oldest first:
     every wait of a kind is of the same length. A connection stands in one of them at most.
     """
 
-    def __init__(self, host: Host, reader: Reader, room: Room, held_most: int) -> None:
+    def __init__(
+        self, host: RequestDispatcher, reader: RequestReader, room: DescriptorBudget, held_most: int
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.host = host
         self.reader = reader
@@ -63,12 +65,14 @@
         self.short_since: int | None = None  # there is no room for the next connection
         self.held = 0  # bytes of bodies, over all connections
         self.held_most = held_most
-        self.open: set[Caller] = set()
-        self.silent: dict[Caller, int] = {}  # said nothing yet
-        self.owing: dict[Caller, int] = {}  # part of a message has come, or an answer waits to be read
-        self.resting: dict[Caller, int] = {}  # served, and idle
-        self.ending: dict[Caller, int] = {}  # has had its last answer
-        self.lagging: dict[Caller, int] = {}  # does not take a large answer as fast as it comes
+        self.open: set[ClientConnection] = set()
+        self.silent: dict[ClientConnection, int] = {}  # said nothing yet
+        self.owing: dict[
+            ClientConnection, int
+        ] = {}  # part of a message has come, or an answer waits to be read
+        self.resting: dict[ClientConnection, int] = {}  # served, and idle
+        self.ending: dict[ClientConnection, int] = {}  # has had its last answer
+        self.lagging: dict[ClientConnection, int] = {}  # does not take a large answer as fast as it comes
         self.bad: dict[int, int] = {}  # what was answered here, by status; 0: closed for silence
         self.turned_away = 0  # connections closed at once
         self.stopping = False  # health says so
@@ -84,7 +88,9 @@
         """Connections may come; they are taken once `begin` says so."""
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             sock.listen(backlog)
-        self.listener = Listener(sock, lambda waiting: Caller(self, waiting), self.accept, self.heartbeat)
+        self.listener = Listener(
+            sock, lambda waiting: ClientConnection(self, waiting), self.accept, self.heartbeat
+        )
         self.listener.dropped = self.dropped
 
     def begin(self) -> None:
@@ -128,7 +134,7 @@
 
     def waits(self) -> bool:
         """Leaves what has come in the backlog for a moment; False once that has lasted."""
-        now = clock()
+        now = monotonic_us()
         if self.short_since is None:
             self.short_since = now
         if self.leaving or now - self.short_since > QUEUED or self.listener is None:
@@ -147,18 +153,18 @@
         """
         for group, age in ((self.ending, YOUNG), (self.silent, YOUNG), (self.resting, 0)):
             for caller, since in group.items():
-                if clock() - since < age:
+                if monotonic_us() - since < age:
                     break
                 if not caller.has_unread():
                     return self.put_out(caller)
         if self.room.servers_may_give() and self.host.servers.spare():
             return True
         # Guards against: callers that send half a head and stay hold every place for as long as a slow one may.
-        stuck = (c for c in self.owing if c.reading and not c.head_done and c.heard < clock() - STUCK)
+        stuck = (c for c in self.owing if c.reading and not c.head_done and c.heard < monotonic_us() - STUCK)
         oldest = min(stuck, key=lambda c: c.heard, default=None)
         return oldest is not None and self.put_out(oldest)
 
-    def put_out(self, caller: Caller) -> bool:
+    def put_out(self, caller: ClientConnection) -> bool:
         """Ends a connection at once. Its place counts as free, though the descriptor goes a moment later."""
         self.owes_nothing(caller)
         self.ending.pop(caller, None)
@@ -199,15 +205,15 @@
         have had time to hear of it.
         """
         self.standing_by = self.stopping = self.leaving = by
-        self.stood_at = clock()
+        self.stood_at = monotonic_us()
 
     # ---- what connections owe -------------------------------------------------------------------------
 
-    def joined(self, caller: Caller) -> None:
+    def joined(self, caller: ClientConnection) -> None:
         self.open.add(caller)
-        self.silent[caller] = clock()
+        self.silent[caller] = monotonic_us()
 
-    def parted(self, caller: Caller) -> None:
+    def parted(self, caller: ClientConnection) -> None:
         self.open.discard(caller)
         self.room.callers -= 1
         self.owes_nothing(caller)
@@ -218,33 +224,33 @@
         """Counts what was wrong with a caller."""
         self.bad[status] = self.bad.get(status, 0) + 1
 
-    def owes(self, caller: Caller) -> None:
+    def owes(self, caller: ClientConnection) -> None:
         """The caller has begun something that it must end in time."""
         self.owes_nothing(caller)
-        self.owing[caller] = clock()
+        self.owing[caller] = monotonic_us()
 
-    def owes_nothing(self, caller: Caller) -> None:
+    def owes_nothing(self, caller: ClientConnection) -> None:
         for group in (self.silent, self.owing, self.resting):
             group.pop(caller, None)
 
-    def rests(self, caller: Caller) -> None:
+    def rests(self, caller: ClientConnection) -> None:
         self.owes_nothing(caller)
-        self.resting[caller] = clock()
+        self.resting[caller] = monotonic_us()
 
-    def lags(self, caller: Caller) -> None:
+    def lags(self, caller: ClientConnection) -> None:
         self.owes_nothing(caller)
-        self.lagging[caller] = clock()
+        self.lagging[caller] = monotonic_us()
 
-    def ends(self, caller: Caller) -> None:
+    def ends(self, caller: ClientConnection) -> None:
         self.owes_nothing(caller)
-        self.ending[caller] = clock()
+        self.ending[caller] = monotonic_us()
 
     def sweep(self) -> None:
         """Ends what has gone on for too long.
 
         Guards against: connections that say nothing, or half a request, or read nothing, are held for good.
         """
-        now = clock()
+        now = monotonic_us()
         emptied = self.standing_by and now > self.stood_at + EMPTIED
         for group, most in ((self.silent, EMPTIED // 2 if emptied else OWED), (self.owing, OWED)):
             for caller in taken(group, now - most):
--- a/harecross/downstream/listener.py
+++ b/harecross/downstream/listener.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from harecross.dispatch.dispatcher import say
+from harecross.dispatch.dispatcher import log_line
 from harecross.downstream.accept_filter import refuse_new_connections
 from harecross.downstream.read_delay import Heartbeat, WaitingSocket
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 from harecross.platform.system_errors import AcceptFailure, accept_failure
 
 SHORTAGE_TRIES = 8  # in a row where this machine is short of something...
@@ -48,7 +48,7 @@
         self.short = False  # this machine is: said once in the log
         self.heartbeat = heartbeat or Heartbeat()
         # What waits may have come since then, in monotonic microseconds; None while nothing does.
-        self.waiting_since: int | None = clock()
+        self.waiting_since: int | None = monotonic_us()
         self.came_after = 0  # the connection taken last did
 
     def start(self) -> None:
@@ -74,7 +74,7 @@
             self.resuming.cancel()
             self.resuming = None
         if self.waiting_since is None:
-            self.waiting_since = clock()
+            self.waiting_since = monotonic_us()
         if self.sock.fileno() >= 0:
             self.loop.remove_reader(self.sock)
 
@@ -96,7 +96,7 @@
                 continue
             self.note_shortage(None)
             if self.waiting_since is None:
-                now = clock()
+                now = monotonic_us()
                 self.waiting_since = now - self.heartbeat.behind(now)
             # Guards against: what stands far behind in a crowd passes for one that came when its turn did.
             self.came_after = self.waiting_since
@@ -109,7 +109,7 @@
         """Says in the log that a shortage has begun, or that it is over."""
         if self.short != (error is not None):
             self.short = error is not None
-            say(f"connections wait: {error.strerror}" if error else "connections are taken again")
+            log_line(f"connections wait: {error.strerror}" if error else "connections are taken again")
 
     def welcome(self, connection: socket.socket) -> None:
         """Hands a connection to its protocol."""
@@ -125,13 +125,13 @@
         for _ in range(WELCOME_TRIES):
             try:
                 await self.loop.connect_accepted_socket(
-                    lambda: self.protocol(WaitingSocket(clock(), came_after)), connection
+                    lambda: self.protocol(WaitingSocket(monotonic_us(), came_after)), connection
                 )
                 return
             except OSError as error:
                 failed = error
             await asyncio.sleep(SHORTAGE_PAUSE)
-        say(f"a connection could not be set up: {failed.strerror}")
+        log_line(f"a connection could not be set up: {failed.strerror}")
         connection.close()
         self.dropped()
 
@@ -150,7 +150,7 @@
             else:
                 await asyncio.sleep(HANDSHAKE)
                 return
-        say(f"connections that come at the very end may be reset: {failed.strerror}")
+        log_line(f"connections that come at the very end may be reset: {failed.strerror}")
 
     async def close(self) -> None:
         """Closes the socket, and waits for connections that are being set up."""
--- a/harecross/downstream/read_delay.py
+++ b/harecross/downstream/read_delay.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 
 BEAT = 0.025  # seconds between two beats of the loop
 LATE = 10_000  # microseconds after which a beat is late
@@ -34,7 +34,7 @@
 
     def start(self) -> None:
         """Beats from now on."""
-        self.due = clock() + int(BEAT * 1e6)
+        self.due = monotonic_us() + int(BEAT * 1e6)
         asyncio.get_running_loop().call_later(BEAT, self.beat)
 
     def beat(self) -> None:
@@ -42,7 +42,7 @@
 
         The timer may run before what has come meanwhile is read, which is still to be told how late it is.
         """
-        if clock() > self.due + LATE:
+        if monotonic_us() > self.due + LATE:
             asyncio.get_running_loop().call_later(READ_UP, self.start)
         else:
             self.start()
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -15,13 +15,21 @@
 from math import ceil, inf
 from random import Random
 
-from harecross.discovery.readiness import Standing, longest_wait
-from harecross.discovery.subscription_schedule import BEAT, BINDING, GRACE, Asking, End, State, Terms
+from harecross.discovery.readiness import ListReadiness, longest_wait
+from harecross.discovery.subscription_schedule import (
+    BEAT,
+    BINDING,
+    GRACE,
+    CallEnd,
+    DiscoveryTerms,
+    SubscriptionSchedule,
+    SubscriptionState,
+)
 from harecross.fleet.discovery import Desk, Reply, Shape
 
 TRIGGERS = ("silent", "ended", "broken", "restart", "down")
 BOOT = 0.3  # from a process's start to its first call
-Build = Callable[[Terms, Random], Asking]
+Build = Callable[[DiscoveryTerms, Random], SubscriptionSchedule]
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,8 +128,8 @@
 
     __slots__ = ("asking", "version", "turn", "back", "standing", "dead", "began", "opened", "learned")
 
-    def __init__(self, asking: Asking) -> None:
-        self.standing: Standing | None = None  # of a process that began within the day
+    def __init__(self, asking: SubscriptionSchedule) -> None:
+        self.standing: ListReadiness | None = None  # of a process that began within the day
         self.dead = False
         self.began = -inf
         self.opened = -inf  # when it might send
@@ -135,12 +143,12 @@
 class Rehearsal:
     """The day's events in order."""
 
-    def __init__(self, day: Day, build: Build = Asking) -> None:
+    def __init__(self, day: Day, build: Build = SubscriptionSchedule) -> None:
         self.day = day
         self.rng = Random(day.seed)
         self.desk = Desk(day.discovery)
         self.nodes = [
-            Node(build(Terms(True, day.nodes, i, day.within), Random(self.rng.getrandbits(64))))
+            Node(build(DiscoveryTerms(True, day.nodes, i, day.within), Random(self.rng.getrandbits(64))))
             for i in range(day.nodes)
         ]
         self.events: list[tuple[float, int, Callable[[float], None]]] = []
@@ -163,7 +171,7 @@
             asking.begin(0.0)
             asking.calling(0.0)
             if stood > day.discovery.timeout:
-                asking.ended(day.discovery.timeout, End.FAILED)
+                asking.ended(day.discovery.timeout, CallEnd.FAILED)
                 asking.calling(day.at)
             asking.word(min(stood, day.discovery.timeout))
             asking.good()
@@ -229,7 +237,7 @@
     def trigger(self, now: float) -> None:
         day = self.day
         self.desk.free_at = now + day.backlog
-        end = {"silent": End.SILENT, "broken": End.BROKEN}.get(day.trigger, End.ENDED)
+        end = {"silent": CallEnd.SILENT, "broken": CallEnd.BROKEN}.get(day.trigger, CallEnd.ENDED)
         hit = self.hit() if day.trigger == "restart" else self.nodes
         for node in self.nodes[len(hit) :]:
             node.back = now  # its watch was never lost
@@ -238,10 +246,10 @@
             if day.trigger == "restart":
                 node.asking = type(node.asking)(node.asking.terms, Random(self.rng.getrandbits(64)))
                 node.asking.begin(now + BOOT)
-                node.standing = Standing(now, longest_wait(node.asking.terms))
+                node.standing = ListReadiness(now, longest_wait(node.asking.terms))
                 node.dead, node.began, node.opened = False, now, inf
                 self.plan(node)
-            elif end is End.SILENT:
+            elif end is CallEnd.SILENT:
                 # The last word came up to a beat ago; all heard it at once, as the beats of one service come.
                 self.later(now + BEAT, self.ends(node, end))
             else:
@@ -253,7 +261,7 @@
         self.knew.append([])
         for node in self.nodes:
             listens = now < self.day.at or node.back < inf
-            if node.asking.state is State.SUBSCRIBED and listens and not node.dead:
+            if node.asking.state is SubscriptionState.SUBSCRIBED and listens and not node.dead:
                 self.learn(node, now)
 
     def learn(self, node: Node, now: float) -> None:
@@ -262,7 +270,7 @@
             node.learned.append(now)
         node.version = self.version
 
-    def ends(self, node: Node, end: End) -> Callable[[float], None]:
+    def ends(self, node: Node, end: CallEnd) -> Callable[[float], None]:
         turn = node.turn
 
         def event(now: float) -> None:
@@ -287,12 +295,12 @@
         node.asking.calling(now)
         r.calls[int(now - day.at)] += 1
         if day.trigger == "down" and now < day.at + day.down:
-            self.ends(node, End.FAILED)(now)
+            self.ends(node, CallEnd.FAILED)(now)
             return
         reply = Reply(now, True) if day.pushed else self.desk.call(now)
         r.line[int(now - day.at)] = self.desk.backlog(now)
         if not reply.good:
-            self.later(reply.at, self.ends(node, End.FAILED))
+            self.later(reply.at, self.ends(node, CallEnd.FAILED))
             return
         spoilt = self.rng.random() < day.spoilt
         turn = node.turn
@@ -302,7 +310,7 @@
                 return
             node.asking.word(at)
             if spoilt:
-                self.ends(node, End.BROKEN)(at)
+                self.ends(node, CallEnd.BROKEN)(at)
                 return
             node.asking.good()
             r.answered[int(at - day.at)] += 1
--- a/harecross/fleet/waits.py
+++ b/harecross/fleet/waits.py
@@ -2,24 +2,24 @@
 
 from __future__ import annotations
 
-from harecross.discovery.subscription_schedule import EARLY, Asking, End
+from harecross.discovery.subscription_schedule import EARLY, CallEnd, SubscriptionSchedule
 
 FORMER_FIRST, FORMER_MOST = 20, 4  # parts of the longest silence allowed
 
 
-class Former(Asking):
+class Former(SubscriptionSchedule):
     """As nodes did up to 2026-12-01: from a twentieth of the longest silence allowed, doubled up to a fourth."""
 
     __slots__ = ()
 
-    def turn_wait(self, end: End) -> float:
+    def turn_wait(self, end: CallEnd) -> float:
         within = self.terms.within
         first, most = within / FORMER_FIRST, within / FORMER_MOST
-        doubled = first * 2.0 ** min(self.failures - (end is End.FAILED), 3)
+        doubled = first * 2.0 ** min(self.failures - (end is CallEnd.FAILED), 3)
         return min(doubled, most) * (0.5 + self.rng.random())
 
 
-class Together(Asking):
+class Together(SubscriptionSchedule):
     """Rounds without places: whoever loses his watch at one instant asks again at one instant."""
 
     __slots__ = ()
@@ -28,27 +28,27 @@
         return 0.0
 
 
-class FullJitter(Asking):
+class FullJitter(SubscriptionSchedule):
     """Exponential back-off with full jitter, from half a second to the longest silence allowed."""
 
     __slots__ = ()
 
-    def turn_wait(self, end: End) -> float:
+    def turn_wait(self, end: CallEnd) -> float:
         most = min(self.terms.within, 0.5 * 2.0 ** min(self.failures + 1, 20))
         return EARLY + most * self.rng.random()
 
 
-class Even(Asking):
+class Even(SubscriptionSchedule):
     """An even spread: up to 4 s after an end, up to 5 s after a failed call."""
 
     __slots__ = ()
 
-    def turn_wait(self, end: End) -> float:
-        return 0.3 + (4.7 if end is End.FAILED else 3.7) * self.rng.random()
+    def turn_wait(self, end: CallEnd) -> float:
+        return 0.3 + (4.7 if end is CallEnd.FAILED else 3.7) * self.rng.random()
 
 
-WAITS: dict[str, type[Asking]] = {
-    "turns": Asking,
+WAITS: dict[str, type[SubscriptionSchedule]] = {
+    "turns": SubscriptionSchedule,
     "former": Former,
     "together": Together,
     "jitter": FullJitter,
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -15,7 +15,7 @@
 
 from harecross.discovery.process_table import Transition
 from harecross.dispatch.close_reasons import Closing
-from harecross.dispatch.dispatcher import Attempt, Request
+from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
 from harecross.interface import EndpointUpdateKind, FinalReason, Outcome
 
 MARK = "attempt "  # stands before the object: the log may hold other lines, and what reads it may put times before
@@ -51,7 +51,7 @@
         self.unflushed = 0
         self.tell("start", **{"process.uptime": process_uptime()})
 
-    def write(self, event: str, r: Request, **more: object) -> None:
+    def write(self, event: str, r: DispatchedRequest, **more: object) -> None:
         self.tell(event, r.message.id.decode("latin-1"), **more)
 
     def tell(self, event: str, request: str = "", /, **more: object) -> None:
@@ -74,7 +74,7 @@
 
     # ---- events -----------------------------------------------------------------------------------------
 
-    def taken(self, r: Request, now: int) -> None:
+    def taken(self, r: DispatchedRequest, now: int) -> None:
         """A request has come; it is to be answered within `time_left` microseconds. Classes go by their numbers."""
         more = {
             "request.class": str(r.message.request_class),
@@ -83,24 +83,24 @@
         }
         self.write("taken", r, **more)
 
-    def sent(self, a: Attempt) -> None:
+    def sent(self, a: UpstreamAttempt) -> None:
         """The module has chosen a server for an attempt; of a retry, how the attempt before it ended."""
         before = a.request.last_outcome
         more = {} if before is None else {"retry.cause": before.name.lower()}
         self.write("sent", a.request, **self.where(a), **more)
 
-    def written(self, a: Attempt, fresh: bool, whole: bool) -> None:
+    def written(self, a: UpstreamAttempt, fresh: bool, whole: bool) -> None:
         """The request went out on a connection, `fresh` or kept; `whole` is false while bytes stand here."""
         self.write("written", a.request, **self.where(a), fresh=fresh, whole=whole)
 
-    def ended(self, a: Attempt, outcome: Outcome, report: Sequence[float]) -> None:
+    def ended(self, a: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
         """The attempt has its outcome, and with it perhaps a load report, its fields as the settings name them."""
         more: dict[str, object] = {} if outcome == Outcome.OK else {"error.type": outcome.name.lower()}
         if report:
             more["server.load"] = list(report)
         self.write("ended", a.request, **self.where(a), **more)
 
-    def final(self, r: Request, how: str, reason: FinalReason | None = None) -> None:
+    def final(self, r: DispatchedRequest, how: str, reason: FinalReason | None = None) -> None:
         """The caller has its one answer, or has left. `reason`: why it was refused or failed."""
         more = {} if reason is None else {"reason": reason.value}
         self.write("final", r, answer=how, **more)
@@ -135,7 +135,7 @@
             self.names = {number: name for name, number in self.numbers.items()}
         return self.names.get(server, str(server))
 
-    def where(self, a: Attempt) -> dict[str, object]:
+    def where(self, a: UpstreamAttempt) -> dict[str, object]:
         target = a.target or a.host.servers.targets.get(a.server)
         found: dict[str, object] = {"http.request.resend_count": a.number, "server.id": self.name(a.server)}
         if target is not None:
@@ -143,5 +143,5 @@
         return found
 
     @staticmethod
-    def path(r: Request) -> str:
+    def path(r: DispatchedRequest) -> str:
         return r.message.head.split(b" ", 2)[1].decode("latin-1")
--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Message:
+class ParsedRequest:
     """A caller's request as it was read; `head` is what goes to a server, up to X-Timeout."""
 
     id: bytes
@@ -61,7 +61,7 @@
     return int(whole) * scale + int(float(b"0." + (part or b"0")) * scale)
 
 
-class Reader:
+class RequestReader:
     """Makes requests of the classes in the settings ready to be passed on."""
 
     def __init__(self, settings: Settings, names: Sequence[str], tenants: Sequence[str]) -> None:
@@ -97,7 +97,7 @@
         upload: Upload | None = None,
         chunks: bool = True,
         unread_for: int = 0,
-    ) -> Message:
+    ) -> ParsedRequest:
         """The whole request, or all but a body that is still on its way. BadRequest for what cannot go on."""
         if PATH.fullmatch(url) is None or DOTS.search(url) is not None:
             raise BadRequest(400)
@@ -138,7 +138,7 @@
             lines.append(b"Transfer-Encoding: chunked\r\n")
         elif not safe:
             lines.append(b"Content-Length: %d\r\n" % length)
-        return Message(
+        return ParsedRequest(
             id=request,
             request_class=request_class,
             tenant=self.tenants.get(found.get(b"x-tenant-id", b""), len(self.tenants)),
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -55,11 +55,11 @@
     return () if None in values else cast(list[float], values)
 
 
-class Spoilt(Exception):
+class MalformedResponseError(Exception):
     """An answer that cannot be what a server made."""
 
 
-class Reading(Enum):
+class ReadResult(Enum):
     """How far an answer has come."""
 
     MORE = 0
@@ -67,7 +67,7 @@
     SPOILT = 2
 
 
-class Answer:
+class ResponseParser:
     """One answer as it comes in. 1xx answers ahead of it leave nothing behind.
 
     A small one is `body` once it is whole. Of one that is `streaming`, `take` gives what has come since.
@@ -122,13 +122,13 @@
         """Guards against: parser and answer hold each other, and pile up until the collector comes by."""
         self.parser = None
 
-    def feed(self, data: bytes) -> Reading:
+    def feed(self, data: bytes) -> ReadResult:
         reading = self.read(data)
-        if reading != Reading.MORE:
+        if reading != ReadResult.MORE:
             self.drop()
         return reading
 
-    def read(self, data: bytes) -> Reading:
+    def read(self, data: bytes) -> ReadResult:
         assert self.parser is not None
         if self.streaming:
             self.kept += len(data)
@@ -139,22 +139,22 @@
         except (HttpParserError, HttpParserUpgrade):
             # What a callback raises comes as an HttpParserError too.
             self.reusable = False
-            return Reading.WHOLE if self.complete and self.ends_here() else Reading.SPOILT
+            return ReadResult.WHOLE if self.complete and self.ends_here() else ReadResult.SPOILT
         if self.complete:
-            return Reading.WHOLE
+            return ReadResult.WHOLE
         if self.streaming:
             self.raw = b""
-            return Reading.SPOILT if self.kept > HEAD_MOST else Reading.MORE
+            return ReadResult.SPOILT if self.kept > HEAD_MOST else ReadResult.MORE
         # Guards against: what the parser keeps to itself, a header or a chunk's size that does not end.
         most = ANSWER_MOST if self.head_done else HEAD_MOST
-        return Reading.SPOILT if len(self.raw) > most else Reading.MORE
+        return ReadResult.SPOILT if len(self.raw) > most else ReadResult.MORE
 
-    def end(self) -> Reading:
+    def end(self) -> ReadResult:
         """The connection has ended in order."""
         if self.parser is None or self.framed or not (self.closes and self.head_done and self.status >= 200):
-            return Reading.SPOILT
+            return ReadResult.SPOILT
         self.drop()
-        return Reading.WHOLE
+        return ReadResult.WHOLE
 
     def take(self) -> bytes:
         """What has come of the body since the last call."""
@@ -189,7 +189,7 @@
     def on_message_begin(self) -> None:
         if self.complete:
             self.reusable = False  # a second answer to one request
-            raise Spoilt
+            raise MalformedResponseError
         # Guards against: a 1xx answer that says "not processed" speaks for the final one.
         self.begin()
 
@@ -197,7 +197,7 @@
         # Guards against: a head that does not end, and one that is all headers.
         self.head_size += size
         if self.head_size > HEAD_MOST:
-            raise Spoilt
+            raise MalformedResponseError
 
     def on_status(self, text: bytes) -> None:
         self.grown(len(text))
@@ -206,7 +206,7 @@
         self.grown(len(name) + len(value) + 4)
         self.headers += 1
         if self.headers > HEADERS_MOST:
-            raise Spoilt
+            raise MalformedResponseError
         if self.head_done:
             return  # a trailer
         low = name.lower()
@@ -218,11 +218,11 @@
             # Guards against: an answer said to be larger than any is waited for, or kept.
             self.length = int(value)
             if self.length > BODY_LARGEST:
-                raise Spoilt
+                raise MalformedResponseError
             self.framed = True
         elif low == b"transfer-encoding":
             if value.strip().lower() != b"chunked":
-                raise Spoilt
+                raise MalformedResponseError
             self.framed = self.chunked = True
         elif low == b"connection":
             self.closes = self.closes or b"close" in value.lower()
@@ -234,31 +234,31 @@
         if self.status < 200:
             self.ahead += 1
             if self.ahead > AHEAD_MOST:
-                raise Spoilt
+                raise MalformedResponseError
         elif not self.framed and not self.closes:
             # Guards against: a body that ends with its connection, and does not say so, may be cut off anywhere.
-            raise Spoilt
+            raise MalformedResponseError
         elif self.length is not None and self.length > BODY_MOST:
             self.stream()
 
     def stream(self) -> None:
         """From here on it is passed on as it comes; only what servers made is."""
         if self.status != 200:
-            raise Spoilt
+            raise MalformedResponseError
         self.streaming = True
 
     def on_chunk_header(self) -> None:
         self.chunks += 1
         self.kept = 0
         if too_many(self.chunks, self.size):
-            raise Spoilt
+            raise MalformedResponseError
 
     def on_body(self, data: bytes) -> None:
         self.body = self.body + data if self.body else data
         self.size += len(data)
         self.kept = 0
         if self.size > BODY_LARGEST:
-            raise Spoilt
+            raise MalformedResponseError
         if self.length is None and not self.streaming and self.size > BEGIN_AT and self.status == 200:
             self.stream()
 
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -14,21 +14,21 @@
 
 import uvloop
 
-from harecross.discovery.discovery_client import FORMER_MOST, Discovery
-from harecross.discovery.endpoint_registry import Directory, Lists
-from harecross.discovery.readiness import Standing, Word, longest_wait
-from harecross.discovery.subscription_schedule import asking_terms
-from harecross.dispatch.dispatcher import Host, say
-from harecross.downstream.connection_manager import ACCEPTS, Callers
-from harecross.http.request_parser import Reader
-from harecross.node.admin_operations import Operations
+from harecross.discovery.discovery_client import FORMER_MOST, DiscoveryClient
+from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
+from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
+from harecross.discovery.subscription_schedule import discovery_terms
+from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.downstream.connection_manager import ACCEPTS, ConnectionManager
+from harecross.http.request_parser import RequestReader
+from harecross.node.admin_operations import AdminOperations
 from harecross.node.admin_server import ROOM as DOOR_ROOM
 from harecross.node.config import BadConfig, Config, bound_socket, inherited_socket, read_config
-from harecross.node.handover_store import Store
+from harecross.node.handover_store import HandoverStore
 from harecross.node.shutdown_schedule import LAST_REQUESTS, stopping
-from harecross.platform.clock import clock
-from harecross.platform.descriptor_budget import Room
-from harecross.upstream.connection_pool import Servers
+from harecross.platform.clock import monotonic_us
+from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.upstream.connection_pool import ConnectionPool
 
 if TYPE_CHECKING:
     from harecross.operators import Operators
@@ -67,12 +67,12 @@
 class Beside(Protocol):
     """A service that runs in the node's process and reads what it knows."""
 
-    async def start(self, host: Host, directory: Directory) -> None: ...
+    async def start(self, host: RequestDispatcher, directory: EndpointRegistry) -> None: ...
 
     async def stop(self) -> None: ...
 
 
-class MoreSources(Lists, Protocol):
+class MoreSources(EndpointListConsumer, Protocol):
     """Several sources of membership; the watch is one of them (`sources.run.Sources`)."""
 
     @property
@@ -108,7 +108,7 @@
         beside: Beside | None = None,
         inherited: socket.socket | None = None,
         folder: str | None = None,
-        more_sources: Callable[[Directory], MoreSources] | None = None,
+        more_sources: Callable[[EndpointRegistry], MoreSources] | None = None,
         attempts: str = "",
     ) -> None:
         """`inherited` is a listening socket that other processes may share; `folder` outlives the process.
@@ -128,10 +128,10 @@
         reserve += SOURCES if more_sources is not None else 0
         room = max(16, config.sockets - descriptors() - reserve)
         self.whole, self.bodies = room, config.memory // BODIES
-        self.room = Room(room)
-        self.servers = Servers(config.connect_timeout, config.idle_time, config.columns, self.room)
-        self.host = Host(settings, config.seed, self.servers)
-        self.directory = Directory(self.host, self.servers, config.zones, config.kinds)
+        self.room = DescriptorBudget(room)
+        self.servers = ConnectionPool(config.connect_timeout, config.idle_time, config.columns, self.room)
+        self.host = RequestDispatcher(settings, config.seed, self.servers)
+        self.directory = EndpointRegistry(self.host, self.servers, config.zones, config.kinds)
         if attempts:
             from harecross.follow.attempts import AttemptLog
 
@@ -141,22 +141,24 @@
                 raise BadConfig(f"log.attempts {attempts}: {e.strerror}") from None
         if more_sources is not None:
             self.more_sources = more_sources(self.directory)
-        self.discovery = Discovery(
-            self.directory, config.discovery, asking_terms(settings), self.more_sources, config.seed
+        self.discovery = DiscoveryClient(
+            self.directory, config.discovery, discovery_terms(settings), self.more_sources, config.seed
         )
-        self.standing = Standing(monotonic(), longest_wait(self.discovery.terms))
+        self.standing = ListReadiness(monotonic(), longest_wait(self.discovery.terms))
         self.host.standing = self.standing
         self.told = asyncio.Event()  # the list may be used
         self.discovery.on_word = self.list_told
         self.host.on_watch, self.host.on_fetch = self.watch, self.fetch
-        reader = Reader(settings, config.classes, config.tenants)
-        self.callers = Callers(
+        reader = RequestReader(settings, config.classes, config.tenants)
+        self.callers = ConnectionManager(
             self.host, reader, self.room, bodies_part(self.bodies, 1, inherited is not None)
         )
         self.servers.set_passing(self.bodies // 2)
         self.operations = None
         if config.admin is not None:
-            self.operations = Operations(Store(folder, config.name), self.directory, self.callers, self.heard)
+            self.operations = AdminOperations(
+                HandoverStore(folder, config.name), self.directory, self.callers, self.heard
+            )
             if self.more_sources is not None:
                 self.operations.explain_by(self.more_sources.explain)
                 self.more_sources.follow(self.operations.follow)
@@ -208,7 +210,7 @@
                 self.discovery.begin(self.config.known)
                 self.standing.remembered()
             except ValueError as e:
-                say(f"known: {e}")
+                log_line(f"known: {e}")
         if self.more_sources is not None:
             self.more_sources.start()
         if self.operations is not None:
@@ -228,7 +230,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 20)
-        say(f"listening on {self.address[0]}:{self.address[1]}")
+        log_line(f"listening on {self.address[0]}:{self.address[1]}")
         if self.operations is not None:
             self.operations.serving()
         self.ready.set()
@@ -251,12 +253,12 @@
         except OSError as e:
             raise BadConfig("listen {}:{}: {}".format(*self.config.listen, e.strerror)) from None
 
-    async def open_door(self, operations: Operations, address: tuple[str, int]) -> None:
+    async def open_door(self, operations: AdminOperations, address: tuple[str, int]) -> None:
         """Before the first list: what was held out by the process before has never been used by this one."""
         try:
             operations.store.live()
         except OSError as e:
-            say(
+            log_line(
                 f"{operations.store.lives}: what is told at the door will not outlive the process: {e.strerror}"
             )
         operations.store.look()
@@ -281,12 +283,12 @@
     def reload(self) -> None:
         """SIGHUP: the configuration is read again. Only `discovery` can change while the node runs."""
         if self.stop.is_set():
-            say("configuration not read again: stopping")
+            log_line("configuration not read again: stopping")
             return
         try:
             config = read_config(again=True)
         except BadConfig as e:
-            say(f"configuration not changed: {e}")
+            log_line(f"configuration not changed: {e}")
             return
         moves = self.discovery.move(config.discovery)
         text = "configuration read again: " + (
@@ -297,7 +299,7 @@
             text += f"; {', '.join(sorted(others))} will count from the next start"
         if self.more_sources is not None:
             text += self.reload_sources()
-        say(text)
+        log_line(text)
 
     def reload_sources(self) -> str:
         """`[sources]` of the operators' file is read again; a bad file changes nothing."""
@@ -323,13 +325,13 @@
         """
         classes = self.config.settings.classes
         times = stopping(max(c.deadline for c in classes) / 1e6, self.host.usual_time())
-        say(
+        log_line(
             f"stopping: no more is taken after {times.close:.1f} s, what came late is over after {times.end:.1f} s"
         )
-        now, began = clock(), self.loop.time()
+        now, began = monotonic_us(), self.loop.time()
         self.host.late_from, self.host.latest = now + int(times.counted * 1e6), now + int(times.end * 1e6)
         if self.inherited is not None and self.others():
-            say("another process serves on")
+            log_line("another process serves on")
             await self.callers.hand_over()
             while self.callers.open and self.loop.time() < began + times.close:
                 await asyncio.sleep(0.01)
@@ -382,7 +384,7 @@
             self.reported = now
             self.report()
             if self.lag > LAG_SHOWN:
-                say(f"the event loop was {self.lag * 1000:.0f} ms late")
+                log_line(f"the event loop was {self.lag * 1000:.0f} ms late")
             self.lag = 0.0
 
     def report(self) -> None:
@@ -390,7 +392,7 @@
         if self.watches():
             lists = self.discovery.asking.figures(now)
             word = self.standing.word(now, self.discovery.asking)
-            if word in (Word.NONE, Word.KNOWN, Word.STALE):
+            if word in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
                 lists[f"list_{word.value}"] = 1.0
         self.host.report(self.callers.bad, self.callers.turned_away, lists)
 
@@ -435,7 +437,7 @@
     if told.sources.on:
         from harecross.sources.run import Sources
 
-        def make(directory: Directory) -> MoreSources:
+        def make(directory: EndpointRegistry) -> MoreSources:
             try:
                 return Sources(told.sources, directory)
             except ValueError as e:
@@ -454,7 +456,7 @@
         shared = {"inherited": inherited_socket(), "folder": os.environ.get("TMPDIR") or None}
         uvloop.run(run(read_config(), **shared, **from_operators()))
     except BadConfig as e:
-        say(str(e))
+        log_line(str(e))
         return 2
     return 0
 
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -8,14 +8,14 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
-from harecross.discovery.endpoint_registry import Directory
-from harecross.discovery.endpoint_status import roster
-from harecross.dispatch.dispatcher import say
-from harecross.downstream.connection_manager import Callers
-from harecross.node.admin_server import Answer, Door
-from harecross.node.handover_store import Store
-from harecross.node.maintenance import Held, difference
-from harecross.platform.clock import clock
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.discovery.endpoint_status import endpoint_status_rows
+from harecross.dispatch.dispatcher import log_line
+from harecross.downstream.connection_manager import ConnectionManager
+from harecross.node.admin_server import AdminAnswer, AdminServer
+from harecross.node.handover_store import HandoverStore
+from harecross.node.maintenance import MaintenanceState, difference
+from harecross.platform.clock import monotonic_us
 from harecross.platform.durable_file import UnsyncedReplace
 from harecross.policy import learned_state
 
@@ -25,11 +25,15 @@
 ID_MOST = 512
 
 
-class Operations:
+class AdminOperations:
     """The door's calls, and the following of what the store holds."""
 
     def __init__(
-        self, store: Store, directory: Directory, callers: Callers, heard: Callable[[], bool]
+        self,
+        store: HandoverStore,
+        directory: EndpointRegistry,
+        callers: ConnectionManager,
+        heard: Callable[[], bool],
     ) -> None:
         """`heard` tells whether discovery has spoken to this process."""
         self.loop = asyncio.get_running_loop()
@@ -39,7 +43,7 @@
         self.serving_since: float | None = None
         self.learned_at = self.loop.time()
         self.heard = heard
-        self.door = Door(
+        self.door = AdminServer(
             {
                 (b"GET", b"/status"): self.status,
                 (b"GET", b"/servers"): self.servers,
@@ -54,7 +58,7 @@
     def explain_by(self, explain: Callable[[str], dict[str, Any]]) -> None:
         """Servers come from several sources: why each is in or out can be asked for."""
 
-        def sources(query: bytes) -> Answer:
+        def sources(query: bytes) -> AdminAnswer:
             box = dict(parse_qsl(query.decode(errors="replace"))).get("box", "")
             told = explain(box)
             if box and not told["boxes"]:
@@ -66,7 +70,7 @@
     async def open(self, address: tuple[str, int]) -> None:
         """OSError where the address is not to be had."""
         await self.door.listen(*address)
-        say("door: listening on {}:{}".format(*self.door.address))
+        log_line("door: listening on {}:{}".format(*self.door.address))
 
     def serving(self) -> None:
         """The node takes clients from now on."""
@@ -79,10 +83,10 @@
         if text is None:
             return
         try:
-            learned_state.recall(self.directory.host.balancer, self.directory.numbers, text, clock())
-            say("what the other process has learned is taken over")
+            learned_state.recall(self.directory.host.balancer, self.directory.numbers, text, monotonic_us())
+            log_line("what the other process has learned is taken over")
         except ValueError as e:
-            say(f"{self.store.learned}: not taken over: {e}")
+            log_line(f"{self.store.learned}: not taken over: {e}")
 
     def learn(self) -> None:
         """Writes what this process has learned, now and then, until it is to stop."""
@@ -118,7 +122,7 @@
 
     # ---- calls ----------------------------------------------------------------------------------------
 
-    def status(self, body: bytes) -> Answer:
+    def status(self, body: bytes) -> AdminAnswer:
         since = self.serving_since
         if since is None:
             return 503, "starting"
@@ -131,11 +135,11 @@
         out = ", ".join(sorted(held.out)) or "none"
         return 200, f"{'standby' if held.standby else 'active'}; servers out: {out}"
 
-    def servers(self, query: bytes) -> Answer:
+    def servers(self, query: bytes) -> AdminAnswer:
         """Each server as this process sees it, one line of JSON; `id=` names those that are asked for."""
         asked = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
         wanted = {self.directory.resolve(name): name for name in asked}
-        rows = roster(self.directory, self.directory.host.out_on(), clock())
+        rows = endpoint_status_rows(self.directory, self.directory.host.out_on(), monotonic_us())
         for row in rows:
             row["id"] = wanted.get(row["id"], row["id"])  # by the name that was asked for
         told = {
@@ -146,19 +150,21 @@
         }
         return 200, json.dumps(told, separators=(",", ":"))
 
-    def enter(self, body: bytes) -> Answer:
-        return self.move(body, Held.enter, "out")
+    def enter(self, body: bytes) -> AdminAnswer:
+        return self.move(body, MaintenanceState.enter, "out")
 
-    def exit(self, body: bytes) -> Answer:
+    def exit(self, body: bytes) -> AdminAnswer:
         return self.move(body, self.without, "in use")
 
-    def without(self, held: Held, server: str) -> Held:
+    def without(self, held: MaintenanceState, server: str) -> MaintenanceState:
         """With the server back, by whichever of its names it was taken out."""
         for name in {server, *(n for n in held.out if self.directory.resolve(n) == server)}:
             held = held.exit(name)
         return held
 
-    def move(self, body: bytes, make: Callable[[Held, str], Held], how: str) -> Answer:
+    def move(
+        self, body: bytes, make: Callable[[MaintenanceState, str], MaintenanceState], how: str
+    ) -> AdminAnswer:
         name, why = self.known(body)
         return self.write(lambda held: make(held, name), f"{name}: {how}") if name else (404, why)
 
@@ -174,10 +180,10 @@
             return "", f"{name}: no such server"
         return self.directory.resolve(name), ""
 
-    def stand(self, by: bool) -> Answer:
+    def stand(self, by: bool) -> AdminAnswer:
         return self.write(lambda held: held.stand(by), "standby" if by else "active")
 
-    def write(self, make: Callable[[Held], Held], text: str) -> Answer:
+    def write(self, make: Callable[[MaintenanceState], MaintenanceState], text: str) -> AdminAnswer:
         """A yes only once it is written: what was promised has to outlive this process."""
         try:
             self.store.change(make)
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -8,7 +8,7 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from harecross.dispatch.dispatcher import guard, say
+from harecross.dispatch.dispatcher import log_exception, log_line
 from harecross.downstream.listener import Listener
 from harecross.node.config import bound_socket
 from harecross.platform.system_errors import AcceptFailure
@@ -25,14 +25,14 @@
     500: b"Internal Server Error",
     503: b"Service Unavailable",
 }
-Answer = tuple[int, str]  # status and a line of text
-Call = Callable[[bytes], Answer]  # takes the body of a POST, the query of a GET
+AdminAnswer = tuple[int, str]  # status and a line of text
+AdminCall = Callable[[bytes], AdminAnswer]  # takes the body of a POST, the query of a GET
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One call, from its connection's start to its end."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self.door = door
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -78,7 +78,7 @@
         if not self.done:
             self.answer(self.door.call(self.parser.get_method(), self.url, self.body))
 
-    def answer(self, answer: Answer) -> None:
+    def answer(self, answer: AdminAnswer) -> None:
         self.done = True
         if self.transport is None:
             return
@@ -91,13 +91,13 @@
         self.transport.write_eof()
 
 
-class Door:
+class AdminServer:
     """The listener. `calls` holds what each method and path does."""
 
-    def __init__(self, calls: dict[tuple[bytes, bytes], Call]) -> None:
+    def __init__(self, calls: dict[tuple[bytes, bytes], AdminCall]) -> None:
         self.loop = asyncio.get_running_loop()
         self.calls = calls
-        self.open: dict[Caller, None] = {}  # the oldest first
+        self.open: dict[AdminConnection, None] = {}  # the oldest first
         self.listener: Listener | None = None
         self.address: tuple[str, int] = ("", 0)
 
@@ -105,7 +105,7 @@
         """OSError where the address is not to be had."""
         sock = bound_socket((host, port))
         sock.listen(BACKLOG)
-        self.listener = Listener(sock, lambda waiting: Caller(self), self.accept)
+        self.listener = Listener(sock, lambda waiting: AdminConnection(self), self.accept)
         self.listener.start()
         self.address = sock.getsockname()
 
@@ -123,7 +123,7 @@
             if caller.transport is not None:
                 caller.transport.close()
 
-    def joined(self, caller: Caller) -> None:
+    def joined(self, caller: AdminConnection) -> None:
         """Guards against: calls that never come whole hold every place, and an operator's waits for one."""
         if len(self.open) >= ROOM:
             oldest = next((c for c in self.open if c.done), next(iter(self.open)))
@@ -132,7 +132,7 @@
                 oldest.transport.abort()
         self.open[caller] = None
 
-    def call(self, method: bytes, url: bytes, body: bytes) -> Answer:
+    def call(self, method: bytes, url: bytes, body: bytes) -> AdminAnswer:
         path, _, query = url.partition(b"?")
         do = self.calls.get((method, path))
         if do is None:
@@ -141,8 +141,8 @@
         try:
             answer = do(query if method == b"GET" else body)
         except Exception:
-            guard("door")
+            log_exception("door")
             return 500, "failed: see the log"
         if method != b"GET":
-            say(f"door: {path.decode(errors='replace')} {body[:200]!r}: {answer[0]} {answer[1]}")
+            log_line(f"door: {path.decode(errors='replace')} {body[:200]!r}: {answer[0]} {answer[1]}")
         return answer
--- a/harecross/node/handover_store.py
+++ b/harecross/node/handover_store.py
@@ -15,19 +15,19 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from harecross.dispatch.dispatcher import say
-from harecross.node.maintenance import Held, from_json
+from harecross.dispatch.dispatcher import log_line
+from harecross.node.maintenance import MaintenanceState, from_json
 from harecross.platform.durable_file import replace_file
 
 LEARNED_FRESH = 5.0  # seconds after which what was learned no longer holds
 
 
-class Store:
+class HandoverStore:
     """What is held out, in `folder`, for the node of that name. Without a folder it lives in memory alone."""
 
     def __init__(self, folder: str | None, name: str) -> None:
         self.name = name
-        self.held = Held()
+        self.held = MaintenanceState()
         self.seen: tuple[int, int] | None = None  # inode and time of the file as last read
         plain = re.sub(r"[^A-Za-z0-9._-]", "_", name)
         self.path = Path(folder) / f"harecross-{plain}.held" if folder else None
@@ -54,13 +54,13 @@
         except FileNotFoundError:
             return False
         except (OSError, ValueError) as e:
-            say(f"{self.path}: cannot be read, what was held stays: {e}")
+            log_line(f"{self.path}: cannot be read, what was held stays: {e}")
             return False
         self.seen = seen
         changed, self.held = held != self.held, held
         return changed
 
-    def change(self, make: Callable[[Held], Held]) -> None:
+    def change(self, make: Callable[[MaintenanceState], MaintenanceState]) -> None:
         """Changes the state, and has written it when this returns. OSError where it cannot be written."""
         if self.path is None:
             self.held = make(self.held)
--- a/harecross/node/maintenance.py
+++ b/harecross/node/maintenance.py
@@ -9,21 +9,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class MaintenanceState:
     """One state of what is held out; a change makes a new one. `out` holds servers' ids."""
 
     out: frozenset[str] = field(default_factory=frozenset)
     standby: bool = False
 
-    def enter(self, server: str) -> Held:
+    def enter(self, server: str) -> MaintenanceState:
         """With the server out. Taken out twice it is out once: one call puts it back."""
         return replace(self, out=self.out | {server})
 
-    def exit(self, server: str) -> Held:
+    def exit(self, server: str) -> MaintenanceState:
         """With the server back."""
         return replace(self, out=self.out - {server})
 
-    def stand(self, by: bool) -> Held:
+    def stand(self, by: bool) -> MaintenanceState:
         """With the node standing by, or active."""
         return replace(self, standby=by)
 
@@ -32,7 +32,7 @@
         return json.dumps({"out": sorted(self.out), "standby": self.standby}).encode()
 
 
-def from_json(text: bytes) -> Held:
+def from_json(text: bytes) -> MaintenanceState:
     """The state in a file. ValueError for anything else than what `to_json` writes."""
     raw: Any = json.loads(text)
     if not isinstance(raw, dict):
@@ -42,7 +42,7 @@
         raise ValueError("`out` is no list of ids")
     if not isinstance(standby, bool):
         raise ValueError("`standby` is neither true nor false")
-    return Held(frozenset(out), standby)
+    return MaintenanceState(frozenset(out), standby)
 
 
 def difference(old: Iterable[str], new: Iterable[str]) -> tuple[list[str], list[str]]:
--- a/harecross/platform/clock.py
+++ b/harecross/platform/clock.py
@@ -5,6 +5,6 @@
 from time import monotonic_ns
 
 
-def clock() -> int:
+def monotonic_us() -> int:
     """The module's time: monotonic microseconds."""
     return monotonic_ns() // 1000
--- a/harecross/platform/descriptor_budget.py
+++ b/harecross/platform/descriptor_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Room:
+class DescriptorBudget:
     """`total` descriptors, of which so many are held for `callers` and for `servers`.
 
     Each side keeps a least part that the other cannot take; what is left goes to who asks first. Servers'
--- a/harecross/sources/membership.py
+++ b/harecross/sources/membership.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TYPE_CHECKING, Any, Protocol
 
-from harecross.discovery.listed_endpoints import Roster
+from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.settings import address
 from harecross.sources.ledger import Box, Credit, Ledger, Limits, Priorities, Stated
 
@@ -104,7 +104,7 @@
         self.sick: Callable[[], set[str]] = set  # addresses that the host's decision module holds ejected
         self.held: Callable[[], Iterable[str]] = tuple  # what operators hold out
         self.renamed: Callable[[], None] = lambda: None  # before boxes with new names are told
-        self.roster = Roster()
+        self.roster = ListedEndpoints()
         self.raw: dict[str, Mapping[str, Any]] = {}  # the watch's own line, by address
         self.lines: dict[str, dict[str, Any]] = {}  # as last told
         self.by_name: dict[str, set[str]] = {}
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -12,9 +12,9 @@
 from random import Random, SystemRandom
 from typing import TYPE_CHECKING, Any
 
-from harecross.discovery.endpoint_registry import Directory
-from harecross.dispatch.dispatcher import guard, say
-from harecross.platform.clock import clock
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.dispatch.dispatcher import log_exception, log_line
+from harecross.platform.clock import monotonic_us
 from harecross.sources.config import File, SourcesTable, Srv, name_of
 from harecross.sources.files import BadFile, read_file
 from harecross.sources.ledger import Credit, Priorities
@@ -64,7 +64,7 @@
     """The `Lists` of a `Discovery`. Every decision is the membership's, the ledger's or a name's."""
 
     def __init__(
-        self, told: SourcesTable, directory: Directory, label: str = "", rng: Random | None = None
+        self, told: SourcesTable, directory: EndpointRegistry, label: str = "", rng: Random | None = None
     ) -> None:
         """Reads the kept sets and the files. ValueError for a file that is bad at the start."""
         self.loop = asyncio.get_running_loop()
@@ -167,7 +167,7 @@
             keep.clear(self.told.keep)
             return keep.read(self.told.keep)
         except (keep.BadKept, OSError) as e:
-            say(f"sources: {self.told.keep}: kept sets not used: {e}")
+            log_line(f"sources: {self.told.keep}: kept sets not used: {e}")
             return {}
 
     def look_first(self, file: Read) -> None:
@@ -194,7 +194,7 @@
             if not isinstance(item, dict) or (
                 item.get("lifecycle") == "in_service" and item.get("hostPort") not in self.membership.raw
             ):
-                say(f"discovery: bad entry {item!r:.200}")
+                log_line(f"discovery: bad entry {item!r:.200}")
         self.settle()
 
     def reached(self, good: bool) -> None:
@@ -212,7 +212,7 @@
         It ejects a third of its members at most; the others of a dead priority show by what a call costs there.
         """
         names = {number: name for name, number in self.directory.numbers.items()}
-        views = self.directory.host.balancer.view(clock())
+        views = self.directory.host.balancer.view(monotonic_us())
         return {names[v.server] for v in views if (v.ejected or v.cost >= SICK) and v.server in names}
 
     @property
@@ -264,7 +264,7 @@
             try:
                 self.step()
             except Exception:
-                guard("sources")
+                log_exception("sources")
             due = self.next_due()
             try:
                 async with asyncio.timeout_at(min(max(due, self.now() + STEP_LEAST), self.now() + STEP_MOST)):
@@ -295,7 +295,7 @@
         if self.told.watch and now - self.watch_heard > self.told.watch_stale_s:
             source = self.membership.ledger.sources[WATCH]
             if source.credit == Credit.FRESH:
-                say(
+                log_line(
                     f"sources: {self.label}watch: silent for {self.told.watch_stale_s:g} s, its list is stale"
                 )
             if source.credit != Credit.NONE:
@@ -309,7 +309,7 @@
         try:
             self.membership.settle(self.now(), self.wall())
         except ValueError as e:
-            say(f"sources: {self.label}{e}")
+            log_line(f"sources: {self.label}{e}")
 
     def keep_task(self, work: Any) -> None:
         task = self.loop.create_task(work)
@@ -326,7 +326,7 @@
         except LookupFailed as e:
             asked.name.could_not(self.now(), str(e))
         except Exception:
-            guard(asked.source)
+            log_exception(asked.source)
             asked.name.could_not(self.now(), "failed: see the log")
         else:
             asked.name.answered(self.now(), found)
@@ -343,9 +343,11 @@
         before, asked.seen = asked.seen, seen
         if not before or before[0] != view.standing:
             why = f": {view.why}" if view.why else ""
-            say(f"sources: {self.label}{asked.source}: {view.standing}, {len(view.endpoints)} endpoints{why}")
+            log_line(
+                f"sources: {self.label}{asked.source}: {view.standing}, {len(view.endpoints)} endpoints{why}"
+            )
         for note in set(view.notes) - asked.noted:
-            say(f"sources: {self.label}{asked.source}: {note}")
+            log_line(f"sources: {self.label}{asked.source}: {note}")
         asked.noted = frozenset(view.notes)
         self.state(asked, view)
 
@@ -376,7 +378,7 @@
         except (OSError, BadFile) as e:
             why = (e.strerror or str(e)) if isinstance(e, OSError) else str(e)
             if why != file.why:
-                say(f"sources: {file.told.path}: {why}; its last list is stale")
+                log_line(f"sources: {file.told.path}: {why}; its last list is stale")
             file.why, file.used = why, ()
             if self.files.get(file.source) is file:
                 self.membership.worth(file.source, Credit.STALE)
@@ -405,4 +407,4 @@
             with self.writing:
                 keep.write(self.told.keep, sets)
         except OSError as e:
-            say(f"sources: {self.told.keep}: sets not kept: {e.strerror}")
+            log_line(f"sources: {self.told.keep}: sets not kept: {e.strerror}")
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -9,13 +9,13 @@
 from typing import TYPE_CHECKING, cast
 
 from harecross.dispatch.close_reasons import CloseReason, Closing
-from harecross.http.response_parser import Answer, Reading, read_report
+from harecross.http.response_parser import ReadResult, ResponseParser, read_report
 from harecross.interface import Outcome
-from harecross.platform.clock import clock
-from harecross.upstream.exchange import Exchange, Probe, Target
+from harecross.platform.clock import monotonic_us
+from harecross.upstream.exchange import Exchange, HealthCheck, ServerProcess
 
 if TYPE_CHECKING:
-    from harecross.upstream.connection_pool import Servers
+    from harecross.upstream.connection_pool import ConnectionPool
 
 # A second answer may come some milliseconds after the first (STANDING, "Days at full size") and would be taken for the
 # next exchange's. A kept connection rests for so long before that one, or for one part in so many of what the last one
@@ -24,7 +24,7 @@
 REST_PART = 4
 
 
-class Connection(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A connection to a server."""
 
     __slots__ = (
@@ -46,11 +46,11 @@
         "closing",
     )
 
-    def __init__(self, pool: Servers, target: Target) -> None:
+    def __init__(self, pool: ConnectionPool, target: ServerProcess) -> None:
         self.pool = pool
         self.target = target
         self.transport: asyncio.Transport | None = None
-        self.answer: Answer | None = None
+        self.answer: ResponseParser | None = None
         self.exchange: Exchange | None = None
         self.since = 0
         self.sent = False
@@ -97,27 +97,27 @@
     def eof_received(self) -> bool:
         if self.exchange is not None and self.answer is not None:
             reading = self.answer.end()
-            if reading == Reading.WHOLE:
+            if reading == ReadResult.WHOLE:
                 self.usable = False
                 self.read(self.answer, reading)
         return False
 
-    def read(self, answer: Answer, reading: Reading) -> None:
+    def read(self, answer: ResponseParser, reading: ReadResult) -> None:
         """What has been read of the answer."""
         if answer.streaming and not self.pass_on(answer):
             return
-        if reading == Reading.WHOLE:
+        if reading == ReadResult.WHOLE:
             self.settle(answer)
-        elif reading == Reading.SPOILT:
+        elif reading == ReadResult.SPOILT:
             # The request has run; what came of it is nothing to show a caller, and nor is what may follow.
             self.pool.spoilt += 1
             self.lost(CloseReason.SPOILT)
 
-    def pass_on(self, answer: Answer) -> bool:
+    def pass_on(self, answer: ResponseParser) -> bool:
         """Passes on what has come of a large answer; whether anybody wants it."""
         exchange = self.exchange
         assert exchange is not None
-        self.moved = clock()
+        self.moved = monotonic_us()
         if not exchange.begun:
             if not exchange.begin(answer.length, self.report_in(answer.report)):
                 self.lost(CloseReason.GIVEN_UP)
@@ -146,7 +146,7 @@
         if self.held == on or self.transport is None:
             return
         self.held = on
-        self.moved = clock()
+        self.moved = monotonic_us()
         if on:
             self.transport.pause_reading()
         else:
@@ -173,7 +173,7 @@
         assert self.transport is not None
         self.exchange = exchange
         exchange.conn = self
-        self.answer = Answer()
+        self.answer = ResponseParser()
         self.narrow(self.pool.first)
         upload = exchange.upload
         if upload is not None:
@@ -202,7 +202,7 @@
             data = b"%x\r\n%s\r\n" % (len(data), data) if data else b""
             if complete:
                 data += b"0\r\n\r\n"
-        self.moved = clock()
+        self.moved = monotonic_us()
         if complete:
             self.rest = False
             upload.detach()
@@ -217,7 +217,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.sent = True
-        exchange.began = clock()
+        exchange.began = monotonic_us()
         exchange.until = min(exchange.until, exchange.began + exchange.patience)
         if exchange.timer is None:
             self.pool.limit(exchange)
@@ -229,17 +229,17 @@
         self.pool.reports += bool(report)
         return report
 
-    def settle(self, answer: Answer) -> None:
+    def settle(self, answer: ResponseParser) -> None:
         """A whole answer has come."""
         exchange = self.exchange
         assert exchange is not None
         # /_load answers with the report itself.
-        report = self.report_in(answer.report or (answer.body if isinstance(exchange, Probe) else b""))
+        report = self.report_in(answer.report or (answer.body if isinstance(exchange, HealthCheck) else b""))
         self.let_go(exchange)
         whole = self.sent  # an answer before the last byte has left leaves half a request on the line
         self.exchange = self.answer = None
         if answer.reusable and whole and self.usable:
-            now = clock()
+            now = monotonic_us()
             self.rested = now + min(REST_MOST, (now - exchange.began) // REST_PART)
             self.pool.put(self)
         else:
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -14,12 +14,12 @@
 from harecross.http.request_parser import HOST
 from harecross.http.response_parser import report_places
 from harecross.interface import Outcome
-from harecross.platform.clock import clock
-from harecross.platform.descriptor_budget import Room
+from harecross.platform.clock import monotonic_us
+from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.peer_state import is_quiet
 from harecross.platform.system_errors import is_local_shortage
-from harecross.upstream.connection import Connection
-from harecross.upstream.exchange import NEVER, Exchange, Probe, Target
+from harecross.upstream.connection import ServerConnection
+from harecross.upstream.exchange import NEVER, Exchange, HealthCheck, ServerProcess
 
 IDLE_MARGIN = 1_500_000  # an idle connection is dropped so long before the server would close it
 PASSING = 1 << 25  # bytes of large answers that may stand here, where nothing else is told
@@ -27,10 +27,12 @@
 STALLED = 6_000_000  # a large body that its server neither takes nor gives on for so long is given up
 
 
-class Servers:
+class ConnectionPool:
     """Every connection of this node to servers."""
 
-    def __init__(self, connect_timeout: int, idle_time: int, columns: Sequence[str], room: Room) -> None:
+    def __init__(
+        self, connect_timeout: int, idle_time: int, columns: Sequence[str], room: DescriptorBudget
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout / 1e6
         self.idle_time = max(idle_time - IDLE_MARGIN, idle_time // 2)
@@ -42,9 +44,9 @@
         self.on_short: Callable[[], bool] = lambda: False
         self.reports = 0  # load reports read
         self.spoilt = 0  # answers that could not be read
-        self.targets: dict[int, Target] = {}
+        self.targets: dict[int, ServerProcess] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.streams: set[Connection] = set()  # those that carry a large body
+        self.streams: set[ServerConnection] = set()  # those that carry a large body
         self.passing_most = 0  # bytes of large answers that may stand here, all together
         self.buffer = STREAM_MOST  # the kernel's for each of them, as last set
         self.first = STREAM_MOST  # and for any answer, until it is known to be large
@@ -64,7 +66,7 @@
                 old.ready = True
                 return
             self.withdraw(server)
-        self.targets[server] = Target(server, host, int(port), started)
+        self.targets[server] = ServerProcess(server, host, int(port), started)
 
     def withdraw(self, server: int) -> None:
         """Nothing new goes to the server from now on; what is out on its connections is waited for."""
@@ -83,7 +85,7 @@
         del self.targets[server]
         return True
 
-    def close_idle(self, target: Target, reason: CloseReason) -> None:
+    def close_idle(self, target: ServerProcess, reason: CloseReason) -> None:
         for conn in list(target.idle):
             conn.discard(reason)
         target.idle.clear()
@@ -95,7 +97,7 @@
 
     def send(self, exchange: Exchange) -> None:
         """Sends on the connection used last, or on a new one. The outcome never comes within this call."""
-        now = clock()
+        now = monotonic_us()
         exchange.began = now
         target = exchange.target = self.targets.get(exchange.server)
         if target is None or not target.ready or min(exchange.until, exchange.begin_by) <= now:
@@ -119,7 +121,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def kept(self, target: Target, now: int, rested: bool = True) -> Connection | None:
+    def kept(self, target: ServerProcess, now: int, rested: bool = True) -> ServerConnection | None:
         """The idle connection used last that has rested and on which nothing has come; None if there is none.
 
         Guards against: a request written as the server closes its idle end is a reset, which may have run; and on one
@@ -148,14 +150,14 @@
 
     def limit(self, exchange: Exchange) -> None:
         """Gives it up at its time."""
-        exchange.timer = self.loop.call_later((exchange.until - clock()) / 1e6, self.expire, exchange)
+        exchange.timer = self.loop.call_later((exchange.until - monotonic_us()) / 1e6, self.expire, exchange)
 
     def probe(
         self, server: int, ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None]
     ) -> Exchange:
         """A probe of a server, which waits as long as a connection may take to come up."""
         head = b"GET %s HTTP/1.1\r\nHost: %s\r\n" % (b"/_load" if self.fields else b"/ping", HOST)
-        return Probe(server, head, b"", clock() + int(self.connect_timeout * 1e6), ended)
+        return HealthCheck(server, head, b"", monotonic_us() + int(self.connect_timeout * 1e6), ended)
 
     def spare(self) -> bool:
         """Closes an idle connection to make room for a new one."""
@@ -165,8 +167,8 @@
                 return True
         return False
 
-    async def connect(self, exchange: Exchange, target: Target) -> None:
-        conn = Connection(self, target)
+    async def connect(self, exchange: Exchange, target: ServerProcess) -> None:
+        conn = ServerConnection(self, target)
         limit = self.loop.call_later(
             self.connect_timeout, cast(asyncio.Task[None], asyncio.current_task()).cancel
         )
@@ -189,7 +191,7 @@
             return
         # Guards against: while the connection came up the list may have said that the server drains, is
         # gone or is another process, the time may have run out, or the caller may have left. Not a byte has gone out.
-        now = clock()
+        now = monotonic_us()
         if not target.ready or min(exchange.until, exchange.begin_by) <= now or not exchange.wanted():
             self.put(conn)
             self.end(exchange, Outcome.NOT_SENT)
@@ -198,7 +200,7 @@
         else:
             conn.start(exchange, now)
 
-    def put(self, conn: Connection) -> None:
+    def put(self, conn: ServerConnection) -> None:
         """Keeps an idle connection for the next exchange."""
         if (
             conn.target.ready
@@ -206,7 +208,7 @@
             and conn.transport is not None
             and not conn.transport.is_closing()
         ):
-            conn.since = clock()
+            conn.since = monotonic_us()
             conn.target.idle.append(conn)
         else:
             conn.discard(CloseReason.PEER if conn.target.ready else CloseReason.SERVER_LEAVES)
@@ -270,7 +272,7 @@
         Guards against: a large body that its server has left half way holds its caller for good. What waits
         for the caller is not the server's doing.
         """
-        now = clock()
+        now = monotonic_us()
         self.fit_buffers()
         for conn in [c for c in self.streams if now - c.moved > STALLED]:
             if conn.exchange is not None and not conn.held and (conn.stuck or not conn.rest):
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -10,12 +10,12 @@
 from harecross.interface import Outcome
 
 if TYPE_CHECKING:
-    from harecross.upstream.connection import Connection
+    from harecross.upstream.connection import ServerConnection
 
 NEVER = 1 << 62  # no time at all
 
 
-class Target:
+class ServerProcess:
     """One process of a server, as discovery lists it. A restart makes a new one."""
 
     __slots__ = ("server", "host", "port", "started", "ready", "idle", "links")
@@ -27,7 +27,7 @@
         self.started = started
         self.ready = True  # in service
         self.links = 0  # connections to it, and attempts at one
-        self.idle: list[Connection] = []  # the one used last stands last
+        self.idle: list[ServerConnection] = []  # the one used last stands last
 
     @property
     def address(self) -> str:
@@ -68,9 +68,9 @@
         self.until = until
         self.ended = ended
         self.began = 0
-        self.target: Target | None = None
+        self.target: ServerProcess | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.conn: Connection | None = None
+        self.conn: ServerConnection | None = None
         self.over = False
         self.upload: Upload | None = None  # in place of `body`; `until` is set once all of it has left
         self.patience = 0  # and is then so much later
@@ -103,7 +103,7 @@
         return ""
 
 
-class Probe(Exchange):
+class HealthCheck(Exchange):
     """A test of a server."""
 
     __slots__ = ()
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -7,16 +7,16 @@
 from random import Random
 from typing import Any
 
-from harecross.discovery.discovery_client import Discovery
-from harecross.discovery.endpoint_registry import Directory
-from harecross.discovery.listed_endpoints import Roster
-from harecross.dispatch.dispatcher import Host, guard, say
+from harecross.discovery.discovery_client import DiscoveryClient
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.discovery.listed_endpoints import ListedEndpoints
+from harecross.dispatch.dispatcher import RequestDispatcher, log_exception, log_line
 from harecross.interface import ClassSettings, Idempotency, Outcome, Settings
-from harecross.platform.clock import clock
-from harecross.platform.descriptor_budget import Room
+from harecross.platform.clock import monotonic_us
+from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.settings import COLUMNS, address
 from harecross.sources.run import Sources
-from harecross.upstream.connection_pool import Servers
+from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import Exchange
 from harecross.xds.config import ClusterTable
 from harecross.xds.loads import Loads
@@ -32,12 +32,14 @@
 class Feed:
     """Reads one Balancer and one directory, a node's or its own."""
 
-    def __init__(self, name: str, host: Host, directory: Directory, changed: Callable[[str], None]) -> None:
+    def __init__(
+        self, name: str, host: RequestDispatcher, directory: EndpointRegistry, changed: Callable[[str], None]
+    ) -> None:
         self.name = name
         self.host = host
         self.directory = directory
         self.changed = changed
-        self.roster = Roster()
+        self.roster = ListedEndpoints()
         self.loads = Loads()
         directory.heard = self.heard
 
@@ -48,7 +50,7 @@
 
     def views(self) -> tuple[list[ServerView], float]:
         """What is thought of each listed server, and the calls one copy would hold at each."""
-        seen = {v.server: v for v in self.host.balancer.view(clock())}
+        seen = {v.server: v for v in self.host.balancer.view(monotonic_us())}
         limits = [v.limit for v in seen.values()]
         views = []
         for name, line in self.roster.lines.items():
@@ -76,20 +78,20 @@
             number = self.directory.numbers.get(s.server)
             if number is not None:
                 report = (s.latency_ms,) if timed and s.latency_ms else ()
-                self.host.balancer.load_reported(clock(), number, s.good, s.bad, report)
+                self.host.balancer.load_reported(monotonic_us(), number, s.good, s.bad, report)
 
     def close(self) -> None:
         self.directory.heard = None
 
 
-class Judge(Host):
+class Judge(RequestDispatcher):
     """A host without callers: it probes, and says at once when the module changes its mind."""
 
     changed: Callable[[], None] = staticmethod(lambda: None)
     name = ""
 
     def log_event(self, text: str) -> None:
-        say(f"{self.name}: {text}")
+        log_line(f"{self.name}: {text}")
         self.changed()
 
 
@@ -114,10 +116,12 @@
             report_fields=tuple(columns) or ("latency_ms",),
             subset_max=ALL,
         )
-        servers = Servers(int(told.probe.timeout_s * 1e6), 15_000_000, told.columns, Room(8 * PROBES_MOST))
+        servers = ConnectionPool(
+            int(told.probe.timeout_s * 1e6), 15_000_000, told.columns, DescriptorBudget(8 * PROBES_MOST)
+        )
         host = Judge(settings, seed, servers)
         host.name = name
-        super().__init__(name, host, Directory(host, servers, (), ()), changed)
+        super().__init__(name, host, EndpointRegistry(host, servers, (), ()), changed)
         host.changed = lambda: changed(name)
         host.start()
         self.servers = servers
@@ -125,7 +129,7 @@
         # ValueError for a file of addresses that cannot be used.
         self.sources = Sources(table, self.directory, name) if table.on else None
         where = address(told.discovery) if told.discovery else NOWHERE
-        self.discovery = Discovery(self.directory, where, lists=self.sources, seed=seed)
+        self.discovery = DiscoveryClient(self.directory, where, lists=self.sources, seed=seed)
         self.schedule = Schedule(int(told.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
         self.tasks: set[asyncio.Task[None]] = set()
         self.ending: asyncio.Task[None] | None = None
@@ -138,7 +142,7 @@
                     self.sources.membership.remember(memory["instances"])
                 self.directory.apply(memory, cached=True)
             except (ValueError, KeyError, TypeError) as e:
-                say(f"{self.name}: remembered list: {e}")
+                log_line(f"{self.name}: remembered list: {e}")
         self.discovery.generation = None
         if self.told.discovery:
             self.discovery.listen(True)
@@ -155,7 +159,7 @@
         while True:
             await asyncio.sleep(PROBE_STEP)
             try:
-                for server in self.schedule.due(clock(), self.directory.listed.keys()):
+                for server in self.schedule.due(monotonic_us(), self.directory.listed.keys()):
                     if len(self.schedule.out) > PROBES_MOST:
                         # Failure prevented: servers that hang hold all descriptors.
                         self.schedule.ended(server)
@@ -165,7 +169,7 @@
                         self.servers.send(self.servers.probe(server, self.probed))
                 self.servers.sweep()
             except Exception:
-                guard(f"{self.name}: probes")
+                log_exception(f"{self.name}: probes")
 
     def probed(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
         self.schedule.ended(exchange.server)
@@ -175,7 +179,7 @@
     async def connect(self, server: int) -> None:
         """A probe that only connects."""
         target = self.servers.targets.get(server)
-        began = clock()
+        began = monotonic_us()
         ok = False
         if target is not None:
             try:
@@ -186,7 +190,7 @@
             except (OSError, TimeoutError):
                 pass
         self.schedule.ended(server)
-        self.host.balancer.health_checked(clock(), server, ok, clock() - began, ())
+        self.host.balancer.health_checked(monotonic_us(), server, ok, monotonic_us() - began, ())
 
     def close(self) -> None:
         super().close()
--- a/harecross/xds/front.py
+++ b/harecross/xds/front.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from harecross.dispatch.dispatcher import say
+from harecross.dispatch.dispatcher import log_line
 from harecross.xds import lrs, status
 from harecross.xds.access import fits
 from harecross.xds.link import Setup
@@ -21,7 +21,7 @@
     rows: Callable[[], Awaitable[list[dict[str, Any]]]] | None = None,
 ) -> Control:
     """A Control with status and load reports; `rows` where its own streams are not all there are."""
-    control = Control(setup.limits, see, say)
+    control = Control(setup.limits, see, log_line)
     control.more.append(
         status.handler(rows or status.rows_of(control), lambda names: fits(setup.status, names))
     )
@@ -36,5 +36,5 @@
 
 async def listen(control: Control, setup: Setup, shared: bool = False) -> int:
     """The port. OSError or ValueError if it cannot."""
-    secure = credentials(setup.tls, say) if setup.tls is not None else None
+    secure = credentials(setup.tls, log_line) if setup.tls is not None else None
     return await control.start(setup.listen, secure, shared)
--- a/harecross/xds/inside.py
+++ b/harecross/xds/inside.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from harecross.discovery.endpoint_registry import Directory
-from harecross.dispatch.dispatcher import Host, say
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.dispatch.dispatcher import RequestDispatcher, log_line
 from harecross.xds.feed import Feed
 from harecross.xds.press import Press
 from harecross.xds.resources import Encoder
@@ -18,17 +18,17 @@
         self.listen = listen
         self.cluster = cluster
         self.interval_s = interval_s
-        self.control = Control(log=say)
+        self.control = Control(log=log_line)
         self.control.more.append(handler(rows_of(self.control), lambda names: True))
         self.press: Press | None = None
 
-    async def start(self, host: Host, directory: Directory) -> None:
+    async def start(self, host: RequestDispatcher, directory: EndpointRegistry) -> None:
         """OSError if it cannot listen."""
         self.press = press = Press(self.control, Encoder(), self.interval_s)
         press.add(Feed(self.cluster, host, directory, press.changed), host.settings.cross_zone_cost, None)
         press.every_step = self.open_when_known
         await self.control.start(self.listen)
-        say(f"xds: listening on port {self.control.port}, cluster {self.cluster}")
+        log_line(f"xds: listening on port {self.control.port}, cluster {self.cluster}")
         press.start()
 
     def open_when_known(self) -> None:
--- a/harecross/xds/press.py
+++ b/harecross/xds/press.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from harecross.dispatch.dispatcher import guard
-from harecross.platform.clock import clock
+from harecross.dispatch.dispatcher import log_exception
+from harecross.platform.clock import monotonic_us
 from harecross.xds.feed import Feed
 from harecross.xds.fleet import Fleet
 from harecross.xds.publish import Publisher, Told, calls_out
@@ -80,7 +80,7 @@
                     self.every_step()
                 self.step()
             except Exception:
-                guard("control")
+                log_exception("control")
             try:
                 async with asyncio.timeout(max(0.0, next_step - loop.time())):
                     await self.wake.wait()
@@ -95,7 +95,7 @@
                 self.look(name)
         if not self.open:
             return
-        due = self.release.due(clock())
+        due = self.release.due(monotonic_us())
         if due is not None:
             clusters, urgent = due
             self.control.publish(Published(self.encoder, clusters), urgent)
@@ -109,7 +109,7 @@
             each, proxies = self.each[name], self.control.count()
             limit = calls_out(views, own, 2) if each is None else calls_out(views, each, proxies)
             ended = feed.roster.ended
-            told = self.publishers[name].tell(clock(), views, limit, self.prices[name], ended)
+            told = self.publishers[name].tell(monotonic_us(), views, limit, self.prices[name], ended)
         before = self.told.get(name)
         if before is None or not before.same(told):
             self.told[name] = told
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from harecross.dispatch.dispatcher import say
+from harecross.dispatch.dispatcher import log_line
 from harecross.operators import BadFile
 from harecross.xds.access import allowed
 from harecross.xds.config import ControlFile, read_control
@@ -38,7 +38,7 @@
         )
         self.control: Control | Fleet
         if c.workers > 1:
-            self.control = Fleet(c.workers, self.setup, self.loads, say)
+            self.control = Fleet(c.workers, self.setup, self.loads, log_line)
         else:
             self.control = front(self.setup, self.see, self.loads)
         self.press = Press(self.control, encoder(self.setup), c.interval_s)
@@ -78,10 +78,10 @@
             raise BadFile(f"{self.path}: control.listen: {e}") from None
         self.until = loop.time() + self.told.control.wait_s
         self.press.start()
-        say(f"control: listening on port {port}, {len(self.told.clusters)} clusters")
+        log_line(f"control: listening on port {port}, {len(self.told.clusters)} clusters")
         self.ready.set()
         await self.stop.wait()
-        say("control: stopping")
+        log_line("control: stopping")
         self.press.stop()
         for feed in self.press.feeds.values():
             if isinstance(feed, OwnFeed) and feed.sources is not None:
@@ -113,7 +113,7 @@
                         if known
                         else "nothing: proxies keep what they have"
                     )
-                    say(
+                    log_line(
                         f"control: no list of {name} after {self.told.control.wait_s:g} s; it is served {how}"
                     )
         if now >= self.loaded + self.told.control.load_reports_s:
@@ -133,7 +133,7 @@
             found = json.loads(Path(name).read_text())
             return found if isinstance(found, dict) else {}
         except (OSError, ValueError) as e:
-            say(f"control: {name}: remembered lists not read: {e}")
+            log_line(f"control: {name}: remembered lists not read: {e}")
             return {}
 
     def remember(self, now: bool) -> None:
@@ -148,7 +148,7 @@
             fresh.write_text(json.dumps(lists))
             os.replace(fresh, name)
         except OSError as e:
-            say(f"control: {name}: lists not remembered: {e.strerror}")
+            log_line(f"control: {name}: lists not remembered: {e.strerror}")
 
     # ---- reload ---------------------------------------------------------------------------------------
 
@@ -157,7 +157,7 @@
         try:
             told = read_control(self.path)
         except BadFile as e:
-            say(f"control: configuration not changed: {e}")
+            log_line(f"control: configuration not changed: {e}")
             return
         old, later = self.told, []
         if (old.control, old.tls, old.limits) != (told.control, told.tls, told.limits):
@@ -187,7 +187,7 @@
         text = f"control: configuration read again: {len(fresh)} clusters new or changed, {len(gone)} gone"
         if later:
             text += f"; {', '.join(later)} will count from the next start"
-        say(text)
+        log_line(text)
 
 
 def main(path: Path) -> None:
--- a/harecross/xds/worker.py
+++ b/harecross/xds/worker.py
@@ -10,7 +10,7 @@
 from itertools import count
 from typing import Any
 
-from harecross.dispatch.dispatcher import guard
+from harecross.dispatch.dispatcher import log_exception
 from harecross.xds import status
 from harecross.xds.access import allowed
 from harecross.xds.front import encoder, front, listen
@@ -93,7 +93,7 @@
             elif isinstance(message, Rows) and message.number in self.questions:
                 self.questions[message.number].set_result(message.rows)
         except Exception:
-            guard("worker")
+            log_exception("worker")
 
     async def counting(self) -> None:
         last: Streams | None = None
--- a/tests/crossing_support.py
+++ b/tests/crossing_support.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from harecross.upstream.connection_pool import Servers
+from harecross.upstream.connection_pool import ConnectionPool
 from tests.node_support import SETTINGS, Client, World, ids
 
 KINDS = [("/read/1", ""), ("/put/1", "k"), ("/pay/1", "")]  # safe, keyed, unsafe
@@ -20,7 +20,7 @@
 class HeldConnects:
     """Connections to servers that do not come up until `release`."""
 
-    def __init__(self, servers: Servers) -> None:
+    def __init__(self, servers: ConnectionPool) -> None:
         self.real = servers.loop
         self.begun: asyncio.Queue[int] = asyncio.Queue()  # one for each connection that is waited for
         self.up = asyncio.Event()
--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -12,7 +12,7 @@
 
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 from harecross.standins.discovery import chunk, entry, line, update
 from harecross.standins.http import answer, header, listen, read_message
 
@@ -89,7 +89,7 @@
     def __init__(self, head: bytes, body: bytes, writer: asyncio.StreamWriter, link: int) -> None:
         self.head, self.body, self.writer = head, body, writer
         self.link = link  # the number of the connection it came on
-        self.came = clock()
+        self.came = monotonic_us()
         self.gone = asyncio.Event()  # the node has closed the connection
 
     def answer(self, status: int = 200, body: bytes = b"ok", extra: bytes = b"") -> None:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -13,18 +13,25 @@
 
 from harecross.adapter import ASK_AGAIN, Host
 from harecross.discovery import subscription_schedule as schedule
-from harecross.discovery.subscription_schedule import FIRST_WORD, GRACE, Asking, End, State, Terms
+from harecross.discovery.subscription_schedule import (
+    FIRST_WORD,
+    GRACE,
+    CallEnd,
+    DiscoveryTerms,
+    SubscriptionSchedule,
+    SubscriptionState,
+)
 from harecross.fleet.discovery import Desk, Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, bound
 from harecross.fleet.waits import WAITS
 from harecross.node.__main__ import Node
 from harecross.standins.discovery import chunk, entry, line, update
 
-FLEET = Terms(True, 40, 7, 10.0)
+FLEET = DiscoveryTerms(True, 40, 7, 10.0)
 
 
-def subscribed(terms: Terms = FLEET, seed: int = 1) -> Asking:
-    a = Asking(terms, Random(seed))
+def subscribed(terms: DiscoveryTerms = FLEET, seed: int = 1) -> SubscriptionSchedule:
+    a = SubscriptionSchedule(terms, Random(seed))
     a.begin(0.0)
     assert a.next_at == 0.0
     a.calling(0.0)
@@ -37,34 +44,34 @@
 
 
 def test_states_and_how_old_the_list_is():
-    a = Asking(FLEET, Random(1))
-    assert a.state is State.IDLE and a.next_at == inf and a.patience_ends() == inf
+    a = SubscriptionSchedule(FLEET, Random(1))
+    assert a.state is SubscriptionState.IDLE and a.next_at == inf and a.patience_ends() == inf
     a.begin(1.0)
-    assert a.state is State.WAITING
+    assert a.state is SubscriptionState.WAITING
     a.calling(1.0)
-    assert a.state is State.ASKING and a.patience_ends() == 1.0 + schedule.QUEUE
+    assert a.state is SubscriptionState.ASKING and a.patience_ends() == 1.0 + schedule.QUEUE
     a.word(2.9)  # at the last moment of its wait
     a.good()
-    assert a.state is State.SUBSCRIBED and a.waited == pytest.approx(1.9)
+    assert a.state is SubscriptionState.SUBSCRIBED and a.waited == pytest.approx(1.9)
     assert a.patience_ends() == 2.9 + schedule.BEAT and a.binding_at() == 2.9 + schedule.BINDING
     assert not a.overdue(8.8) and a.overdue(9.0)
     a.word(4.0)
     assert not a.overdue(9.0)
     a.stop()
-    a.ended(5.0, End.ENDED)
-    assert a.state is State.IDLE and a.next_at == inf
+    a.ended(5.0, CallEnd.ENDED)
+    assert a.state is SubscriptionState.IDLE and a.next_at == inf
 
 
 def test_a_watch_that_ends_alone_is_asked_for_soon_and_a_silent_one_in_its_turn():
     ended, silent, long = [], [], []
     for number in range(40):
-        for end, waits in ((End.ENDED, ended), (End.SILENT, silent)):
+        for end, waits in ((CallEnd.ENDED, ended), (CallEnd.SILENT, silent)):
             a = subscribed(replace(FLEET, number=number))
             a.ended(10.0, end)
             waits.append(a.next_at - 10.0)
         a = subscribed(replace(FLEET, number=number))
         a.long = schedule.LONG_CALLS
-        a.ended(10.0, End.SILENT)
+        a.ended(10.0, CallEnd.SILENT)
         long.append(a.next_at - 10.0)
     assert max(ended) <= schedule.EARLY + schedule.ALONE
     for waits, length in (
@@ -83,21 +90,21 @@
 def test_the_sum_of_all_waits_is_within_what_is_binding_for_every_place_in_the_round(nodes):
     """A silent watch, at its first, second and third time; a discovery that was down; a move to one that is mute."""
     for number in range(nodes):
-        a = subscribed(Terms(True, nodes, number, 10.0), seed=number)
+        a = subscribed(DiscoveryTerms(True, nodes, number, 10.0), seed=number)
         for _ in range(3):
-            a.ended(10.0, End.SILENT)
+            a.ended(10.0, CallEnd.SILENT)
             assert schedule.BEAT + a.next_at - 10.0 + schedule.ANSWER <= schedule.BINDING + 1e-9
             a.calling(a.next_at)
             a.word(a.asked_at + schedule.ANSWER)
             a.good()
         for _ in range(12):  # down: called in vain for as long as that lasts
             a.calling(20.0)
-            a.ended(20.0, End.FAILED)
+            a.ended(20.0, CallEnd.FAILED)
             assert a.next_at - 20.0 + schedule.QUEUE <= schedule.BINDING
-        moving = Asking(Terms(True, nodes, number, 10.0), Random(number), moving=True)
+        moving = SubscriptionSchedule(DiscoveryTerms(True, nodes, number, 10.0), Random(number), moving=True)
         moving.begin(0.0)
         moving.calling(0.0)
-        moving.ended(moving.patience_ends(), End.FAILED)
+        moving.ended(moving.patience_ends(), CallEnd.FAILED)
         assert moving.next_at + schedule.ANSWER <= schedule.MOVED + 1e-9
 
 
@@ -111,7 +118,7 @@
     ):
         a = subscribed()
         a.calling(10.0)
-        a.ended(10.0 + after, End.FAILED)
+        a.ended(10.0 + after, CallEnd.FAILED)
         assert (a.next_at - 10.0 - after >= schedule.PAUSE) == long
         for still in (long, long, False):
             a.calling(20.0)
@@ -125,12 +132,12 @@
 
 def test_calls_that_fail_pause_and_their_rounds_grow_until_a_list_comes():
     a = subscribed()
-    a.ended(0.0, End.SILENT)
+    a.ended(0.0, CallEnd.SILENT)
     longest, now = [], 0.0
     for _ in range(8):
         now = a.next_at
         a.calling(now)
-        a.ended(now + 2, End.FAILED)
+        a.ended(now + 2, CallEnd.FAILED)
         wait = a.next_at - now - 2
         assert schedule.PAUSE <= wait <= schedule.PAUSE + a.round()
         longest.append(a.round())
@@ -138,7 +145,7 @@
     a.calling(now)
     a.word(now + 1)
     a.good()
-    a.ended(now + 2, End.SILENT)
+    a.ended(now + 2, CallEnd.SILENT)
     assert a.round() == schedule.ROUND
 
 
@@ -148,19 +155,19 @@
     for _ in range(4):
         a.calling(0.0)
         a.word(1.0)
-        a.ended(1.0, End.BROKEN)
+        a.ended(1.0, CallEnd.BROKEN)
         waits.append(a.round())
         assert a.next_at - 1.0 <= schedule.EARLY + (schedule.ALONE if len(waits) < 2 else a.round())
     assert waits[-1] > waits[0] and a.failures == 4
 
 
 def test_an_agent_is_asked_at_once():
-    a = subscribed(Terms())
-    a.ended(1.0, End.SILENT)
+    a = subscribed(DiscoveryTerms())
+    a.ended(1.0, CallEnd.SILENT)
     assert a.next_at == pytest.approx(1.0 + schedule.BACKOFF_FIRST)
     for _ in range(10):
         a.calling(2.0)
-        a.ended(2.0, End.FAILED)
+        a.ended(2.0, CallEnd.FAILED)
     assert a.next_at == pytest.approx(2.0 + schedule.BACKOFF_MOST)
     a.calling(3.0)
     assert a.patience_ends() == 3.0 + schedule.FIRST_WORD
@@ -262,7 +269,7 @@
         writer = await came.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(42)))
-        await until(lambda: a.state is State.SUBSCRIBED)
+        await until(lambda: a.state is SubscriptionState.SUBSCRIBED)
         writer = await came.get()  # the first one has fallen silent
         assert a.failures == 0 and a.calls == 2
         writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -271,7 +278,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(43, entry("s1", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.directory.listed)
-        assert a.failures == 0 and a.state is State.SUBSCRIBED
+        assert a.failures == 0 and a.state is SubscriptionState.SUBSCRIBED
         task.cancel()
 
     run(test())
@@ -281,7 +288,7 @@
     host = Host()
     text = json.dumps({**ENV, "discovery": "ask"}).encode()
     host.batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
-    assert host.asking[3].state is State.ASKING
+    assert host.asking[3].state is SubscriptionState.ASKING
     failed = struct.pack("<BHBII", 7, 3, 3, 0, 0)
     reply = bytes(host.batch(1, failed, 2_000_000))
     assert reply[4] == 69
@@ -295,12 +302,12 @@
 
 def test_an_agent_that_is_silent_or_refuses_for_long_is_asked_again_within_the_grace():
     """What it gets at its return counts as told at once, whether or not a call is out at that moment."""
-    watch = Asking(Terms(), Random(1))
+    watch = SubscriptionSchedule(DiscoveryTerms(), Random(1))
     watch.begin(0.0)
     now = 0.0
-    for end in [End.SILENT, End.FAILED] * 20:
+    for end in [CallEnd.SILENT, CallEnd.FAILED] * 20:
         watch.calling(now)
-        now += FIRST_WORD if end is End.SILENT else 0.0
+        now += FIRST_WORD if end is CallEnd.SILENT else 0.0
         watch.ended(now, end)
         assert watch.next_at - now <= GRACE / 2 + 1e-9, "and half of it is left for the call"
         now = watch.next_at
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from harecross.discovery import start_times
-from harecross.discovery.start_times import LONG_AGO, Births
-from harecross.platform.clock import clock
+from harecross.discovery.start_times import LONG_AGO, StartTimes
+from harecross.platform.clock import monotonic_us
 from tests.node_support import Catalog, World, entry, line, until, with_node
 
 SECOND = 1_000_000
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("off", [-HOUR, -5 * SECOND, 0, 5 * SECOND, HOUR])
 def test_a_process_that_appears_is_no_older_than_the_last_list_without_it_whatever_clocks_say(off):
     """`off`: how far this node's wall clock is ahead."""
-    found = Births(WALL + off)
+    found = StartTimes(WALL + off)
     found.listed_all(100 * SECOND)
     started, now = (WALL + 100 * SECOND + SECOND // 2) // 1000, 101 * SECOND
     ready_at = found.ready_at("s", started, now)
@@ -35,7 +35,7 @@
 
 
 def test_of_the_first_list_the_wall_clock_is_all_there_is_and_nobody_starts_in_the_future():
-    found = Births(WALL)
+    found = StartTimes(WALL)
     assert found.ready_at("warm", 0, 9 * SECOND) == LONG_AGO
     assert found.ready_at("old", WALL // 1000 - 10**9, 9 * SECOND) == 1
     assert found.ready_at("cold", (WALL + 8 * SECOND) // 1000, 9 * SECOND) == 8 * SECOND
@@ -43,8 +43,8 @@
 
 
 def test_what_is_remembered_is_bounded(monkeypatch):
-    monkeypatch.setattr(start_times, "BIRTHS_MOST", 3)
-    found = Births(0)
+    monkeypatch.setattr(start_times, "MAX_START_TIMES", 3)
+    found = StartTimes(0)
     for i in range(50):
         found.ready_at(f"s{i}", i + 1, SECOND)
     assert list(found.known) == ["s47", "s48", "s49"]
@@ -63,7 +63,7 @@
     starts, off
 ):
     """Each start: when after the last list (ms), how much later it is listed, and how far the server's clock is off."""
-    found, now = Births(WALL + off), 0
+    found, now = StartTimes(WALL + off), 0
     for i, (after, lag, server_off) in enumerate(starts):
         found.listed_all(now)
         listed_at = now
@@ -83,13 +83,13 @@
         joins = entry("new", w.origins[1].address, startedAtMs=started)
         Catalog.push(watch, b"")
         await asyncio.sleep(0.05)
-        sighted = clock()
+        sighted = monotonic_us()
         Catalog.push(watch, line(42, joins))
         await until(lambda: "new" in w.node.directory.numbers)
         server = w.node.directory.numbers["new"]
-        (view,) = [v for v in w.node.host.balancer.view(clock()) if v.server == server]
+        (view,) = [v for v in w.node.host.balancer.view(monotonic_us()) if v.server == server]
         assert view.warmth < 0.7, "it has just started"
-        assert sighted - 2 * SECOND <= w.node.directory.listed[server].ready_at <= clock()
+        assert sighted - 2 * SECOND <= w.node.directory.listed[server].ready_at <= monotonic_us()
         # Recalled after a drain, it is the process that it was.
         ready_at = w.node.directory.listed[server].ready_at
         Catalog.push(watch, line(43, {**joins, "lifecycle": "terminating"}))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -22,7 +22,7 @@
     Upload,
     stream_buffer,
 )
-from harecross.http.response_parser import Answer, Reading
+from harecross.http.response_parser import ReadResult, ResponseParser
 from harecross.interface import Outcome
 from harecross.node.__main__ import bodies_part
 from harecross.standins.http import read_body, read_message
@@ -90,16 +90,16 @@
 }
 
 
-def read_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[Reading, bytes, Answer]:
+def read_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[ReadResult, bytes, ResponseParser]:
     """What an answer says of a text that comes in pieces, and of the connection's end."""
-    answer, body, reading = Answer(), b"", Reading.MORE
+    answer, body, reading = ResponseParser(), b"", ReadResult.MORE
     marks = [0, *sorted(cuts), len(text)]
     for a, b in zip(marks, marks[1:], strict=False):
-        if reading == Reading.MORE and b > a:
+        if reading == ReadResult.MORE and b > a:
             reading = answer.feed(text[a:b])
             if answer.streaming:
                 body += answer.take()
-    if reading == Reading.MORE and end:
+    if reading == ReadResult.MORE and end:
         reading = answer.end()
     return reading, body + answer.body, answer
 
@@ -110,14 +110,14 @@
     text = FORMS[form](BIG[:size])
     cuts = data.draw(st.lists(st.integers(1, len(text)), max_size=12))
     reading, body, answer = read_in_pieces(text, cuts, end=True)
-    assert (reading, body) == (Reading.WHOLE, BIG[:size])
+    assert (reading, body) == (ReadResult.WHOLE, BIG[:size])
     assert answer.streaming == (size > (BODY_MOST if form == "length" else 1 << 14))
     short = text[: data.draw(st.integers(0, len(text) - 1))]
     reading, body, _ = read_in_pieces(short, [c for c in cuts if c < len(short)], end=True)
     if form == "close" and b"\r\n\r\n" in short:
-        assert (reading, body) == (Reading.WHOLE, short.partition(b"\r\n\r\n")[2])  # nobody could tell
+        assert (reading, body) == (ReadResult.WHOLE, short.partition(b"\r\n\r\n")[2])  # nobody could tell
     else:
-        assert reading == Reading.SPOILT
+        assert reading == ReadResult.SPOILT
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
     ],
 )
 def test_an_answer_that_cannot_be_passed_on_is_spoilt(text):
-    assert read_in_pieces(text, [], end=True)[0] == Reading.SPOILT
+    assert read_in_pieces(text, [], end=True)[0] == ReadResult.SPOILT
 
 
 # ---- the module ----------------------------------------------------------------------------------------
--- a/tests/test_crossings_left.py
+++ b/tests/test_crossings_left.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns, warm
 from tests.node_support import World, first, until, with_node
 
@@ -181,7 +181,7 @@
             callers.append((moment, caller, name))
             caller.send(f"{path}/{name}", key=key, times=times)
             if moment == "unread":
-                left[name] = clock()
+                left[name] = monotonic_us()
                 caller.leave()
             elif rng.random() < 0.5:
                 await turns(2)
@@ -194,13 +194,13 @@
                 continue
             if moment == "between" and seed % 3 and rng.random() < 0.5:
                 held.release()
-            left[name] = clock()
+            left[name] = monotonic_us()
             caller.leave()
             await turns(rng.randrange(3))
         await asyncio.sleep(0.31)
         held.release()
-        over = clock() + 300_000
-        while clock() < over:
+        over = monotonic_us() + 300_000
+        while monotonic_us() < over:
             for origin in w.origins:
                 while origin.arrived.qsize():
                     at = origin.arrived.get_nowait()
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -61,7 +61,7 @@
 
     async def one(node: Node, came, address: str) -> None:
         await begun(came)
-        await until(lambda: node.discovery.asking.state is subscription_schedule.State.SUBSCRIBED)
+        await until(lambda: node.discovery.asking.state is subscription_schedule.SubscriptionState.SUBSCRIBED)
         silent_since = node.loop.time()
         writer = await came.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
@@ -78,7 +78,7 @@
 
     async def one(node: Node, came, address: str) -> None:
         writer = await begun(came)
-        await until(lambda: node.discovery.asking.state is subscription_schedule.State.SUBSCRIBED)
+        await until(lambda: node.discovery.asking.state is subscription_schedule.SubscriptionState.SUBSCRIBED)
         writer.transport.abort()
         for _ in range(3):  # down: each call is failed at once
             writer = await came.get()
@@ -101,7 +101,7 @@
 
     async def one(node: Node, came, address: str) -> None:
         await begun(came)
-        await until(lambda: node.discovery.asking.state is subscription_schedule.State.SUBSCRIBED)
+        await until(lambda: node.discovery.asking.state is subscription_schedule.SubscriptionState.SUBSCRIBED)
         other, calls = await held_calls()
         moved = node.loop.time()
         assert node.discovery.move(place(other))
@@ -142,7 +142,7 @@
             Catalog.push(watch, line(6, {**entries[0], "lifecycle": "terminating"}))
             await until(lambda: w.node.discovery.current.generation == 6)
             assert list(w.node.directory.listed) == [w.node.directory.numbers["s1"]]
-            assert w.node.discovery.table.state("s0") is process_table.State.DRAINING
+            assert w.node.discovery.table.state("s0") is process_table.ProcessState.DRAINING
         elif then == "it starts again":
             Catalog.push(watch, line(6, {**entries[0], "startedAtMs": 77}))
             await until(lambda: len(w.node.directory.listed) == 2)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -15,7 +15,7 @@
 
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat, ReadDelay, WaitingSocket
-from harecross.platform.clock import clock
+from harecross.platform.clock import monotonic_us
 from harecross.platform.system_errors import AcceptFailure
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
@@ -153,7 +153,7 @@
         listener = Listener(sock, lambda waiting: asyncio.Protocol(), lambda: None, heartbeat)
         assert listener.take() is AcceptFailure.NONE_WAITS and listener.waiting_since is None
         callers = [socket.create_connection(sock.getsockname()) for _ in range(3)]
-        before, came = clock(), []
+        before, came = monotonic_us(), []
         for pause in (0.0, 0.05, 0.1):
             await asyncio.sleep(pause)
             taken = listener.take()
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from harecross.discovery import process_table
-from harecross.discovery.discovery_client import Discovery
-from harecross.discovery.endpoint_registry import Directory
+from harecross.discovery.discovery_client import DiscoveryClient
+from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.list_versions import Verdict, judge
-from harecross.discovery.subscription_schedule import Asking, Terms
+from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
 from harecross.discovery.watch import Watch
-from harecross.platform.descriptor_budget import Room
-from harecross.upstream.connection_pool import Servers
+from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.upstream.connection_pool import ConnectionPool
 from tests.node_support import (
     Catalog,
     Node,
@@ -162,12 +162,12 @@
 # ---- any order of lists, losses and restarts, against what was really told ----------------------------------
 
 
-def watching(discovery: Discovery, generation: int | None) -> Watch:
+def watching(discovery: DiscoveryClient, generation: int | None) -> Watch:
     """A watch that makes no calls: the test tells it what comes."""
     watch = object.__new__(Watch)
     watch.subscriber, watch.address, watch.lineage = discovery, discovery.address, discovery.lineage
     watch.closed, watch.final, watch.generation = False, False, generation
-    watch.asking = Asking(Terms(), Random(1))
+    watch.asking = SubscriptionSchedule(DiscoveryTerms(), Random(1))
     watch.task = SimpleNamespace(cancel=lambda: None)
     return watch
 
@@ -229,9 +229,11 @@
         fleet = Fleet()
         host = SimpleNamespace(server_list=lambda kind, entries: None, trace=None)
 
-        def process(known: dict | None) -> tuple[Directory, Watch]:
-            directory = Directory(host, Servers(1, 1, [], Room(1)), ["here", "there"], ["m1", "m2"])
-            discovery = Discovery(directory, ("d", 1), monotonic=lambda: now)
+        def process(known: dict | None) -> tuple[EndpointRegistry, Watch]:
+            directory = EndpointRegistry(
+                host, ConnectionPool(1, 1, [], DescriptorBudget(1)), ["here", "there"], ["m1", "m2"]
+            )
+            discovery = DiscoveryClient(directory, ("d", 1), monotonic=lambda: now)
             if known is not None:
                 discovery.begin(known)
             discovery.current = watching(discovery, None if known is None else known["generation"])
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,7 @@
 from test_operations import Site, tell, with_site
 
 from harecross.interface import Endpoint, Outcome
-from harecross.node.handover_store import LEARNED_FRESH, Store
+from harecross.node.handover_store import LEARNED_FRESH, HandoverStore
 from harecross.policy.learned_state import learned, recall
 
 MS = 1000
@@ -94,7 +94,7 @@
 
 
 def test_what_was_learned_is_read_only_while_its_process_lives_and_is_fresh(tmp_path, monkeypatch):
-    old, new = Store(str(tmp_path), "n0"), Store(str(tmp_path), "n0")
+    old, new = HandoverStore(str(tmp_path), "n0"), HandoverStore(str(tmp_path), "n0")
     old.live()
     old.write_learned(b"x")
     # Its age is of real time: the wall clock may have been set forward or back by an hour meanwhile.
@@ -112,7 +112,7 @@
     old.write_learned(b"y")
     old.leave()
     assert new.read_learned() is None
-    Store(None, "n0").write_learned(b"z")  # with nowhere to write nothing is written
+    HandoverStore(None, "n0").write_learned(b"z")  # with nowhere to write nothing is written
 
 
 def test_a_node_takes_over_what_the_one_beside_it_has_learned(tmp_path, capfd):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -33,25 +33,25 @@
 )
 
 from harecross.discovery import subscription_schedule
-from harecross.discovery.endpoint_registry import Directory
+from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.dispatch.close_reasons import CloseReason
-from harecross.dispatch.dispatcher import Request
+from harecross.dispatch.dispatcher import DispatchedRequest
 from harecross.downstream import connection_manager
 from harecross.http.request_parser import time_left
-from harecross.http.response_parser import Answer, read_report, report_places
+from harecross.http.response_parser import ResponseParser, read_report, report_places
 from harecross.interface import EndpointState, EndpointUpdateKind, Outcome
 from harecross.node import shutdown_schedule
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
-from harecross.platform.clock import clock
-from harecross.platform.descriptor_budget import Room
+from harecross.platform.clock import monotonic_us
+from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.policy import balancer
 from harecross.policy.balancer import Balancer
 from harecross.policy.controller import GradientController
 from harecross.standins.discovery import chunk
 from harecross.upstream import connection
-from harecross.upstream.connection import Connection
-from harecross.upstream.connection_pool import Servers
+from harecross.upstream.connection import ServerConnection
+from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import Exchange
 
 ROOT = Path(__file__).parent.parent
@@ -257,8 +257,10 @@
     """Its answers piled up in memory without bound."""
     monkeypatch.setattr(connection_manager, "OWED", 300_000)
     full = asyncio.Event()
-    pause = connection_manager.Caller.pause_writing
-    monkeypatch.setattr(connection_manager.Caller, "pause_writing", lambda c: (full.set(), pause(c))[1])
+    pause = connection_manager.ClientConnection.pause_writing
+    monkeypatch.setattr(
+        connection_manager.ClientConnection, "pause_writing", lambda c: (full.set(), pause(c))[1]
+    )
 
     async def test(w: World) -> None:
         sock = socket.socket()
@@ -541,7 +543,7 @@
 
     async def test(w: World) -> None:
         controller = w.node.host.balancer.controller
-        controller.end_pass(clock())
+        controller.end_pass(monotonic_us())
         client = await w.client()
         for i in range(64):
             client.send("/pay/1")
@@ -716,7 +718,7 @@
 
     async def test(w: World) -> None:
         controller = w.node.host.balancer.controller
-        controller.end_pass(clock())
+        controller.end_pass(monotonic_us())
         client = await w.client()
         for how in ("reset", "error"):
             client.send("/pay/1")
@@ -739,7 +741,7 @@
         balancer = w.node.host.balancer
         balancer.each_window = lambda now: None  # the share that leaves the zone stays at nothing
         balancer.spill = 0.0
-        balancer.controller.end_pass(clock())
+        balancer.controller.end_pass(monotonic_us())
         balancer.controller.limit = 12.0
         clients = [await w.client() for _ in range(12)]
         for client in clients:
@@ -885,7 +887,7 @@
 
     async def test() -> None:
         origin = await Origin().start()
-        pool = Servers(20_000_000, 15_000_000, [], Room(10))
+        pool = ConnectionPool(20_000_000, 15_000_000, [], DescriptorBudget(10))
         pool.update(1, origin.address, 0)
         outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
         real = pool.loop.create_connection
@@ -902,7 +904,9 @@
 
         pool.loop = Slow()
         head = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: r\r\n"
-        exchange = Exchange(1, head, b"", clock() + 20_000_000, lambda e, o, *rest: outcomes.put_nowait(o))
+        exchange = Exchange(
+            1, head, b"", monotonic_us() + 20_000_000, lambda e, o, *rest: outcomes.put_nowait(o)
+        )
         pool.send(exchange)
         await begun.wait()
         if what == "drains":
@@ -977,9 +981,9 @@
 
 def test_entries_become_the_module_s():
     async def test() -> None:
-        host, pool = Lists(), Servers(1, 1, [], Room(1))
-        directory = Directory(host, pool, ["here", "there"], ["m1", "m2"])
-        now_ms = (clock() + directory.births.unix_offset) // 1000
+        host, pool = Lists(), ConnectionPool(1, 1, [], DescriptorBudget(1))
+        directory = EndpointRegistry(host, pool, ["here", "there"], ["m1", "m2"])
+        now_ms = (monotonic_us() + directory.births.unix_offset) // 1000
         item = entry("b", "127.0.0.1:1", zone="there", machineType="m2", cell=3, startedAtMs=now_ms - 1000)
         at_2 = entry("c", "127.0.0.1:2")
         item["hostPort"] = "127.0.0.1:3"
@@ -989,7 +993,7 @@
         assert (kind, later) == (EndpointUpdateKind.CACHED, EndpointUpdateKind.CHANGES)
         assert (a.ready_at, b.cell, b.zone, b.machine_type) == (0, 3, 1, 1)
         assert b == b2 and c.state == EndpointState.DRAINING  # the same number and start in every list
-        assert abs(clock() - b.ready_at) < 60_000_000
+        assert abs(monotonic_us() - b.ready_at) < 60_000_000
         # A line on a server that goes holds even where the rest of it is missing.
         directory.apply(update(3, {"instanceId": "a", "lifecycle": "terminated"}))
         assert host.got[-1][1][0].state == EndpointState.GONE and a.server not in pool.targets
@@ -1049,7 +1053,7 @@
                 for target in w.node.servers.targets.values():
                     w.node.servers.close_idle(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
-            kinds = (Answer, connection_manager.Caller, Connection, Request)
+            kinds = (ResponseParser, connection_manager.ClientConnection, ServerConnection, DispatchedRequest)
             assert not [o for o in gc.get_objects() if isinstance(o, kinds)]
         finally:
             gc.enable()
@@ -1191,13 +1195,13 @@
         first = await origin.arrived.get()
         w.node.stop.set()
         assert await idle.reader.read() == b""  # answers take longer than is left: it goes at once
-        while clock() < w.node.host.late_from:
+        while monotonic_us() < w.node.host.late_from:
             await asyncio.sleep(0.01)
         late.send()
         second = await origin.arrived.get()
         status, head, _ = await late.answer()  # its server has said nothing
         assert status in (502, 503) and b"Connection: close" in head
-        assert clock() < w.node.host.latest + 200_000
+        assert monotonic_us() < w.node.host.latest + 200_000
         await second.gone.wait()
         first.answer(body=b"came early")  # what came before does not count as lost, and is still served
         assert (await early.answer())[2] == b"came early"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -23,8 +23,8 @@
 from harecross.node import admin_server
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
-from harecross.node.handover_store import Store
-from harecross.node.maintenance import Held, difference, from_json
+from harecross.node.handover_store import HandoverStore
+from harecross.node.maintenance import MaintenanceState, difference, from_json
 from harecross.platform import durable_file
 from harecross.standins.http import read_message
 
@@ -35,13 +35,13 @@
 
 
 def test_taken_out_twice_and_put_back_once_is_in_use():
-    held = Held().enter("a").enter("a").exit("a")
-    assert held == Held() and held.exit("a") == Held()
+    held = MaintenanceState().enter("a").enter("a").exit("a")
+    assert held == MaintenanceState() and held.exit("a") == MaintenanceState()
 
 
 @given(st.frozensets(st.text(max_size=8)), st.booleans(), st.data())
 def test_what_is_written_is_read_and_a_cut_file_is_not(out, standby, data):
-    held = Held(out, standby)
+    held = MaintenanceState(out, standby)
     text = held.to_json()
     assert from_json(text) == held
     with pytest.raises(ValueError):
@@ -58,17 +58,17 @@
 
 
 def test_a_store_outlives_its_process_and_two_do_not_undo_each_other(tmp_path):
-    one, two = Store(str(tmp_path), "n/0"), Store(str(tmp_path), "n/0")
+    one, two = HandoverStore(str(tmp_path), "n/0"), HandoverStore(str(tmp_path), "n/0")
     one.change(lambda held: held.enter("a"))
     two.change(lambda held: held.enter("b").stand(True))
     one.change(lambda held: held.exit("a"))
     assert not one.look() and two.look()
-    assert one.held == two.held == Held(frozenset("b"), True)
-    assert Store(str(tmp_path), "other").look() is False
+    assert one.held == two.held == MaintenanceState(frozenset("b"), True)
+    assert HandoverStore(str(tmp_path), "other").look() is False
 
 
 def test_a_spoilt_file_changes_nothing(tmp_path, capfd):
-    store = Store(str(tmp_path), "n0")
+    store = HandoverStore(str(tmp_path), "n0")
     store.change(lambda held: held.enter("a"))
     assert store.path is not None
     for bad in (b"", b"[]", b'{"out": 1, "standby": false}', b'{"out": [], "standby": 1}'):
@@ -83,7 +83,7 @@
         "import sys, time; from harecross.node.handover_store import Store; "
         "s = Store(sys.argv[1], 'n0'); s.live(); print('lives', flush=True); time.sleep(60)"
     )
-    store = Store(str(tmp_path), "n0")
+    store = HandoverStore(str(tmp_path), "n0")
     store.live()
     assert store.others() == 0
     other = subprocess.Popen(
@@ -92,7 +92,7 @@
     try:
         assert other.stdout is not None and other.stdout.readline() == "lives\n"
         assert store.others() == 1
-        assert Store(str(tmp_path), "n1").others() == 0
+        assert HandoverStore(str(tmp_path), "n1").others() == 0
     finally:
         other.kill()
         other.wait()
@@ -108,7 +108,7 @@
 def test_a_change_that_cannot_be_written_is_not_promised_and_leaves_the_old_state(
     call, error, tmp_path, monkeypatch
 ):
-    store = Store(str(tmp_path), "n0")
+    store = HandoverStore(str(tmp_path), "n0")
     store.change(lambda held: held.enter("a"))
     written = []
 
@@ -124,7 +124,7 @@
         store.change(lambda held: held.enter("b"))
     monkeypatch.undo()
     assert written and store.held.out == {"a"} and not store.look()
-    after = Store(str(tmp_path), "n0")
+    after = HandoverStore(str(tmp_path), "n0")
     assert after.look() and after.held.out == {"a"}
     assert not list(tmp_path.glob("*.new")), "it takes no space for the next try"
     store.change(lambda held: held.enter("b"))
@@ -145,11 +145,11 @@
         "setattr(os, name, kill)\n"
         "store.change(lambda held: held.enter('b'))\n"
     )
-    Store(str(tmp_path), "n0").change(lambda held: held.enter("a"))
+    HandoverStore(str(tmp_path), "n0").change(lambda held: held.enter("a"))
     for call, how in (("write", "half"), ("write", ""), ("fsync", ""), ("replace", "")):
         command = [sys.executable, "-c", script, str(tmp_path), call, how]
         assert subprocess.run(command, cwd=ROOT).returncode == -signal.SIGKILL
-        store = Store(str(tmp_path), "n0")
+        store = HandoverStore(str(tmp_path), "n0")
         assert store.look() and store.held.out == {"a"}
     store.change(lambda held: held.enter("c"))
     assert store.held.out == {"a", "c"}
@@ -313,7 +313,7 @@
             assert (await tell(node, "/maintenance/enter", "s0", "GET"))[0] == 405
             assert (await tell(node, "/nothing"))[0] == 404
             assert (await tell(node, "/status"))[0] == 200
-            assert node.operations.store.held == Held()
+            assert node.operations.store.held == MaintenanceState()
             reader, writer = await asyncio.open_connection(*node.operations.door.address)
             writer.write(b"\x16\x03\x01 noise\r\n\r\n")
             assert (await reader.read()).startswith(b"HTTP/1.1 400")
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -9,11 +9,11 @@
 from harecross.discovery import process_table
 from harecross.discovery.process_table import (
     FIRST_LIST_SETTLES,
-    Cause,
     Lifecycle,
+    ProcessState,
     ProcessTable,
     Source,
-    State,
+    TransitionCause,
 )
 from tests.node_support import entry, update
 
@@ -28,21 +28,21 @@
 # Rows of the module's table: what the new discovery says, what the old one said (lifecycle and start), the state, and
 # the start of the process that is used.
 ROWS = [
-    (None, ("in_service", 5), State.GONE, None),
-    (None, ("terminating", 5), State.GONE, None),
-    ("terminating", ("in_service", 5), State.DRAINING, None),
-    ("terminating", ("in_service", 9), State.DRAINING, None),
-    ("terminated", ("in_service", 5), State.GONE, None),
-    ("in_service", None, State.IN_SERVICE, 5),
-    ("in_service", ("in_service", 5), State.IN_SERVICE, 5),
-    ("in_service", ("in_service", 4), State.IN_SERVICE, 5),
-    ("in_service", ("terminating", 4), State.IN_SERVICE, 5),
-    ("in_service", ("terminated", 4), State.IN_SERVICE, 5),
-    ("in_service", ("terminating", 5), State.HELD, None),
-    ("in_service", ("a state never heard of", 5), State.HELD, None),
-    ("in_service", ("terminated", 5), State.HELD, None),
-    ("in_service", ("terminating", 6), State.HELD, None),
-    ("in_service", ("in_service", 6), State.IN_SERVICE, 6),
+    (None, ("in_service", 5), ProcessState.GONE, None),
+    (None, ("terminating", 5), ProcessState.GONE, None),
+    ("terminating", ("in_service", 5), ProcessState.DRAINING, None),
+    ("terminating", ("in_service", 9), ProcessState.DRAINING, None),
+    ("terminated", ("in_service", 5), ProcessState.GONE, None),
+    ("in_service", None, ProcessState.IN_SERVICE, 5),
+    ("in_service", ("in_service", 5), ProcessState.IN_SERVICE, 5),
+    ("in_service", ("in_service", 4), ProcessState.IN_SERVICE, 5),
+    ("in_service", ("terminating", 4), ProcessState.IN_SERVICE, 5),
+    ("in_service", ("terminated", 4), ProcessState.IN_SERVICE, 5),
+    ("in_service", ("terminating", 5), ProcessState.HELD, None),
+    ("in_service", ("a state never heard of", 5), ProcessState.HELD, None),
+    ("in_service", ("terminated", 5), ProcessState.HELD, None),
+    ("in_service", ("terminating", 6), ProcessState.HELD, None),
+    ("in_service", ("in_service", 6), ProcessState.IN_SERVICE, 6),
 ]
 
 
@@ -68,8 +68,8 @@
         assert late.state("s") is state
     # And nothing of it is left once the new one has caught up.
     used = table.spoke(AFTER, NEW).update["instances"]
-    assert table.state("s") is (State.IN_SERVICE if present == "in_service" else state)
-    if state is State.HELD or (started or 5) > 5:
+    assert table.state("s") is (ProcessState.IN_SERVICE if present == "in_service" else state)
+    if state is ProcessState.HELD or (started or 5) > 5:
         assert used_start(used) == 5
     assert not table.carried and not table.spoke(AFTER + 1, NEW).update["instances"]
 
@@ -82,12 +82,16 @@
     table.receive(0.0, OLD, told("terminating"), whole=True)
     table.receive(first_list, new, told("in_service"), whole=True)
     ends = max(behind_until, first_list + FIRST_LIST_SETTLES)
-    assert not table.spoke(ends - 0.01, new).update["instances"] and table.state("s") is State.HELD
-    assert not table.spoke(ends + 60, OLD).update["instances"] and table.state("s") is State.HELD
+    assert not table.spoke(ends - 0.01, new).update["instances"] and table.state("s") is ProcessState.HELD
+    assert not table.spoke(ends + 60, OLD).update["instances"] and table.state("s") is ProcessState.HELD
     outcome = table.spoke(ends, new)
-    assert used_start(outcome.update["instances"]) == 5 and table.state("s") is State.IN_SERVICE
+    assert used_start(outcome.update["instances"]) == 5 and table.state("s") is ProcessState.IN_SERVICE
     (change,) = outcome.transitions
-    assert (change.before, change.after, change.cause) == (State.HELD, State.IN_SERVICE, Cause.CAUGHT_UP)
+    assert (change.before, change.after, change.cause) == (
+        ProcessState.HELD,
+        ProcessState.IN_SERVICE,
+        TransitionCause.CAUGHT_UP,
+    )
     assert change.statement.at == first_list and change.statement.source == new
 
 
@@ -100,7 +104,7 @@
     table.receive(1.2, middle, told("terminating"), whole=False)
     table.receive(2.0, last, told("in_service"), whole=True)
     assert not table.receive(2.1, OLD, told("in_service"), whole=False).update["instances"]
-    assert table.state("s") is State.HELD
+    assert table.state("s") is ProcessState.HELD
     assert used_start(table.receive(2.2, middle, told("in_service"), whole=False).update["instances"]) == 5
 
 
@@ -109,12 +113,14 @@
     table.receive(0.0, OLD, told("in_service"), whole=True)
     table.receive(0.5, OLD, update(2), whole=True)
     table.receive(1.0, NEW, told("in_service"), whole=True)
-    assert table.state("s") is State.HELD
+    assert table.state("s") is ProcessState.HELD
     late = ProcessTable(OLD)
     late.receive(0.0, OLD, told("in_service"), whole=True)
     late.receive(1.0, NEW, told("in_service"), whole=True)
     outcome = late.receive(1.2, OLD, update(2, reset=True), whole=False)
-    assert late.state("s") is State.HELD and outcome.update["instances"][0]["lifecycle"] == "terminating"
+    assert (
+        late.state("s") is ProcessState.HELD and outcome.update["instances"][0]["lifecycle"] == "terminating"
+    )
 
 
 def test_a_line_that_names_only_the_server_and_its_drain_is_about_the_process_that_is_known():
@@ -122,7 +128,7 @@
     table.receive(0.0, OLD, told("in_service"), whole=True)
     table.receive(0.1, OLD, update(2, {"instanceId": "s", "lifecycle": "terminating"}), whole=False)
     table.receive(1.0, NEW, told("in_service"), whole=True)
-    assert table.state("s") is State.HELD
+    assert table.state("s") is ProcessState.HELD
 
 
 def test_records_of_servers_gone_and_of_moves_in_a_row_are_bounded(monkeypatch):
@@ -130,12 +136,12 @@
     table = ProcessTable(OLD)
     for i in range(50):
         table.receive(0.0, OLD, update(i, entry(f"s{i}", "h:1", "terminated")), whole=False)
-    assert len(table.words) == 3 and table.state("s49") is State.GONE
+    assert len(table.words) == 3 and table.state("s49") is ProcessState.GONE
     table.receive(0.0, OLD, told("terminating"), whole=False)
     for number in range(1, 50):
         source = Source(f"d{number}:1", number, 100.0)
         table.receive(float(number), source, told("in_service"), whole=True)
-        assert table.state("s") is State.HELD
+        assert table.state("s") is ProcessState.HELD
     assert len(table.carried["s"]) <= process_table.CARRIED_MOST
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,14 +10,14 @@
 from node_support import Client, until, with_node
 
 from harecross.downstream import connection_manager
-from harecross.platform.descriptor_budget import Room
+from harecross.platform.descriptor_budget import DescriptorBudget
 
 HALF = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: r"
 
 
 @given(st.integers(16, 2000), st.lists(st.sampled_from(["caller", "server", "gone", "done"]), max_size=400))
 def test_no_side_takes_the_others_least_part_and_both_keep_within_the_whole(total, steps):
-    room = Room(total)
+    room = DescriptorBudget(total)
     for step in steps:
         if step == "caller" and room.caller_fits():
             room.callers += 1
