--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -6,8 +6,8 @@
 import pytest
 
 from harecross.discovery import readiness
-from harecross.discovery.readiness import ASKED_MOST, PUSHED_MOST, Standing, Word, longest_wait
-from harecross.discovery.subscription_schedule import Asking, End, Terms
+from harecross.discovery.readiness import ASKED_MOST, PUSHED_MOST, Freshness, ListReadiness, longest_wait
+from harecross.discovery.subscription_schedule import CallEnd, DiscoveryTerms, SubscriptionSchedule
 from harecross.fleet import rehearsal
 from harecross.fleet.discovery import Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, Result
@@ -140,7 +140,7 @@
         client.send()
         (await first(s.a, s.b)).answer()
         assert (await client.answer())[0] == 200
-        assert s.node.standing.word(0.0, s.node.discovery.asking) is Word.KNOWN
+        assert s.node.standing.word(0.0, s.node.discovery.asking) is Freshness.KNOWN
 
     starting(test)
 
@@ -211,23 +211,23 @@
 
 
 def test_the_states_of_a_list():
-    asking, s = Asking(Terms(), Random(1)), Standing(100.0, 6.0)
-    assert s.word(100.0, asking) is Word.NONE and not s.may_send(100.0)
+    asking, s = SubscriptionSchedule(DiscoveryTerms(), Random(1)), ListReadiness(100.0, 6.0)
+    assert s.word(100.0, asking) is Freshness.NONE and not s.may_send(100.0)
     s.remembered()
-    assert s.word(100.0, asking) is Word.KNOWN and not s.may_send(105.9)
+    assert s.word(100.0, asking) is Freshness.KNOWN and not s.may_send(105.9)
     asking.begin(100.0)
     asking.calling(100.0)
     asking.word(100.1)
     s.told()
     assert s.may_send(100.1)
-    assert s.word(102.5, asking) is Word.CURRENT
-    assert s.word(102.7, asking) is Word.STALE
-    assert s.word(106.2, asking) is Word.BINDING
+    assert s.word(102.5, asking) is Freshness.CURRENT
+    assert s.word(102.7, asking) is Freshness.STALE
+    assert s.word(106.2, asking) is Freshness.BINDING
     assert s.may_send(106.2), "once heard, a list serves on"
 
 
 def test_a_wait_ends_by_itself():
-    s = Standing(100.0, 6.0)
+    s = ListReadiness(100.0, 6.0)
     s.remembered()
     assert not s.may_send(105.99) and s.may_send(106.0)
     assert s.may_send(100.0), "and does not begin again"
@@ -236,15 +236,15 @@
 @pytest.mark.parametrize("number", [0, 40, 229])
 def test_the_longest_wait_holds_a_failed_first_call_and_the_second(number):
     """Arithmetic: a call that discovery fails after its longest time, the pause, any place, the next answer."""
-    asking = Asking(Terms(asked=True, nodes=230, number=number), Random(1))
+    asking = SubscriptionSchedule(DiscoveryTerms(asked=True, nodes=230, number=number), Random(1))
     asking.begin(0.0)
     asking.calling(0.0)
-    asking.ended(asking.patience_ends(), End.FAILED)
+    asking.ended(asking.patience_ends(), CallEnd.FAILED)
     asking.calling(asking.next_at)
     assert asking.patience_ends() <= ASKED_MOST
-    assert longest_wait(Terms(asked=True)) == ASKED_MOST < 30.0, "clients come after 30 s"
-    assert longest_wait(Terms()) == PUSHED_MOST
-    assert longest_wait(Terms(), beside=True) < 2.0, "a new process is to say yes in time"
+    assert longest_wait(DiscoveryTerms(asked=True)) == ASKED_MOST < 30.0, "clients come after 30 s"
+    assert longest_wait(DiscoveryTerms()) == PUSHED_MOST
+    assert longest_wait(DiscoveryTerms(), beside=True) < 2.0, "a new process is to say yes in time"
 
 
 # ---- a herd's start, on the model ---------------------------------------------------------------------------
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -13,8 +13,8 @@
 from harecross.discovery import subscription_schedule
 from harecross.discovery import watch as watch_module
 from harecross.discovery.json_stream import BLANK_LINE, VALUE_MOST, BadValue, Values
-from harecross.discovery.subscription_schedule import Asking, Terms
-from harecross.discovery.watch import Stream
+from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
+from harecross.discovery.watch import DiscoveryCall
 from tests.node_support import STARTED, World, entry, run, update, with_node
 
 UPDATES = st.lists(
@@ -182,7 +182,7 @@
     async def test() -> None:
         told = []
         watch = SimpleNamespace(told=lambda value, first: told.append(value), unchanged=lambda: None)
-        stream = Stream(watch, b"/", Asking(Terms(), Random(1)), own=True)
+        stream = DiscoveryCall(watch, b"/", SubscriptionSchedule(DiscoveryTerms(), Random(1)), own=True)
         stream.parser.feed_data(STARTED)
         text = b"".join(json.dumps(update(n)).encode() + b"\n" for n in range(100, 150))
         piece, now = len(text) // 50, 0.0
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from harecross.decide import Balancer
-from harecross.discovery.listed_endpoints import Roster
+from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.interface import (
     ClassSettings,
     Endpoint,
@@ -209,7 +209,7 @@
 
 
 def test_a_roster_keeps_drains_and_drops_what_is_gone():
-    r = Roster()
+    r = ListedEndpoints()
     r.apply({"instances": [line("a"), line("b")]}, full=True, cached=False)
     r.apply({"instances": [{"instanceId": "a", "lifecycle": "terminating"}]}, full=False, cached=False)
     assert r.lines["a"]["hostPort"] == "127.0.0.1:1" and r.lines["a"]["lifecycle"] == "terminating"
@@ -224,12 +224,12 @@
 
 
 def test_a_remembered_list_counts_as_old_and_an_empty_one_as_nothing():
-    r = Roster()
+    r = ListedEndpoints()
     r.apply({"instances": [line("a")]}, full=True, cached=False)
-    again = Roster()
+    again = ListedEndpoints()
     again.apply(r.memory(), full=True, cached=True)
     assert again.known() and not again.whole and again.lines == r.lines
-    empty = Roster()
+    empty = ListedEndpoints()
     empty.apply({"instances": []}, full=True, cached=True)
     assert not empty.known()
 
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -8,7 +8,7 @@
 from node_support import entry, update
 
 from harecross.discovery import listed_endpoints
-from harecross.discovery.listed_endpoints import Roster
+from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.xds.publish import HOLD, Health, Publisher, ServerView, urgent
 
 
@@ -71,7 +71,7 @@
 
 
 def test_a_roster_knows_whom_discovery_has_said_to_be_gone_until_it_lists_them_again(monkeypatch):
-    roster = Roster()
+    roster = ListedEndpoints()
     roster.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
     roster.apply(update(2, entry("a", "h:1", "terminated")), full=False, cached=False)
     roster.apply(update(3, entry("b", "h:2"), reset=True), full=True, cached=False)
