--- /dev/null
+++ b/tests/stored_states.py
@@ -0,0 +1,321 @@
+"""The states behind the files in `tests/data/`, written by the program's own writers at fixed times.
+
+`tests/test_stored_data.py` writes them again and compares the bytes with the files, which were written before names in
+the code changed. The files stay as they are: one that has to be written anew is a change of a stored form.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+from support import balancer
+
+from harecross.core.closings import CloseReason, Closing
+from harecross.core.exchange import Target
+from harecross.core.host import Attempt, Request
+from harecross.core.memory import learned
+from harecross.core.process_table import Cause, Lifecycle, Source, State, Statement, Transition
+from harecross.core.requests import Message
+from harecross.dns.srv import Endpoint, Found
+from harecross.follow.attempts import AttemptLog
+from harecross.interface import FinalReason, ListKind, Outcome, ServerEntry
+from harecross.node.store import Store as NodeStore
+from harecross.policy.balancer import Balancer
+from harecross.shifts.controller import Controller
+from harecross.shifts.judge import Try
+from harecross.shifts.plan import read_plan
+from harecross.soak import __main__ as soak_main
+from harecross.soak.oracle import Breach, Oracle
+from harecross.soak.plan import Plan
+from harecross.soak.records import (
+    Change,
+    ClientRecord,
+    Effect,
+    End,
+    Ran,
+    Records,
+    ServerRecord,
+    SignalRecord,
+    ToldRecord,
+)
+from harecross.sources.keep import Kept
+from harecross.sources.keep import write as write_kept
+from harecross.store.store import Store
+from harecross.xds.config import ClusterTable, ControlFile, ControlTable
+from harecross.xds.service import Service
+
+ROOT = Path(__file__).parent.parent
+WALL = 1_700_000_000.0  # Unix seconds: the time of the first thing in each file
+MONOTONIC_NS = 86_400_000_000_000  # of the file with what was learned
+SERVER_NAMES = {"s1": 1, "s2": 2, "s3": 3, "s4": 4}
+SERVERS = [ServerEntry(number, zone=number % 2) for number in SERVER_NAMES.values()]
+
+
+# ---- the store's file -----------------------------------------------------------------------------------
+
+
+def write_store(path: Path, keep: int | None = None) -> None:
+    """Documents of two kinds with their records, and leases; compacted to `keep` records where that is given."""
+    store = Store(str(path))
+    first = store.lease("shift/orders", "controller-a", WALL, 10.0)
+    assert first is not None
+    store.put("shift", "orders", {"state": "running", "step": 0}, WALL + 1, [{"why": "started"}], first)
+    store.put(
+        "shift", "orders", {"state": "running", "step": 1}, WALL + 2, [{"why": "one"}, {"why": "two"}], first
+    )
+    store.put("note", "café", {"text": "naïve", "figures": [1, 2.5, None, True]}, WALL + 3.25)
+    store.lease("shift/orders", "controller-b", WALL + 20, 10.0)
+    store.lease("shift/meters", "controller-a", WALL + 21, 30.5)
+    if keep is not None:
+        store.compact(keep)
+    store.close()
+
+
+# ---- a shift --------------------------------------------------------------------------------------------
+
+
+def shift_controller(store: Store, holder: str = "controller-a") -> Controller:
+    plan = read_plan(ROOT / "deploy" / "shift.toml")
+    return Controller(plan, ("read",), store, holder, lambda token, share: None, 0.0)
+
+
+def write_shift(path: Path) -> None:
+    """A shift that was started, saw some harm, was paused by an operator and resumed."""
+    store = Store(str(path))
+    controller = shift_controller(store)
+    controller.order(0.0, WALL, "start")
+    for second in range(1, 5):
+        tries = [
+            Try(unit, "read", unit >= 20, 0.05, failed=unit == 20 + second, late=unit == second)
+            for unit in range(30)
+        ]
+        controller.step(float(second), WALL + second, tries, (5, 5), 0)
+    controller.order(5.0, WALL + 5, "pause")
+    controller.order(6.0, WALL + 6, "resume")
+    store.close()
+
+
+# ---- what one node process leaves to the next -----------------------------------------------------------
+
+
+def write_held(folder: Path) -> None:
+    """The file of the node `n/0`; "/" may not stand in a file's name."""
+    NodeStore(str(folder), "n/0").change(lambda held: held.enter("s2").enter("s1").stand(True))
+
+
+def learned_balancer() -> Balancer:
+    """One that has measured its servers, has ejected one and cut off a zone; all figures are set here."""
+    node, _ = balancer(SERVERS)
+    node.controller.end_pass(1)
+    node.controller.limit, node.controller.usual = 24.5, 18.25
+    node.controller.min_rtt, node.controller.target = [900.0, 1100.5, 1300.0], [2500.0, 2600.0, 2700.0]
+    node.mean_rtt, node.deviation, node.warm_rate = [1500.0, 1600.0, 1700.0], [125.0, 150.5, 175.0], 7.5
+    for server, slowness, fail_rate in ((1, 1.25, 0.0), (2, 0.75, 0.125), (4, 2.5, 0.625)):
+        node.servers[server].calls = 10
+        node.servers[server].slowness, node.servers[server].fail_rate = slowness, fail_rate
+    node.eject(1, node.servers[4], silent=False)
+    zone = node.zones[1]
+    zone.cut = True
+    node.cut.append(zone)
+    return node
+
+
+def write_learned(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    text = learned(learned_balancer(), SERVER_NAMES)
+    assert text is not None
+    with monkeypatch.context() as patch:
+        patch.setattr(time, "monotonic_ns", lambda: MONOTONIC_NS)
+        NodeStore(str(folder), "n/0").write_learned(text)
+
+
+# ---- kept DNS sets --------------------------------------------------------------------------------------
+
+KEPT_SETS = {
+    "_readings._tcp.site3.example.org": Kept(
+        Found(
+            (
+                Endpoint(0, "a.site3.example.org", "10.3.0.1", 8081, 10),
+                Endpoint(1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
+            ),
+            30.0,
+        ),
+        WALL,
+        WALL + 30.5,
+    ),
+    "_empty._tcp.example.org": Kept(Found((), 60.0), WALL + 1, WALL + 61),
+}
+
+
+def write_kept_sets(path: Path) -> None:
+    write_kept(str(path), KEPT_SETS)
+
+
+# ---- an attempt log -------------------------------------------------------------------------------------
+
+
+class NoAnswers:
+    """In place of the caller of a request."""
+
+
+def request(name: str, klass: int = 0) -> Request:
+    message = Message(
+        id=name.encode(),
+        klass=klass,
+        tenant=0,
+        repeat=False,
+        time_left=2_000_000,
+        head=b"GET /read/%s HTTP/1.1\r\n" % name.encode(),
+        body=b"",
+        came=0,
+        keep=True,
+    )
+    return Request(1, NoAnswers(), message, 2_000_000)  # type: ignore[arg-type]
+
+
+def attempt(of: Request, number: int, server: int) -> Attempt:
+    made = Attempt(server, b"", b"", 2_000_000, lambda *ended: None)
+    made.request, made.number = of, number
+    made.target = Target(server, f"10.2.0.{server}", 8080 + server, 0)
+    return made
+
+
+def transition(before: State, after: State, cause: Cause, lifecycle: Lifecycle) -> Transition:
+    said = Statement(lifecycle, Source("10.2.0.1:8500", 1), 97.5, 42, 1_699_999_000_000, {})
+    return Transition("s1", before, after, cause, said)
+
+
+def every_second(first: float) -> Iterator[int]:
+    """Times in Unix nanoseconds, a second apart."""
+    now = int(first) * 1_000_000_000
+    while True:
+        yield now
+        now += 1_000_000_000
+
+
+def write_attempt_log(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each event that the program writes, with and without the fields that not every line has."""
+    times = every_second(WALL)
+    with monkeypatch.context() as patch:
+        patch.setattr(time, "time_ns", lambda: next(times))
+        log = AttemptLog("n3", str(path), SERVER_NAMES)  # start
+        log.listed(ListKind.CACHED, 41, ["s2", "s1"], [])
+        good = request("good-1")
+        log.taken(good, 0)
+        kept = attempt(good, 0, 1)
+        log.sent(kept)
+        log.written(kept, fresh=False, whole=True)
+        log.ended(kept, Outcome.OK, [0.5, 3.0])
+        log.final(good, "served")
+        log.closed(Closing("client", "", CloseReason.LAST_ANSWER))
+        log.changed(transition(State.IN_SERVICE, State.DRAINING, Cause.SAID, Lifecycle.DRAINING), now=100.0)
+        log.listed(ListKind.CHANGES, 42, [], ["s1"])
+        late = request("late-1", klass=2)
+        log.taken(late, 500_000)
+        first = attempt(late, 0, 2)
+        log.sent(first)
+        log.written(first, fresh=True, whole=False)
+        log.ended(first, Outcome.REJECTED, [])
+        late.last_outcome = Outcome.REJECTED
+        second = attempt(late, 1, 1)
+        log.sent(second)
+        log.written(second, fresh=True, whole=True)
+        log.closed(Closing("server", "10.2.0.1:8081", CloseReason.GIVEN_UP, "late-1"))
+        log.ended(second, Outcome.TIMEOUT, [])
+        log.final(late, "failed", FinalReason.MAY_HAVE_RUN)
+        unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
+        unknown.target = None
+        unknown.host = NoServers()  # type: ignore[assignment]
+        log.ended(unknown, Outcome.CANCELLED, [])
+        log.stream.close()
+
+
+class NoServers:
+    """In place of an attempt's host: it knows no addresses."""
+
+    class servers:
+        targets: dict[int, Target] = {}
+
+
+# ---- the control service's remembered lists -------------------------------------------------------------
+
+CONTROL_LIST = {
+    "reset": True,
+    "generation": 41,
+    "instances": [
+        {
+            "instanceId": "s1",
+            "hostPort": "10.2.0.1:8081",
+            "lifecycle": "in_service",
+            "zone": "here",
+            "startedAtMs": 1_699_999_000_000,
+        },
+        {"instanceId": "s2", "hostPort": "10.2.0.2:8082", "lifecycle": "terminating"},
+        {"instanceId": "s3", "lifecycle": "terminated"},
+    ],
+}
+
+
+def control_service(path: Path) -> Service:
+    """A control service that remembers its lists in the file. Its one discovery is not there."""
+    table = ControlTable(remember=str(path))
+    return Service(path, ControlFile({"orders": ClusterTable(discovery="127.0.0.1:1")}, table))
+
+
+async def stop_control(service: Service) -> None:
+    for feed in service.press.feeds.values():
+        feed.close()
+    await asyncio.sleep(0)
+
+
+def write_control_lists(path: Path) -> None:
+    async def body() -> None:
+        service = control_service(path)
+        service.begin("orders")
+        service.press.feeds["orders"].heard(CONTROL_LIST, True, False)
+        service.remember(True)
+        await stop_control(service)
+
+    asyncio.run(body())
+
+
+# ---- the report of a failed seed of the soak ------------------------------------------------------------
+
+SEED = 7
+
+
+def soak_records() -> Records:
+    """A request that ran twice, and a drain that was told between."""
+    records = Records()
+    client = ClientRecord("one", "n0", Effect.UNSAFE, 100.5, 2.0, True, End.ANSWERED, 200, 101.25)
+    records.clients["one"] = client
+    records.servers += [
+        ServerRecord("one", "s0", 100.6, 100.625, 1.75, Ran.RESET, 100.7),
+        ServerRecord("one", "s1", 100.8, 100.825, 1.5, Ran.OK, 101.2),
+    ]
+    records.changes += [
+        Change(100.0, "s0", "in_service", 0),
+        Change(100.0, "s1", "in_service", 0),
+        Change(100.65, "s0", "terminating", 0),
+    ]
+    records.told.append(ToldRecord("n0", 2, 100.75, "written by 10.0.0.1:8500"))
+    records.signals.append(SignalRecord("n0", 100.25, "held 0.050 s"))
+    records.logs["n0"] = ["harecross: listening on 127.0.0.1:8081"]
+    records.lag = 0.004
+    return records
+
+
+def write_soak_report(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def played(plan: Plan, shim: Path | None) -> tuple[Records, list[Breach]]:
+        records = soak_records()
+        return records, Oracle(records).breaches()
+
+    with monkeypatch.context() as patch:
+        patch.setattr(soak_main, "soak", played)
+        patch.setattr(time, "strftime", lambda form: "20231114T221320")
+        broken, _, lines = soak_main.play(SEED, 8.0, 1, None)
+        assert broken > 0
+        soak_main.keep_report(folder, SEED, lines)
--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,873 @@
+"""Stored data of earlier programs: each file in `tests/data/` is read as it was, and written again byte for byte.
+
+All expectations are literal, so that a key renamed in both the reader and the writer fails here too. The states
+themselves and how they are written stand in `stored_states.py`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gzip
+import json
+import re
+import shutil
+import sqlite3
+import time
+import tomllib
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+import stored_states as states
+from support import balancer
+
+from harecross.core.closings import CloseReason, Closing
+from harecross.core.maintenance import Held, from_json
+from harecross.core.memory import recall
+from harecross.core.process_table import Cause, Lifecycle, State
+from harecross.fleet.file import read_fleet
+from harecross.follow.attempts import AttemptLog
+from harecross.follow.leaving import late_sends
+from harecross.follow.reader import read as read_logs
+from harecross.interface import (
+    ClassSettings,
+    Effect,
+    FinalReason,
+    Group,
+    ListKind,
+    Outcome,
+    Settings,
+    TenantSettings,
+)
+from harecross.node.config import config_from
+from harecross.node.store import Store as NodeStore
+from harecross.operators import Operators, read_toml
+from harecross.shifts.plan import place, read_plan
+from harecross.shifts.shift import State as ShiftState
+from harecross.sources.keep import read as read_kept
+from harecross.store.store import Lease, Store
+from harecross.xds.config import TlsTable, read_control
+
+ROOT = Path(__file__).parent.parent
+DATA = Path(__file__).parent / "data"
+DEPLOY = ROOT / "deploy"
+LIBRARY_VERSION = slice(
+    96, 100
+)  # of a SQLite file's header: of the library that wrote it, not of this program
+STORE_FILES = {"store": None, "store-compacted": 1}  # by name: how many records of a document were kept
+
+
+def stored(name: str, folder: Path) -> Path:
+    """A copy of a stored SQLite file; they are kept compressed, since 64 KiB of each are the store's reserve."""
+    path = folder / f"{name}.store"
+    path.write_bytes(gzip.decompress((DATA / f"{name}.store.gz").read_bytes()))
+    return path
+
+
+def without_library_version(path: Path) -> bytes:
+    data = bytearray(path.read_bytes())
+    data[LIBRARY_VERSION] = bytes(4)
+    return bytes(data)
+
+
+def rows(path: Path) -> dict[str, list[Any]]:
+    """All tables of a SQLite file but the reserve's 64 KiB of text, without the program."""
+    db = sqlite3.connect(path)
+    try:
+        return {
+            "schema": db.execute("SELECT name FROM sqlite_master ORDER BY name").fetchall(),
+            "documents": db.execute("SELECT * FROM documents WHERE kind <> '_reserve'").fetchall(),
+            "records": db.execute("SELECT * FROM records ORDER BY id").fetchall(),
+            "leases": db.execute("SELECT * FROM leases").fetchall(),
+        }
+    finally:
+        db.close()
+
+
+# ---- the store's file -----------------------------------------------------------------------------------
+
+ORDERS_RECORDS = [
+    {
+        "record of": ["shift", "orders"],
+        "version": 1,
+        "at": 1_700_000_001.0,
+        "body": {"why": "started"},
+    },
+    {"record of": ["shift", "orders"], "version": 2, "at": 1_700_000_002.0, "body": {"why": "one"}},
+    {"record of": ["shift", "orders"], "version": 2, "at": 1_700_000_002.0, "body": {"why": "two"}},
+]
+NOTE = {
+    "kind": "note",
+    "key": "café",
+    "version": 1,
+    "at": 1_700_000_003.25,
+    "body": {"text": "naïve", "figures": [1, 2.5, None, True]},
+}
+ORDERS = {
+    "kind": "shift",
+    "key": "orders",
+    "version": 2,
+    "at": 1_700_000_002.0,
+    "body": {"state": "running", "step": 1},
+}
+
+
+@pytest.mark.parametrize(
+    ("name", "records"), [("store", ORDERS_RECORDS), ("store-compacted", ORDERS_RECORDS[2:])]
+)
+def test_documents_and_records_of_a_stored_file_are_read(tmp_path, name, records):
+    store = Store(str(stored(name, tmp_path)))
+    assert list(store.dump()) == [NOTE, ORDERS, *records]
+    assert store.keys("_reserve") == [""] and store.get("_reserve", "").body == {"free": "x" * 65_536}
+    store.close()
+
+
+@pytest.mark.parametrize("name", STORE_FILES)
+def test_leases_of_a_stored_file_are_read_and_fence_as_they_did(tmp_path, name):
+    store = Store(str(stored(name, tmp_path)))
+    assert store.held("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
+    assert store.held("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
+    assert store.lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
+    assert store.lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).token == 3
+    store.close()
+
+
+def test_the_rows_of_a_stored_file_are_those_that_were_written(tmp_path):
+    assert rows(stored("store", tmp_path)) == {
+        "schema": [
+            ("documents",),
+            ("leases",),
+            ("records",),
+            ("records_of",),
+            ("sqlite_autoindex_documents_1",),
+            ("sqlite_autoindex_leases_1",),
+        ],
+        "documents": [
+            ("shift", "orders", 2, 1_700_000_002.0, '{"state":"running","step":1}', 661704836),
+            (
+                "note",
+                "café",
+                1,
+                1_700_000_003.25,
+                '{"figures":[1,2.5,null,true],"text":"na\\u00efve"}',
+                291606338,
+            ),
+        ],
+        "records": [
+            (1, "shift", "orders", 1, 1_700_000_001.0, '{"why":"started"}', 2947270388),
+            (2, "shift", "orders", 2, 1_700_000_002.0, '{"why":"one"}', 3715484223),
+            (3, "shift", "orders", 2, 1_700_000_002.0, '{"why":"two"}', 2943950137),
+        ],
+        "leases": [
+            ("shift/orders", "controller-b", 2, 1_700_000_030.0, 2393246399),
+            ("shift/meters", "controller-a", 1, 1_700_000_051.5, 1224307103),
+        ],
+    }
+
+
+@pytest.mark.parametrize(("name", "keep"), STORE_FILES.items())
+def test_a_store_is_written_with_the_same_rows_and_bytes(tmp_path, name, keep):
+    old, new = stored(name, tmp_path), tmp_path / "new"
+    states.write_store(new, keep)
+    assert rows(new) == rows(old)
+    assert without_library_version(new) == without_library_version(old)
+
+
+# ---- a shift --------------------------------------------------------------------------------------------
+
+ZEROS = [0.0, 0.0, 0.0, 0.0]
+SHIFT_STATE = {
+    "plan": "034eb20fb9dd0054",
+    "state": "running",
+    "cause": None,
+    "step": 0,
+    "in_step": 4.0,
+    "units": 40,
+    "why": "resumed by an operator",
+    "share": 0.05,
+    "judge": {
+        "read/errors": {
+            "starts": [[0.7002, 1.5616, 2.6791, 3.7041]],
+            "windows": 4,
+            "at_risk": [80, 34],
+            "harmed": [0, 4],
+        },
+        "read/late": {
+            "starts": [[-0.4214, -1.1507, -2.7726, -6.4378]],
+            "windows": 4,
+            "at_risk": [74, 40],
+            "harmed": [4, 0],
+        },
+        "read/slow p50": {"starts": [ZEROS], "windows": 1, "at_risk": [20, 10], "harmed": [0, 0]},
+        "read/slow p90": {"starts": [ZEROS], "windows": 1, "at_risk": [20, 10], "harmed": [0, 0]},
+        "read/slow p99": {"starts": [ZEROS], "windows": 1, "at_risk": [20, 10], "harmed": [0, 0]},
+    },
+}
+FIGURES = {
+    "step": 0,
+    "in_step_s": 4.0,
+    "units": 40,
+    "evidence": 2.375,
+    "alarm_at": 100.0,
+    "harmed": {"read: errors": [[0, 4], [80, 34]], "read: late": [[4, 0], [74, 40]]},
+}
+SHIFT_RECORDS = [
+    {
+        "at": 1_700_000_000.0,
+        "state": "running",
+        "share": 0.05,
+        "why": "started by an operator",
+        "figures": {
+            "step": 0,
+            "in_step_s": 0.0,
+            "units": 0,
+            "evidence": 1.0,
+            "alarm_at": 100.0,
+            "harmed": {},
+        },
+    },
+    {
+        "at": 1_700_000_005.0,
+        "state": "paused",
+        "share": 0.05,
+        "why": "paused: an operator",
+        "figures": FIGURES,
+    },
+    {
+        "at": 1_700_000_006.0,
+        "state": "running",
+        "share": 0.05,
+        "why": "resumed by an operator",
+        "figures": FIGURES,
+    },
+]
+
+
+def test_a_stored_shift_and_its_records_hold_these_keys_and_values(tmp_path):
+    store = Store(str(stored("shift", tmp_path)))
+    document = store.get("shift", "readings-2")
+    assert (document.version, document.at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
+    assert [record.body for record in store.records("shift", "readings-2")] == SHIFT_RECORDS
+    assert store.held("shift/readings-2") == Lease("shift/readings-2", "controller-a", 1, 1_700_000_016.0)
+    store.close()
+
+
+def test_a_controller_goes_on_from_a_stored_shift(tmp_path):
+    """Its plan counts as unchanged, or the shift would stand paused until an operator resumed it."""
+    store = Store(str(stored("shift", tmp_path)))
+    controller = states.shift_controller(store, "controller-b")
+    assert controller.lead(50.0, states.WALL + 60)
+    shift = controller.shift
+    assert (shift.state, shift.cause, shift.step, shift.in_step, shift.units, shift.share, shift.why) == (
+        ShiftState.RUNNING, None, 0, 4.0, 40, 0.05, "resumed by an operator",
+    )  # fmt: skip
+    errors, late = shift.judge.bets["read", "errors"], shift.judge.bets["read", "late"]
+    assert (errors.windows, errors.at_risk, errors.harmed) == (4, [80, 34], [0, 4])
+    assert errors.starts == [[0.7002, 1.5616, 2.6791, 3.7041]]
+    assert (late.windows, late.at_risk, late.harmed) == (4, [74, 40], [4, 0])
+    assert controller.lease is not None and controller.lease.token == 2
+    store.close()
+
+
+def test_a_shift_is_written_with_the_same_rows_and_bytes(tmp_path):
+    old, new = stored("shift", tmp_path), tmp_path / "new"
+    states.write_shift(new)
+    assert rows(new) == rows(old)
+    assert without_library_version(new) == without_library_version(old)
+
+
+def test_a_shifts_units_stay_in_their_pools():
+    """Every node works it out for itself, the old program's and the new one's among them."""
+    units = (b"captain-1", b"captain-2", b"")
+    assert [place("readings-2", unit) for unit in units] == [
+        0.11079125463425318,
+        0.4079752999256648,
+        0.4433288467854551,
+    ]
+
+
+# ---- what is held out -----------------------------------------------------------------------------------
+
+HELD_NAME, LEARNED_NAME = "harecross-n_0.held", "harecross-n_0.learned"
+
+
+def test_a_stored_held_file_is_read():
+    assert from_json((DATA / HELD_NAME).read_bytes()) == Held(frozenset({"s1", "s2"}), standby=True)
+
+
+def test_a_held_file_is_written_with_the_same_name_and_bytes(tmp_path):
+    states.write_held(tmp_path)
+    assert (tmp_path / HELD_NAME).read_bytes() == (DATA / HELD_NAME).read_bytes()
+    assert sorted(p.name for p in tmp_path.iterdir()) == [HELD_NAME, "harecross-n_0.lock"]
+
+
+def test_an_old_process_can_read_what_a_new_one_makes_of_its_held_file(tmp_path):
+    shutil.copy(DATA / HELD_NAME, tmp_path)
+    store = NodeStore(str(tmp_path), "n/0")
+    assert store.look() and store.held == Held(frozenset({"s1", "s2"}), standby=True)
+    store.change(lambda held: held.exit("s2"))
+    assert (tmp_path / HELD_NAME).read_bytes() == b'{"out": ["s1"], "standby": true}'
+    store.change(lambda held: held.enter("s2"))
+    assert (tmp_path / HELD_NAME).read_bytes() == (DATA / HELD_NAME).read_bytes()
+
+
+# ---- what was learned -----------------------------------------------------------------------------------
+
+
+def learned_from_file(folder: Path, monkeypatch: pytest.MonkeyPatch) -> bytes | None:
+    """What a new process reads of an old one's file, a second after it was written and while the old one lives."""
+    shutil.copy(DATA / LEARNED_NAME, folder)
+    old = NodeStore(str(folder), "n/0")
+    old.live()
+    with monkeypatch.context() as patch:
+        patch.setattr(time, "monotonic_ns", lambda: states.MONOTONIC_NS + 1_000_000_000)
+        text = NodeStore(str(folder), "n/0").read_learned()
+    old.leave()
+    return text
+
+
+def test_a_new_process_takes_over_the_figures_of_an_old_ones_learned_file(tmp_path, monkeypatch):
+    """With no server ejected and no zone cut off: what that takes of the tier lowers the limit at once."""
+    text = learned_from_file(tmp_path, monkeypatch)
+    assert text is not None and text.count(b'"cut": [1]') == text.count(b"true") == 1
+    node, _ = balancer(states.SERVERS, seed=2)
+    whole = text.replace(b'"cut": [1]', b'"cut": []').replace(b"true", b"false")
+    recall(node, states.SERVER_NAMES, whole, 7)
+    controller = node.controller
+    assert (controller.limit, controller.usual) == (24.5, 18.25)
+    assert controller.min_rtt == [900.0, 1100.5, 1300.0] and controller.target == [2500.0, 2600.0, 2700.0]
+    assert node.mean_rtt == [1500.0, 1600.0, 1700.0] and node.deviation == [125.0, 150.5, 175.0]
+    assert node.warm_rate == 7.5 and not node.cut and not node.ejected
+
+
+def test_a_new_process_takes_over_the_servers_and_zones_of_an_old_ones_learned_file(tmp_path, monkeypatch):
+    text = learned_from_file(tmp_path, monkeypatch)
+    assert text is not None
+    node, _ = balancer(states.SERVERS, seed=2)
+    recall(node, states.SERVER_NAMES, text, 7)
+    assert [zone.id for zone in node.cut] == [1] and [server.id for server in node.ejected] == [4]
+    servers = [(node.servers[n].slowness, node.servers[n].fail_rate) for n in (1, 2, 4)]
+    assert servers == [(1.25, 0.0), (0.75, 0.125), (2.5, 0.625)]
+
+
+def test_a_learned_file_holds_these_keys_after_a_line_with_its_time():
+    written, _, text = (DATA / LEARNED_NAME).read_bytes().partition(b"\n")
+    assert written == b"86400000000000"
+    assert json.loads(text) == {
+        "limit": 24.5,
+        "usual": 18.25,
+        "min_rtt": [900.0, 1100.5, 1300.0],
+        "target": [2500.0, 2600.0, 2700.0],
+        "mean_rtt": [1500.0, 1600.0, 1700.0],
+        "deviation": [125.0, 150.5, 175.0],
+        "warm_rate": 7.5,
+        "cut": [1],
+        "servers": {"s1": [1.25, 0.0, False], "s2": [0.75, 0.125, False], "s4": [2.5, 0.625, True]},
+    }
+
+
+def test_an_old_process_can_read_a_new_ones_learned_file(tmp_path, monkeypatch):
+    states.write_learned(tmp_path, monkeypatch)
+    assert [p.name for p in tmp_path.iterdir()] == [LEARNED_NAME]
+    assert (tmp_path / LEARNED_NAME).read_bytes() == (DATA / LEARNED_NAME).read_bytes()
+
+
+def test_two_processes_know_each_other_by_the_same_file_names(tmp_path):
+    store = NodeStore(str(tmp_path), "n/0")
+    store.live()
+    (name,) = (p.name for p in tmp_path.iterdir())
+    assert re.fullmatch(r"harecross-n_0\.life-[0-9a-f]{12}", name)
+    store.leave()
+
+
+# ---- kept DNS sets --------------------------------------------------------------------------------------
+
+
+def test_stored_dns_sets_are_read():
+    sets = read_kept(str(DATA / "kept-dns-sets"))
+    assert list(sets) == ["_readings._tcp.site3.example.org", "_empty._tcp.example.org"]
+    first, empty = sets.values()
+    assert (first.at, first.until, first.found.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
+    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.found.endpoints] == [
+        (0, "a.site3.example.org", "10.3.0.1", 8081, 10),
+        (1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
+    ]
+    assert (empty.at, empty.until, empty.found.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
+    assert empty.found.endpoints == ()
+
+
+def test_dns_sets_are_written_with_the_same_bytes(tmp_path):
+    states.write_kept_sets(tmp_path / "kept")
+    assert (tmp_path / "kept").read_bytes() == (DATA / "kept-dns-sets").read_bytes()
+
+
+def test_the_file_of_dns_sets_has_this_text():
+    head, body = (DATA / "kept-dns-sets").read_text().split("\n")
+    assert head.startswith("harecross-sources 1 ")
+    assert json.loads(body) == {
+        "_readings._tcp.site3.example.org": {
+            "at": 1_700_000_000.0,
+            "until": 1_700_000_030.5,
+            "ttl": 30.0,
+            "set": [
+                [0, "a.site3.example.org", "10.3.0.1", 8081, 10],
+                [1, "b.site3.example.org", "2001:db8::2", 8082, 65535],
+            ],
+        },
+        "_empty._tcp.example.org": {
+            "at": 1_700_000_001.0,
+            "until": 1_700_000_061.0,
+            "ttl": 60.0,
+            "set": [],
+        },
+    }
+
+
+# ---- the control service's remembered lists -------------------------------------------------------------
+
+
+def test_stored_lists_of_the_control_service_are_read_and_count_as_old(tmp_path):
+    path = tmp_path / "lists.json"
+    shutil.copy(DATA / "control-lists.json", path)
+
+    async def body() -> None:
+        service = states.control_service(path)
+        service.begin("orders", service.remembered()["orders"])
+        feed = service.press.feeds["orders"]
+        assert feed.roster.remembered and not feed.roster.whole and feed.roster.known()
+        assert feed.roster.lines == {
+            "s1": {
+                "instanceId": "s1",
+                "hostPort": "10.2.0.1:8081",
+                "lifecycle": "in_service",
+                "zone": "here",
+                "startedAtMs": 1_699_999_000_000,
+            },
+            "s2": {"instanceId": "s2", "hostPort": "10.2.0.2:8082", "lifecycle": "terminating"},
+        }
+        number = feed.directory.numbers["s1"]
+        assert list(feed.directory.listed) == [number] and list(feed.directory.draining) == ["s2"]
+        # What it remembers of them has the same bytes again.
+        service.remember(True)
+        await states.stop_control(service)
+
+    asyncio.run(body())
+    assert path.read_bytes() == (DATA / "control-lists.json").read_bytes()
+
+
+def test_lists_of_the_control_service_are_written_with_the_same_bytes(tmp_path):
+    states.write_control_lists(tmp_path / "lists.json")
+    assert (tmp_path / "lists.json").read_bytes() == (DATA / "control-lists.json").read_bytes()
+
+
+def test_the_file_of_the_control_services_lists_has_these_keys():
+    assert json.loads((DATA / "control-lists.json").read_text()) == {
+        "orders": {
+            "reset": True,
+            "instances": [
+                {
+                    "instanceId": "s1",
+                    "hostPort": "10.2.0.1:8081",
+                    "lifecycle": "in_service",
+                    "zone": "here",
+                    "startedAtMs": 1_699_999_000_000,
+                },
+                {"instanceId": "s2", "hostPort": "10.2.0.2:8082", "lifecycle": "terminating"},
+            ],
+        }
+    }
+
+
+# ---- an attempt log -------------------------------------------------------------------------------------
+
+UPTIME = re.compile(rb'"process\.uptime":[0-9.]+')
+
+
+def test_the_requests_in_a_stored_attempt_log_are_read():
+    logs = read_logs([DATA / "attempts.log"])
+    good, late = logs.requests.values()
+    assert (good.id, good.node, good.klass, good.answer) == ("good-1", "n3", "0", "served")
+    assert (late.id, late.node, late.klass, late.answer) == ("late-1", "n3", "2", "failed")
+    second = 1_000_000_000
+    start = 1_700_000_000 * second
+    assert (good.taken, good.until, good.answered) == (
+        start + 2 * second,
+        start + 4 * second,
+        start + 6 * second,
+    )
+    assert (late.taken, late.until) == (start + 10 * second, start + 10 * second + 1_500_000_000)
+    assert [(a.number, a.server, a.cause) for a in late.attempts] == [
+        (0, "s2", "rejected"),
+        (1, "s1", "timeout"),
+    ]
+    (only,) = good.attempts
+    assert (only.sent, only.written, only.ended, only.cause) == (
+        start + 3 * second,
+        start + 4 * second,
+        start + 5 * second,
+        "",
+    )
+
+
+def test_what_is_no_requests_in_a_stored_attempt_log_is_read():
+    told = read_logs([DATA / "attempts.log"]).told["n3"]
+    assert [(event.what, event.fields) for event in told] == [
+        ("start", {"process.uptime": 0.25}),
+        ("list", {"kind": "cached", "generation": 41, "came": ["s1", "s2"], "left": []}),
+        ("closed", {"side": "client", "reason": "last_answer"}),
+        (
+            "process",
+            {
+                "server.id": "s1",
+                "server.state": "draining",
+                "before": "in service",
+                "cause": "said",
+                "said_by": "10.2.0.1:8500",
+                "said": "draining",
+                "generation": 42,
+                "age": 2.5,
+            },
+        ),
+        ("list", {"kind": "changes", "generation": 42, "came": [], "left": ["s1"]}),
+    ]
+
+
+def test_a_late_send_in_a_stored_attempt_log_is_found():
+    (late,) = late_sends(read_logs([DATA / "attempts.log"]))
+    assert (late.request, late.node, late.server, late.by) == ("late-1", "n3", "s1", "n3")
+    start = 1_700_000_000_000_000_000
+    assert (late.listed - start, late.sent - start, late.written - start, start - late.started) == (
+        9_000_000_000,
+        14_000_000_000,
+        15_000_000_000,
+        250_000_000,
+    )
+    assert late.state is not None and late.state.fields["server.state"] == "draining"
+
+
+def test_an_attempt_log_is_written_with_the_same_bytes(tmp_path, monkeypatch):
+    states.write_attempt_log(tmp_path / "log", monkeypatch)
+    written = UPTIME.sub(b'"process.uptime":0.25', (tmp_path / "log").read_bytes())
+    assert written == (DATA / "attempts.log").read_bytes()
+
+
+def lines_of(path: Path) -> list[dict[str, Any]]:
+    """The events of a log but its `start`, without the program's reader."""
+    return [json.loads(line.removeprefix("attempt ")) for line in path.read_text().splitlines()[1:]]
+
+
+def test_the_log_has_the_same_words_for_how_attempts_end(tmp_path):
+    log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
+    request = states.request("one")
+    for outcome in Outcome:
+        log.ended(states.attempt(request, 0, 1), outcome, [])
+        request.last_outcome = outcome
+        log.sent(states.attempt(request, 1, 1))
+    log.stream.close()
+    told = lines_of(tmp_path / "log")
+    assert [line.get("error.type") for line in told if line["event.name"] == "ended"] == [
+        "rejected",
+        "connect_failed",
+        "not_sent",
+        None,
+        "error",
+        "timeout",
+        "reset",
+        "cancelled",
+        "unknown",
+    ]
+    assert [line["retry.cause"] for line in told if line["event.name"] == "sent"] == [
+        "rejected",
+        "connect_failed",
+        "not_sent",
+        "ok",
+        "error",
+        "timeout",
+        "reset",
+        "cancelled",
+        "unknown",
+    ]
+
+
+def test_the_log_has_the_same_words_for_why_requests_and_connections_end(tmp_path):
+    log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
+    for reason in FinalReason:
+        log.final(states.request("one"), "refused", reason)
+    for close_reason in CloseReason:
+        log.closed(Closing("client", "", close_reason))
+    log.stream.close()
+    told = lines_of(tmp_path / "log")
+    assert " ".join(line["reason"] for line in told if line["event.name"] == "final") == (
+        "at_limit over_share queue_full queue_timeout no_server may_have_run attempts_used retry_budget "
+        "no_time_to_retry answer_broke no_time open_requests no_list deadline internal"
+    )
+    assert " ".join(line["reason"] for line in told if line["event.name"] == "closed") == (
+        "peer last_answer idle stop no_room silent bad_request not_read broken_answer client_left given_up "
+        "spoilt stalled server_leaves ejected connect_timeout"
+    )
+
+
+def test_the_log_has_the_same_words_for_lists_and_changes_of_state(tmp_path):
+    log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
+    for kind in ListKind:
+        log.listed(kind, 1, [], [])
+    for state, cause in zip(State, Cause, strict=True):
+        log.changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
+    for lifecycle in Lifecycle:
+        log.changed(states.transition(State.GONE, State.GONE, Cause.SAID, lifecycle), 100.0)
+    log.stream.close()
+    told = lines_of(tmp_path / "log")
+    assert [line["kind"] for line in told if line["event.name"] == "list"] == [
+        "changes",
+        "full",
+        "cached",
+        "failed",
+    ]
+    changes = [line for line in told if line["event.name"] == "process"]
+    by_state, by_lifecycle = changes[:4], changes[4:]
+    assert [line["server.state"] for line in by_state] == ["in service", "held", "draining", "gone"]
+    assert [line["before"] for line in by_state] == ["in service", "held", "draining", "gone"]
+    assert [line["cause"] for line in by_state] == [
+        "said",
+        "said by an earlier discovery",
+        "left out of a whole list",
+        "caught up",
+    ]
+    assert [line["said"] for line in by_lifecycle] == ["in service", "draining", "gone"]
+
+
+# ---- the report of a failed seed of the soak ------------------------------------------------------------
+
+SOAK_REPORT = "soak-seed-7-20231114T221320.txt"
+
+
+def test_the_report_of_a_failed_seed_is_written_with_the_same_name_and_bytes(tmp_path, monkeypatch):
+    """People alone read it."""
+    states.write_soak_report(tmp_path, monkeypatch)
+    assert [p.name for p in tmp_path.iterdir()] == [SOAK_REPORT]
+    assert (tmp_path / SOAK_REPORT).read_bytes() == (DATA / SOAK_REPORT).read_bytes()
+
+
+# ---- configurations -------------------------------------------------------------------------------------
+
+
+def node_config() -> Any:
+    return json.loads((DATA / "node-config.json").read_text())
+
+
+def test_the_settings_of_a_platforms_configuration_are_read():
+    assert config_from(node_config()).settings == Settings(
+        classes=(
+            ClassSettings(Effect.SAFE, 200_000, 1_000_000, 1.0, 0.0, Group.CELL, 0, True),
+            ClassSettings(Effect.KEYED, 300_000, 2_000_000, 5.5, 0.25, Group.ZONE, 20_000_000, False),
+            ClassSettings(Effect.KEYED, 350_000, 2_500_000, 2.0, 0.0, Group.ALL, 10_000_000, False),
+            ClassSettings(Effect.UNSAFE, 400_000, 3_000_000, 9.0, 0.0, Group.CELL, 0, False),
+        ),
+        tenants=(TenantSettings(12.5), TenantSettings(0.0)),
+        tier=1,
+        tiers=2,
+        zone=2,
+        instances=4,
+        number=3,
+        tick=5000,
+        max_attempts=3,
+        cancel=True,
+        retry_after=True,
+        max_retry_after=1_500_000,
+        max_open=900,
+        list_on_request=True,
+        list_ask_within=10_000_000,
+        cold_time=4_000_000,
+        cold_share=0.4,
+        fall_multiple=3.5,
+        fall_time=1_500_000,
+        cross_zone_price=0.04,
+        over_share_worth=0.4,
+        report_fields=("inflight", "queue", "util", "latency_ms", "qps", "eps", "other"),
+    )
+
+
+def test_the_rest_of_a_platforms_configuration_is_read():
+    config = config_from(node_config())
+    assert config.name == "n3" and config.seed == 0x8C1F30D27A5BE964
+    assert config.listen == ("10.0.0.4", 8081) and config.admin == ("10.0.0.4", 8089)
+    assert config.discovery == ("10.2.0.1", 8500)
+    assert config.sockets == 4096 and config.memory == 2048 * 1024 * 1024
+    assert config.connect_timeout == 350_000 and config.idle_time == 6_000_000
+    assert config.columns == ["concurrent", "depth", "load_share", "mean_ms", "tps", "err_ps", "other"]
+    assert config.classes == ["read", "put", "log", "pay"] and config.tenants == ["gold", "free"]
+    assert config.zones == ["north", "south", "east"] and config.kinds == ["m1", "m2"]
+    assert config.known == {
+        "generation": 41,
+        "reset": True,
+        "instances": [{"instanceId": "s1", "hostPort": "10.2.0.1:8081", "lifecycle": "in_service"}],
+    }
+
+
+def test_the_platforms_file_names_commands_and_files_that_are_there():
+    told = tomllib.loads((DEPLOY / "balancer.toml").read_text())
+    assert sorted(told) == ["build", "node", "packages", "policy", "run", "sim"]
+    for command in (told["run"], told["sim"]):
+        start, _, module = command.partition(" -m ")
+        place = ROOT / module.replace(".", "/")
+        assert start == "exec .venv/bin/python"
+        assert place.with_suffix(".py").is_file() or (place / "__main__.py").is_file()
+    assert told["policy"] and told["node"]
+    assert all((ROOT / name).exists() for name in told["policy"] + told["node"])
+
+
+def uncommented(name: str) -> str:
+    """A file of `deploy/` with each key that it shows, the tables of sources among them."""
+    lines = (DEPLOY / name).read_text().replace("## ", "").split("\n")
+    return "\n".join(line.removeprefix("# ") if " = " in line else line for line in lines)
+
+
+SOURCES = {
+    "srv": (
+        {
+            "name": "_readings._tcp.site3.example.org",
+            "rank": 1,
+            "zone": "",
+            "priority": 0,
+            "resolvers": (),
+            "floor_s": 1.0,
+            "ceiling_s": 3600.0,
+            "stale_max_s": 86_400.0,
+            "doubt_s": 30.0,
+        },
+    ),
+    "file": ({"path": "boxes.txt", "rank": 2, "zone": "", "priority": 0},),
+    "resolvers": (),
+    "tls_ca": "",
+    "tls_name": "",
+    "keep": "",
+    "watch": True,
+    "watch_rank": 0,
+    "watch_stale_s": 10.0,
+    "step_s": 60.0,
+    "mass": 0.3,
+    "overflow_enter": 0.5,
+    "overflow_leave": 0.7,
+}
+
+
+def test_the_operators_file_with_every_key_is_read(tmp_path):
+    (tmp_path / "harecross.toml").write_text(uncommented("harecross.toml"))
+    assert msgspec.to_builtins(read_toml(tmp_path / "harecross.toml", Operators)) == {
+        "log": {"report_every_s": 10.0, "attempts": ""},
+        "listen": {"backlog": 1024},
+        "xds": {"listen": "", "cluster": "servers", "plaintext": "loopback"},
+        "sources": SOURCES,
+    }
+
+
+def test_the_operators_file_as_it_stands_is_read():
+    told = read_toml(DEPLOY / "harecross.toml", Operators)
+    assert msgspec.to_builtins(told) == {
+        "log": {"report_every_s": 10.0, "attempts": ""},
+        "listen": {"backlog": 1024},
+        "xds": {"listen": "", "cluster": "servers", "plaintext": "loopback"},
+        "sources": {**SOURCES, "srv": (), "file": ()},
+    }
+
+
+def test_the_control_services_file_is_read():
+    assert msgspec.to_builtins(read_control(DEPLOY / "control.toml")) == {
+        "clusters": {
+            "orders": {
+                "discovery": "127.0.0.1:9000",
+                "srv": (),
+                "resolvers": (),
+                "sources": None,
+                "probe": {"kind": "http", "interval_s": 2.0, "timeout_s": 0.25},
+                "columns": (),
+                "cross_zone_price": 0.0,
+                "calls_per_server": 0.0,
+                "cold_s": 0.0,
+                "cold_start": 0.25,
+            }
+        },
+        "control": {
+            "listen": "127.0.0.1:18000",
+            "plaintext": "loopback",
+            "interval_s": 1.0,
+            "workers": 1,
+            "wait_s": 5.0,
+            "remember": "",
+            "adaptive_concurrency": False,
+            "load_reports_s": 5.0,
+            "status": ("*",),
+        },
+        "tls": None,
+        "limits": {"streams": 5000, "subscriptions": 10_000, "message_bytes": 1_048_576},
+        "clients": {},
+    }
+
+
+def test_the_control_services_tls_has_these_keys():
+    told = {"certificate": "server.pem", "key": "server.key", "client_ca": "clients.pem"}
+    assert msgspec.to_builtins(msgspec.convert(told, TlsTable)) == told
+
+
+def test_the_fleets_file_is_read():
+    assert msgspec.to_builtins(read_fleet(DEPLOY / "fleet.toml")) == {
+        "fleet": {"nodes": 40, "within_s": 10.0},
+        "discovery": {
+            "rate": 8.0,
+            "timeout_s": 2.0,
+            "overbook": 3.0,
+            "backlog_s": 0.0,
+            "spoilt": 0.0,
+            "pushed": False,
+        },
+        "trigger": {
+            "what": "silent",
+            "down_s": 5.0,
+            "drain_s": 0.5,
+            "again_s": 0.0,
+            "part": 1.0,
+            "dead_s": 0.0,
+            "before_s": 0.0,
+            "length_s": 120.0,
+        },
+        "tier": {
+            "servers": 120,
+            "zones": 4,
+            "rate": 20.0,
+            "uneven": 3.0,
+            "service_s": 0.5,
+            "load": 0.6,
+            "event": "calm",
+            "part": 0.7,
+            "cold_s": 5.0,
+            "cold_from": 0.4,
+            "multiple": 3.0,
+            "fall_s": 2.0,
+            "length_s": 6.0,
+        },
+    }
+
+
+def test_the_shifts_plan_is_read():
+    step = {"least_s": 60.0, "least_units": 200}
+    assert msgspec.to_builtins(read_plan(DEPLOY / "shift.toml")) == {
+        "name": "readings-2",
+        "control": {"kinds": ("m1",), "zones": (), "sources": ()},
+        "candidate": {"kinds": ("m2",), "zones": (), "sources": ()},
+        "steps": ({"share": 0.05, **step}, {"share": 0.3, **step}, {"share": 0.6, **step}),
+        "judge": {
+            "false_alarms": 0.01,
+            "ratio": 1.25,
+            "least": 0.005,
+            "slower": 0.25,
+            "quantiles": (0.5, 0.9, 0.99),
+            "window_s": 1.0,
+            "again_s": 600.0,
+            "shared": 0.3,
+            "quiet_s": 30.0,
+        },
+        "scope": {"classes": (), "tenants": (), "by": "key"},
+        "at_end": "done",
+        "contact_s": 30.0,
+    }
