--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -14,17 +14,24 @@
 import pytest
 from support import balancer
 
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.exchange import Target
-from harecross.core.host import Attempt, Request
-from harecross.core.memory import learned
-from harecross.core.process_table import Cause, Lifecycle, Source, State, Statement, Transition
-from harecross.core.requests import Message
-from harecross.dns.srv import Endpoint, Found
+from harecross.discovery.process_table import (
+    Lifecycle,
+    ProcessState,
+    Source,
+    Statement,
+    Transition,
+    TransitionCause,
+)
+from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
+from harecross.dns.srv import Endpoint as SrvEndpoint
+from harecross.dns.srv import Found
 from harecross.follow.attempts import AttemptLog
-from harecross.interface import FinalReason, ListKind, Outcome, ServerEntry
-from harecross.node.store import Store as NodeStore
+from harecross.http.request_parser import ParsedRequest
+from harecross.interface import Endpoint, EndpointUpdateKind, FinalReason, Outcome
+from harecross.node.handover_store import HandoverStore as NodeStore
 from harecross.policy.balancer import Balancer
+from harecross.policy.learned_state import learned
 from harecross.shifts.controller import Controller
 from harecross.shifts.judge import Try
 from harecross.shifts.plan import read_plan
@@ -45,6 +52,7 @@
 from harecross.sources.keep import Kept
 from harecross.sources.keep import write as write_kept
 from harecross.store.store import Store
+from harecross.upstream.exchange import ServerProcess
 from harecross.xds.config import ClusterTable, ControlFile, ControlTable
 from harecross.xds.service import Service
 
@@ -52,7 +60,7 @@
 WALL = 1_700_000_000.0  # Unix seconds: the time of the first thing in each file
 MONOTONIC_NS = 86_400_000_000_000  # of the file with what was learned
 SERVER_NAMES = {"s1": 1, "s2": 2, "s3": 3, "s4": 4}
-SERVERS = [ServerEntry(number, zone=number % 2) for number in SERVER_NAMES.values()]
+SERVERS = [Endpoint(number, zone=number % 2) for number in SERVER_NAMES.values()]
 
 
 # ---- the store's file -----------------------------------------------------------------------------------
@@ -138,8 +146,8 @@
     "_readings._tcp.site3.example.org": Kept(
         Found(
             (
-                Endpoint(0, "a.site3.example.org", "10.3.0.1", 8081, 10),
-                Endpoint(1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
+                SrvEndpoint(0, "a.site3.example.org", "10.3.0.1", 8081, 10),
+                SrvEndpoint(1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
             ),
             30.0,
         ),
@@ -161,10 +169,10 @@
     """In place of the caller of a request."""
 
 
-def request(name: str, klass: int = 0) -> Request:
-    message = Message(
+def request(name: str, request_class: int = 0) -> DispatchedRequest:
+    message = ParsedRequest(
         id=name.encode(),
-        klass=klass,
+        request_class=request_class,
         tenant=0,
         repeat=False,
         time_left=2_000_000,
@@ -173,17 +181,19 @@
         came=0,
         keep=True,
     )
-    return Request(1, NoAnswers(), message, 2_000_000)  # type: ignore[arg-type]
+    return DispatchedRequest(1, NoAnswers(), message, 2_000_000)  # type: ignore[arg-type]
 
 
-def attempt(of: Request, number: int, server: int) -> Attempt:
-    made = Attempt(server, b"", b"", 2_000_000, lambda *ended: None)
+def attempt(of: DispatchedRequest, number: int, server: int) -> UpstreamAttempt:
+    made = UpstreamAttempt(server, b"", b"", 2_000_000, lambda *ended: None)
     made.request, made.number = of, number
-    made.target = Target(server, f"10.2.0.{server}", 8080 + server, 0)
+    made.target = ServerProcess(server, f"10.2.0.{server}", 8080 + server, 0)
     return made
 
 
-def transition(before: State, after: State, cause: Cause, lifecycle: Lifecycle) -> Transition:
+def transition(
+    before: ProcessState, after: ProcessState, cause: TransitionCause, lifecycle: Lifecycle
+) -> Transition:
     said = Statement(lifecycle, Source("10.2.0.1:8500", 1), 97.5, 42, 1_699_999_000_000, {})
     return Transition("s1", before, after, cause, said)
 
@@ -202,7 +212,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(time, "time_ns", lambda: next(times))
         log = AttemptLog("n3", str(path), SERVER_NAMES)  # start
-        log.listed(ListKind.CACHED, 41, ["s2", "s1"], [])
+        log.listed(EndpointUpdateKind.CACHED, 41, ["s2", "s1"], [])
         good = request("good-1")
         log.taken(good, 0)
         kept = attempt(good, 0, 1)
@@ -211,9 +221,14 @@
         log.ended(kept, Outcome.OK, [0.5, 3.0])
         log.final(good, "served")
         log.closed(Closing("client", "", CloseReason.LAST_ANSWER))
-        log.changed(transition(State.IN_SERVICE, State.DRAINING, Cause.SAID, Lifecycle.DRAINING), now=100.0)
-        log.listed(ListKind.CHANGES, 42, [], ["s1"])
-        late = request("late-1", klass=2)
+        log.changed(
+            transition(
+                ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.SAID, Lifecycle.DRAINING
+            ),
+            now=100.0,
+        )
+        log.listed(EndpointUpdateKind.CHANGES, 42, [], ["s1"])
+        late = request("late-1", request_class=2)
         log.taken(late, 500_000)
         first = attempt(late, 0, 2)
         log.sent(first)
@@ -237,7 +252,7 @@
     """In place of an attempt's host: it knows no addresses."""
 
     class servers:
-        targets: dict[int, Target] = {}
+        targets: dict[int, ServerProcess] = {}
 
 
 # ---- the control service's remembered lists -------------------------------------------------------------
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -16,9 +16,9 @@
 from typer.testing import CliRunner
 
 from harecross.cli import app
-from harecross.core.closings import CloseReason
-from harecross.core.standing import Word
-from harecross.interface import FinalReason, Outcome, ServerEntry
+from harecross.discovery.readiness import Freshness
+from harecross.dispatch.close_reasons import CloseReason
+from harecross.interface import Endpoint, FinalReason, Outcome
 
 # By command: its arguments in capitals, then its options.
 COMMANDS = {
@@ -206,15 +206,15 @@
 
 
 def test_the_report_line_has_these_words_for_the_age_of_the_list():
-    assert [word.value for word in Word] == ["none", "known", "current", "stale", "binding"]
+    assert [word.value for word in Freshness] == ["none", "known", "current", "stale", "binding"]
 
 
 def logged(recorder: Recorder) -> list[str]:
-    return [text for _, text in recorder.take("log")]
+    return [text for _, text in recorder.take("log_event")]
 
 
 def test_ejections_and_cuts_are_logged_in_these_words():
-    node, recorder = balancer([ServerEntry(n, zone=n % 2) for n in range(1, 5)])
+    node, recorder = balancer([Endpoint(n, zone=n % 2) for n in range(1, 5)])
     server = node.servers[4]
     server.fail_rate = 0.625
     node.eject(1, server, silent=False)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,27 +22,27 @@
 import stored_states as states
 from support import balancer
 
-from harecross.core.closings import CloseReason, Closing
-from harecross.core.maintenance import Held, from_json
-from harecross.core.memory import recall
-from harecross.core.process_table import Cause, Lifecycle, State
+from harecross.discovery.process_table import Lifecycle, ProcessState, TransitionCause
+from harecross.dispatch.close_reasons import CloseReason, Closing
 from harecross.fleet.file import read_fleet
 from harecross.follow.attempts import AttemptLog
 from harecross.follow.leaving import late_sends
 from harecross.follow.reader import read as read_logs
 from harecross.interface import (
     ClassSettings,
-    Effect,
+    DeduplicationScope,
+    EndpointUpdateKind,
     FinalReason,
-    Group,
-    ListKind,
+    Idempotency,
     Outcome,
     Settings,
     TenantSettings,
 )
 from harecross.node.config import config_from
-from harecross.node.store import Store as NodeStore
+from harecross.node.handover_store import HandoverStore as NodeStore
+from harecross.node.maintenance import MaintenanceState, from_json
 from harecross.operators import Operators, read_toml
+from harecross.policy.learned_state import recall
 from harecross.shifts.plan import place, read_plan
 from harecross.shifts.shift import State as ShiftState
 from harecross.sources.keep import read as read_kept
@@ -293,7 +293,9 @@
 
 
 def test_a_stored_held_file_is_read():
-    assert from_json((DATA / HELD_NAME).read_bytes()) == Held(frozenset({"s1", "s2"}), standby=True)
+    assert from_json((DATA / HELD_NAME).read_bytes()) == MaintenanceState(
+        frozenset({"s1", "s2"}), standby=True
+    )
 
 
 def test_a_held_file_is_written_with_the_same_name_and_bytes(tmp_path):
@@ -305,7 +307,7 @@
 def test_an_old_process_can_read_what_a_new_one_makes_of_its_held_file(tmp_path):
     shutil.copy(DATA / HELD_NAME, tmp_path)
     store = NodeStore(str(tmp_path), "n/0")
-    assert store.look() and store.held == Held(frozenset({"s1", "s2"}), standby=True)
+    assert store.look() and store.held == MaintenanceState(frozenset({"s1", "s2"}), standby=True)
     store.change(lambda held: held.exit("s2"))
     assert (tmp_path / HELD_NAME).read_bytes() == b'{"out": ["s1"], "standby": true}'
     store.change(lambda held: held.enter("s2"))
@@ -610,12 +612,14 @@
 
 def test_the_log_has_the_same_words_for_lists_and_changes_of_state(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
-    for kind in ListKind:
+    for kind in EndpointUpdateKind:
         log.listed(kind, 1, [], [])
-    for state, cause in zip(State, Cause, strict=True):
+    for state, cause in zip(ProcessState, TransitionCause, strict=True):
         log.changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
     for lifecycle in Lifecycle:
-        log.changed(states.transition(State.GONE, State.GONE, Cause.SAID, lifecycle), 100.0)
+        log.changed(
+            states.transition(ProcessState.GONE, ProcessState.GONE, TransitionCause.SAID, lifecycle), 100.0
+        )
     log.stream.close()
     told = lines_of(tmp_path / "log")
     assert [line["kind"] for line in told if line["event.name"] == "list"] == [
@@ -659,31 +663,53 @@
 def test_the_settings_of_a_platforms_configuration_are_read():
     assert config_from(node_config()).settings == Settings(
         classes=(
-            ClassSettings(Effect.SAFE, 200_000, 1_000_000, 1.0, 0.0, Group.CELL, 0, True),
-            ClassSettings(Effect.KEYED, 300_000, 2_000_000, 5.5, 0.25, Group.ZONE, 20_000_000, False),
-            ClassSettings(Effect.KEYED, 350_000, 2_500_000, 2.0, 0.0, Group.ALL, 10_000_000, False),
-            ClassSettings(Effect.UNSAFE, 400_000, 3_000_000, 9.0, 0.0, Group.CELL, 0, False),
+            ClassSettings(
+                Idempotency.IDEMPOTENT, 200_000, 1_000_000, 1.0, 0.0, DeduplicationScope.CELL, 0, True
+            ),
+            ClassSettings(
+                Idempotency.IDEMPOTENCY_KEY,
+                300_000,
+                2_000_000,
+                5.5,
+                0.25,
+                DeduplicationScope.ZONE,
+                20_000_000,
+                False,
+            ),
+            ClassSettings(
+                Idempotency.IDEMPOTENCY_KEY,
+                350_000,
+                2_500_000,
+                2.0,
+                0.0,
+                DeduplicationScope.ALL,
+                10_000_000,
+                False,
+            ),
+            ClassSettings(
+                Idempotency.NON_IDEMPOTENT, 400_000, 3_000_000, 9.0, 0.0, DeduplicationScope.CELL, 0, False
+            ),
         ),
         tenants=(TenantSettings(12.5), TenantSettings(0.0)),
         tier=1,
         tiers=2,
         zone=2,
-        instances=4,
-        number=3,
+        instance_count=4,
+        instance_index=3,
         tick=5000,
         max_attempts=3,
         cancel=True,
         retry_after=True,
         max_retry_after=1_500_000,
         max_open=900,
-        list_on_request=True,
-        list_ask_within=10_000_000,
-        cold_time=4_000_000,
-        cold_share=0.4,
-        fall_multiple=3.5,
-        fall_time=1_500_000,
+        discovery_polled=True,
+        max_poll_interval=10_000_000,
+        slow_start_duration=4_000_000,
+        slow_start_min_capacity=0.4,
+        overload_multiple=3.5,
+        overload_duration=1_500_000,
         cross_zone_price=0.04,
-        over_share_worth=0.4,
+        over_quota_weight=0.4,
         report_fields=("inflight", "queue", "util", "latency_ms", "qps", "eps", "other"),
     )
 
