--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -124,7 +124,7 @@
     task = asyncio.create_task(node.run())
     await node.ready.wait()
     took, loop, rng = [], asyncio.get_running_loop(), Random(2)
-    while not node.directory.listed:
+    while not node.registry.listed:
         await asyncio.sleep(0.01)
     for i in range(rounds):
         await asyncio.sleep(rng.uniform(0, ttl))
@@ -132,7 +132,7 @@
         server.put(
             f"{name}.", "SRV", "0 1 1000 box.example.org.", f"0 1 {1001 + i} box.example.org.", ttl=ttl
         )
-        while f"127.0.0.1:{1001 + i}" not in node.directory.numbers:
+        while f"127.0.0.1:{1001 + i}" not in node.registry.numbers:
             await asyncio.sleep(0.002)
         took.append(loop.time() - began)
     task.cancel()
--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         self.out = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.asking: dict[int, SubscriptionSchedule] = {}  # where lists are asked for
+        self.schedule: dict[int, SubscriptionSchedule] = {}  # where lists are asked for
         self.banks: dict[int, list[Endpoint]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
@@ -168,8 +168,8 @@
         settings = read_settings(text)
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
         if settings.discovery_polled:
-            self.asking[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
-            self.asking[node].calling(now / 1e6)
+            self.schedule[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
+            self.schedule[node].calling(now / 1e6)
         self.tell(node, "start", now)
         return pos + int(size)
 
@@ -195,13 +195,13 @@
                 raise WireError(f"list {bank} was never sent")
             entries = self.banks[bank]
         self.tell(node, "endpoint_update", now, list_kind, entries)
-        if node in self.asking and list_kind != EndpointUpdateKind.CACHED:
+        if node in self.schedule and list_kind != EndpointUpdateKind.CACHED:
             self.heard(now / 1e6, node, list_kind != EndpointUpdateKind.FAILED)
         return pos + TARGETS.size
 
     def heard(self, now: float, node: int, good: bool) -> None:
         """A call for the list was answered or failed, or its subscription brought a change or ended."""
-        asking = self.asking[node]
+        asking = self.schedule[node]
         if good:
             asking.word(now)
             asking.good()
@@ -237,14 +237,14 @@
         if token != ASK_AGAIN:
             self.tell(node, "timer", now, token)
         elif node in self.nodes:
-            self.asking[node].calling(now / 1e6)
+            self.schedule[node].calling(now / 1e6)
             WireActions(self.out, node).subscribe(True)
         return pos + WAKE.size
 
     def shutdown(self, now: int, body: bytes, pos: int) -> int:
         (node,) = SHUTDOWN.unpack_from(body, pos)
         self.nodes.pop(node, None)
-        self.asking.pop(node, None)
+        self.schedule.pop(node, None)
         return pos + SHUTDOWN.size
 
     def peer_data(self, now: int, body: bytes, pos: int) -> int:
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -42,14 +42,14 @@
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.directory = directory
+        self.registry = directory
         self.lists = lists or directory
         self.address = address
         self.terms = terms
         self.asked = terms.asked
         self.rng = Random(seed)
         self.monotonic = monotonic
-        self.asking = SubscriptionSchedule(terms, self.rng)
+        self.schedule = SubscriptionSchedule(terms, self.rng)
         self.generation: int | None = 0
         self.lineage = 0  # counts the moves
         self.moved_at: float | None = None  # when the last one began
@@ -81,7 +81,7 @@
         self.current = self.coming = None
         self.close_former()
         if on:
-            self.current = Watch(self, self.address, self.generation, self.asking, self.lineage)
+            self.current = Watch(self, self.address, self.generation, self.schedule, self.lineage)
 
     def move(self, address: tuple[str, int]) -> bool:
         """Goes to another address; False if that is where the node is, or is going, already.
@@ -144,7 +144,7 @@
     def heard_all(self, watch: Watch) -> None:
         """What the present discovery lists has been told up to now: what appears later has started later."""
         if watch is self.current:
-            self.directory.births.listed_all(monotonic_us())
+            self.registry.start_times.listed_all(monotonic_us())
 
     def reached(self, watch: Watch, good: bool) -> None:
         """The watch has just spoken, or its connection has ended or come to nothing."""
@@ -174,8 +174,8 @@
         self.on_word()
         if watch is self.coming:
             old = self.current
-            self.current, self.coming, self.asking = watch, None, watch.asking
-            watch.asking.moving = False
+            self.current, self.coming, self.schedule = watch, None, watch.schedule
+            watch.schedule.moving = False
             if old is not None:
                 self.leave(old)
             log_line(f"discovery: moved to {watch.place}")
@@ -183,7 +183,7 @@
     def log(self, watch: Watch, version: object, outcome: TableUpdate, now: float) -> None:
         for line in describe(outcome.transitions, now):
             log_line(f"discovery: {watch.place} v{version}: {line}")
-        trace = self.directory.host.trace
+        trace = self.registry.dispatcher.trace
         if trace is not None:
             for transition in outcome.transitions:
                 trace.changed(transition, now)
@@ -231,4 +231,4 @@
             self.failed()
 
     def failed(self) -> None:
-        self.directory.host.endpoint_update(EndpointUpdateKind.FAILED, [])
+        self.registry.dispatcher.endpoint_update(EndpointUpdateKind.FAILED, [])
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -68,8 +68,8 @@
     def __init__(
         self, host: RequestDispatcher, servers: ConnectionPool, zones: Sequence[str], kinds: Sequence[str]
     ) -> None:
-        self.host = host
-        self.servers = servers
+        self.dispatcher = host
+        self.pool = servers
         self.zones = NameIndex(zones)
         self.kinds = NameIndex(kinds)
         self.numbers: dict[str, int] = {}
@@ -84,7 +84,7 @@
         self.heard: Callable[[Any, bool, bool], None] | None = (
             None  # each update, whether full, whether cached
         )
-        self.births = StartTimes(time.time_ns() // 1000 - monotonic_us())
+        self.start_times = StartTimes(time.time_ns() // 1000 - monotonic_us())
 
     def reached(self, good: bool) -> None:
         """The only source there is: its last list holds however old it is."""
@@ -102,7 +102,7 @@
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
             raise ValueError("no list of servers")
         full = full or cached or bool(update.get("reset"))
-        trace = self.host.trace
+        trace = self.dispatcher.trace
         before = set(self.listed) if trace is not None else set()
         entries: dict[int, Endpoint] = {}
         for item in update["instances"]:
@@ -124,7 +124,7 @@
             if full
             else EndpointUpdateKind.CHANGES
         )
-        self.host.endpoint_update(kind, list(entries.values()))
+        self.dispatcher.endpoint_update(kind, list(entries.values()))
         if trace is not None:
             named = {number: name for name, number in self.numbers.items()}
             now_listed = set(self.listed)
@@ -156,7 +156,7 @@
             zone=self.zones.place(str(item.get("zone", ""))),
             machine_type=self.kinds.place(str(item.get("machineType", ""))),
             weight=float(item.get("weight", 1.0)) if self.weighted else 1.0,
-            ready_at=self.births.ready_at(name, started, monotonic_us()) if started > 0 else LONG_AGO,
+            ready_at=self.start_times.ready_at(name, started, monotonic_us()) if started > 0 else LONG_AGO,
         )
         listed = ListedEndpoint(entry, address, started)
         if name in self.out:
@@ -174,7 +174,7 @@
         if self.back.get(name, 0) > entry.ready_at:
             # Guards against: a server comes back cold, and the list has not told that it was restarted.
             entry = replace(entry, ready_at=self.back[name])
-        self.servers.update(number, address, started)
+        self.pool.update(number, address, started)
         self.listed[number] = entry
         self.owners[address] = number
         if owner is None or owner.server == number:
@@ -196,11 +196,11 @@
         if name in self.out:
             return
         number = self.numbers.get(name, 0)
-        entry, target = self.listed.get(number), self.servers.targets.get(number)
+        entry, target = self.listed.get(number), self.pool.targets.get(number)
         self.out[name] = None
         if entry is not None and target is not None:
             self.out[name] = ListedEndpoint(entry, target.address, target.started)
-            self.host.endpoint_update(
+            self.dispatcher.endpoint_update(
                 EndpointUpdateKind.CHANGES, [self.withdraw(number, EndpointState.DRAINING)]
             )
 
@@ -213,19 +213,19 @@
         self.back[name] = monotonic_us()
         if listed is not None:
             entry = replace(listed.entry, server=self.number(name))
-            self.host.endpoint_update(
+            self.dispatcher.endpoint_update(
                 EndpointUpdateKind.CHANGES, self.place(name, listed._replace(entry=entry))
             )
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
-        self.servers.withdraw(number)
+        self.pool.withdraw(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
 
     def forget(self) -> None:
         """Guards against: where servers are replaced all day, what was known of those gone piles up."""
         for name, number in list(self.numbers.items()):
-            if number not in self.listed and self.servers.forget(number):
+            if number not in self.listed and self.pool.forget(number):
                 del self.numbers[name]
         cold = monotonic_us() - COLD_MOST
         self.back = {name: at for name, at in self.back.items() if name in self.numbers or at > cold}
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -19,7 +19,7 @@
     (discovery has it in service), `open`, `warmth` (part of a warm server's capacity, 1 for one that is not
     in use) and `ejected`.
     """
-    views = {view.server: view for view in directory.host.balancer.view(now)}
+    views = {view.server: view for view in directory.dispatcher.balancer.view(now)}
     numbers = directory.numbers
     rows = []
     for name in sorted({*numbers, *directory.out, *directory.draining}):
--- a/harecross/discovery/watch.py
+++ b/harecross/discovery/watch.py
@@ -43,7 +43,7 @@
         """`own`: it is the watch's own call, none beside it."""
         self.watch = watch
         self.first = own  # the next list or change is the first word of the watch's own call
-        self.asking = asking
+        self.schedule = asking
         self.path = path
         self.transport: asyncio.Transport | None = None
         self.parser = HttpResponseParser(self)
@@ -67,7 +67,7 @@
         except HttpParserError as e:
             self.spoilt(f"bad answer: {e}")
         if self.good and self.is_word(time.monotonic()):
-            self.asking.word(time.monotonic())
+            self.schedule.word(time.monotonic())
 
     def is_word(self, now: float) -> bool:
         """Whether what has come tells that the watch is alive.
@@ -151,7 +151,7 @@
         self.subscriber = subscriber
         self.address = address
         self.generation = generation  # the last version read; None before the first whole list
-        self.asking = asking
+        self.schedule = asking
         self.lineage = lineage
         self.closed = False
         self.final = False  # its address is to be left: no further call
@@ -165,7 +165,7 @@
 
     def close(self) -> None:
         self.closed = True
-        self.asking.stop()
+        self.schedule.stop()
         self.task.cancel()
 
     def told(self, update: Any, first: bool) -> None:
@@ -193,7 +193,7 @@
             self.generation = generation
         elif self.generation is None:
             self.generation = 0
-        self.asking.good()
+        self.schedule.good()
 
     def unchanged(self) -> None:
         """An empty line: what this watch asked after is the newest there is, since a first line brings what is not."""
@@ -202,18 +202,18 @@
 
     async def run(self) -> None:
         while not self.final:
-            await asyncio.sleep(max(0.0, self.asking.next_at - time.monotonic()))
+            await asyncio.sleep(max(0.0, self.schedule.next_at - time.monotonic()))
             if self.final:
                 return
             path, had = b"/catalog/members", self.generation
             if had is not None:
                 path += b"?watch=1&after=%d" % had
-            self.asking.calling(time.monotonic())
-            end = await self.call(path, self.asking, own=True)
+            self.schedule.calling(time.monotonic())
+            end = await self.call(path, self.schedule, own=True)
             if had is None and self.generation is not None and end is CallEnd.ENDED:
-                self.asking.begin(time.monotonic())  # the whole list is here: its watch follows
+                self.schedule.begin(time.monotonic())  # the whole list is here: its watch follows
                 continue
-            self.asking.ended(time.monotonic(), end)
+            self.schedule.ended(time.monotonic(), end)
             self.subscriber.call_ended(self)
 
     async def call(self, path: bytes, asking: SubscriptionSchedule, own: bool) -> CallEnd:
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -90,14 +90,14 @@
 class UpstreamAttempt(Exchange):
     """One attempt of a request."""
 
-    __slots__ = ("request", "number", "host")
+    __slots__ = ("request", "number", "dispatcher")
 
     request: DispatchedRequest
     number: int
-    host: RequestDispatcher
+    dispatcher: RequestDispatcher
 
     def begin(self, length: int | None, report: Sequence[float]) -> bool:
-        return self.host.answer_begins(self, length, report)
+        return self.dispatcher.answer_begins(self, length, report)
 
     def part(self, data: bytes) -> None:
         if self.request.caller is not None:
@@ -107,14 +107,14 @@
         return self.request.caller is not None and self.request.caller.waits()
 
     def left(self) -> None:
-        self.host.uploading(self.request, False)
+        self.dispatcher.uploading(self.request, False)
 
     def request_id(self) -> str:
         return self.request.message.id.decode("latin-1")
 
     def written(self, fresh: bool, whole: bool) -> None:
-        if self.host.trace is not None:
-            self.host.trace.written(self, fresh, whole)
+        if self.dispatcher.trace is not None:
+            self.dispatcher.trace.written(self, fresh, whole)
 
 
 class DispatchedRequest:
@@ -152,7 +152,7 @@
     def __init__(self, settings: Settings, seed: int, servers: ConnectionPool) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = settings
-        self.servers = servers
+        self.pool = servers
         servers.on_closed = self.connection_closed
         self.requests: dict[int, DispatchedRequest] = {}
         self.names: set[bytes] = set()  # the callers' ids of these
@@ -165,7 +165,7 @@
         self.reasons: Counter[tuple[str, FinalReason]] = Counter()  # of refusals and failures
         self.closings: Counter[CloseReason] = Counter()  # of connections, on both sides
         self.trace: RequestTracer | None = None
-        self.standing: ListReadiness | None = (
+        self.readiness: ListReadiness | None = (
             None  # of the list; None: it may be used from the first moment on
         )
         self.on_watch: Callable[[bool], None] = lambda on: None
@@ -187,9 +187,9 @@
         """
         parts: dict[str, float] = {
             **self.answered,
-            "open": self.servers.open,
-            "reports": self.servers.reports,
-            "spoilt": self.servers.spoilt,
+            "open": self.pool.open,
+            "reports": self.pool.reports,
+            "spoilt": self.pool.spoilt,
         }
         parts.update({o.name.lower(): self.outcomes[o] for o in Outcome if self.outcomes[o]})
         parts.update({f"{how}_{reason}": n for (how, reason), n in sorted(self.reasons.items())})
@@ -205,7 +205,7 @@
 
     def may_send(self) -> bool:
         """Whether anything new may go to a server, by the list that there is."""
-        standing = self.standing
+        standing = self.readiness
         return standing is None or standing.open or standing.may_send(monotonic())
 
     def usual_time(self) -> float:
@@ -300,7 +300,7 @@
         for attempt in list(r.out):
             # Guards against: the module has no more say in a large answer, or in a body whose beginning is gone.
             if attempt.begun or attempt.until == NEVER or not attempt.is_sent():
-                self.servers.abandon(attempt, Outcome.CANCELLED)
+                self.pool.abandon(attempt, Outcome.CANCELLED)
         self.uploading(r, False)
         self.tell_left(r)
 
@@ -316,7 +316,7 @@
         Guards against: whatever the module does, a request it holds or forgets is answered in time.
         """
         for attempt in list(r.out):
-            self.servers.abandon(attempt, Outcome.TIMEOUT)
+            self.pool.abandon(attempt, Outcome.TIMEOUT)
         if r.caller is not None:
             self.give_up(r, FinalReason.DEADLINE)
             self.tell_left(r)
@@ -454,7 +454,7 @@
         else:
             until = min(now + timeout, r.until) if timeout > 0 else r.until
         attempt = UpstreamAttempt(server, r.message.head, r.message.body, until, self.ended)
-        attempt.host = self
+        attempt.dispatcher = self
         attempt.upload = upload
         attempt.patience = min(timeout, r.message.time_left) if timeout > 0 else r.message.time_left
         c = self.settings.classes[min(r.message.request_class, len(self.settings.classes) - 1)]
@@ -468,7 +468,7 @@
         r.out.append(attempt)
         if self.trace is not None:
             self.trace.sent(attempt)
-        self.servers.send(attempt)
+        self.pool.send(attempt)
         if until == NEVER:
             self.loop.call_soon(self.uploading, r, True)
 
@@ -479,7 +479,7 @@
         for out in r.out:
             if out.number == attempt:
                 # The outcome follows, never within the module's own call.
-                self.loop.call_soon(self.servers.abandon, out, Outcome.CANCELLED)
+                self.loop.call_soon(self.pool.abandon, out, Outcome.CANCELLED)
 
     def shed(self, request: int, retry_after: int) -> None:
         r = self.requests.get(request)
@@ -493,7 +493,7 @@
             self.finish(r, "failed", self.balancer.final_reason)
 
     def health_check(self, server: int) -> None:
-        self.servers.send(self.servers.probe(server, self.probe_ended))
+        self.pool.send(self.pool.probe(server, self.probe_ended))
 
     def set_timer(self, delay: int, token: int) -> None:
         self.loop.call_later(delay / 1e6, self.timer, token)
@@ -515,7 +515,7 @@
         self.on_fetch()
 
     def close_idle(self, server: int) -> None:
-        self.servers.close(server)
+        self.pool.close(server)
 
     def log_event(self, text: str) -> None:
         log_line(text)
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -142,9 +142,11 @@
         self.hold(-self.held)
         request, self.request = self.request, None
         name = request.message.id.decode("latin-1") if request is not None else ""
-        self.front.host.connection_closed(Closing("client", "", self.close_reason or CloseReason.PEER, name))
+        self.front.dispatcher.connection_closed(
+            Closing("client", "", self.close_reason or CloseReason.PEER, name)
+        )
         if request is not None:
-            self.front.host.left(request)
+            self.front.dispatcher.left(request)
 
     def close(self, reason: CloseReason) -> None:
         """Ends the connection once what was written has left."""
@@ -289,7 +291,7 @@
             return
         self.hold(len(upload.kept) - self.held)
         if self.request is not None:
-            self.front.host.upload_grew(self.request)
+            self.front.dispatcher.upload_grew(self.request)
         if self.paused and not upload.full and not self.closing and not self.queue:
             if self.reading:
                 self.front.owes(self)
@@ -334,14 +336,14 @@
             upload, self.upload = self.upload, None
             upload.finish()
             if self.sending is upload and self.request is not None:
-                self.front.host.body_came(self.request, self.unread_for)
+                self.front.dispatcher.body_came(self.request, self.unread_for)
             elif self.sending is not upload and upload.dropped and self.idle():
                 self.front.rests(self)  # answered before it had come
             return
         if self.url == b"/_health" and self.parser.get_method() == b"GET":
             # The front takes a node in once this has answered 200; one that is stopping wants no more, and one that
             # has no list of its own time may send nothing yet.
-            self.queue.append(-503 if self.front.stopping or not self.front.host.may_send() else -200)
+            self.queue.append(-503 if self.front.stopping or not self.front.dispatcher.may_send() else -200)
             return
         self.queue.append(self.message())
         if len(self.queue) > AHEAD:
@@ -383,7 +385,7 @@
             request, self.request = self.request, None
             self.busy = False
             if request is not None:
-                self.front.host.left(request)
+                self.front.dispatcher.left(request)
             if self.hold_answer is not None and self.transport is not None:
                 self.abort(CloseReason.BAD_REQUEST)
                 return
@@ -404,12 +406,12 @@
             self.busy = True
             self.sending = item.upload
             self.chunked = item.chunks
-            if self.front.host.is_open(item.id):
+            if self.front.dispatcher.is_open(item.id):
                 # Guards against: the id of another's open request, passed on, is a second copy of that one.
                 self.conflict()
                 continue
             try:
-                request = self.front.host.take(self, item)
+                request = self.front.dispatcher.take(self, item)
             except Exception:
                 log_exception("request")
                 self.failed()
@@ -418,7 +420,7 @@
                 self.request = request
                 if item.upload is not None:
                     if item.upload.complete:
-                        self.front.host.body_came(request, self.unread_for)
+                        self.front.dispatcher.body_came(request, self.unread_for)
                     self.upload_moved()
 
     def waits(self) -> bool:
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -58,10 +58,10 @@
         self, host: RequestDispatcher, reader: RequestReader, room: DescriptorBudget, held_most: int
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.host = host
+        self.dispatcher = host
         self.reader = reader
         self.room = room
-        host.servers.on_short = self.make_room
+        host.pool.on_short = self.make_room
         self.short_since: int | None = None  # there is no room for the next connection
         self.held = 0  # bytes of bodies, over all connections
         self.held_most = held_most
@@ -126,7 +126,7 @@
             if not fits:
                 self.turned_away += 1
                 connection.close()
-                self.host.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
+                self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
                 continue
             self.room.callers += 1
             self.listener.welcome(connection)
@@ -157,7 +157,7 @@
                     break
                 if not caller.has_unread():
                     return self.put_out(caller)
-        if self.room.servers_may_give() and self.host.servers.spare():
+        if self.room.servers_may_give() and self.dispatcher.pool.spare():
             return True
         # Guards against: callers that send half a head and stay hold every place for as long as a slow one may.
         stuck = (c for c in self.owing if c.reading and not c.head_done and c.heard < monotonic_us() - STUCK)
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -136,7 +136,7 @@
         return self.names.get(server, str(server))
 
     def where(self, a: UpstreamAttempt) -> dict[str, object]:
-        target = a.target or a.host.servers.targets.get(a.server)
+        target = a.target or a.dispatcher.pool.targets.get(a.server)
         found: dict[str, object] = {"http.request.resend_count": a.number, "server.id": self.name(a.server)}
         if target is not None:
             found |= {"server.address": target.host, "server.port": target.port}
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -129,35 +129,35 @@
         room = max(16, config.sockets - descriptors() - reserve)
         self.whole, self.bodies = room, config.memory // BODIES
         self.room = DescriptorBudget(room)
-        self.servers = ConnectionPool(config.connect_timeout, config.idle_time, config.columns, self.room)
-        self.host = RequestDispatcher(settings, config.seed, self.servers)
-        self.directory = EndpointRegistry(self.host, self.servers, config.zones, config.kinds)
+        self.pool = ConnectionPool(config.connect_timeout, config.idle_time, config.columns, self.room)
+        self.dispatcher = RequestDispatcher(settings, config.seed, self.pool)
+        self.registry = EndpointRegistry(self.dispatcher, self.pool, config.zones, config.kinds)
         if attempts:
             from harecross.follow.attempts import AttemptLog
 
             try:
-                self.host.trace = AttemptLog(config.name, attempts, self.directory.numbers)
+                self.dispatcher.trace = AttemptLog(config.name, attempts, self.registry.numbers)
             except OSError as e:
                 raise BadConfig(f"log.attempts {attempts}: {e.strerror}") from None
         if more_sources is not None:
-            self.more_sources = more_sources(self.directory)
+            self.more_sources = more_sources(self.registry)
         self.discovery = DiscoveryClient(
-            self.directory, config.discovery, discovery_terms(settings), self.more_sources, config.seed
+            self.registry, config.discovery, discovery_terms(settings), self.more_sources, config.seed
         )
-        self.standing = ListReadiness(monotonic(), longest_wait(self.discovery.terms))
-        self.host.standing = self.standing
+        self.readiness = ListReadiness(monotonic(), longest_wait(self.discovery.terms))
+        self.dispatcher.readiness = self.readiness
         self.told = asyncio.Event()  # the list may be used
         self.discovery.on_word = self.list_told
-        self.host.on_watch, self.host.on_fetch = self.watch, self.fetch
+        self.dispatcher.on_watch, self.dispatcher.on_fetch = self.watch, self.fetch
         reader = RequestReader(settings, config.classes, config.tenants)
         self.callers = ConnectionManager(
-            self.host, reader, self.room, bodies_part(self.bodies, 1, inherited is not None)
+            self.dispatcher, reader, self.room, bodies_part(self.bodies, 1, inherited is not None)
         )
-        self.servers.set_passing(self.bodies // 2)
+        self.pool.set_passing(self.bodies // 2)
         self.operations = None
         if config.admin is not None:
             self.operations = AdminOperations(
-                HandoverStore(folder, config.name), self.directory, self.callers, self.heard
+                HandoverStore(folder, config.name), self.registry, self.callers, self.heard
             )
             if self.more_sources is not None:
                 self.operations.explain_by(self.more_sources.explain)
@@ -175,7 +175,7 @@
     def list_told(self) -> None:
         """The list in hand is of this process's own time."""
         if not self.told.is_set():
-            self.standing.told()
+            self.readiness.told()
             self.told.set()
 
     def watches(self) -> bool:
@@ -197,10 +197,10 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
-        self.host.start()
+        self.dispatcher.start()
         if self.beside is not None:
             try:
-                await self.beside.start(self.host, self.directory)
+                await self.beside.start(self.dispatcher, self.registry)
             except OSError as e:
                 raise BadConfig(f"xds.listen {e}") from None
         if self.operations is not None and self.config.admin is not None:
@@ -208,7 +208,7 @@
         if self.config.known is not None:
             try:
                 self.discovery.begin(self.config.known)
-                self.standing.remembered()
+                self.readiness.remembered()
             except ValueError as e:
                 log_line(f"known: {e}")
         if self.more_sources is not None:
@@ -220,7 +220,7 @@
         if not self.watches():
             self.list_told()  # what was kept of the other sources serves from the first moment on
         elif self.others():
-            self.standing.until = monotonic() + longest_wait(self.discovery.terms, beside=True)
+            self.readiness.until = monotonic() + longest_wait(self.discovery.terms, beside=True)
         sock = self.inherited or self.bind()
         self.callers.listen(sock, self.backlog)
         self.address = sock.getsockname()
@@ -278,7 +278,7 @@
         parts = 2 if self.others() else 1
         self.room.total = self.whole // parts
         self.callers.held_most = bodies_part(self.bodies, parts, self.inherited is not None)
-        self.servers.set_passing(self.bodies // 2 // parts)
+        self.pool.set_passing(self.bodies // 2 // parts)
 
     def reload(self) -> None:
         """SIGHUP: the configuration is read again. Only `discovery` can change while the node runs."""
@@ -324,12 +324,15 @@
         again, and while its neighbour restarts too nobody serves their clients.
         """
         classes = self.config.settings.classes
-        times = stopping(max(c.deadline for c in classes) / 1e6, self.host.usual_time())
+        times = stopping(max(c.deadline for c in classes) / 1e6, self.dispatcher.usual_time())
         log_line(
             f"stopping: no more is taken after {times.close:.1f} s, what came late is over after {times.end:.1f} s"
         )
         now, began = monotonic_us(), self.loop.time()
-        self.host.late_from, self.host.latest = now + int(times.counted * 1e6), now + int(times.end * 1e6)
+        self.dispatcher.late_from, self.dispatcher.latest = (
+            now + int(times.counted * 1e6),
+            now + int(times.end * 1e6),
+        )
         if self.inherited is not None and self.others():
             log_line("another process serves on")
             await self.callers.hand_over()
@@ -351,7 +354,7 @@
         self.discovery.listen(False)
         if self.more_sources is not None:
             await self.more_sources.stop()
-        self.servers.shut()
+        self.pool.shut()
         if self.beside is not None:
             await self.beside.stop()
         end = self.loop.time() + FLUSH
@@ -377,7 +380,7 @@
             self.operations.learn()
         if self.more_sources is not None and self.more_sources.heard:
             self.list_told()
-        self.servers.sweep()
+        self.pool.sweep()
         self.callers.sweep()
         now = self.loop.time()
         if now >= self.reported + self.report_every:
@@ -390,11 +393,11 @@
     def report(self) -> None:
         now, lists = monotonic(), dict[str, float]()
         if self.watches():
-            lists = self.discovery.asking.figures(now)
-            word = self.standing.word(now, self.discovery.asking)
+            lists = self.discovery.schedule.figures(now)
+            word = self.readiness.word(now, self.discovery.schedule)
             if word in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
                 lists[f"list_{word.value}"] = 1.0
-        self.host.report(self.callers.bad, self.callers.turned_away, lists)
+        self.dispatcher.report(self.callers.bad, self.callers.turned_away, lists)
 
 
 def read_operators(path: str) -> Operators:
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -38,7 +38,7 @@
         """`heard` tells whether discovery has spoken to this process."""
         self.loop = asyncio.get_running_loop()
         self.store = store
-        self.directory = directory
+        self.registry = directory
         self.callers = callers
         self.serving_since: float | None = None
         self.learned_at = self.loop.time()
@@ -83,7 +83,9 @@
         if text is None:
             return
         try:
-            learned_state.recall(self.directory.host.balancer, self.directory.numbers, text, monotonic_us())
+            learned_state.recall(
+                self.registry.dispatcher.balancer, self.registry.numbers, text, monotonic_us()
+            )
             log_line("what the other process has learned is taken over")
         except ValueError as e:
             log_line(f"{self.store.learned}: not taken over: {e}")
@@ -94,7 +96,7 @@
         if self.callers.leaving or now < self.learned_at + LEARN_EVERY:
             return
         self.learned_at = now
-        text = learned_state.learned(self.directory.host.balancer, self.directory.numbers)
+        text = learned_state.learned(self.registry.dispatcher.balancer, self.registry.numbers)
         if text is not None:
             self.store.write_learned(text)
 
@@ -112,11 +114,11 @@
     def follow(self) -> None:
         """Makes the node what the store says it is."""
         held = self.store.held
-        out, back = difference(self.directory.out, map(self.directory.resolve, held.out))
+        out, back = difference(self.registry.out, map(self.registry.resolve, held.out))
         for name in out:
-            self.directory.hold(name)
+            self.registry.hold(name)
         for name in back:
-            self.directory.put_back(name)
+            self.registry.put_back(name)
         if held.standby != self.callers.standing_by:
             self.callers.stand(held.standby)
 
@@ -126,10 +128,10 @@
         since = self.serving_since
         if since is None:
             return 503, "starting"
-        if not self.directory.listed and not self.directory.out:
+        if not self.registry.listed and not self.registry.out:
             return 503, "no servers known"
         fresh = self.heard() or self.loop.time() >= since + FIRST_LIST
-        if not fresh or not self.directory.host.may_send():
+        if not fresh or not self.registry.dispatcher.may_send():
             return 503, "waiting for discovery"
         held = self.store.held
         out = ", ".join(sorted(held.out)) or "none"
@@ -138,8 +140,8 @@
     def servers(self, query: bytes) -> AdminAnswer:
         """Each server as this process sees it, one line of JSON; `id=` names those that are asked for."""
         asked = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
-        wanted = {self.directory.resolve(name): name for name in asked}
-        rows = endpoint_status_rows(self.directory, self.directory.host.out_on(), monotonic_us())
+        wanted = {self.registry.resolve(name): name for name in asked}
+        rows = endpoint_status_rows(self.registry, self.registry.dispatcher.out_on(), monotonic_us())
         for row in rows:
             row["id"] = wanted.get(row["id"], row["id"])  # by the name that was asked for
         told = {
@@ -158,7 +160,7 @@
 
     def without(self, held: MaintenanceState, server: str) -> MaintenanceState:
         """With the server back, by whichever of its names it was taken out."""
-        for name in {server, *(n for n in held.out if self.directory.resolve(n) == server)}:
+        for name in {server, *(n for n in held.out if self.registry.resolve(n) == server)}:
             held = held.exit(name)
         return held
 
@@ -176,9 +178,9 @@
             return "", "the body is no id: not UTF-8"
         if not name or len(body) > ID_MOST:
             return "", "the body holds the id of a server"
-        if not self.directory.knows(name):
+        if not self.registry.knows(name):
             return "", f"{name}: no such server"
-        return self.directory.resolve(name), ""
+        return self.registry.resolve(name), ""
 
     def stand(self, by: bool) -> AdminAnswer:
         return self.write(lambda held: held.stand(by), "standby" if by else "active")
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -69,7 +69,7 @@
         """Reads the kept sets and the files. ValueError for a file that is bad at the start."""
         self.loop = asyncio.get_running_loop()
         self.told = told
-        self.directory = directory
+        self.registry = directory
         self.label = f"{label}: " if label else ""
         self.rng = rng or SystemRandom()
         self.now = self.loop.time
@@ -211,8 +211,8 @@
 
         It ejects a third of its members at most; the others of a dead priority show by what a call costs there.
         """
-        names = {number: name for name, number in self.directory.numbers.items()}
-        views = self.directory.host.balancer.view(monotonic_us())
+        names = {number: name for name, number in self.registry.numbers.items()}
+        views = self.registry.dispatcher.balancer.view(monotonic_us())
         return {names[v.server] for v in views if (v.ejected or v.cost >= SICK) and v.server in names}
 
     @property
@@ -233,7 +233,7 @@
         """Tells the host the whole list once more, soon."""
         lines = self.membership.lines
         self.loop.call_soon(
-            lambda: self.directory.apply({"reset": True, "instances": list(lines.values())}, full=True)
+            lambda: self.registry.apply({"reset": True, "instances": list(lines.values())}, full=True)
         )
 
     def explain(self, box: str = "") -> dict[str, Any]:
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -36,8 +36,8 @@
         self, name: str, host: RequestDispatcher, directory: EndpointRegistry, changed: Callable[[str], None]
     ) -> None:
         self.name = name
-        self.host = host
-        self.directory = directory
+        self.dispatcher = host
+        self.registry = directory
         self.changed = changed
         self.roster = ListedEndpoints()
         self.loads = Loads()
@@ -50,7 +50,7 @@
 
     def views(self) -> tuple[list[ServerView], float]:
         """What is thought of each listed server, and the calls one copy would hold at each."""
-        seen = {v.server: v for v in self.host.balancer.view(monotonic_us())}
+        seen = {v.server: v for v in self.dispatcher.balancer.view(monotonic_us())}
         limits = [v.limit for v in seen.values()]
         views = []
         for name, line in self.roster.lines.items():
@@ -60,8 +60,8 @@
             except ValueError:
                 continue  # the directory has said so in the log
             draining = line["lifecycle"] != "in_service"
-            number = self.directory.numbers.get(name, 0)
-            if not draining and number not in self.directory.listed:
+            number = self.registry.numbers.get(name, 0)
+            if not draining and number not in self.registry.listed:
                 continue  # another server has taken over its address, or its line could not be read
             v = seen.get(number)
             zone = str(line.get("zone", ""))
@@ -73,15 +73,15 @@
 
     def take_loads(self) -> None:
         """Tells the module what proxies have reported since the last time."""
-        timed = tuple(self.host.settings.report_fields) == ("latency_ms",)
+        timed = tuple(self.dispatcher.settings.report_fields) == ("latency_ms",)
         for s in self.loads.take():
-            number = self.directory.numbers.get(s.server)
+            number = self.registry.numbers.get(s.server)
             if number is not None:
                 report = (s.latency_ms,) if timed and s.latency_ms else ()
-                self.host.balancer.load_reported(monotonic_us(), number, s.good, s.bad, report)
+                self.dispatcher.balancer.load_reported(monotonic_us(), number, s.good, s.bad, report)
 
     def close(self) -> None:
-        self.directory.heard = None
+        self.registry.heard = None
 
 
 class Judge(RequestDispatcher):
@@ -124,12 +124,12 @@
         super().__init__(name, host, EndpointRegistry(host, servers, (), ()), changed)
         host.changed = lambda: changed(name)
         host.start()
-        self.servers = servers
+        self.pool = servers
         table = told.table()
         # ValueError for a file of addresses that cannot be used.
-        self.sources = Sources(table, self.directory, name) if table.on else None
+        self.sources = Sources(table, self.registry, name) if table.on else None
         where = address(told.discovery) if told.discovery else NOWHERE
-        self.discovery = DiscoveryClient(self.directory, where, lists=self.sources, seed=seed)
+        self.discovery = DiscoveryClient(self.registry, where, lists=self.sources, seed=seed)
         self.schedule = Schedule(int(told.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
         self.tasks: set[asyncio.Task[None]] = set()
         self.ending: asyncio.Task[None] | None = None
@@ -140,7 +140,7 @@
             try:
                 if self.sources is not None:
                     self.sources.membership.remember(memory["instances"])
-                self.directory.apply(memory, cached=True)
+                self.registry.apply(memory, cached=True)
             except (ValueError, KeyError, TypeError) as e:
                 log_line(f"{self.name}: remembered list: {e}")
         self.discovery.generation = None
@@ -159,26 +159,26 @@
         while True:
             await asyncio.sleep(PROBE_STEP)
             try:
-                for server in self.schedule.due(monotonic_us(), self.directory.listed.keys()):
+                for server in self.schedule.due(monotonic_us(), self.registry.listed.keys()):
                     if len(self.schedule.out) > PROBES_MOST:
                         # Failure prevented: servers that hang hold all descriptors.
                         self.schedule.ended(server)
                     elif self.told.probe.kind == "tcp":
                         self.keep(self.connect(server))
                     else:
-                        self.servers.send(self.servers.probe(server, self.probed))
-                self.servers.sweep()
+                        self.pool.send(self.pool.probe(server, self.probed))
+                self.pool.sweep()
             except Exception:
                 log_exception(f"{self.name}: probes")
 
     def probed(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
         self.schedule.ended(exchange.server)
         if outcome != Outcome.NOT_SENT:
-            self.host.probe_ended(exchange, outcome, body, report)
+            self.dispatcher.probe_ended(exchange, outcome, body, report)
 
     async def connect(self, server: int) -> None:
         """A probe that only connects."""
-        target = self.servers.targets.get(server)
+        target = self.pool.targets.get(server)
         began = monotonic_us()
         ok = False
         if target is not None:
@@ -190,7 +190,7 @@
             except (OSError, TimeoutError):
                 pass
         self.schedule.ended(server)
-        self.host.balancer.health_checked(monotonic_us(), server, ok, monotonic_us() - began, ())
+        self.dispatcher.balancer.health_checked(monotonic_us(), server, ok, monotonic_us() - began, ())
 
     def close(self) -> None:
         super().close()
@@ -199,4 +199,4 @@
             self.ending = asyncio.get_running_loop().create_task(self.sources.stop())
         for task in self.tasks:
             task.cancel()
-        self.servers.shut()
+        self.pool.shut()
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -243,15 +243,15 @@
         log.final(late, "failed", FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
         unknown.target = None
-        unknown.host = NoServers()  # type: ignore[assignment]
+        unknown.dispatcher = NoServers()  # type: ignore[assignment]
         log.ended(unknown, Outcome.CANCELLED, [])
         log.stream.close()
 
 
 class NoServers:
-    """In place of an attempt's host: it knows no addresses."""
+    """In place of an attempt's dispatcher: it knows no addresses."""
 
-    class servers:
+    class pool:
         targets: dict[int, ServerProcess] = {}
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -265,7 +265,7 @@
         node = Node(config_from(config_of(address, known=known, settings=asked)))
         task = asyncio.create_task(node.run())
         await node.ready.wait()
-        a = node.discovery.asking
+        a = node.discovery.schedule
         writer = await came.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(42)))
@@ -277,7 +277,7 @@
         assert a.failures == 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(43, entry("s1", "127.0.0.1:1", "terminating"))))
-        await until(lambda: not node.directory.listed)
+        await until(lambda: not node.registry.listed)
         assert a.failures == 0 and a.state is SubscriptionState.SUBSCRIBED
         task.cancel()
 
@@ -288,16 +288,16 @@
     host = Host()
     text = json.dumps({**ENV, "discovery": "ask"}).encode()
     host.batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
-    assert host.asking[3].state is SubscriptionState.ASKING
+    assert host.schedule[3].state is SubscriptionState.ASKING
     failed = struct.pack("<BHBII", 7, 3, 3, 0, 0)
     reply = bytes(host.batch(1, failed, 2_000_000))
     assert reply[4] == 69
     _, _, delay, token = struct.unpack("<BHIQ", reply[4:19])
     assert token == ASK_AGAIN and delay >= schedule.PAUSE * 1e6
     reply = host.batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
-    assert reply[4] == 75 and host.asking[3].calls == 2
+    assert reply[4] == 75 and host.schedule[3].calls == 2
     host.batch(1, struct.pack("<BH", 9, 3), 9_000_000)
-    assert not host.asking
+    assert not host.schedule
 
 
 def test_an_agent_that_is_silent_or_refuses_for_long_is_asked_again_within_the_grace():
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -85,17 +85,17 @@
         await asyncio.sleep(0.05)
         sighted = monotonic_us()
         Catalog.push(watch, line(42, joins))
-        await until(lambda: "new" in w.node.directory.numbers)
-        server = w.node.directory.numbers["new"]
-        (view,) = [v for v in w.node.host.balancer.view(monotonic_us()) if v.server == server]
+        await until(lambda: "new" in w.node.registry.numbers)
+        server = w.node.registry.numbers["new"]
+        (view,) = [v for v in w.node.dispatcher.balancer.view(monotonic_us()) if v.server == server]
         assert view.warmth < 0.7, "it has just started"
-        assert sighted - 2 * SECOND <= w.node.directory.listed[server].ready_at <= monotonic_us()
+        assert sighted - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
         # Recalled after a drain, it is the process that it was.
-        ready_at = w.node.directory.listed[server].ready_at
+        ready_at = w.node.registry.listed[server].ready_at
         Catalog.push(watch, line(43, {**joins, "lifecycle": "terminating"}))
-        await until(lambda: server not in w.node.directory.listed)
+        await until(lambda: server not in w.node.registry.listed)
         Catalog.push(watch, line(44, joins))
-        await until(lambda: w.node.directory.numbers.get("new") in w.node.directory.listed)
-        assert w.node.directory.listed[w.node.directory.numbers["new"]].ready_at == ready_at
+        await until(lambda: w.node.registry.numbers.get("new") in w.node.registry.listed)
+        assert w.node.registry.listed[w.node.registry.numbers["new"]].ready_at == ready_at
 
     with_node(test, servers=2, known=None)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -188,7 +188,7 @@
         listening = [await asyncio.start_server(p, "127.0.0.1", 0, limit=1 << 20) for p in peers]
         w.addresses = ["{}:{}".format(*s.sockets[0].getsockname()) for s in listening]
         known = [entry(f"s{i}", a) for i, a in enumerate(w.addresses)]
-        w.node.directory.apply({"reset": True, "instances": known})
+        w.node.registry.apply({"reset": True, "instances": known})
         try:
             await test(w)
         finally:
@@ -230,7 +230,7 @@
             status, head, body = await client.answer()
             assert (status, body) == (200, BIG[:size])
             assert b"close" not in head
-        assert w.node.host.answered["served"] == 2
+        assert w.node.dispatcher.answered["served"] == 2
 
     with_peers(test, answers(FORMS[form](BIG[:size]), close=form == "close"))
 
@@ -251,7 +251,7 @@
         client.send(left="150m")
         status, _, body = await client.answer()
         assert (status, body) == (200, BIG)
-        assert not w.node.host.requests
+        assert not w.node.dispatcher.requests
 
     async def slow(reader, writer) -> None:
         await read_message(reader)
@@ -278,9 +278,9 @@
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await until(lambda: not (w.node.host.requests))
-        assert len(asked) == 1 and w.node.host.answered["failed"] == 1
-        assert max(s.fail_rate for s in w.node.host.balancer.servers.values()) > 0
+        await until(lambda: not (w.node.dispatcher.requests))
+        assert len(asked) == 1 and w.node.dispatcher.answered["failed"] == 1
+        assert max(s.fail_rate for s in w.node.dispatcher.balancer.servers.values()) > 0
 
     with_peers(test, breaks, breaks)
 
@@ -331,8 +331,8 @@
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await until(lambda: not (w.node.host.requests or w.node.servers.open))
-        assert not w.node.servers.streams
+        await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open))
+        assert not w.node.pool.streams
 
     with_peers(test, stalls)
 
@@ -360,7 +360,7 @@
         # What waits lies in the kernel's buffers, the test's own among them, and not in the node.
         assert written[0] < 12_000_000
         await until(lambda: not (w.node.callers.open))
-        assert not w.node.host.requests and not w.node.host.names
+        assert not w.node.dispatcher.requests and not w.node.dispatcher.names
         client.writer.close()
 
     with_peers(test, pours)
@@ -377,7 +377,7 @@
             writer.close()
 
     async def test(w) -> None:
-        pool = w.node.servers
+        pool = w.node.pool
         pool.set_passing(1 << 20)
         assert pool.first == STREAM_LEAST
         clients = []
@@ -455,14 +455,14 @@
             client.writer.write(text[:150_000])
             while len(heads) <= i:
                 await asyncio.sleep(0.005)
-            (open_request,) = w.node.host.requests.values()
-            while not (held := w.node.host.balancer.requests[open_request.id]).parked:
+            (open_request,) = w.node.dispatcher.requests.values()
+            while not (held := w.node.dispatcher.balancer.requests[open_request.id]).parked:
                 await asyncio.sleep(0.005)
             assert held.out.in_flight == 0 and len(bodies) == i  # a slow caller takes no slot
             client.writer.write(text[150_000:])
             assert (await client.answer())[0] == 200
         assert bodies == [BIG, BIG]
-        assert w.node.host.balancer.controller.in_flight == 0
+        assert w.node.dispatcher.balancer.controller.in_flight == 0
         assert w.node.callers.held == 0
 
     with_peers(test, taking(heads, bodies))
@@ -516,7 +516,7 @@
         assert bodies == [BIG] * 4
         # It is gone, and the call cannot have run: the caller is told when to come back, nothing is sent again.
         cut[0] = 250_000
-        w.node.directory.hold("s1")
+        w.node.registry.hold("s1")
         before = len(heads)
         client = await w.client()
         client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:280_000])
@@ -541,9 +541,9 @@
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
         status, head, _ = await client.answer()
         assert status == 408 and b"Connection: close" in head
-        await until(lambda: not (w.node.servers.open))
-        assert not w.node.host.requests and w.node.host.answered["served"] == 0
-        assert w.node.host.balancer.controller.in_flight == 0 and w.node.callers.held == 0
+        await until(lambda: not (w.node.pool.open))
+        assert not w.node.dispatcher.requests and w.node.dispatcher.answered["served"] == 0
+        assert w.node.dispatcher.balancer.controller.in_flight == 0 and w.node.callers.held == 0
 
     with_peers(test, taking(heads, []))
 
@@ -577,8 +577,8 @@
         await asyncio.sleep(0.02)
         client.writer.write(b"\r\nno chunk\r\n" * 2000)
         assert (await client.answer())[0] == 400
-        await until(lambda: not (w.node.servers.open))
-        assert not bodies and not w.node.host.requests
+        await until(lambda: not (w.node.pool.open))
+        assert not bodies and not w.node.dispatcher.requests
 
     with_peers(test, taking([], bodies))
 
@@ -588,11 +588,11 @@
 
     async def test(w) -> None:
         client = await w.client()
-        w.node.directory.hold("s0")  # nobody to send to
+        w.node.registry.hold("s0")  # nobody to send to
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:1000])
         assert (await client.answer())[0] == 503
-        w.node.directory.out.clear()
-        w.node.directory.apply({"instances": [entry("s0", w.addresses[0])]})
+        w.node.registry.out.clear()
+        w.node.registry.apply({"instances": [entry("s0", w.addresses[0])]})
         client.writer.write(BIG[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
         assert (await client.answer())[0] == 200
@@ -609,7 +609,7 @@
         client = await w.client()
         client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(BIG, 5000))
         assert (await client.answer())[0] == 413
-        await until(lambda: not (w.node.servers.open))
+        await until(lambda: not (w.node.pool.open))
         assert not bodies
 
     with_peers(test, taking([], bodies))
@@ -619,10 +619,10 @@
     async def test(w) -> None:
         client = await w.client()
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
-        await until(lambda: w.node.servers.streams)
+        await until(lambda: w.node.pool.streams)
         client.writer.transport.abort()
-        await until(lambda: not (w.node.host.requests or w.node.servers.open))
-        assert w.node.host.balancer.controller.in_flight == 0
-        assert w.node.host.outcomes[Outcome.OK] == 0
+        await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open))
+        assert w.node.dispatcher.balancer.controller.in_flight == 0
+        assert w.node.dispatcher.outcomes[Outcome.OK] == 0
 
     with_peers(test, taking([], []))
--- a/tests/test_crossings_left.py
+++ b/tests/test_crossings_left.py
@@ -19,8 +19,8 @@
 
 
 def nothing_is_counted(w: World) -> None:
-    balancer = w.node.host.balancer
-    assert not w.node.host.requests and not balancer.requests and balancer.controller.in_flight == 0
+    balancer = w.node.dispatcher.balancer
+    assert not w.node.dispatcher.requests and not balancer.requests and balancer.controller.in_flight == 0
     assert all(srv.in_flight == 0 for srv in balancer.servers.values())
 
 
@@ -29,29 +29,29 @@
 @pytest.mark.parametrize("order", ["before it is up", "after it is up"])
 def test_a_client_that_leaves_while_its_connection_comes_up(kind, cancel, order):
     async def test(w: World) -> None:
-        held, client = HeldConnects(w.node.servers), await w.client()
+        held, client = HeldConnects(w.node.pool), await w.client()
         client.send(kind[0], key=kind[1])
         await held.begun.get()
         if order == "before it is up":
             client.writer.close()
-            await until(lambda: w.node.host.answered["left"])
+            await until(lambda: w.node.dispatcher.answered["left"])
             held.release()
-            await until(lambda: not w.node.servers.tasks)
+            await until(lambda: not w.node.pool.tasks)
             await turns()
-            assert at_servers(w) == 0 and w.node.servers.open == 1  # kept for others
+            assert at_servers(w) == 0 and w.node.pool.open == 1  # kept for others
             nothing_is_counted(w)
         else:
             held.release()
             at = await w.origins[0].arrived.get()
             client.writer.close()
-            await until(lambda: w.node.host.answered["left"])
+            await until(lambda: w.node.dispatcher.answered["left"])
             await turns()
             assert (
                 at.gone.is_set() == cancel
             )  # it may run: closing is a cancel, and that is for settings to allow
             if not cancel:
                 at.answer()
-            await until(lambda: not w.node.host.requests)
+            await until(lambda: not w.node.dispatcher.requests)
             nothing_is_counted(w)
 
     with_node(test, settings=allowing(cancel))
@@ -63,13 +63,13 @@
     """The connection to the server comes up in the turn in which the caller's end lies in the kernel."""
 
     async def test(w: World) -> None:
-        held, client = HeldConnects(w.node.servers), Plain(w.node.address)
+        held, client = HeldConnects(w.node.pool), Plain(w.node.address)
         await taken(w, 1)
         client.send(*kind)
         await held.begun.get()
         w.node.loop.call_soon(client.leave)  # in the turn that lets the connection up
         held.release()
-        await until(lambda: w.node.host.answered["left"])
+        await until(lambda: w.node.dispatcher.answered["left"])
         await turns()
         assert at_servers(w) == 0
         nothing_is_counted(w)
@@ -138,7 +138,7 @@
 def test_a_client_that_leaves_while_its_call_waits_for_a_slot(seen):
     async def test(w: World) -> None:
         clients = []
-        while not w.node.host.balancer.waiting:
+        while not w.node.dispatcher.balancer.waiting:
             clients.append(Plain(w.node.address))
             await taken(w, len(clients))
             clients[-1].send("/put/1", key=f"k{len(clients)}", times=1 if seen else 2)
@@ -146,13 +146,13 @@
         at = [o.arrived.get_nowait() for o in w.origins for _ in range(o.arrived.qsize())]
         clients.pop().leave()
         if seen:
-            await until(lambda: w.node.host.answered["left"] == 1)
+            await until(lambda: w.node.dispatcher.answered["left"] == 1)
         at[0].answer()
-        await until(lambda: w.node.host.answered["left"] == 1)
+        await until(lambda: w.node.dispatcher.answered["left"] == 1)
         await turns()
         # Behind the answered one the same caller's second request comes; of who has left nothing does.
         assert at_servers(w) == (0 if seen else 1)
-        assert not w.node.host.balancer.waiting
+        assert not w.node.dispatcher.balancer.waiting
 
     with_node(test, servers=2, settings=BEHIND)
 
@@ -170,7 +170,7 @@
 
     async def test(w: World) -> None:
         left: dict[str, int] = {}
-        held = HeldConnects(w.node.servers)
+        held = HeldConnects(w.node.pool)
         callers: list[tuple[str, Plain, str]] = []
         for n in range(40):
             moment = rng.choice(MOMENTS)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -61,11 +61,13 @@
 
     async def one(node: Node, came, address: str) -> None:
         await begun(came)
-        await until(lambda: node.discovery.asking.state is subscription_schedule.SubscriptionState.SUBSCRIBED)
+        await until(
+            lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
+        )
         silent_since = node.loop.time()
         writer = await came.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
-        await until(lambda: not node.directory.listed)
+        await until(lambda: not node.registry.listed)
         late.append(node.loop.time() - silent_since - BINDING)
 
     asking_nodes(one)
@@ -78,7 +80,9 @@
 
     async def one(node: Node, came, address: str) -> None:
         writer = await begun(came)
-        await until(lambda: node.discovery.asking.state is subscription_schedule.SubscriptionState.SUBSCRIBED)
+        await until(
+            lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
+        )
         writer.transport.abort()
         for _ in range(3):  # down: each call is failed at once
             writer = await came.get()
@@ -89,7 +93,7 @@
         back = node.loop.time()
         writer = await came.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
-        await until(lambda: not node.directory.listed)
+        await until(lambda: not node.registry.listed)
         late.append(node.loop.time() - back - BINDING)
 
     asking_nodes(one)
@@ -101,7 +105,9 @@
 
     async def one(node: Node, came, address: str) -> None:
         await begun(came)
-        await until(lambda: node.discovery.asking.state is subscription_schedule.SubscriptionState.SUBSCRIBED)
+        await until(
+            lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
+        )
         other, calls = await held_calls()
         moved = node.loop.time()
         assert node.discovery.move(place(other))
@@ -109,7 +115,7 @@
         writer = await calls.get()
         whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole))
-        await until(lambda: not node.directory.listed)
+        await until(lambda: not node.registry.listed)
         late.append(node.loop.time() - moved - subscription_schedule.MOVED - GRACE)
 
     asking_nodes(one)
@@ -127,7 +133,7 @@
     async def test(w: World) -> None:
         watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
         Catalog.push(watch, line(43, {**entries[0], "lifecycle": state}))
-        await until(lambda: len(w.node.directory.listed) == 1)
+        await until(lambda: len(w.node.registry.listed) == 1)
         other = await Catalog().start()
         other.whole = line(5, *entries, reset=True)
         assert w.node.discovery.move(place(other.address))
@@ -141,17 +147,17 @@
         if then == "it hears":
             Catalog.push(watch, line(6, {**entries[0], "lifecycle": "terminating"}))
             await until(lambda: w.node.discovery.current.generation == 6)
-            assert list(w.node.directory.listed) == [w.node.directory.numbers["s1"]]
+            assert list(w.node.registry.listed) == [w.node.registry.numbers["s1"]]
             assert w.node.discovery.table.state("s0") is process_table.ProcessState.DRAINING
         elif then == "it starts again":
             Catalog.push(watch, line(6, {**entries[0], "startedAtMs": 77}))
-            await until(lambda: len(w.node.directory.listed) == 2)
+            await until(lambda: len(w.node.registry.listed) == 2)
         else:
             # Time alone brings nobody back: the discovery is silent, and may not have heard.
             await asyncio.sleep(0.5)
-            assert len(w.node.directory.listed) == 1
+            assert len(w.node.registry.listed) == 1
             Catalog.push(watch, b"")
-            await until(lambda: len(w.node.directory.listed) == 2)
+            await until(lambda: len(w.node.registry.listed) == 2)
 
     with_node(test, servers=2)
 
@@ -159,7 +165,7 @@
 def test_a_drain_that_the_old_discovery_writes_after_the_hand_over_counts_and_its_recalls_only_undo_it():
     async def test(w: World) -> None:
         old, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
-        directory = w.node.directory
+        directory = w.node.registry
 
         def used() -> set[str]:
             return {name for name, number in directory.numbers.items() if number in directory.listed}
@@ -201,7 +207,7 @@
         await asyncio.sleep(0.5)
         Catalog.push(watch, b"")
         await until(lambda: not w.node.discovery.former and not w.node.discovery.table.carried)
-        assert len(w.node.directory.listed) == 2
+        assert len(w.node.registry.listed) == 2
 
     with_node(test, servers=2)
 
@@ -222,7 +228,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole)
         )  # too late to count
         await turns()
-        assert len(w.node.directory.listed) == 1
+        assert len(w.node.registry.listed) == 1
         assert w.node.discovery.move(place(mute)) and w.node.discovery.move(place(third.address))
         await third.watches.get()
         assert w.node.discovery.current.generation == 9 and w.node.discovery.coming is None
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -51,7 +51,7 @@
 
     async def body(w: World) -> None:
         direct.append(Direct())
-        w.node.servers.update(1, direct[0].address, 0)
+        w.node.pool.update(1, direct[0].address, 0)
         await test(w, direct[0])
 
     with_node(body)
@@ -71,7 +71,7 @@
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
         await asyncio.sleep(connection.REST_MOST / 1e6 + 0.01)
-        target = w.node.servers.targets[1]
+        target = w.node.pool.targets[1]
         assert len(target.idle) == 1
 
         def happens() -> None:
@@ -84,19 +84,19 @@
             await until(lambda: not target.idle)
             client.send(kind[0], key=kind[1])
         else:
-            real = w.node.host.balancer.request
+            real = w.node.dispatcher.balancer.request
 
             def request(*args) -> None:
                 happens()  # in the turn in which the request is taken
                 real(*args)
 
-            w.node.host.balancer.request = request
+            w.node.dispatcher.balancer.request = request
             client.send(kind[0], key=kind[1])
         again = await server.accept()
         await server.request(again)
         again.sendall(answer(b"two"))
         assert (await client.answer())[2] == b"two"
-        assert w.node.host.outcomes[Outcome.RESET] == 0
+        assert w.node.dispatcher.outcomes[Outcome.RESET] == 0
 
     with_direct(test)
 
@@ -125,7 +125,7 @@
             other.sendall(answer(b"two"))
         status, _, body = await client.answer()
         assert (status, body) == (200, b"two")
-        assert not w.node.servers.targets[1].idle or len(w.node.servers.targets[1].idle) == 1
+        assert not w.node.pool.targets[1].idle or len(w.node.pool.targets[1].idle) == 1
 
     with_direct(test)
 
@@ -139,12 +139,12 @@
             await server.request(conn)
             conn.sendall(answer(b"%d" % n))
             assert (await client.answer())[2] == b"%d" % n
-            (kept,) = w.node.servers.targets[1].idle
+            (kept,) = w.node.pool.targets[1].idle
             rest = kept.rested - kept.since
             assert rest <= connection.REST_MOST
             await asyncio.sleep(max(0, rest) / 1e6 + 0.002)
             client.send("/pay/1")
-        assert w.node.servers.open == 1
+        assert w.node.pool.open == 1
 
     with_direct(test)
 
@@ -155,12 +155,12 @@
 
     async def test(w: World) -> None:
         await warm(w)
-        for target in w.node.servers.targets.values():
-            w.node.servers.close_idle(target, CloseReason.IDLE)
+        for target in w.node.pool.targets.values():
+            w.node.pool.close_idle(target, CloseReason.IDLE)
         client = await w.client()
         client.send("/put/1", key="k")
         at = await first(*w.origins)
-        held = HeldConnects(w.node.servers)
+        held = HeldConnects(w.node.pool)
         at.writer.transport.abort()  # it may have run
         await held.begun.get()  # the repeat is on its way
         if late:
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -180,7 +180,7 @@
     async def test(w: World) -> None:
         client = Plain(w.node.address)
         await taken(w, 1)
-        held = HeldConnects(w.node.servers)
+        held = HeldConnects(w.node.pool)
         w.node.stop.set()
         await turns()
         client.send(*kind)
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -49,7 +49,7 @@
         for node in fleet:
             assert node.discovery.move((host, int(port)))
         old.drain("s0")  # said by the old one while the new one works its line off
-        await until(lambda: all(len(n.directory.listed) == 2 for n in fleet))
+        await until(lambda: all(len(n.registry.listed) == 2 for n in fleet))
         assert new.answered < nodes, "before all had moved"
         new.drain("s0")
         await until(lambda: all(n.discovery.current.address[1] == int(port) for n in fleet))
@@ -58,7 +58,7 @@
             client.send("/put/1", key="k")
             assert (await client.answer())[0] == 200
         await until(lambda: all(n.discovery.current.generation == 4 for n in fleet))
-        assert all(len(n.directory.listed) == 2 for n in fleet)
+        assert all(len(n.registry.listed) == 2 for n in fleet)
         for task in tasks:
             task.cancel()
 
@@ -109,7 +109,7 @@
         over = True
         await asyncio.gather(*callers)
         assert lost == 0 and served > 50
-        assert all(not n.host.requests for n in fleet[:4])
+        assert all(not n.dispatcher.requests for n in fleet[:4])
         for task in tasks[4:]:
             task.cancel()
 
@@ -165,7 +165,7 @@
     """Ten times over, at the addresses of those that left, in steps as a release takes them."""
 
     async def test(w: World) -> None:
-        directory, servers = w.node.directory, 20
+        directory, servers = w.node.registry, 20
         now = {i: entry(f"r0-{i}", f"127.0.0.1:{2000 + i}", zone=f"z{i % 3}") for i in range(servers)}
         directory.apply(update(42, *now.values(), reset=True))
         generation = 42
@@ -181,12 +181,12 @@
                 directory.apply(update(generation, *changed))
                 used = {n for n, at in directory.numbers.items() if at in directory.listed}
                 assert used == {item["instanceId"] for item in now.values()}
-                assert {t.port for t in w.node.servers.targets.values() if t.ready} == set(range(2000, 2020))
+                assert {t.port for t in w.node.pool.targets.values() if t.ready} == set(range(2000, 2020))
             generation += 1
             directory.apply(update(generation, *now.values(), reset=True))
             assert len(directory.numbers) == len(directory.listed) == len(directory.owners) == servers
-            assert len(w.node.servers.targets) == servers and not directory.draining
-            assert len(w.node.host.balancer.servers) == servers
+            assert len(w.node.pool.targets) == servers and not directory.draining
+            assert len(w.node.dispatcher.balancer.servers) == servers
             assert len(directory.zones.others) <= 6
 
     with_node(test, servers=1)
@@ -224,8 +224,8 @@
             if i % 40 == 0:
                 client.send("/put/1", key="k")
                 assert (await client.answer())[0] == 200
-                assert len(w.node.directory.listed) == 1
-        await until(lambda: len(w.node.directory.listed) == 2)
+                assert len(w.node.registry.listed) == 1
+        await until(lambda: len(w.node.registry.listed) == 2)
 
     with_node(test)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -59,13 +59,13 @@
         before = [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
         w.catalog.whole = line(42, *before, reset=True)
         Catalog.push(watch, line(43, {**before[0], "lifecycle": "terminating"}))
-        await until(lambda: len(w.node.directory.listed) == 1)
+        await until(lambda: len(w.node.registry.listed) == 1)
         await w.node.discovery.ask_once()
-        assert len(w.node.directory.listed) == 1 and w.node.discovery.current.generation == 43
+        assert len(w.node.registry.listed) == 1 and w.node.discovery.current.generation == 43
         Catalog.push(watch, line(42, *before, reset=True))  # nor on the watch itself
         Catalog.push(watch, line(44, before[0]))
         await until(lambda: w.node.discovery.current.generation == 44)
-        assert len(w.node.directory.listed) == 2
+        assert len(w.node.registry.listed) == 2
 
     with_node(test, servers=2)
 
@@ -84,17 +84,17 @@
         watch = await w.watch()
         Catalog.push(watch, line(3, *entries, reset=True))
         await until(lambda: w.node.discovery.current.generation == 3)
-        assert list(w.node.directory.listed) == [w.node.directory.numbers["s1"]]
+        assert list(w.node.registry.listed) == [w.node.registry.numbers["s1"]]
         await asyncio.sleep(0.3)
-        assert len(w.node.directory.listed) == 1
+        assert len(w.node.registry.listed) == 1
         Catalog.push(watch, b"")
-        await until(lambda: len(w.node.directory.listed) == 2)
+        await until(lambda: len(w.node.registry.listed) == 2)
         watch.close()
         w.catalog.whole = line(2, entries[1], reset=True)
         watch = await w.watch()
         Catalog.push(watch, line(1, {**entries[1], "lifecycle": "terminating"}))
         await until(lambda: w.node.discovery.current.generation == 2)
-        assert [n for n, at in w.node.directory.numbers.items() if at in w.node.directory.listed] == ["s1"]
+        assert [n for n, at in w.node.registry.numbers.items() if at in w.node.registry.listed] == ["s1"]
 
     with_node(test, servers=2)
 
@@ -111,7 +111,7 @@
         host, port = other.address.split(":")
         assert w.node.discovery.move((host, int(port)))
         await other.watches.get()
-        assert w.node.discovery.current.generation == 5 and len(w.node.directory.listed) == 1
+        assert w.node.discovery.current.generation == 5 and len(w.node.registry.listed) == 1
 
     with_node(test, servers=2)
 
@@ -125,7 +125,7 @@
         at = next(i for i, a in enumerate(arrived) if a.done())
         leaves = entry(f"s{1 - at}", w.origins[1 - at].address, "terminating")
         Catalog.push(watch, line(42, leaves))
-        await until(lambda: len(w.node.directory.listed) == 1)
+        await until(lambda: len(w.node.registry.listed) == 1)
         arrived[at].result().answer(503, extra=b"X-Not-Processed: 1\r\n")
         again = asyncio.ensure_future(w.origins[at].arrived.get())
         answered = asyncio.ensure_future(client.answer())
@@ -145,9 +145,9 @@
         clients = [await w.client() for _ in range(40)]
         for i, client in enumerate(clients):
             client.send("/put/1", key=f"k{i}")
-        await until(lambda: w.node.host.balancer.waiting)
+        await until(lambda: w.node.dispatcher.balancer.waiting)
         Catalog.push(watch, line(42, entry("s0", w.origins[0].address, "terminating")))
-        await until(lambda: len(w.node.directory.listed) == 1)
+        await until(lambda: len(w.node.registry.listed) == 1)
         had = w.origins[0].arrived.qsize()
         for _ in range(had):
             w.origins[0].arrived.get_nowait().answer()
@@ -167,7 +167,7 @@
     watch = object.__new__(Watch)
     watch.subscriber, watch.address, watch.lineage = discovery, discovery.address, discovery.lineage
     watch.closed, watch.final, watch.generation = False, False, generation
-    watch.asking = SubscriptionSchedule(DiscoveryTerms(), Random(1))
+    watch.schedule = SubscriptionSchedule(DiscoveryTerms(), Random(1))
     watch.task = SimpleNamespace(cancel=lambda: None)
     return watch
 
@@ -304,9 +304,7 @@
                 watch, first = move(more[0]), False
             assert used() == fleet.in_service(fleet.version), (step, more)
             ready = {
-                n
-                for n, at in directory.numbers.items()
-                if (t := directory.servers.targets.get(at)) and t.ready
+                n for n, at in directory.numbers.items() if (t := directory.pool.targets.get(at)) and t.ready
             }
             assert ready == used()
 
@@ -336,10 +334,10 @@
         peers = [f"127.0.0.1:{1000 + i}" for i in range(1024)]
         node = Node(config_from(config_of("127.0.0.1:1", {"group_size": 1024}, peers=peers)))
         entries = [entry(f"s{i}", f"127.0.0.1:{1000 + i}", cell=i // 8) for i in range(1024)]
-        whole = work(lambda: node.directory.apply(update(1, *entries, reset=True)))
+        whole = work(lambda: node.registry.apply(update(1, *entries, reset=True)))
         leaves = update(2, {**entries[0], "lifecycle": "terminating"})
-        change = work(lambda: node.directory.apply(leaves))
+        change = work(lambda: node.registry.apply(leaves))
         assert whole < 40 * 1024 and change < 2 * 1024, (whole, change)
-        assert len(node.directory.listed) == 1023
+        assert len(node.registry.listed) == 1023
 
     run(body())
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -118,17 +118,17 @@
 def test_a_node_takes_over_what_the_one_beside_it_has_learned(tmp_path, capfd):
     async def test(site: Site) -> None:
         async with site.node() as old:
-            ctl = old.host.balancer.controller
+            ctl = old.dispatcher.balancer.controller
             ctl.end_pass(1)
             ctl.limit = ctl.usual = 11.0
             old.operations.learned_at = 0.0
             old.operations.learn()
             async with site.node() as new:
-                assert new.host.balancer.controller.limit == 11.0
+                assert new.dispatcher.balancer.controller.limit == 11.0
                 assert (await tell(new, "/status"))[0] == 200
             old.operations.store.write_learned(b"{}")
             async with site.node() as new:
-                assert new.host.balancer.controller.in_pass
+                assert new.dispatcher.balancer.controller.in_pass
         err = capfd.readouterr().err
         assert "is taken over" in err and "not taken over" in err
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -180,7 +180,7 @@
         client.writer.write(text)
         got, head, _ = await client.answer()
         assert got == status and b"Connection: close" in head
-        assert w.node.host.last_id == 0 and w.origins[0].links == 0
+        assert w.node.dispatcher.last_id == 0 and w.origins[0].links == 0
         assert await client.reader.read() == b""
         client = await w.client()
         client.send()
@@ -215,7 +215,7 @@
         assert (await second.answer())[0] == 409
         at.answer()
         assert (await first.answer())[0] == 200
-        assert w.origins[0].links == 1 and not w.node.host.names
+        assert w.origins[0].links == 1 and not w.node.dispatcher.names
         first.send("/pay/1", X_Request_ID="same")  # it is over: the id is free
         (await w.origins[0].arrived.get()).answer()
         assert (await first.answer())[0] == 200
@@ -413,7 +413,7 @@
         text, usable = EXTRA[name]
         at.writer.write(text)
         assert (await client.answer())[::2] == (200, b"good")
-        assert w.node.servers.reports == 0
+        assert w.node.pool.reports == 0
         if not usable:
             await at.gone.wait()
         client.send("/pay/1")
@@ -522,7 +522,7 @@
             at.answer()
         for client in clients:
             await client.answer()
-        (target,) = w.node.servers.targets.values()
+        (target,) = w.node.pool.targets.values()
         last = target.idle[-1]
         clients[0].send()
         at = await w.origins[0].arrived.get()
@@ -532,7 +532,7 @@
         # An idle connection is dropped before the server would close it.
         for conn in target.idle:
             conn.since -= 14_000_000
-        w.node.servers.sweep()
+        w.node.pool.sweep()
         assert {await w.origins[0].closed.get() for _ in clients} == {0, 1}
 
     with_node(test)
@@ -542,7 +542,7 @@
     """One answer in eight spoilt counted as twice too late, and halved the limit of a node in good health."""
 
     async def test(w: World) -> None:
-        controller = w.node.host.balancer.controller
+        controller = w.node.dispatcher.balancer.controller
         controller.end_pass(monotonic_us())
         client = await w.client()
         for i in range(64):
@@ -596,7 +596,7 @@
         assert second != first and b"/read/1" in at.head
         await lost.gone.wait()
         at.answer()
-        assert (await answer)[0] == 200 and w.node.host.balancer.stats()["rq_per_try_timeout"] == 1
+        assert (await answer)[0] == 200 and w.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
         # What must not run twice keeps its time.
         assert not kept.gone.is_set()
         kept.answer()
@@ -626,14 +626,14 @@
 
     async def test(w: World) -> None:
         client = await w.client()
-        usual(w.node.host.balancer, 40_000, 20_000, late=0.2)
+        usual(w.node.dispatcher.balancer, 40_000, 20_000, late=0.2)
         client.send()
         _, at = await arrivals(w)
         await past.wait()  # three times as long as the longest that a call may be out when few are late
         assert not at.gone.is_set()
         at.answer()
         assert (await client.answer())[0] == 200
-        assert w.node.host.balancer.stats()["rq_per_try_timeout"] == 0
+        assert w.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 0
         assert all(o.arrived.empty() for o in w.origins)
 
     with_node(test, servers=2)
@@ -645,10 +645,10 @@
 
     async def test(w: World) -> None:
         clients = [await w.client() for _ in "ab"]
-        usual(w.node.host.balancer, 40_000, 20_000, late=0.0)
+        usual(w.node.dispatcher.balancer, 40_000, 20_000, late=0.0)
         clients[0].send()
         _, lost = await arrivals(w)
-        sent = w.node.host.loop.time()
+        sent = w.node.dispatcher.loop.time()
         while True:
             clients[1].send()
             _, at = await arrivals(w)
@@ -658,8 +658,8 @@
             assert (await clients[1].answer())[0] == 200
         assert (await clients[0].answer())[0] == 200
         await lost.gone.wait()
-        assert w.node.host.loop.time() - sent < 20  # its own time would be up after 25 s
-        assert w.node.host.balancer.stats()["rq_per_try_timeout"] == 1
+        assert w.node.dispatcher.loop.time() - sent < 20  # its own time would be up after 25 s
+        assert w.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
 
     with_node(test)
 
@@ -670,7 +670,7 @@
     async def test(w: World) -> None:
         first = await w.client()
         await learn(w, first)
-        w.node.host.balancer.mean_rtt[1:] = [1000.0, 1000.0]  # the other classes are as quick
+        w.node.dispatcher.balancer.mean_rtt[1:] = [1000.0, 1000.0]  # the other classes are as quick
         held = 0
         while held < 3:
             client = await w.client()
@@ -680,7 +680,7 @@
             if number == 0:
                 at.answer()
         again, _ = await arrivals(w)  # the first of the three, after its per-try timeout
-        stats = w.node.host.balancer.stats()
+        stats = w.node.dispatcher.balancer.stats()
         assert again == 0 and stats["rq_per_try_timeout"] == 1 and stats["zones_cut"] == 0
 
     with_node(test, servers=2, zones="ht")
@@ -705,10 +705,10 @@
                 (await w.origins[0].arrived.get()).answer()
                 assert (await clients[1].answer())[0] == 200
             assert (await clients[0].answer())[0] == 502
-            while w.node.host.requests:
+            while w.node.dispatcher.requests:
                 await asyncio.sleep(0)
             assert sum(took >= 1_400_000 for took in seen) == 1 and len(seen) == 1 + i
-        assert w.node.host.balancer.stats()["rq_overtaken"] == 1
+        assert w.node.dispatcher.balancer.stats()["rq_overtaken"] == 1
 
     with_node(test)
 
@@ -717,7 +717,7 @@
     """Servers that close kept connections reset one call in eight, and the limit fell as if they drowned."""
 
     async def test(w: World) -> None:
-        controller = w.node.host.balancer.controller
+        controller = w.node.dispatcher.balancer.controller
         controller.end_pass(monotonic_us())
         client = await w.client()
         for how in ("reset", "error"):
@@ -729,7 +729,7 @@
                 at.answer(500)
             assert (await client.answer())[0] == 502
             assert (controller.lost > 0) == (how == "error")
-        assert w.node.host.outcomes[Outcome.RESET] == 1
+        assert w.node.dispatcher.outcomes[Outcome.RESET] == 1
 
     with_node(test)
 
@@ -738,7 +738,7 @@
     """Its one near server held nearly all a node's calls while it slowed down and others stood idle."""
 
     async def test(w: World) -> None:
-        balancer = w.node.host.balancer
+        balancer = w.node.dispatcher.balancer
         balancer.each_window = lambda now: None  # the share that leaves the zone stays at nothing
         balancer.spill = 0.0
         balancer.controller.end_pass(monotonic_us())
@@ -787,9 +787,9 @@
         at = await w.origins[0].arrived.get()
         client.writer.close()
         await at.gone.wait()
-        while w.node.host.requests:
+        while w.node.dispatcher.requests:
             await asyncio.sleep(0)
-        assert w.node.host.answered["left"] == 1
+        assert w.node.dispatcher.answered["left"] == 1
 
     with_node(test)
 
@@ -801,7 +801,7 @@
         at = await w.origins[0].arrived.get()
         assert (await client.answer())[0] == 502
         await at.gone.wait()  # an answer that came later would meet the next request
-        assert not w.node.host.requests
+        assert not w.node.dispatcher.requests
 
     with_node(test)
 
@@ -822,7 +822,7 @@
             m.setattr(Balancer, "request", fault)
             client.send(left="300m")
             assert (await client.answer())[0] == 502
-        assert not w.node.host.requests
+        assert not w.node.dispatcher.requests
         client.send()
         (await w.origins[0].arrived.get()).answer()
         assert (await client.answer())[0] == 200
@@ -983,7 +983,7 @@
     async def test() -> None:
         host, pool = Lists(), ConnectionPool(1, 1, [], DescriptorBudget(1))
         directory = EndpointRegistry(host, pool, ["here", "there"], ["m1", "m2"])
-        now_ms = (monotonic_us() + directory.births.unix_offset) // 1000
+        now_ms = (monotonic_us() + directory.start_times.unix_offset) // 1000
         item = entry("b", "127.0.0.1:1", zone="there", machineType="m2", cell=3, startedAtMs=now_ms - 1000)
         at_2 = entry("c", "127.0.0.1:2")
         item["hostPort"] = "127.0.0.1:3"
@@ -1049,9 +1049,9 @@
                     at.answer(status)
                 await client.answer()
             client.writer.close()
-            while w.node.callers.open or w.node.servers.open:
-                for target in w.node.servers.targets.values():
-                    w.node.servers.close_idle(target, CloseReason.IDLE)
+            while w.node.callers.open or w.node.pool.open:
+                for target in w.node.pool.targets.values():
+                    w.node.pool.close_idle(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
             kinds = (ResponseParser, connection_manager.ClientConnection, ServerConnection, DispatchedRequest)
             assert not [o for o in gc.get_objects() if isinstance(o, kinds)]
@@ -1119,8 +1119,8 @@
 def test_probes():
     async def test(w: World) -> None:
         seen: asyncio.Queue[tuple] = asyncio.Queue()
-        w.node.host.balancer.probed = lambda *args: seen.put_nowait(args[1:])
-        w.node.host.probe(1)
+        w.node.dispatcher.balancer.probed = lambda *args: seen.put_nowait(args[1:])
+        w.node.dispatcher.probe(1)
         at = await w.origins[0].arrived.get()
         assert at.head.startswith(b"GET /_load ")
         at.answer(body=b"util=0.5,eps=1")
@@ -1195,13 +1195,13 @@
         first = await origin.arrived.get()
         w.node.stop.set()
         assert await idle.reader.read() == b""  # answers take longer than is left: it goes at once
-        while monotonic_us() < w.node.host.late_from:
+        while monotonic_us() < w.node.dispatcher.late_from:
             await asyncio.sleep(0.01)
         late.send()
         second = await origin.arrived.get()
         status, head, _ = await late.answer()  # its server has said nothing
         assert status in (502, 503) and b"Connection: close" in head
-        assert monotonic_us() < w.node.host.latest + 200_000
+        assert monotonic_us() < w.node.dispatcher.latest + 200_000
         await second.gone.wait()
         first.answer(body=b"came early")  # what came before does not count as lost, and is still served
         assert (await early.answer())[2] == b"came early"
@@ -1328,7 +1328,7 @@
         writer = await came.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(42, entry("s1", origin.address, "terminating"))))
-        await until(lambda: not node.directory.listed)
+        await until(lambda: not node.registry.listed)
         assert came.empty(), "one that has spoken has more time"
         task.cancel()
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -165,7 +165,7 @@
             monkeypatch.setattr(durable_file, "sync_folder", failing)
             status, text = await tell(node, "/maintenance/exit", "s0")
             assert status == 500 and b"may undo it" in text
-            assert not node.directory.out and node.operations.store.held.out == frozenset()
+            assert not node.registry.out and node.operations.store.held.out == frozenset()
             monkeypatch.undo()
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
 
@@ -282,13 +282,13 @@
 def test_a_server_put_back_is_cold_until_discovery_tells_another_start(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            server = node.host.balancer.servers
-            number = node.directory.numbers["s0"]
+            server = node.dispatcher.balancer.servers
+            number = node.registry.numbers["s0"]
             assert server[number].cold_until == 0
             await tell(node, "/maintenance/enter", "s0")
             assert number not in server or not server[number].in_list
             await tell(node, "/maintenance/exit", "s0")
-            number = node.directory.numbers["s0"]
+            number = node.registry.numbers["s0"]
             cold = server[number].cold_until
             assert cold > 0 and server[number].member
             # The list has not heard of a restart: its line changes nothing.
@@ -296,7 +296,7 @@
             site.catalog.push(watch, line(42, site.entries[0]))
             await until(lambda: node.discovery.current.generation == 42)
             assert server[number].cold_until == cold
-            started = (node.directory.births.unix_offset + cold) // 1000
+            started = (node.registry.start_times.unix_offset + cold) // 1000
             site.catalog.push(watch, line(43, {**site.entries[0], "startedAtMs": started}))
             await until(lambda: node.discovery.current.generation == 43)
             assert server[number].cold_until > cold
@@ -439,11 +439,11 @@
     async def test(site: Site) -> None:
         async with site.node() as old, site.node() as new:
             await tell(old, "/maintenance/enter", "s0")
-            await until(lambda: "s0" in new.directory.out)
+            await until(lambda: "s0" in new.registry.out)
             await tell(new, "/maintenance/exit", "s0")
-            await until(lambda: not old.directory.out)
+            await until(lambda: not old.registry.out)
             await tell(new, "/maintenance/enter", "s1")
-            await until(lambda: "s1" in old.directory.out)
+            await until(lambda: "s1" in old.registry.out)
 
     with_site(test, tmp_path, servers=2)
 
@@ -474,7 +474,7 @@
                 await until(lambda: old.callers.leaving)
                 # What comes now is the other's, also what lay in the backlog.
                 assert {await site.called() for _ in range(8)} == {0}
-                assert new.host.answered["served"] == 8 and old.host.answered["served"] == 1
+                assert new.dispatcher.answered["served"] == 8 and old.dispatcher.answered["served"] == 1
                 # Health on a kept connection does not say no: the node serves on.
                 kept.send("/_health")
                 status, head, _ = await kept.answer()
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -133,13 +133,13 @@
 def test_the_doors_status_says_why_a_node_is_not_ready(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            operations, listed = node.operations, dict(node.directory.listed)
+            operations, listed = node.operations, dict(node.registry.listed)
             operations.heard = lambda: False
             operations.serving_since = operations.loop.time()
             assert await tell(node, "/status") == (503, b"waiting for discovery\n")
-            node.directory.listed.clear()
+            node.registry.listed.clear()
             assert await tell(node, "/status") == (503, b"no servers known\n")
-            node.directory.listed.update(listed)
+            node.registry.listed.update(listed)
             operations.serving_since = None
             assert await tell(node, "/status") == (503, b"starting\n")
 
@@ -189,7 +189,7 @@
 
     async def test(site: Site) -> None:
         async with site.node() as node:
-            host, asking = node.host, node.discovery.asking
+            host, asking = node.dispatcher, node.discovery.schedule
             host.outcomes = [1] * len(Outcome)
             host.reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
             host.closings.update([CloseReason.PEER, CloseReason.CLIENT_LEFT])
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -21,10 +21,10 @@
 
     def __init__(self, world: World, path: Path) -> None:
         self.world, self.path = world, path
-        world.node.host.trace = AttemptLog("n0", str(path), world.node.directory.numbers)
+        world.node.dispatcher.trace = AttemptLog("n0", str(path), world.node.registry.numbers)
 
     def events(self, what: str) -> list[Event]:
-        self.world.node.host.trace.flush()
+        self.world.node.dispatcher.trace.flush()
         logs = read([self.path])
         found = [e for r in logs.requests.values() for e in r.events]
         found += [e for events in logs.told.values() for e in events]
@@ -32,7 +32,7 @@
 
     async def closing(self, side: str) -> Event:
         """The first connection of a side that ends."""
-        closings = self.world.node.host.closings
+        closings = self.world.node.dispatcher.closings
         while True:
             await until(lambda: closings)
             for event in self.events("closed"):
@@ -121,7 +121,7 @@
         await happens(w)
         event = await logged.closing("client")
         assert event.fields["reason"] == reason.value
-        assert w.node.host.closings[reason] >= 1
+        assert w.node.dispatcher.closings[reason] >= 1
 
     with_node(test)
 
@@ -164,8 +164,8 @@
 
 async def connection_rests(w: World) -> None:
     await served(w)
-    w.node.servers.idle_time = 0
-    w.node.servers.sweep()
+    w.node.pool.idle_time = 0
+    w.node.pool.sweep()
 
 
 @pytest.mark.parametrize(
@@ -218,12 +218,12 @@
 
 async def nobody_is_listed(w: World) -> None:
     Catalog.push(await w.watch(), line(42, entry("s0", w.origins[0].address, "terminated")))
-    await until(lambda: not w.node.directory.listed)
+    await until(lambda: not w.node.registry.listed)
     await (await one(w))
 
 
 async def limit_is_reached(w: World) -> None:
-    w.node.host.balancer.controller.admits = lambda *args: False
+    w.node.dispatcher.balancer.controller.admits = lambda *args: False
     await (await one(w))
 
 
@@ -239,7 +239,7 @@
 
 
 async def module_breaks(w: World) -> None:
-    w.node.host.balancer.request = None  # not to be called
+    w.node.dispatcher.balancer.request = None  # not to be called
     await (await one(w))
 
 
@@ -264,7 +264,7 @@
         # At the end of its time either the attempt's end or the request's own comes first.
         expected = {reason} if reason else {FinalReason.DEADLINE, FinalReason.MAY_HAVE_RUN}
         assert FinalReason(final.fields["reason"]) in expected
-        w.node.host.report()
+        w.node.dispatcher.report()
         assert f" {answer}_{final.fields['reason']}=1" in capfd.readouterr().err
 
     with_node(test)
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -96,8 +96,8 @@
 
     def up(self) -> set[str]:
         """Indices of boxes in service, as the node's module has them."""
-        numbers = {number: name for name, number in self.node.directory.numbers.items()}
-        where = {numbers[n] for n in self.node.directory.listed if n in numbers}
+        numbers = {number: name for name, number in self.node.registry.numbers.items()}
+        where = {numbers[n] for n in self.node.registry.listed if n in numbers}
         return {i for i, b in enumerate(self.boxes) if b.address in where}
 
     async def door(self, call: str, body: str = "") -> tuple[int, str]:
@@ -249,7 +249,7 @@
             node = await s.serve(table(s))
             await until(lambda: s.up() == {0, 1})
             s.catalog.put(*s.line(0, 1))
-            await until(lambda: node.directory.resolve("s-0") == s.boxes[0].address)
+            await until(lambda: node.registry.resolve("s-0") == s.boxes[0].address)
             assert (await s.door("POST /maintenance/enter", "s-0"))[0] == 200
             assert s.up() == {1}
             code, told = await s.door("GET /servers?id=s-0")
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -448,8 +448,8 @@
             },
             "s2": {"instanceId": "s2", "hostPort": "10.2.0.2:8082", "lifecycle": "terminating"},
         }
-        number = feed.directory.numbers["s1"]
-        assert list(feed.directory.listed) == [number] and list(feed.directory.draining) == ["s2"]
+        number = feed.registry.numbers["s1"]
+        assert list(feed.registry.listed) == [number] and list(feed.registry.draining) == ["s2"]
         # What it remembers of them has the same bytes again.
         service.remember(True)
         await states.stop_control(service)
@@ -708,7 +708,7 @@
         slow_start_min_capacity=0.4,
         overload_multiple=3.5,
         overload_duration=1_500_000,
-        cross_zone_price=0.04,
+        cross_zone_cost=0.04,
         over_quota_weight=0.4,
         report_fields=("inflight", "queue", "util", "latency_ms", "qps", "eps", "other"),
     )
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -141,9 +141,9 @@
             await asyncio.sleep(0)
         if end == "broken off":
             path, watch = await w.catalog.watches.get()
-            assert path.endswith(b"after=41") and len(w.node.directory.listed) == 2
+            assert path.endswith(b"after=41") and len(w.node.registry.listed) == 2
         else:
-            while len(w.node.directory.listed) == 2:
+            while len(w.node.registry.listed) == 2:
                 await asyncio.sleep(0.005)
             assert w.node.discovery.current.generation == 42 and w.catalog.watches.empty()
         host, _, port = w.catalog.address.partition(":")
@@ -154,7 +154,7 @@
         w.node.discovery.generation = None
         w.node.discovery.listen(True)
         path, watch = await w.catalog.watches.get()
-        assert path.endswith(b"after=50") and len(w.node.directory.listed) == 2
+        assert path.endswith(b"after=50") and len(w.node.registry.listed) == 2
 
     with_node(test, servers=2)
 
