--- a/benchmarks/replay_rate.py
+++ b/benchmarks/replay_rate.py
@@ -15,23 +15,25 @@
 
 import uvloop
 
-from harecross.replay.account import Klass
-from harecross.replay.callers import Arrival
-from harecross.replay.run import execute, report
+from harecross.interface import Idempotency
+from harecross.replay.accounting import RequestClass
+from harecross.replay.clients import Arrival
+from harecross.replay.report import replay_report
+from harecross.replay.run import run_replay
 
-CLASSES = [Klass("read", "safe", 1, 1_000_000, 2_500_000)]
-WORK = 5_000
+CLASSES = [RequestClass("read", Idempotency.IDEMPOTENT, 1, 1_000_000, 2_500_000)]
+WORK_US = 5_000
 
 
 def arrivals(rate: float, seconds: float) -> Iterator[Arrival]:
     rng, at = Random(1), 0.0
     while (at := at + rng.expovariate(rate)) < seconds:
-        yield Arrival(int(at * 1e6), 0, WORK)
+        yield Arrival(int(at * 1e6), 0, WORK_US)
 
 
 def play(rate: float, seconds: float, nodes: int) -> dict[str, Any]:
-    servers = [f"s{i}" for i in range(max(4, int(rate * WORK / 1e6 / 8 / 0.5) + 1))]
-    return report(uvloop.run(execute(arrivals(rate, seconds), CLASSES, [servers], nodes, [])))
+    servers = [f"s{i}" for i in range(max(4, int(rate * WORK_US / 1e6 / 8 / 0.5) + 1))]
+    return replay_report(uvloop.run(run_replay(arrivals(rate, seconds), CLASSES, [servers], nodes, [])))
 
 
 def main() -> None:
--- a/harecross/demo.py
+++ b/harecross/demo.py
@@ -1,38 +1,41 @@
-"""`harecross demo`: in ten seconds, what a node does when a server slows down and another one drains."""
+"""The scene of `harecross demo`: six seconds in which one server slows down and another one drains."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from random import Random
 
-from harecross.replay.account import Klass
-from harecross.replay.callers import Arrival
-from harecross.replay.plan import Event
+from harecross.interface import Idempotency
+from harecross.replay.accounting import RequestClass
+from harecross.replay.clients import Arrival
+from harecross.replay.plan import Event, EventAction
 
 CLASSES = [
-    Klass("latest", "safe", 1, 300_000, 1_000_000),
-    Klass("log-reading", "keyed", 5, 400_000, 1_500_000),
+    RequestClass("latest", Idempotency.IDEMPOTENT, 1, 300_000, 1_000_000),
+    RequestClass("log-reading", Idempotency.IDEMPOTENCY_KEY, 5, 400_000, 1_500_000),
 ]
+LOG_READING_PART = 0.4  # of the requests
 SERVERS = [f"s{i}" for i in range(6)]
 NODES = 3
 SECONDS = 6.0
-RATE = 400.0  # requests a second
-WORK = 40_000  # microseconds, on average
+REQUESTS_PER_SECOND = 400.0
+BURST_FACTOR, BURST_START_S, BURST_END_S = 1.5, 2.0, 3.5
+MEAN_WORK_US, MIN_WORK_US, MAX_WORK_US = 40_000, 2_000, 400_000
 EVENTS = [
-    Event(1_500_000, "slow", "s0", 8.0),
-    Event(3_000_000, "drain", "s1"),
-    Event(4_500_000, "slow", "s0", 1.0),
+    Event(1_500_000, EventAction.SLOW, "s0", 8.0),
+    Event(3_000_000, EventAction.DRAIN, "s1"),
+    Event(4_500_000, EventAction.SLOW, "s0", 1.0),
 ]
 
 
 def arrivals(seed: int = 1) -> Iterator[Arrival]:
-    """Poisson arrivals, work drawn from an exponential; a burst of half as much again in the middle."""
+    """Yields Poisson arrivals with exponential work, and a burst in the middle."""
     rng = Random(seed)
-    at = 0.0
+    at_s = 0.0
     while True:
-        rate = RATE * (1.5 if 2.0 <= at <= 3.5 else 1.0)
-        at += rng.expovariate(rate)
-        if at >= SECONDS:
+        in_burst = BURST_START_S <= at_s <= BURST_END_S
+        at_s += rng.expovariate(REQUESTS_PER_SECOND * (BURST_FACTOR if in_burst else 1.0))
+        if at_s >= SECONDS:
             return
-        work = min(400_000, max(2_000, int(rng.expovariate(1 / WORK))))
-        yield Arrival(int(at * 1e6), int(rng.random() < 0.4), work)
+        work_us = min(MAX_WORK_US, max(MIN_WORK_US, int(rng.expovariate(1 / MEAN_WORK_US))))
+        yield Arrival(int(at_s * 1e6), int(rng.random() < LOG_READING_PART), work_us)
--- /dev/null
+++ b/harecross/replay/cli.py
@@ -0,0 +1,243 @@
+"""`harecross replay` and `harecross demo`: runs against real nodes and stand-in servers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+from typing import TYPE_CHECKING, Annotated, Any
+
+import typer
+
+from harecross.exits import STANDARD_OUTPUT, stop, write_json
+from harecross.traces.cli import Files, FormatName, JsonFile, Late, MappingFile, Window, trace_opener
+
+if TYPE_CHECKING:
+    from rich.console import Console
+
+    from harecross.replay.plan import ReplayOptions, ReplayPlan
+    from harecross.replay.run import Observer, ReplayRun
+
+INTERRUPTED_STATUS = 130
+DRAIN_GRACE_MS = 250  # the drain rule's limit, beside the demo's figure
+
+
+def demo(seed: Annotated[int, typer.Option(help="Of arrivals and works.")] = 1) -> None:
+    """Real nodes before stand-in servers, one of which slows down and one of which drains: ten seconds."""
+    from harecross import demo as scene
+    from harecross.console import disposition_table, out
+    from harecross.replay.report import replay_report
+    from harecross.replay.run import run_replay
+
+    out.print(
+        f"{scene.NODES} nodes, {len(scene.SERVERS)} stand-in servers, {scene.REQUESTS_PER_SECOND:g} requests a second "
+        "with a burst; s0 slows down eightfold at 1.5 s, s1 drains at 3 s, s0 recovers at 4.5 s."
+    )
+
+    def start(observer: Observer) -> Coroutine[Any, Any, ReplayRun]:
+        arrivals = scene.arrivals(seed)
+        servers = [scene.SERVERS]
+        return run_replay(
+            arrivals, scene.CLASSES, servers, scene.NODES, scene.EVENTS, seed=seed, observer=observer
+        )
+
+    report = replay_report(_play_live(out, "", start))
+    out.print(disposition_table("Clients", report))
+    after_ms = report["servers"]["s1"]["latest_after_told_us"] / 1000
+    drained = (
+        f"new work for {after_ms:.1f} ms (the rule: {DRAIN_GRACE_MS} ms)." if after_ms else "no new work."
+    )
+    out.print(
+        f"service {report['service']:.1%} of the worth asked for, {report['attempts_per_request']:.2f} attempts a "
+        f"request. After discovery was told to drain s1, it got {drained}"
+    )
+    for event in report["events"]:
+        factor = f" x{event['factor']:g}" if "factor" in event else ""
+        out.print(f"  {event['at_s']:.1f} s  {event['what']} {event['name']}{factor}")
+
+
+def replay(
+    files: Files,
+    speed: Annotated[float, typer.Option(help="Times the trace's own rate.")] = 1.0,
+    servers: Annotated[
+        int | None, typer.Option(min=1, max=10_000, help="Stand-in servers; sized from the trace.")
+    ] = None,
+    nodes: Annotated[int, typer.Option(min=1, max=1024, help="Real nodes before them.")] = 2,
+    start: Annotated[
+        float, typer.Option("--from", help="Seconds of the trace after its first request.")
+    ] = 0.0,
+    length: Annotated[float | None, typer.Option("--for", help="Seconds of the trace.")] = None,
+    sample: Annotated[float, typer.Option(help="Share of the requests, drawn from the seed.")] = 1.0,
+    retries: Annotated[
+        int, typer.Option(min=0, max=10, help="A client's own, of a refused or failed try.")
+    ] = 1,
+    mean_work: Annotated[float, typer.Option(help="Milliseconds the trace's mean work is scaled to.")] = 20.0,
+    event: Annotated[
+        list[str] | None, typer.Option(help="SECONDS:WHAT:NAME[:FACTOR], more than once.")
+    ] = None,
+    report_window: Annotated[float, typer.Option(help="Seconds of one window of the report.")] = 1.0,
+    seed: Annotated[int, typer.Option()] = 1,
+    name: FormatName = None,
+    mapping: MappingFile = None,
+    window: Window = 60.0,
+    late: Late = "drop",
+    json_to: JsonFile = None,
+    html: Annotated[Path | None, typer.Option(help="A page with plots.")] = None,
+) -> None:
+    """Replay a trace against real nodes and stand-in servers, open loop."""
+    from harecross.console import err, out
+    from harecross.replay.plan import ReplayOptions, plan_replay, read_event
+    from harecross.replay.report import replay_report
+    from harecross.traces.causes import BadTrace
+
+    options = ReplayOptions(speed, start, length, sample, servers, mean_work)
+    _check_options(options, report_window)
+    try:
+        events = [read_event(text) for text in event or []]
+        plan = plan_replay(trace_opener(files, name, mapping, window, late, seed), options)
+    except (BadTrace, ValueError) as error:
+        stop(str(error))
+    except KeyboardInterrupt:
+        stop("interrupted", INTERRUPTED_STATUS)
+    title = f"Replay of {files[0].name} at {speed:g} times its rate"
+    console = err if json_to == STANDARD_OUTPUT else out
+    _print_plan(console, plan, nodes)
+    run = _play_plan(console, plan, nodes, events, retries, seed, report_window)
+    report = _plan_figures(plan, files, speed, seed) | replay_report(run)
+    write_json(report, json_to)
+    if html is not None:
+        _write_html(html, report, title)
+    _print_report(console, report, title)
+
+
+def _check_options(options: ReplayOptions, report_window: float) -> None:
+    """Ends the command for an option that is out of range."""
+    length, sample, work = options.length_s, options.sample, options.mean_work_ms
+    checks = (
+        ("--speed", 0 < options.speed <= 1e6, "above 0"),
+        ("--from", options.start_s >= 0, "0 or more"),
+        ("--for", length is None or length > 0, "above 0"),
+        ("--sample", 0 < sample <= 1, "above 0, at most 1"),
+        ("--mean-work", 0 < work <= 2000, "above 0, at most 2000"),
+        ("--report-window", report_window >= 0.01, "0.01 or more"),
+    )
+    for option, in_range, allowed in checks:
+        if not in_range:
+            stop(f"{option}: {allowed}")
+
+
+def _play_plan(
+    console: Console,
+    plan: ReplayPlan,
+    nodes: int,
+    events: list[Any],
+    retries: int,
+    seed: int,
+    report_window: float,
+) -> ReplayRun:
+    from harecross.replay.accounting import RetryPolicy
+    from harecross.replay.clients import Arrival
+    from harecross.replay.run import run_replay
+
+    rows = zip(plan.due_us, plan.class_index, plan.work_us, plan.tier, strict=True)
+    arrivals = (Arrival(*row) for row in rows)
+    policy = RetryPolicy(retries)
+
+    def start(observer: Observer) -> Coroutine[Any, Any, ReplayRun]:
+        all_events = [*plan.events, *events]
+        return run_replay(
+            arrivals, plan.classes, plan.servers, nodes, all_events, policy, seed, report_window, observer
+        )
+
+    return _play_live(console, f" of {plan.due_us[-1] / 1e6:.1f}", start)
+
+
+def _play_live(
+    console: Console, total: str, start: Callable[[Observer], Coroutine[Any, Any, ReplayRun]]
+) -> ReplayRun:
+    """Plays a run to its end, with a live table on a terminal; `total` follows the seconds in its title."""
+    import uvloop
+    from rich.live import Live
+
+    from harecross.console import live_table
+    from harecross.standins.cluster import ClusterError
+
+    try:
+        with Live(console=console, refresh_per_second=4, transient=True) as live:
+
+            def observe(run: ReplayRun) -> None:
+                if console.is_terminal:
+                    live.update(live_table(run, f"{run.generator.now_us() / 1e6:.1f}{total} s"))
+
+            return uvloop.run(start(observe))
+    except ClusterError as error:
+        stop(str(error), 1)
+    except KeyboardInterrupt:
+        stop("interrupted; nothing is left running", INTERRUPTED_STATUS)
+
+
+def _print_plan(console: Console, plan: ReplayPlan, nodes: int) -> None:
+    servers = " + ".join(str(len(names)) for names in plan.servers)
+    console.print(
+        f"{plan.format}: {len(plan.due_us):,} requests over {plan.due_us[-1] / 1e6:.1f} s, {nodes} nodes a tier, "
+        f"{servers} servers, {plan.requests_left_out:,} requests left out, work x{plan.work_scale:.3g}"
+    )
+    if plan.machines_left_out:
+        console.print(
+            f"{plan.machines_left_out} machines of the trace are left out (--servers sets how many are played)"
+        )
+
+
+def _plan_figures(plan: ReplayPlan, files: list[Path], speed: float, seed: int) -> dict[str, Any]:
+    """Returns the plan's part of the JSON report."""
+    from harecross.replay.plan import IDEMPOTENCY
+
+    words = {idempotency: word for word, idempotency in IDEMPOTENCY.items()}
+    tally = plan.tally
+    return {
+        "format": plan.format,
+        "files": [f.name for f in files],
+        "speed": speed,
+        "seed": seed,
+        "rows_read": tally.read,
+        "rows_kept": tally.kept,
+        "rows_reordered": tally.reordered,
+        "rows_dropped": {str(cause): count for cause, count in sorted(tally.dropped.items())},
+        "requests_left_out": plan.requests_left_out,
+        "work_scale": plan.work_scale,
+        "machines_left_out": plan.machines_left_out,
+        "class_settings": {
+            c.name: {
+                "effect": words[c.idempotency],
+                "worth": c.priority_weight,
+                "aim_ms": c.latency_objective_us / 1000,
+                "deadline_ms": c.deadline_us / 1000,
+            }
+            for c in plan.classes
+        },
+    }
+
+
+def _write_html(path: Path, report: dict[str, Any], title: str) -> None:
+    from harecross.replay.html_report import html_report
+
+    try:
+        path.write_text(html_report(report, title))
+    except OSError as error:
+        stop(f"--html {path}: {error.strerror}")
+
+
+def _print_report(console: Console, report: dict[str, Any], title: str) -> None:
+    from harecross.console import disposition_table
+
+    console.print(disposition_table(title, report))
+    console.print(
+        f"service {report['service']:.4f}: worth {report['worth_in_time']:g} in time of {report['worth_asked']:g} "
+        f"asked; {report['attempts_per_request']} attempts a request; generator late by "
+        f"{report['lateness_ms']['p99']} ms (p99)"
+    )
+    for event in report["events"]:
+        error = "" if event["done"] else f": {event['error']}"
+        console.print(f"  {event['at_s']:.2f} s  {event['what']} {event['name']}{error}")
+    if not report["valid"]:
+        bound_ms = report["lateness_bound_ms"]
+        console.print(f"NOT VALID: the generator's lateness is over {bound_ms:g} ms at its 99th percentile")
--- a/harecross/replay/plan.py
+++ b/harecross/replay/plan.py
@@ -1,227 +1,325 @@
-"""From a trace to what a replay sends: the window, the sample, work scaled to the stand-ins, machine events."""
+"""From a trace to what a replay sends: the part and the sample, work scaled to the stand-ins, machine events."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 
 import polars as pl
 
-from harecross.replay.account import Klass
+from harecross.interface import Idempotency
+from harecross.replay.accounting import RequestClass
 from harecross.traces.causes import BadTrace, Tally
 from harecross.traces.mapping import Classes
 from harecross.traces.plan import ADD, DUE, KEY, KLASS, REMOVE, REQUESTS, TIER, WORK
 from harecross.traces.summary import SECOND, Trace
 
-REQUESTS_MOST = 5_000_000  # that one replay holds: choose a part with --from and --for, or --sample
-MEAN_WORK_MS = 20.0  # to which the trace's mean work is scaled: hours of a batch task cannot be rehearsed
-WORK_LEAST, WORK_MOST = 100, 2_000_000  # microseconds of one request's work after that
-SLOTS = 8
-LOAD = 0.5  # of the servers' slots, on average, where the trace does not tell how many servers there are
-SERVERS_LEAST, SERVERS_MOST = 2, 1024
+MAX_REQUESTS = 5_000_000  # held in memory by one replay
+DEFAULT_MEAN_WORK_MS = 20.0  # hours of a batch task cannot be rehearsed, so work is scaled to this mean
+MIN_WORK_US, MAX_WORK_US = 100, 2_000_000
+SERVER_SLOTS = 8
+TARGET_LOAD = (
+    0.5  # of the servers' slots, on average, where the trace does not say how many servers there are
+)
+MIN_SERVERS, MAX_SERVERS = 2, 1024
+MAX_DURATION_FRAMES = 64  # after which the durations are combined by key
+RECORDED_WORK = "recorded_work"  # a column: the mean duration of the request's key
+IDEMPOTENCY = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.IDEMPOTENCY_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+
+
+class EventAction(StrEnum):
+    """What an event does to a server or node; the values are what operators type and what the report has."""
+
+    ADD = "add"
+    REMOVE = "remove"
+    KILL = "kill"
+    DRAIN = "drain"
+    SLOW = "slow"
+    HANG = "hang"
+    KILL_NODE = "kill-node"
+    STOP_NODE = "stop-node"
+
+
+EVENT_ACTIONS = [
+    action for action in EventAction if action is not EventAction.ADD
+]  # that operators may ask for
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that is done to the world: `at` in microseconds since the start."""
+    """An event of the replay, at its time since the start."""
 
-    at: int
-    what: str  # add, remove, kill, drain, slow, hang; kill-node, stop-node
+    at_us: int
+    action: EventAction
     name: str
     factor: float = 1.0
 
 
-WHATS = ("remove", "kill", "drain", "slow", "hang", "kill-node", "stop-node")
-
-
 def read_event(text: str) -> Event:
-    """`SECONDS:WHAT:NAME[:FACTOR]`; ValueError says what is allowed."""
+    """Reads `SECONDS:WHAT:NAME[:FACTOR]`. Raises ValueError with what is allowed."""
     parts = text.split(":")
     try:
-        at = float(parts[0])
-        what, name = parts[1], parts[2]
+        at_s = float(parts[0])
+        action, name = EventAction(parts[1]), parts[2]
         factor = float(parts[3]) if len(parts) > 3 else 1.0
-        if (
-            what not in WHATS
-            or at < 0
-            or factor <= 0
-            or len(parts) > 4
-            or (what == "slow") != (len(parts) == 4)
-        ):
-            raise ValueError
+        fields = 4 if action is EventAction.SLOW else 3
+        if action not in EVENT_ACTIONS or at_s < 0 or factor <= 0 or len(parts) != fields:
+            raise ValueError(text)
     except (IndexError, ValueError):
+        allowed = ", ".join(EVENT_ACTIONS)
         raise ValueError(
-            f"--event {text}: SECONDS:WHAT:NAME, or SECONDS:slow:NAME:FACTOR; WHAT is {', '.join(WHATS)}"
+            f"--event {text}: SECONDS:WHAT:NAME, or SECONDS:slow:NAME:FACTOR; WHAT is {allowed}"
         ) from None
-    return Event(int(at * 1e6), what, name, factor)
+    return Event(int(at_s * 1e6), action, name, factor)
 
 
 @dataclass(frozen=True, slots=True)
-class Replay:
-    """What is sent and done, at the replay's speed."""
+class ReplayOptions:
+    """Which part of a trace is replayed, and how. Times are seconds of the trace."""
 
-    due: list[int]  # microseconds since the start, in order
-    klass: list[int]
-    work: list[int]
+    speed: float = 1.0
+    start_s: float = 0.0  # after the first request
+    length_s: float | None = None
+    sample: float = 1.0
+    servers: int | None = None
+    mean_work_ms: float = DEFAULT_MEAN_WORK_MS
+
+
+@dataclass(frozen=True, slots=True)
+class ReplayPlan:
+    """What is sent and played, at the replay's speed. The lists of requests are in order of their times."""
+
+    due_us: list[int]
+    class_index: list[int]
+    work_us: list[int]
     tier: list[int]
-    classes: list[Klass]
-    servers: list[list[str]]  # of each tier
+    classes: list[RequestClass]
+    servers: list[list[str]]  # names, by tier
     events: list[Event]
     format: str
     tally: Tally
-    scale: float  # microseconds of work for one of the trace
-    left_out: int  # requests before or after the part that is replayed, or not in the sample
+    work_scale: float  # microseconds of replayed work for one unit of the trace's
+    requests_left_out: int  # outside the part that is replayed, or not in the sample
     machines_left_out: int
 
 
-def prefix(tier: int) -> str:
-    """What names of a tier's servers and nodes begin with: nothing for the first."""
+def tier_prefix(tier: int) -> str:
+    """What the names of a tier's servers and nodes begin with: nothing for the first tier."""
     return f"t{tier}" if tier else ""
 
 
-def klasses(classes: Classes) -> list[Klass]:
+def request_classes(classes: Classes) -> list[RequestClass]:
+    """Returns the classes of a trace's mapping as clients see them."""
     return [
-        Klass(name, c.effect, c.worth, int(c.aim_ms * 1000), int(c.deadline_ms * 1000))
+        RequestClass(name, IDEMPOTENCY[c.effect], c.worth, int(c.aim_ms * 1000), int(c.deadline_ms * 1000))
         for name, c in zip(classes.names, classes.maps, strict=True)
     ]
 
 
-def first_due(trace: Trace) -> int:
-    """When the trace's first request is due; one pass over the file."""
-    least = None
+def plan_replay(open_trace: Callable[[], Trace], options: ReplayOptions | None = None) -> ReplayPlan:
+    """Reads a trace into a plan. Raises BadTrace where that is not possible."""
+    options = options or ReplayOptions()
+    bounds = _part_bounds(open_trace, options)
+    trace = open_trace()
+    selection = _select_requests(trace, bounds, options.sample)
+    assert trace.classes is not None
+    requests = _with_work(selection)
+    work_scale = _work_scale(requests, options.mean_work_ms)
+    work = (requests[WORK] * work_scale).clip(MIN_WORK_US, MAX_WORK_US).cast(pl.Int64)
+    begin = bounds.low if bounds.low is not None else requests[DUE][0]
+    due = ((requests[DUE] - begin).cast(pl.Float64) / options.speed).cast(pl.Int64)
+    machines = _machine_servers(trace, begin, options.speed, due[-1], options.servers)
+    return ReplayPlan(
+        due_us=due.to_list(),
+        class_index=requests[KLASS].to_list(),
+        work_us=work.to_list(),
+        tier=requests[TIER].to_list(),
+        classes=request_classes(trace.classes),
+        servers=_tier_servers(machines.names, requests[TIER], work, due[-1], options.servers),
+        events=machines.events,
+        format=trace.reader.name,
+        tally=trace.reader.tally,
+        work_scale=work_scale,
+        requests_left_out=selection.read - selection.requests.height,
+        machines_left_out=machines.left_out,
+    )
+
+
+def _work_scale(requests: pl.DataFrame, mean_work_ms: float) -> float:
+    mean = requests[WORK].mean()
+    return mean_work_ms * 1000 / mean if isinstance(mean, float) and mean > 0 else 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class _Bounds:
+    """The part of the trace that is replayed, in the trace's microseconds; None for no bound."""
+
+    low: int | None = None
+    high: int | None = None
+
+
+def _part_bounds(open_trace: Callable[[], Trace], options: ReplayOptions) -> _Bounds:
+    if options.start_s <= 0 and options.length_s is None:
+        return _Bounds()
+    low = _first_due(open_trace()) + int(options.start_s * 1e6)
+    return _Bounds(low, None if options.length_s is None else low + int(options.length_s * 1e6))
+
+
+def _first_due(trace: Trace) -> int:
+    """Returns when the trace's first request is due; one pass over the files."""
+    first = None
     for frame in trace.requests():
-        low = frame[DUE].min()
-        if isinstance(low, int):
-            least = low if least is None else min(least, low)
-    if least is None:
+        due = frame[DUE].min()
+        if isinstance(due, int):
+            first = due if first is None else min(first, due)
+    if first is None:
         raise BadTrace(f"{trace.reader.paths[0]}: no row makes a request")
-    return least
-
-
-def plan_replay(
-    open_trace: Callable[[], Trace],
-    speed: float = 1.0,
-    start: float = 0.0,
-    length: float | None = None,
-    sample: float = 1.0,
-    servers: int | None = None,
-    mean_work_ms: float = MEAN_WORK_MS,
-) -> Replay:
-    """Reads a trace into a replay. Times `start` and `length` are seconds of the trace. BadTrace if it can't."""
-    windowed = start > 0 or length is not None
-    t0 = first_due(open_trace()) if windowed else None
-    trace = open_trace()
-    low = None if t0 is None else t0 + int(start * 1e6)
-    high = None if low is None or length is None else low + int(length * 1e6)
-    kept: list[pl.DataFrame] = []
+    return first
+
+
+@dataclass(frozen=True, slots=True)
+class _Selection:
+    """The requests that are replayed, the durations recorded by key, and how many requests were read."""
+
+    requests: pl.DataFrame
+    durations: pl.DataFrame | None
+    read: int
+
+
+def _select_requests(trace: Trace, bounds: _Bounds, sample: float) -> _Selection:
+    selected: list[pl.DataFrame] = []
     durations: list[pl.DataFrame] = []
-    total = held = 0
-    work_sum, work_count = 0.0, 0
+    read = kept = 0
     for frame in trace.requests():
         assert trace.planner is not None
-        total += frame.height
-        if TIER not in frame.columns:
-            frame = frame.with_columns(pl.lit(0, dtype=pl.UInt8).alias(TIER))
-        if low is not None:
-            frame = frame.filter(pl.col(DUE) >= low)
-        if high is not None:
-            frame = frame.filter(pl.col(DUE) < high)
-        if sample < 1:
-            draw = (
-                pl.int_range(held, held + frame.height, eager=True).hash(trace.seed).cast(pl.Float64)
-                / 2.0**64
-            )
-            frame = frame.filter(draw < sample)
-        held += frame.height
-        if held > REQUESTS_MOST:
+        read += frame.height
+        part = _select_from(frame, bounds, sample, kept, trace.seed)
+        kept += part.height
+        if kept > MAX_REQUESTS:
             raise BadTrace(
-                f"{trace.reader.paths[0]}: more than {REQUESTS_MOST:,} requests to replay; "
+                f"{trace.reader.paths[0]}: more than {MAX_REQUESTS:,} requests to replay; "
                 "choose a part with --from and --for, or --sample"
             )
-        kept.append(frame)
+        selected.append(part)
         durations.extend(trace.planner.durations)
-        for works in (frame[WORK], *(d[WORK] for d in trace.planner.durations)):
-            work_sum += float(works.sum() or 0.0)
-            work_count += works.len() - works.null_count()
-        if len(durations) > 64:
-            # One row a key: a key's many spells would pile up.
-            durations = [pl.concat(durations).group_by(KEY).agg(pl.col(WORK).mean())]
-    if held == 0:
+        if len(durations) > MAX_DURATION_FRAMES:
+            durations = [_mean_by_key(durations)]
+    if kept == 0:
         raise BadTrace(f"{trace.reader.paths[0]}: no request in the part that is to be replayed")
-    assert trace.classes is not None and trace.planner is not None
-    requests = pl.concat(kept, how="vertical").select(*REQUESTS, TIER)
-    if durations:
-        told = pl.concat(durations).group_by(KEY).agg(pl.col(WORK).mean().alias("told"))
-        requests = requests.join(told, on=KEY, how="left", maintain_order="left").with_columns(
-            pl.coalesce(pl.col(WORK), pl.col("told")).alias(WORK)
+    requests = pl.concat(selected, how="vertical").select(*REQUESTS, TIER)
+    return _Selection(requests, _mean_by_key(durations) if durations else None, read)
+
+
+def _select_from(frame: pl.DataFrame, bounds: _Bounds, sample: float, kept: int, seed: int) -> pl.DataFrame:
+    """Returns the frame's requests within the bounds and in the sample; `kept` were selected before it."""
+    if TIER not in frame.columns:
+        frame = frame.with_columns(pl.lit(0, dtype=pl.UInt8).alias(TIER))
+    if bounds.low is not None:
+        frame = frame.filter(pl.col(DUE) >= bounds.low)
+    if bounds.high is not None:
+        frame = frame.filter(pl.col(DUE) < bounds.high)
+    if sample < 1:
+        positions = pl.int_range(kept, kept + frame.height, eager=True)
+        draw = positions.hash(seed).cast(pl.Float64) / 2.0**64
+        frame = frame.filter(draw < sample)
+    return frame
+
+
+def _mean_by_key(durations: list[pl.DataFrame]) -> pl.DataFrame:
+    return pl.concat(durations).group_by(KEY).agg(pl.col(WORK).mean())
+
+
+def _with_work(selection: _Selection) -> pl.DataFrame:
+    """Returns the requests in order, each with work: its own, its key's, or the mean of its class or of all."""
+    requests = selection.requests
+    if selection.durations is not None:
+        recorded = selection.durations.rename({WORK: RECORDED_WORK})
+        requests = requests.join(recorded, on=KEY, how="left", maintain_order="left").with_columns(
+            pl.coalesce(pl.col(WORK), pl.col(RECORDED_WORK)).alias(WORK)
         )
-    requests = requests.with_columns(
-        pl.col(WORK).fill_null(pl.col(WORK).mean().over(KLASS)).fill_null(pl.col(WORK).mean()).fill_null(1.0)
-    ).sort(DUE, maintain_order=True)
-    mean = requests[WORK].mean()
-    scale = mean_work_ms * 1000 / mean if isinstance(mean, float) and mean > 0 else 1.0
-    work = (requests[WORK] * scale).clip(WORK_LEAST, WORK_MOST).cast(pl.Int64)
-    begin = low if low is not None else requests[DUE][0]
-    due = ((requests[DUE] - begin).cast(pl.Float64) / speed).cast(pl.Int64)
-    last = due[-1]
-    names, events, machines_out = machines(trace, begin, speed, last, servers)
-    tiers = int(requests[TIER].max()) + 1  # type: ignore[arg-type]
-    pools = [names] if names else []
-    for tier in range(len(pools), tiers):
-        busy = float(work.filter(requests[TIER] == tier).sum()) / max(last, SECOND)
-        count = servers or min(SERVERS_MOST, max(SERVERS_LEAST, math.ceil(busy / (SLOTS * LOAD))))
-        pools.append([f"{prefix(tier)}s{i}" for i in range(count)])
-    return Replay(
-        due.to_list(), requests[KLASS].to_list(), work.to_list(), requests[TIER].to_list(),
-        klasses(trace.classes), pools, events,
-        trace.reader.name, trace.reader.tally, scale, total - held, machines_out,
-    )  # fmt: skip
-
-
-def machines(
-    trace: Trace, begin: int, speed: float, last: int, most: int | None
-) -> tuple[list[str], list[Event], int]:
+    work = pl.col(WORK)
+    work = work.fill_null(work.mean().over(KLASS)).fill_null(work.mean()).fill_null(1.0)
+    return requests.with_columns(work).sort(DUE, maintain_order=True)
+
+
+def _tier_servers(
+    machines: list[str], tier: pl.Series, work: pl.Series, last_due_us: int, servers: int | None
+) -> list[list[str]]:
+    """Returns the names of each tier's servers: the trace's machines first, then as many as the work needs."""
+    tiers = int(tier.max()) + 1  # type: ignore[arg-type]
+    pools = [machines] if machines else []
+    for index in range(len(pools), tiers):
+        busy_servers = float(work.filter(tier == index).sum()) / max(last_due_us, SECOND)
+        needed = math.ceil(busy_servers / (SERVER_SLOTS * TARGET_LOAD))
+        count = servers or min(MAX_SERVERS, max(MIN_SERVERS, needed))
+        pools.append([f"{tier_prefix(index)}s{i}" for i in range(count)])
+    return pools
+
+
+@dataclass(frozen=True, slots=True)
+class _MachineServers:
     """The servers at the start, those that come and go by the trace's machines, and how many are left out."""
+
+    names: list[str]
+    events: list[Event]
+    left_out: int
+
+
+def _machine_servers(
+    trace: Trace, begin: int, speed: float, last_due_us: int, servers: int | None
+) -> _MachineServers:
+    """Raises BadTrace where the trace has machines and none is present at the start."""
     assert trace.planner is not None
     if not trace.planner.machines:
-        return [], [], 0
+        return _MachineServers([], [], 0)
     rows = pl.concat(trace.planner.machines).sort(DUE, maintain_order=True)
-    chosen: dict[int, str] = {}
+    events, left_out = _machine_events(rows, begin, speed, servers or MAX_SERVERS)
+    # What happened before the part that is replayed holds at its start.
+    present: dict[str, bool] = {}
+    for event in events:
+        if event.at_us <= 0:
+            present[event.name] = event.action is EventAction.ADD
+    names = [name for name, is_present in present.items() if is_present]
+    if not names:
+        raise BadTrace("machine_events: no machine is present when the replay starts")
+    return _MachineServers(names, [event for event in events if 0 < event.at_us <= last_due_us], left_out)
+
+
+def _machine_events(
+    rows: pl.DataFrame, begin: int, speed: float, max_machines: int
+) -> tuple[list[Event], int]:
+    """Returns the events of the first `max_machines` machines, and the number of the others."""
+    chosen: set[int] = set()
     left_out: set[int] = set()
     present: set[int] = set()
     events: list[Event] = []
-    for due, machine, event in rows.iter_rows():
+    for due, machine, kind in rows.iter_rows():
         if machine not in chosen:
-            if len(chosen) >= (most or SERVERS_MOST):
+            if len(chosen) >= max_machines:
                 left_out.add(machine)
                 continue
-            chosen[machine] = f"m{machine}"
-        name = chosen[machine]
-        at = int((due - begin) / speed)
-        if event == ADD and machine not in present:
+            chosen.add(machine)
+        if kind == ADD and machine not in present:
             present.add(machine)
-        elif event == REMOVE and machine in present:
+            action = EventAction.ADD
+        elif kind == REMOVE and machine in present:
             present.discard(machine)
+            action = EventAction.REMOVE
         else:
-            continue  # an UPDATE, or what is so already
-        events.append(Event(max(0, at), "add" if event == ADD else "remove", name))
-    # What happened before the part that is replayed stands at its start.
-    standing: dict[str, bool] = {}
-    for e in events:
-        if e.at <= 0:
-            standing[e.name] = e.what == "add"
-    names = [n for n, up in standing.items() if up]
-    later = [e for e in events if 0 < e.at <= last]
-    if not names:
-        raise BadTrace("machine_events: no machine is there when the replay starts")
-    return names, later, len(left_out)
+            continue  # an UPDATE, or a state that holds already
+        events.append(Event(max(0, int((due - begin) / speed)), action, f"m{machine}"))
+    return events, len(left_out)
 
 
-def default_paths(paths: list[Path]) -> list[Path]:
-    """As given; BadTrace for one that is no file."""
+def check_paths(paths: list[Path]) -> None:
+    """Raises BadTrace for a path that is not a file."""
     for path in paths:
         if not path.is_file():
             raise BadTrace(f"{path}: {'is a folder' if path.is_dir() else 'no such file'}")
-    return paths
--- a/harecross/replay/run.py
+++ b/harecross/replay/run.py
@@ -1,4 +1,4 @@
-"""One run: real nodes and stand-in servers, the plan sent open loop, events played, all of it reported."""
+"""One run: real nodes and stand-in servers, the plan sent open loop, and events played at their times."""
 
 from __future__ import annotations
 
@@ -10,201 +10,207 @@
 from itertools import chain
 from typing import Any
 
-from harecross.replay.account import LATENESS_BOUND, Klass
-from harecross.replay.callers import Arrival, Habits, OpenLoop, Pool
-from harecross.replay.plan import SLOTS, Event, prefix
+from harecross.interface import Idempotency
+from harecross.replay.accounting import RequestClass, RetryPolicy
+from harecross.replay.clients import Arrival, NodePool, OpenLoopGenerator
+from harecross.replay.plan import SERVER_SLOTS, Event, EventAction, tier_prefix
 from harecross.standins.cluster import Cluster, ClusterError
 
-SAMPLE_EVERY = 0.5  # seconds between two looks at nodes and servers
-EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-OUTCOMES = ("ok", "error", "timeout", "reset", "cancelled", "rejected", "connect_failed", "unknown")
-COLD_S = 5.0
+SAMPLE_INTERVAL_S = 0.5
+START_POLL_S = 0.001
+SLOW_START_US = 5_000_000
+WIRE_EFFECTS = {
+    Idempotency.IDEMPOTENT: "free",
+    Idempotency.IDEMPOTENCY_KEY: "guarded",
+    Idempotency.NON_IDEMPOTENT: "single_shot",
+}
 
 
 @dataclass(slots=True)
-class Run:
-    """What a run came to."""
+class ReplayRun:
+    """A run while it lasts, and what it came to."""
 
-    loop: OpenLoop
+    generator: OpenLoopGenerator
     clusters: list[Cluster]  # one a tier
     seconds: float = 0.0
-    samples: list[dict[str, Any]] = field(default_factory=list)
-    events: list[dict[str, Any]] = field(default_factory=list)
-    world: dict[str, Any] = field(default_factory=dict)
-    nodes: list[dict[str, Any]] = field(default_factory=list)
+    samples: list[dict[str, Any]] = field(default_factory=list)  # rows of the JSON report
+    events: list[dict[str, Any]] = field(default_factory=list)  # rows of the JSON report
+    servers: dict[str, Any] = field(default_factory=dict)  # figures by server
+    effects: int = 0  # idempotency keys that took effect at the servers
+    nodes: list[dict[str, Any]] = field(default_factory=list)  # rows of the JSON report
 
 
-def node_classes(classes: list[Klass]) -> list[dict[str, Any]]:
-    """The classes as the settings of a node have them."""
-    return [
-        {
-            "name": c.name, "effect": EFFECTS[c.effect], "goal_time": c.aim, "hard_limit": c.deadline,
-            "worth": c.worth, "late_value": 0.0, "group": "cell", "window": 5_000_000,
-        }
-        for c in classes
-    ]  # fmt: skip
-
-
-def server(name: str, cold: bool = False) -> dict[str, Any]:
-    shape = {"slots": SLOTS, "queue": 8 * SLOTS, "cold_share": 0.4, "cold_time": int(COLD_S * 1e6)}
-    return {"name": name, "shape": shape, "cold": cold}
+Observer = Callable[[ReplayRun], None]
 
 
-async def execute(
+async def run_replay(
     arrivals: Iterable[Arrival],
-    classes: list[Klass],
+    classes: list[RequestClass],
     servers: list[list[str]],
     nodes: int,
     events: list[Event],
-    habits: Habits | None = None,
+    retry_policy: RetryPolicy | None = None,
     seed: int = 1,
     window_s: float = 1.0,
-    watch: Callable[[Run], None] | None = None,
-) -> Run:
-    """Starts it all, sends the plan and ends it all; `servers` are those of each tier, before each so many nodes.
+    observer: Observer | None = None,
+) -> ReplayRun:
+    """Starts everything, sends the plan and stops everything.
 
-    ClusterError if a part does not start.
+    `servers` are the names of each tier's servers; each tier has so many nodes. Raises ClusterError if a part does not
+    start.
     """
     async with contextlib.AsyncExitStack() as stack:
-        names = [f"tier{t}" for t in range(len(servers))]
-        clusters = [
-            await stack.enter_async_context(
-                Cluster(
-                    [server(n) for n in pool], nodes, node_classes(classes), seed + tier, prefix(tier),
-                    layers=names, tier=tier,
-                )
-            )
-            for tier, pool in enumerate(servers)
-        ]  # fmt: skip
-        pools = [[Pool(n.name, lambda n=n: n.address) for n in c.nodes] for c in clusters]  # type: ignore[misc]
-        loop = OpenLoop(classes, pools, habits or Habits(), int(window_s * 1e6))
-        run = Run(loop, clusters)
-
-        async def plan() -> AsyncIterator[Arrival]:
-            for arrival in arrivals:
-                yield arrival
-
-        side = [
-            asyncio.create_task(play(run, events)),
-            asyncio.create_task(sample(run, watch)),
-        ]
-        sending = asyncio.create_task(loop.run(plan()))
+        clusters = await _start_clusters(stack, classes, servers, nodes, seed)
+        pools = [[NodePool(n.name, lambda n=n: n.address) for n in c.nodes] for c in clusters]  # type: ignore[misc]
+        generator = OpenLoopGenerator(classes, pools, retry_policy or RetryPolicy(), int(window_s * 1e6))
+        run = ReplayRun(generator, clusters)
         try:
-            # The side tasks go on for ever: a fault in one ends the run: figures without its events would mislead.
-            done, _ = await asyncio.wait([sending, *side], return_when=asyncio.FIRST_COMPLETED)
-            for task in done:
-                task.result()
-            await sending
-            run.seconds = loop.now() / 1e6
-            await asyncio.sleep(2 * SAMPLE_EVERY)  # the nodes' last line on how things stand
+            await _send_plan(run, arrivals, events, observer)
         finally:
-            for task in (sending, *side):
-                task.cancel()
-            await asyncio.gather(sending, *side, return_exceptions=True)
             for pool in chain(*pools):
                 pool.close()
-        told = [await c.order(do="stats") for c in clusters]
-        run.world = {
-            "servers": {name: stats for t in told for name, stats in t["servers"].items()},
-            "effects": sum(t["effects"] for t in told),
-        }
-        run.nodes = [{"name": n.name, "alive": n.alive, **n.stats} for c in clusters for n in c.nodes]
+        await _collect_figures(run)
         return run
 
 
-async def play(run: Run, events: list[Event]) -> None:
-    """Does each event at its time; one that cannot be done is told in the report, not skipped."""
-    while run.loop.start == 0:
-        await asyncio.sleep(0.001)
-    for event in sorted(events, key=lambda e: e.at):
-        wait = event.at - run.loop.now()
-        if wait > 0:
-            await asyncio.sleep(wait / 1e6)
-        told: dict[str, Any] = {"at_s": event.at / 1e6, "what": event.what, "name": event.name, "done": True}
+async def _start_clusters(
+    stack: contextlib.AsyncExitStack,
+    classes: list[RequestClass],
+    servers: list[list[str]],
+    nodes: int,
+    seed: int,
+) -> list[Cluster]:
+    layers = [f"tier{tier}" for tier in range(len(servers))]
+    settings = _class_settings(classes)
+    clusters = []
+    for tier, names in enumerate(servers):
+        orders = [_server_order(name) for name in names]
+        cluster = Cluster(orders, nodes, settings, seed + tier, tier_prefix(tier), layers=layers, tier=tier)
+        clusters.append(await stack.enter_async_context(cluster))
+    return clusters
+
+
+def _class_settings(classes: list[RequestClass]) -> list[dict[str, Any]]:
+    """Returns the classes under the keys of a node's settings."""
+    return [
+        {
+            "name": c.name,
+            "effect": WIRE_EFFECTS[c.idempotency],
+            "goal_time": c.latency_objective_us,
+            "hard_limit": c.deadline_us,
+            "worth": c.priority_weight,
+            "late_value": 0.0,
+            "group": "cell",
+            "window": 5_000_000,
+        }
+        for c in classes
+    ]
+
+
+def _server_order(name: str, *, cold: bool = False) -> dict[str, Any]:
+    """Returns the stand-ins' order for a server, `cold` where it is to begin with slow start."""
+    shape = {"slots": SERVER_SLOTS, "queue": 8 * SERVER_SLOTS, "cold_share": 0.4, "cold_time": SLOW_START_US}
+    return {"name": name, "shape": shape, "cold": cold}
+
+
+async def _send_plan(
+    run: ReplayRun, arrivals: Iterable[Arrival], events: list[Event], observer: Observer | None
+) -> None:
+    """Sends the plan while events are played and samples taken."""
+
+    async def plan() -> AsyncIterator[Arrival]:
+        for arrival in arrivals:
+            yield arrival
+
+    background = [
+        asyncio.create_task(_play_events(run, events)),
+        asyncio.create_task(_sample_nodes(run, observer)),
+    ]
+    sending = asyncio.create_task(run.generator.run(plan()))
+    try:
+        # The background tasks never end by themselves: an exception in one ends the run, whose figures would mislead.
+        done, _ = await asyncio.wait([sending, *background], return_when=asyncio.FIRST_COMPLETED)
+        for task in done:
+            task.result()
+        await sending
+        run.seconds = run.generator.now_us() / 1e6
+        await asyncio.sleep(2 * SAMPLE_INTERVAL_S)  # for the nodes' last report line
+    finally:
+        for task in (sending, *background):
+            task.cancel()
+        await asyncio.gather(sending, *background, return_exceptions=True)
+
+
+async def _collect_figures(run: ReplayRun) -> None:
+    for cluster in run.clusters:
+        statistics = await cluster.order(do="stats")
+        run.servers |= statistics["servers"]
+        run.effects += statistics["effects"]
+    run.nodes = [{"name": n.name, "alive": n.alive, **n.stats} for c in run.clusters for n in c.nodes]
+
+
+async def _play_events(run: ReplayRun, events: list[Event]) -> None:
+    """Plays each event at its time; one that fails is reported, not skipped."""
+    while run.generator.started_at_us == 0:
+        await asyncio.sleep(START_POLL_S)
+    for event in sorted(events, key=lambda event: event.at_us):
+        wait_us = event.at_us - run.generator.now_us()
+        if wait_us > 0:
+            await asyncio.sleep(wait_us / 1e6)
+        row: dict[str, Any] = {
+            "at_s": event.at_us / 1e6,
+            "what": event.action.value,
+            "name": event.name,
+            "done": True,
+        }
         try:
-            if event.what in ("kill-node", "stop-node"):
-                nodes = [n for c in run.clusters for n in c.nodes if n.name == event.name]
-                if not nodes:
-                    raise ClusterError(f"no node named {event.name!r}")
-                nodes[0].signal(signal.SIGKILL if event.what == "kill-node" else signal.SIGTERM)
-            elif event.what == "add":
-                await run.clusters[0].order(do="add", **server(event.name, cold=True))
-            else:
-                # A server's name tells its tier; one that no tier has is told by the first.
-                at = next(
-                    (c for c in run.clusters if any(s["name"] == event.name for s in c.servers)),
-                    run.clusters[0],
-                )
-                more = {"factor": event.factor} if event.what == "slow" else {}
-                await at.order(do=event.what, name=event.name, **more)
-                told.update(more)
-        except ClusterError as e:
-            told.update(done=False, error=str(e))
-        run.events.append(told)
+            await _play_event(run, event)
+            if event.action is EventAction.SLOW:
+                row["factor"] = event.factor
+        except ClusterError as error:
+            row.update(done=False, error=str(error))
+        run.events.append(row)
     await asyncio.Event().wait()
 
 
-async def sample(run: Run, watch: Callable[[Run], None] | None) -> None:
-    """Looks at nodes twice a second, for the plots and for whoever watches."""
+async def _play_event(run: ReplayRun, event: Event) -> None:
+    """Raises ClusterError where the event cannot be played."""
+    if event.action in (EventAction.KILL_NODE, EventAction.STOP_NODE):
+        nodes = [node for cluster in run.clusters for node in cluster.nodes if node.name == event.name]
+        if not nodes:
+            raise ClusterError(f"no node named {event.name!r}")
+        nodes[0].signal(signal.SIGKILL if event.action is EventAction.KILL_NODE else signal.SIGTERM)
+    elif event.action is EventAction.ADD:
+        await run.clusters[0].order(do="add", **_server_order(event.name, cold=True))
+    else:
+        parameters = {"factor": event.factor} if event.action is EventAction.SLOW else {}
+        cluster = _cluster_of_server(run, event.name)
+        await cluster.order(do=event.action.value, name=event.name, **parameters)
+
+
+def _cluster_of_server(run: ReplayRun, name: str) -> Cluster:
+    """Returns the tier that has a server of that name; the first tier if none does, which then reports it."""
+    for cluster in run.clusters:
+        if any(server["name"] == name for server in cluster.servers):
+            return cluster
+    return run.clusters[0]
+
+
+async def _sample_nodes(run: ReplayRun, observer: Observer | None) -> None:
+    """Records the nodes' figures twice a second, for the plots and the observer."""
     while True:
-        await asyncio.sleep(SAMPLE_EVERY)
-        if run.loop.start == 0:
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+        if run.generator.started_at_us == 0:
             continue
-        stats = [n.stats for c in run.clusters for n in c.nodes if n.alive]
+        statistics = [node.stats for cluster in run.clusters for node in cluster.nodes if node.alive]
         run.samples.append(
             {
-                "at_s": round(run.loop.now() / 1e6, 2),
-                "limit": round(sum(s.get("concurrency_limit", 0.0) for s in stats), 1),
-                "in_flight": sum(s.get("in_flight", 0.0) for s in stats),
-                "ejected": sum(s.get("ejected", 0.0) for s in stats),
-                "nodes": len(stats),
+                "at_s": round(run.generator.now_us() / 1e6, 2),
+                "limit": round(sum(s.get("concurrency_limit", 0.0) for s in statistics), 1),
+                "in_flight": sum(s.get("in_flight", 0.0) for s in statistics),
+                "ejected": sum(s.get("ejected", 0.0) for s in statistics),
+                "nodes": len(statistics),
             }
         )
-        if watch is not None:
-            watch(run)
-
-
-def percentiles(h: Any) -> dict[str, float]:
-    """Milliseconds."""
-    points = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
-    return {name: round(h.get_value_at_percentile(p) / 1000, 3) for name, p in points.items()}
-
-
-def report(run: Run) -> dict[str, Any]:
-    """The report as JSON has it. RuntimeError where the account does not add up: a fault of the program."""
-    account = run.loop.account
-    wrong = account.check()
-    if wrong:
-        raise RuntimeError(f"the account does not add up: {'; '.join(wrong)}")
-    lateness = percentiles(run.loop.lateness)
-    attempts = sum(int(n.get(o, 0)) for n in run.nodes for o in OUTCOMES)
-    asked = account.whole.asked
-    late = run.loop.lateness.get_value_at_percentile(99.0)
-    windows = []
-    for i, tally in enumerate(account.windows):
-        row = {"from_s": round(i * account.window / 1e6, 3), **tally.figures()}
-        if i < len(run.loop.window_latency) and run.loop.window_latency[i].total_count:
-            row["latency_ms"] = percentiles(run.loop.window_latency[i])
-        windows.append(row)
-    return {
-        **account.whole.figures(),
-        "valid": bool(late <= LATENESS_BOUND),
-        "lateness_ms": lateness,
-        "lateness_bound_ms": LATENESS_BOUND / 1000,
-        "seconds": round(run.seconds, 3),
-        "attempts": attempts,
-        "attempts_per_request": round(attempts / asked, 4) if asked else None,
-        "latency_ms": percentiles(run.loop.latency) if run.loop.latency.total_count else None,
-        "by_class": {
-            c.name: {
-                **tally.figures(),
-                "latency_ms": percentiles(h) if h.total_count else None,
-            }
-            for c, tally, h in zip(run.loop.classes, account.by_class, run.loop.class_latency, strict=True)
-        },
-        "windows": windows,
-        "events": run.events,
-        "nodes": run.nodes,
-        "servers": run.world.get("servers", {}),
-        "samples": run.samples,
-    }
+        if observer is not None:
+            observer(run)
--- /dev/null
+++ b/harecross/traces/cli.py
@@ -0,0 +1,119 @@
+"""`harecross trace`: what a public cluster trace holds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING, Annotated, Any
+
+import typer
+
+from harecross.exits import STANDARD_OUTPUT, stop, write_json
+
+if TYPE_CHECKING:
+    from harecross.traces.summary import Trace
+
+trace_app = typer.Typer(no_args_is_help=True, help="Public cluster traces.")
+
+Files = Annotated[list[Path], typer.Argument(help="The trace's files, plain, .gz or .zst, in order.")]
+FormatName = Annotated[str | None, typer.Option("--format", help="In place of recognising it.")]
+MappingFile = Annotated[
+    Path | None, typer.Option("--mapping", help="A TOML file: classes; columns of `generic`.")
+]
+Window = Annotated[
+    float, typer.Option("--window", help="Seconds of the trace within which order is put right.")
+]
+Late = Annotated[str, typer.Option("--late", help="A row beyond the window: drop or clamp.")]
+JsonFile = Annotated[str | None, typer.Option("--json", help="A file, or - for standard output.")]
+
+Progress = Callable[[int], Any]  # told the bytes read
+
+
+def trace_opener(
+    files: list[Path], name: str | None, mapping: Path | None, window: float, late: str, seed: int
+) -> Callable[..., Trace]:
+    """Returns a function that opens the trace anew each time. Raises BadTrace for files that cannot be used."""
+    from harecross.replay.plan import check_paths
+    from harecross.traces.mapping import read_mapping
+    from harecross.traces.summary import Trace
+
+    check_paths(files)
+    if name is not None and name.endswith(".toml"):
+        mapping, name = Path(name), "generic"
+    mapped = read_mapping(mapping) if mapping is not None else None
+
+    def open_trace(progress: Progress | None = None) -> Trace:
+        return Trace(files, name, mapped, window, late, seed, progress=progress)
+
+    return open_trace
+
+
+@trace_app.command("inspect")
+def inspect_command(
+    files: Files,
+    name: FormatName = None,
+    mapping: MappingFile = None,
+    window: Window = 60.0,
+    late: Late = "drop",
+    json_to: JsonFile = None,
+) -> None:
+    """What a trace holds: rows kept and dropped by cause, requests, rates, classes."""
+    from harecross.traces.causes import BadTrace
+
+    try:
+        summary = _inspect_with_progress(trace_opener(files, name, mapping, window, late, 1))
+    except BadTrace as error:
+        stop(str(error))
+    except KeyboardInterrupt:
+        stop("interrupted", 130)
+    write_json(summary, json_to)
+    if json_to != STANDARD_OUTPUT:
+        _print_summary(summary)
+
+
+def _inspect_with_progress(open_trace: Callable[..., Trace]) -> dict[str, Any]:
+    from rich.progress import Progress, TextColumn, TimeElapsedColumn, TransferSpeedColumn
+
+    from harecross.console import err
+    from harecross.traces.summary import inspect
+
+    columns = (
+        TextColumn("reading"),
+        TextColumn("{task.completed:,.0f} bytes"),
+        TransferSpeedColumn(),
+        TimeElapsedColumn(),
+    )
+    with Progress(*columns, console=err, transient=True, disable=not err.is_terminal) as progress:
+        task = progress.add_task("reading", total=None)
+        return inspect(open_trace(lambda size: progress.advance(task, size)))
+
+
+def _print_summary(summary: dict[str, Any]) -> None:
+    from harecross.console import out, table
+
+    dropped = summary["rows_dropped"]
+    out.print(
+        f"{summary['format']} ({', '.join(summary['tables'])}): {summary['rows_read']:,} rows read, "
+        f"{summary['rows_kept']:,} kept ({summary['rows_reordered']:,} put in order), "
+        f"{sum(dropped.values()):,} dropped"
+    )
+    for cause, count in dropped.items():
+        first = ", ".join(summary["first_dropped"][cause])
+        out.print(f"  {cause}: {count:,} (first at {first})", highlight=False)
+    machines = f"; {summary['machines']} machines" if summary["machines"] else ""
+    out.print(
+        f"{summary['requests']:,} requests over {summary['span_s']:,} s, {summary['mean_rps']:,} a second on "
+        f"average and {summary['peak_rps']:,} at most{machines}"
+    )
+    classes = table("Classes", "class", "requests", "share", "effect", "worth", "aim ms", "deadline ms")
+    for request_class, row in summary["classes"].items():
+        classes.add_row(
+            request_class,
+            f"{row['requests']:,}",
+            f"{row['share']:.1%}",
+            row["effect"],
+            f"{row['worth']:g}",
+            f"{row['aim_ms']:g}",
+            f"{row['deadline_ms']:g}",
+        )
+    out.print(classes)
