--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -104,8 +104,9 @@
     Mutation(
         "attempts go out for clients that have left",
         "dispatch/dispatcher.py",
-        "    def left(self, r: Request) -> None:\n",
-        "    def left(self, r: Request) -> None:\n        return\n\n    def really_left(self, r: Request) -> None:\n",
+        "    def left(self, r: DispatchedRequest) -> None:\n",
+        "    def left(self, r: DispatchedRequest) -> None:\n        return\n\n"
+        "    def really_left(self, r: DispatchedRequest) -> None:\n",
         (
             (
                 "platform/peer_state.py",
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -105,7 +105,7 @@
         self.got: list[tuple] = []
         self.trace = None
 
-    def server_list(self, kind, entries) -> None:
+    def endpoint_update(self, kind, entries) -> None:
         self.got.append((kind, list(entries)))
 
 
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -331,8 +331,8 @@
 def test_probes():
     async def test(w: World) -> None:
         seen: asyncio.Queue[tuple] = asyncio.Queue()
-        w.node.dispatcher.balancer.probed = lambda *args: seen.put_nowait(args[1:])
-        w.node.dispatcher.probe(1)
+        w.node.dispatcher.balancer.health_checked = lambda *args: seen.put_nowait(args[1:])
+        w.node.dispatcher.health_check(1)
         at = await w.origins[0].arrived.get()
         assert at.head.startswith(b"GET /_load ")
         at.answer(body=b"util=0.5,eps=1")
