--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -13,9 +13,9 @@
 from harecross.discovery.subscription_schedule import MOVED, CallEnd, DiscoveryTerms, SubscriptionSchedule
 from harecross.discovery.transition_log import describe
 from harecross.discovery.watch import Watch
-from harecross.dispatch.dispatcher import log_line
 from harecross.interface import EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 
 PUSHED = DiscoveryTerms()
 # After a new configuration the discovery it names may be behind for `MOVED` seconds; what it wrote by then may be on
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -8,9 +8,10 @@
 from typing import Any, NamedTuple, Protocol
 
 from harecross.discovery.start_times import LONG_AGO, StartTimes
-from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 from harecross.upstream.connection_pool import ConnectionPool
 
 STATES = {
--- a/harecross/discovery/watch.py
+++ b/harecross/discovery/watch.py
@@ -11,7 +11,7 @@
 from harecross.discovery.json_stream import BLANK_LINE, BadValue, Values
 from harecross.discovery.list_versions import Verdict, judge
 from harecross.discovery.subscription_schedule import BEAT, CallEnd, SubscriptionSchedule
-from harecross.dispatch.dispatcher import log_exception, log_line
+from harecross.platform.log import log_exception, log_line
 
 CONNECT = 1.0  # seconds
 PART_MOST = BEAT  # seconds for which the parts of one list or change count as words
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import sys
-import traceback
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
 from time import monotonic
@@ -24,6 +22,7 @@
     Settings,
 )
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_exception, log_line
 from harecross.policy.balancer import Balancer
 from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import NEVER, Exchange
@@ -33,16 +32,6 @@
 UNLISTED_RETRY = 250_000  # when to come back to a node that waits for its list
 
 
-def log_line(text: str) -> None:
-    """One line of the log."""
-    print(f"harecross: {text}", file=sys.stderr, flush=True)
-
-
-def log_exception(what: str) -> None:
-    """Logs the exception being handled; the process goes on."""
-    log_line(f"{what}: {traceback.format_exc()}")
-
-
 class ResponseWriter(Protocol):
     """Where a request came from."""
 
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -12,11 +12,12 @@
 from httptools import HttpParserError, HttpRequestParser
 
 from harecross.dispatch.close_reasons import CloseReason, Closing
-from harecross.dispatch.dispatcher import DispatchedRequest, log_exception
+from harecross.dispatch.dispatcher import DispatchedRequest
 from harecross.downstream.read_delay import InfoSocket, ReadDelay, WaitingSocket
 from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, Upload, too_many
 from harecross.http.request_parser import HEAD_MOST, HEADERS_MOST, BadRequest, ParsedRequest
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_exception
 from harecross.platform.peer_state import has_left, is_quiet
 
 if TYPE_CHECKING:
--- a/harecross/downstream/listener.py
+++ b/harecross/downstream/listener.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.downstream.accept_filter import refuse_new_connections
 from harecross.downstream.read_delay import Heartbeat, WaitingSocket
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 from harecross.platform.system_errors import AcceptFailure, accept_failure
 
 SHORTAGE_TRIES = 8  # in a row where this machine is short of something...
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -18,7 +18,7 @@
 from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
 from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
 from harecross.discovery.subscription_schedule import discovery_terms
-from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.connection_manager import ACCEPTS, ConnectionManager
 from harecross.http.request_parser import RequestReader
 from harecross.node.admin_operations import AdminOperations
@@ -28,6 +28,7 @@
 from harecross.node.shutdown_schedule import LAST_REQUESTS, stopping
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.platform.log import log_line
 from harecross.upstream.connection_pool import ConnectionPool
 
 if TYPE_CHECKING:
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -8,9 +8,9 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from harecross.dispatch.dispatcher import log_exception, log_line
 from harecross.downstream.listener import Listener
 from harecross.node.config import bound_socket
+from harecross.platform.log import log_exception, log_line
 from harecross.platform.system_errors import AcceptFailure
 
 ROOM = 8  # connections at once
--- a/harecross/node/handover_store.py
+++ b/harecross/node/handover_store.py
@@ -15,9 +15,9 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.maintenance import MaintenanceState, from_json
 from harecross.platform.durable_file import replace_file
+from harecross.platform.log import log_line
 
 LEARNED_FRESH = 5.0  # seconds after which what was learned no longer holds
 
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -13,8 +13,8 @@
 from typing import TYPE_CHECKING, Any
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
-from harecross.dispatch.dispatcher import log_exception, log_line
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_exception, log_line
 from harecross.sources.config import File, SourcesTable, Srv, name_of
 from harecross.sources.files import BadFile, read_file
 from harecross.sources.ledger import Credit, Priorities
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -10,10 +10,11 @@
 from harecross.discovery.discovery_client import DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.listed_endpoints import ListedEndpoints
-from harecross.dispatch.dispatcher import RequestDispatcher, log_exception, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.interface import ClassSettings, Idempotency, Outcome, Settings
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.platform.log import log_exception, log_line
 from harecross.settings import COLUMNS, address
 from harecross.sources.run import Sources
 from harecross.upstream.connection_pool import ConnectionPool
--- a/harecross/xds/front.py
+++ b/harecross/xds/front.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from harecross.dispatch.dispatcher import log_line
+from harecross.platform.log import log_line
 from harecross.xds import lrs, status
 from harecross.xds.access import fits
 from harecross.xds.link import Setup
--- a/harecross/xds/inside.py
+++ b/harecross/xds/inside.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
-from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
+from harecross.platform.log import log_line
 from harecross.xds.feed import Feed
 from harecross.xds.press import Press
 from harecross.xds.resources import Encoder
--- a/harecross/xds/press.py
+++ b/harecross/xds/press.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from harecross.dispatch.dispatcher import log_exception
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_exception
 from harecross.xds.feed import Feed
 from harecross.xds.fleet import Fleet
 from harecross.xds.publish import Publisher, Told, calls_out
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.operators import BadFile
+from harecross.platform.log import log_line
 from harecross.xds.access import allowed
 from harecross.xds.config import ControlFile, read_control
 from harecross.xds.feed import OwnFeed
--- a/harecross/xds/worker.py
+++ b/harecross/xds/worker.py
@@ -10,7 +10,7 @@
 from itertools import count
 from typing import Any
 
-from harecross.dispatch.dispatcher import log_exception
+from harecross.platform.log import log_exception
 from harecross.xds import status
 from harecross.xds.access import allowed
 from harecross.xds.front import encoder, front, listen
