--- a/harecross/dispatch/close_reasons.py
+++ b/harecross/dispatch/close_reasons.py
@@ -1,38 +1,38 @@
-"""Why connections end: a reason for every one, for the log and its counts."""
+"""Why connections are closed: one reason for each, for the attempt log and the report's counts."""
 
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import NamedTuple
+from typing import Literal, NamedTuple
 
 
 class CloseReason(StrEnum):
-    """What ended a connection. `PEER` wherever this process did not."""
+    """What closed a connection. The values are words of the attempt log and of the report (`closed_<value>`)."""
 
     PEER = "peer"  # the other side closed or reset it
-    LAST_ANSWER = "last_answer"  # it ended with its answer, as one side or the other had said
+    LAST_RESPONSE = "last_answer"  # its last response was complete, and one side had asked for the close
     IDLE = "idle"  # unused for too long
-    STOP = "stop"  # the process stops, or sends its clients away
-    NO_ROOM = "no_room"  # its descriptor is wanted for another one
-    # Of clients.
-    SILENT = "silent"  # it has said nothing in time
-    BAD_REQUEST = "bad_request"  # what came cannot be read on
-    NOT_READ = "not_read"  # its client does not take what it is sent
-    BROKEN_ANSWER = "broken_answer"  # part of an answer has gone out, and the rest will not come
-    CLIENT_LEFT = "client_left"  # its client has gone, by the kernel's word
-    # Of servers.
-    GIVEN_UP = "given_up"  # the answer is not waited for any more
-    SPOILT = "spoilt"  # an answer that cannot be read, or bytes that belong to none
-    STALLED = "stalled"  # a large body has not moved for too long
-    SERVER_LEAVES = "server_leaves"  # it drains, is gone or is another process now
-    EJECTED = "ejected"  # the decision module wants its connections closed
-    CONNECT_TIMEOUT = "connect_timeout"  # its handshake took too long
-
-
-class Closing(NamedTuple):
+    SHUTDOWN = "stop"  # the process stops, or sends its clients away
+    DESCRIPTOR_SHORTAGE = "no_room"  # its descriptor was needed for another connection
+    # Client connections.
+    REQUEST_TIMEOUT = "silent"  # no request came in time
+    BAD_REQUEST = "bad_request"  # a request that cannot be parsed
+    RESPONSE_NOT_READ = "not_read"  # the client does not read its response
+    RESPONSE_BROKEN_OFF = "broken_answer"  # a part of a response was sent, and the rest cannot be
+    CLIENT_DISCONNECTED = "client_left"  # the kernel reports that the client has closed its side
+    # Upstream connections.
+    ABANDONED = "given_up"  # the response is no longer waited for
+    MALFORMED_RESPONSE = "spoilt"  # a response that cannot be parsed, or bytes outside any response
+    STALLED = "stalled"  # a streamed body made no progress for too long
+    SERVER_OUT_OF_SERVICE = "server_leaves"  # the server drains, is gone or was replaced by another process
+    EJECTED = "ejected"  # the balancer asked for its connections to be closed
+    CONNECT_TIMEOUT = "connect_timeout"  # the handshake took too long
+
+
+class ClosedConnection(NamedTuple):
     """The end of one connection."""
 
-    side: str  # "client" or "server"
-    peer: str  # the server's address, "" for a client
+    side: Literal["client", "server"]
+    peer_address: str  # the server's host:port; "" for a client
     reason: CloseReason
-    request: str = ""  # the id of the request that was out on it
+    request_id: str = ""  # the request that was in flight on it; "" for none
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -10,7 +10,7 @@
 
 from harecross.discovery.process_table import Transition
 from harecross.discovery.readiness import ListReadiness
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.http.request_parser import ParsedRequest
 from harecross.interface import (
     NEVER_RAN,
@@ -65,7 +65,7 @@
     def final(self, r: DispatchedRequest, how: str, reason: FinalReason | None = None) -> None:
         """The caller has its one answer, or has left. `reason`: why it was refused or failed."""
 
-    def closed(self, closing: Closing) -> None:
+    def closed(self, closing: ClosedConnection) -> None:
         """A connection has ended."""
 
     def changed(self, transition: Transition, now: float) -> None:
@@ -511,7 +511,7 @@
 
     # ---- connections ----------------------------------------------------------------------------------
 
-    def connection_closed(self, closing: Closing) -> None:
+    def connection_closed(self, closing: ClosedConnection) -> None:
         """Counts the end of a connection, and tells the trace."""
         self.closings[closing.reason] += 1
         if self.trace is not None:
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -11,7 +11,7 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import DispatchedRequest
 from harecross.downstream.read_delay import InfoSocket, ReadDelay, WaitingSocket
 from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, Upload, too_many
@@ -144,7 +144,7 @@
         request, self.request = self.request, None
         name = request.message.id.decode("latin-1") if request is not None else ""
         self.front.dispatcher.connection_closed(
-            Closing("client", "", self.close_reason or CloseReason.PEER, name)
+            ClosedConnection("client", "", self.close_reason or CloseReason.PEER, name)
         )
         if request is not None:
             self.front.dispatcher.left(request)
@@ -443,9 +443,11 @@
         if self.transport is None:
             return
         if self.request is None:
-            self.close(CloseReason.CLIENT_LEFT)
+            self.close(CloseReason.CLIENT_DISCONNECTED)
         else:
-            self.abort(CloseReason.CLIENT_LEFT)  # what is still written to it must not hold up the news
+            self.abort(
+                CloseReason.CLIENT_DISCONNECTED
+            )  # what is still written to it must not hold up the news
 
     def conflict(self) -> None:
         self.keep = False
@@ -473,7 +475,7 @@
             self.hold_answer = None
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.abort(CloseReason.BROKEN_ANSWER)
+            self.abort(CloseReason.RESPONSE_BROKEN_OFF)
 
     def begin(self, length: int | None, hold: Callable[[bool], None]) -> None:
         """Writes the head of a large answer."""
@@ -554,7 +556,7 @@
         """
         assert self.transport is not None
         if self.close_reason is None:
-            self.close_reason = CloseReason.BAD_REQUEST if self.closing else CloseReason.LAST_ANSWER
+            self.close_reason = CloseReason.BAD_REQUEST if self.closing else CloseReason.LAST_RESPONSE
         if self.full:
             self.front.lags(self)  # its end still waits behind what the caller has not taken
         else:
@@ -594,7 +596,7 @@
             self.refuse_rest(408)
             self.next()
         elif self.full:
-            self.abort(CloseReason.NOT_READ)
+            self.abort(CloseReason.RESPONSE_NOT_READ)
         else:
             self.front.found(0)
-            self.close(CloseReason.SILENT)
+            self.close(CloseReason.REQUEST_TIMEOUT)
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -6,7 +6,7 @@
 import socket
 from enum import Enum
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.client_connection import OWED, ClientConnection
 from harecross.downstream.listener import Listener
@@ -126,7 +126,9 @@
             if not fits:
                 self.turned_away += 1
                 connection.close()
-                self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
+                self.dispatcher.connection_closed(
+                    ClosedConnection("client", "", CloseReason.DESCRIPTOR_SHORTAGE)
+                )
                 continue
             self.room.callers += 1
             self.listener.welcome(connection)
@@ -168,7 +170,7 @@
         """Ends a connection at once. Its place counts as free, though the descriptor goes a moment later."""
         self.owes_nothing(caller)
         self.ending.pop(caller, None)
-        caller.abort(CloseReason.NO_ROOM)
+        caller.abort(CloseReason.DESCRIPTOR_SHORTAGE)
         return True
 
     async def close(self, by: float, shared: bool = False) -> None:
@@ -259,21 +261,21 @@
                 else:
                     caller.overdue()
         for caller in taken(self.resting, now if emptied else now - RESTING):
-            reason = CloseReason.STOP if emptied else CloseReason.IDLE
+            reason = CloseReason.SHUTDOWN if emptied else CloseReason.IDLE
             if not caller.end_idle(reason) and caller.transport is not None:
                 self.rests(caller)
         for group, most in ((self.ending, LINGER), (self.lagging, LAGGING)):
             for caller in taken(group, now - most):
-                caller.abort(CloseReason.NOT_READ)
+                caller.abort(CloseReason.RESPONSE_NOT_READ)
 
     def close_idle(self) -> None:
         """Closes connections that have had an answer and hold nothing; new ones may have a request coming."""
         for caller in list(self.resting):
-            caller.end_idle(CloseReason.STOP)
+            caller.end_idle(CloseReason.SHUTDOWN)
 
     def close_all(self) -> None:
         for caller in list(self.open):
-            caller.close(CloseReason.STOP)
+            caller.close(CloseReason.SHUTDOWN)
 
     def busy(self) -> bool:
         """Whether a request that came whole has no answer yet, be it that nobody has read it."""
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -14,7 +14,7 @@
 from typing import TextIO
 
 from harecross.discovery.process_table import Transition
-from harecross.dispatch.close_reasons import Closing
+from harecross.dispatch.close_reasons import ClosedConnection
 from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
 from harecross.interface import EndpointUpdateKind, FinalReason, Outcome
 
@@ -105,10 +105,10 @@
         more = {} if reason is None else {"reason": reason.value}
         self.write("final", r, answer=how, **more)
 
-    def closed(self, closing: Closing) -> None:
+    def closed(self, closing: ClosedConnection) -> None:
         """A connection has ended: whose, why, and with which request out on it."""
-        more = {"server.address": closing.peer} if closing.peer else {}
-        self.tell("closed", closing.request, side=closing.side, reason=closing.reason.value, **more)
+        more = {"server.address": closing.peer_address} if closing.peer_address else {}
+        self.tell("closed", closing.request_id, side=closing.side, reason=closing.reason.value, **more)
 
     def listed(
         self, kind: EndpointUpdateKind, generation: object, came: Iterable[str], left: Iterable[str]
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, cast
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.http.response_parser import ReadResult, ResponseParser, read_report
 from harecross.interface import Outcome
 from harecross.platform.clock import monotonic_us
@@ -43,7 +43,7 @@
         "buffer",
         "descriptor",
         "rested",
-        "closing",
+        "closed_record",
     )
 
     def __init__(self, pool: ConnectionPool, target: ServerProcess) -> None:
@@ -62,7 +62,7 @@
         self.buffer = 0  # of the kernel for what the server sends, as asked for
         self.descriptor = -1
         self.rested = 0  # when it may carry the next exchange
-        self.closing: Closing | None = None  # why this side has ended it
+        self.closed_record: ClosedConnection | None = None  # why this side has ended it
 
     # ---- asyncio --------------------------------------------------------------------------------------
 
@@ -90,7 +90,7 @@
     def data_received(self, data: bytes) -> None:
         if self.exchange is None or self.answer is None:
             # Stray bytes: whatever they are, they would be taken for the next answer.
-            self.discard(CloseReason.SPOILT)
+            self.discard(CloseReason.MALFORMED_RESPONSE)
             return
         self.read(self.answer, self.answer.feed(data))
 
@@ -111,7 +111,7 @@
         elif reading == ReadResult.SPOILT:
             # The request has run; what came of it is nothing to show a caller, and nor is what may follow.
             self.pool.spoilt += 1
-            self.lost(CloseReason.SPOILT)
+            self.lost(CloseReason.MALFORMED_RESPONSE)
 
     def pass_on(self, answer: ResponseParser) -> bool:
         """Passes on what has come of a large answer; whether anybody wants it."""
@@ -120,7 +120,7 @@
         self.moved = monotonic_us()
         if not exchange.begun:
             if not exchange.begin(answer.length, self.report_in(answer.report)):
-                self.lost(CloseReason.GIVEN_UP)
+                self.lost(CloseReason.ABANDONED)
                 return False
             exchange.begun = True
             if exchange.timer is not None:
@@ -164,7 +164,9 @@
             self.target.idle.remove(self)
         if self.exchange is not None:
             self.lost(CloseReason.PEER)
-        self.pool.on_closed(self.closing or Closing("server", self.target.address, CloseReason.PEER))
+        self.pool.on_closed(
+            self.closed_record or ClosedConnection("server", self.target.address, CloseReason.PEER)
+        )
 
     # ---- exchanges ------------------------------------------------------------------------------------
 
@@ -243,7 +245,7 @@
             self.rested = now + min(REST_MOST, (now - exchange.began) // REST_PART)
             self.pool.put(self)
         else:
-            self.discard(CloseReason.LAST_ANSWER, exchange)
+            self.discard(CloseReason.LAST_RESPONSE, exchange)
         self.pool.end(exchange, answer.outcome(), answer.body, report)
 
     def lost(self, reason: CloseReason) -> None:
@@ -272,8 +274,8 @@
     def discard(self, reason: CloseReason, exchange: Exchange | None = None) -> None:
         """Closes it at once; `exchange` is the one it ends with."""
         self.usable = False
-        if self.closing is None:
+        if self.closed_record is None:
             request = exchange.request_id() if exchange is not None else ""
-            self.closing = Closing("server", self.target.address, reason, request)
+            self.closed_record = ClosedConnection("server", self.target.address, reason, request)
         if self.transport is not None:
             self.transport.abort()
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.http.body_buffer import STREAM_MOST, stream_buffer
 from harecross.http.request_parser import HOST
 from harecross.http.response_parser import report_places
@@ -39,7 +39,7 @@
         self.places = report_places(columns)
         self.fields = len(columns)
         self.room = room
-        self.on_closed: Callable[[Closing], None] = lambda closing: None
+        self.on_closed: Callable[[ClosedConnection], None] = lambda closing: None
         # Asks callers for a place: True if one of theirs has been put out.
         self.on_short: Callable[[], bool] = lambda: False
         self.reports = 0  # load reports read
@@ -73,7 +73,7 @@
         target = self.targets.get(server)
         if target is not None:
             target.ready = False
-            self.close_idle(target, CloseReason.SERVER_LEAVES)
+            self.close_idle(target, CloseReason.SERVER_OUT_OF_SERVICE)
 
     def forget(self, server: int) -> bool:
         """Lets go of a server that is not in service, once nothing is out on it."""
@@ -163,7 +163,7 @@
         """Closes an idle connection to make room for a new one."""
         for target in self.targets.values():
             if target.idle:
-                target.idle.pop(0).discard(CloseReason.NO_ROOM)
+                target.idle.pop(0).discard(CloseReason.DESCRIPTOR_SHORTAGE)
                 return True
         return False
 
@@ -211,7 +211,7 @@
             conn.since = monotonic_us()
             conn.target.idle.append(conn)
         else:
-            conn.discard(CloseReason.PEER if conn.target.ready else CloseReason.SERVER_LEAVES)
+            conn.discard(CloseReason.PEER if conn.target.ready else CloseReason.SERVER_OUT_OF_SERVICE)
 
     def end(
         self, exchange: Exchange, outcome: Outcome, body: bytes = b"", report: Sequence[float] = ()
@@ -242,7 +242,7 @@
                 outcome = Outcome.NOT_SENT
             conn.let_go(exchange)
             conn.exchange = None
-            conn.discard(CloseReason.GIVEN_UP, exchange)
+            conn.discard(CloseReason.ABANDONED, exchange)
         self.end(exchange, outcome)
 
     def set_passing(self, most: int) -> None:
@@ -286,4 +286,4 @@
         for task in self.tasks:
             task.cancel()
         for target in self.targets.values():
-            self.close_idle(target, CloseReason.STOP)
+            self.close_idle(target, CloseReason.SHUTDOWN)
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -22,7 +22,7 @@
     Transition,
     TransitionCause,
 )
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
 from harecross.dns.srv import Endpoint as SrvEndpoint
 from harecross.dns.srv import Found
@@ -220,7 +220,7 @@
         log.written(kept, fresh=False, whole=True)
         log.ended(kept, Outcome.OK, [0.5, 3.0])
         log.final(good, "served")
-        log.closed(Closing("client", "", CloseReason.LAST_ANSWER))
+        log.closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
         log.changed(
             transition(
                 ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.SAID, Lifecycle.DRAINING
@@ -238,7 +238,7 @@
         second = attempt(late, 1, 1)
         log.sent(second)
         log.written(second, fresh=True, whole=True)
-        log.closed(Closing("server", "10.2.0.1:8081", CloseReason.GIVEN_UP, "late-1"))
+        log.closed(ClosedConnection("server", "10.2.0.1:8081", CloseReason.ABANDONED, "late-1"))
         log.ended(second, Outcome.TIMEOUT, [])
         log.final(late, "failed", FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -192,7 +192,7 @@
             host, asking = node.dispatcher, node.discovery.schedule
             host.outcomes = [1] * len(Outcome)
             host.reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
-            host.closings.update([CloseReason.PEER, CloseReason.CLIENT_LEFT])
+            host.closings.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
             host.unlisted = 1
             asking.heard_at, asking.failures = 0.0, 1
             capfd.readouterr()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from support import balancer
 
 from harecross.discovery.process_table import Lifecycle, ProcessState, TransitionCause
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.fleet.file import read_fleet
 from harecross.follow.attempts import AttemptLog
 from harecross.follow.leaving import late_sends
@@ -597,7 +597,7 @@
     for reason in FinalReason:
         log.final(states.request("one"), "refused", reason)
     for close_reason in CloseReason:
-        log.closed(Closing("client", "", close_reason))
+        log.closed(ClosedConnection("client", "", close_reason))
     log.stream.close()
     told = lines_of(tmp_path / "log")
     assert " ".join(line["reason"] for line in told if line["event.name"] == "final") == (
