--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -183,10 +183,10 @@
     def log(self, watch: Watch, version: object, outcome: TableUpdate, now: float) -> None:
         for line in describe(outcome.transitions, now):
             log_line(f"discovery: {watch.place} v{version}: {line}")
-        trace = self.registry.dispatcher.trace
+        trace = self.registry.dispatcher.tracer
         if trace is not None:
             for transition in outcome.transitions:
-                trace.changed(transition, now)
+                trace.process_changed(transition, now)
 
     # ---- discoveries that have been left ----------------------------------------------------------------
 
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -103,7 +103,7 @@
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
             raise ValueError("no list of servers")
         full = full or cached or bool(update.get("reset"))
-        trace = self.dispatcher.trace
+        trace = self.dispatcher.tracer
         before = set(self.listed) if trace is not None else set()
         entries: dict[int, Endpoint] = {}
         for item in update["instances"]:
@@ -130,7 +130,7 @@
             named = {number: name for name, number in self.numbers.items()}
             now_listed = set(self.listed)
             came, left = ({named[n] for n in part} for part in (now_listed - before, before - now_listed))
-            trace.listed(kind, update.get("generation"), came, left)
+            trace.endpoints_listed(kind, update.get("generation"), came, left)
         self.forget()
         if self.heard is not None:
             self.heard(update, full, cached)
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -142,12 +142,12 @@
         self.upload = self.sending = None
         self.hold(-self.held)
         request, self.request = self.request, None
-        name = request.message.id.decode("latin-1") if request is not None else ""
+        name = request.parsed.id.decode("latin-1") if request is not None else ""
         self.front.dispatcher.connection_closed(
             ClosedConnection("client", "", self.close_reason or CloseReason.PEER, name)
         )
         if request is not None:
-            self.front.dispatcher.left(request)
+            self.front.dispatcher.client_disconnected(request)
 
     def close(self, reason: CloseReason) -> None:
         """Ends the connection once what was written has left."""
@@ -292,7 +292,7 @@
             return
         self.hold(len(upload.kept) - self.held)
         if self.request is not None:
-            self.front.dispatcher.upload_grew(self.request)
+            self.front.dispatcher.body_consumed(self.request)
         if self.paused and not upload.full and not self.closing and not self.queue:
             if self.reading:
                 self.front.owes(self)
@@ -337,7 +337,7 @@
             upload, self.upload = self.upload, None
             upload.finish()
             if self.sending is upload and self.request is not None:
-                self.front.dispatcher.body_came(self.request, self.unread_for)
+                self.front.dispatcher.body_received(self.request, self.unread_for)
             elif self.sending is not upload and upload.dropped and self.idle():
                 self.front.rests(self)  # answered before it had come
             return
@@ -386,7 +386,7 @@
             request, self.request = self.request, None
             self.busy = False
             if request is not None:
-                self.front.dispatcher.left(request)
+                self.front.dispatcher.client_disconnected(request)
             if self.hold_answer is not None and self.transport is not None:
                 self.abort(CloseReason.BAD_REQUEST)
                 return
@@ -400,7 +400,7 @@
                 self.keep = item < 0
                 self.answer(abs(item), b"")
                 continue
-            if not self.waits():
+            if not self.is_connected():
                 self.queue.clear()
                 return
             self.keep = item.keep
@@ -412,19 +412,19 @@
                 self.conflict()
                 continue
             try:
-                request = self.front.dispatcher.take(self, item)
+                request = self.front.dispatcher.admit(self, item)
             except Exception:
                 log_exception("request")
-                self.failed()
+                self.send_failure()
                 continue
             if self.busy:
                 self.request = request
                 if item.upload is not None:
                     if item.upload.complete:
-                        self.front.dispatcher.body_came(request, self.unread_for)
+                        self.front.dispatcher.body_received(request, self.unread_for)
                     self.upload_moved()
 
-    def waits(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether its caller is still there, by the kernel's word.
 
         Guards against: a request is sent on that came together with its caller's end, or whose caller went while it
@@ -454,7 +454,7 @@
         self.front.found(409)
         self.answer(409, b"")
 
-    def served(self, body: bytes) -> None:
+    def finish_response(self, body: bytes) -> None:
         if self.hold_answer is None:
             self.answer(200, body)
             return
@@ -464,10 +464,10 @@
                 self.transport.write(b"0\r\n\r\n")
             self.answered(self.ending)
 
-    def refused(self, retry_after: int) -> None:
+    def send_shed(self, retry_after: int) -> None:
         self.answer(503, b"", retry_after)
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         if self.hold_answer is None:
             self.answer(502, b"")
         elif self.transport is not None:
@@ -477,7 +477,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.abort(CloseReason.RESPONSE_BROKEN_OFF)
 
-    def begin(self, length: int | None, hold: Callable[[bool], None]) -> None:
+    def begin_response(self, length: int | None, hold: Callable[[bool], None]) -> None:
         """Writes the head of a large answer."""
         self.hold_answer = hold
         if self.transport is None:
@@ -498,7 +498,7 @@
             b"HTTP/1.1 200 OK\r\n%s%s\r\n" % (framing, b"Connection: close\r\n" if self.ending else b"")
         )
 
-    def part(self, data: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -52,7 +52,7 @@
         self.tell("start", **{"process.uptime": process_uptime()})
 
     def write(self, event: str, r: DispatchedRequest, **more: object) -> None:
-        self.tell(event, r.message.id.decode("latin-1"), **more)
+        self.tell(event, r.parsed.id.decode("latin-1"), **more)
 
     def tell(self, event: str, request: str = "", /, **more: object) -> None:
         """One line; `request` is "" for what is none of a request's events."""
@@ -74,49 +74,49 @@
 
     # ---- events -----------------------------------------------------------------------------------------
 
-    def taken(self, r: DispatchedRequest, now: int) -> None:
+    def request_admitted(self, r: DispatchedRequest, now: int) -> None:
         """A request has come; it is to be answered within `time_left` microseconds. Classes go by their numbers."""
         more = {
-            "request.class": str(r.message.request_class),
-            "time_left": r.until - now,
+            "request.class": str(r.parsed.request_class),
+            "time_left": r.deadline_us - now,
             "url.path": self.path(r),
         }
         self.write("taken", r, **more)
 
-    def sent(self, a: UpstreamAttempt) -> None:
+    def attempt_sent(self, a: UpstreamAttempt) -> None:
         """The module has chosen a server for an attempt; of a retry, how the attempt before it ended."""
         before = a.request.last_outcome
         more = {} if before is None else {"retry.cause": before.name.lower()}
         self.write("sent", a.request, **self.where(a), **more)
 
-    def written(self, a: UpstreamAttempt, fresh: bool, whole: bool) -> None:
+    def attempt_written(self, a: UpstreamAttempt, fresh: bool, whole: bool) -> None:
         """The request went out on a connection, `fresh` or kept; `whole` is false while bytes stand here."""
         self.write("written", a.request, **self.where(a), fresh=fresh, whole=whole)
 
-    def ended(self, a: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
+    def attempt_ended(self, a: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
         """The attempt has its outcome, and with it perhaps a load report, its fields as the settings name them."""
         more: dict[str, object] = {} if outcome == Outcome.OK else {"error.type": outcome.name.lower()}
         if report:
             more["server.load"] = list(report)
         self.write("ended", a.request, **self.where(a), **more)
 
-    def final(self, r: DispatchedRequest, how: str, reason: FinalReason | None = None) -> None:
+    def request_answered(self, r: DispatchedRequest, how: str, reason: FinalReason | None = None) -> None:
         """The caller has its one answer, or has left. `reason`: why it was refused or failed."""
         more = {} if reason is None else {"reason": reason.value}
         self.write("final", r, answer=how, **more)
 
-    def closed(self, closing: ClosedConnection) -> None:
+    def connection_closed(self, closing: ClosedConnection) -> None:
         """A connection has ended: whose, why, and with which request out on it."""
         more = {"server.address": closing.peer_address} if closing.peer_address else {}
         self.tell("closed", closing.request_id, side=closing.side, reason=closing.reason.value, **more)
 
-    def listed(
+    def endpoints_listed(
         self, kind: EndpointUpdateKind, generation: object, came: Iterable[str], left: Iterable[str]
     ) -> None:
         """A list was read: which servers are in service by it that were not before, and which no longer are."""
         self.tell("list", kind=kind.name.lower(), generation=generation, came=sorted(came), left=sorted(left))
 
-    def changed(self, transition: Transition, now: float) -> None:
+    def process_changed(self, transition: Transition, now: float) -> None:
         """A server process changed its state: from what to what, by whose word and how old that was, and why."""
         said = transition.statement
         self.tell(
@@ -144,4 +144,4 @@
 
     @staticmethod
     def path(r: DispatchedRequest) -> str:
-        return r.message.head.split(b" ", 2)[1].decode("latin-1")
+        return r.parsed.head.split(b" ", 2)[1].decode("latin-1")
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -137,7 +137,7 @@
             from harecross.follow.attempts import AttemptLog
 
             try:
-                self.dispatcher.trace = AttemptLog(config.name, attempts, self.registry.numbers)
+                self.dispatcher.tracer = AttemptLog(config.name, attempts, self.registry.numbers)
             except OSError as e:
                 raise BadConfig(f"log.attempts {attempts}: {e.strerror}") from None
         if more_sources is not None:
@@ -325,12 +325,12 @@
         again, and while its neighbour restarts too nobody serves their clients.
         """
         classes = self.config.settings.classes
-        times = stopping(max(c.deadline for c in classes) / 1e6, self.dispatcher.usual_time())
+        times = stopping(max(c.deadline for c in classes) / 1e6, self.dispatcher.typical_response_time_s())
         log_line(
             f"stopping: no more is taken after {times.close:.1f} s, what came late is over after {times.end:.1f} s"
         )
         now, began = monotonic_us(), self.loop.time()
-        self.dispatcher.late_from, self.dispatcher.latest = (
+        self.dispatcher.shutdown_late_from_us, self.dispatcher.shutdown_deadline_us = (
             now + int(times.counted * 1e6),
             now + int(times.end * 1e6),
         )
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -141,7 +141,9 @@
         """Each server as this process sees it, one line of JSON; `id=` names those that are asked for."""
         asked = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
         wanted = {self.registry.resolve(name): name for name in asked}
-        rows = endpoint_status_rows(self.registry, self.registry.dispatcher.out_on(), monotonic_us())
+        rows = endpoint_status_rows(
+            self.registry, self.registry.dispatcher.in_flight_by_server(), monotonic_us()
+        )
         for row in rows:
             row["id"] = wanted.get(row["id"], row["id"])  # by the name that was asked for
         told = {
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -175,7 +175,7 @@
     def probed(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
         self.schedule.ended(exchange.server)
         if outcome != Outcome.NOT_SENT:
-            self.dispatcher.probe_ended(exchange, outcome, body, report)
+            self.dispatcher.health_check_ended(exchange, outcome, body, report)
 
     async def connect(self, server: int) -> None:
         """A probe that only connects."""
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -212,39 +212,39 @@
     with monkeypatch.context() as patch:
         patch.setattr(time, "time_ns", lambda: next(times))
         log = AttemptLog("n3", str(path), SERVER_NAMES)  # start
-        log.listed(EndpointUpdateKind.CACHED, 41, ["s2", "s1"], [])
+        log.endpoints_listed(EndpointUpdateKind.CACHED, 41, ["s2", "s1"], [])
         good = request("good-1")
-        log.taken(good, 0)
+        log.request_admitted(good, 0)
         kept = attempt(good, 0, 1)
-        log.sent(kept)
-        log.written(kept, fresh=False, whole=True)
-        log.ended(kept, Outcome.OK, [0.5, 3.0])
-        log.final(good, "served")
-        log.closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
-        log.changed(
+        log.attempt_sent(kept)
+        log.attempt_written(kept, fresh=False, whole=True)
+        log.attempt_ended(kept, Outcome.OK, [0.5, 3.0])
+        log.request_answered(good, "served")
+        log.connection_closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
+        log.process_changed(
             transition(
                 ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.SAID, Lifecycle.DRAINING
             ),
             now=100.0,
         )
-        log.listed(EndpointUpdateKind.CHANGES, 42, [], ["s1"])
+        log.endpoints_listed(EndpointUpdateKind.CHANGES, 42, [], ["s1"])
         late = request("late-1", request_class=2)
-        log.taken(late, 500_000)
+        log.request_admitted(late, 500_000)
         first = attempt(late, 0, 2)
-        log.sent(first)
-        log.written(first, fresh=True, whole=False)
-        log.ended(first, Outcome.REJECTED, [])
+        log.attempt_sent(first)
+        log.attempt_written(first, fresh=True, whole=False)
+        log.attempt_ended(first, Outcome.REJECTED, [])
         late.last_outcome = Outcome.REJECTED
         second = attempt(late, 1, 1)
-        log.sent(second)
-        log.written(second, fresh=True, whole=True)
-        log.closed(ClosedConnection("server", "10.2.0.1:8081", CloseReason.ABANDONED, "late-1"))
-        log.ended(second, Outcome.TIMEOUT, [])
-        log.final(late, "failed", FinalReason.MAY_HAVE_RUN)
+        log.attempt_sent(second)
+        log.attempt_written(second, fresh=True, whole=True)
+        log.connection_closed(ClosedConnection("server", "10.2.0.1:8081", CloseReason.ABANDONED, "late-1"))
+        log.attempt_ended(second, Outcome.TIMEOUT, [])
+        log.request_answered(late, "failed", FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
         unknown.target = None
         unknown.dispatcher = NoServers()  # type: ignore[assignment]
-        log.ended(unknown, Outcome.CANCELLED, [])
+        log.attempt_ended(unknown, Outcome.CANCELLED, [])
         log.stream.close()
 
 
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -67,7 +67,7 @@
     path = tmp_path / "n0.log"
 
     async def test(w: World) -> None:
-        w.node.dispatcher.trace = AttemptLog("n0", str(path), w.node.registry.numbers)
+        w.node.dispatcher.tracer = AttemptLog("n0", str(path), w.node.registry.numbers)
         client = await w.client()
         client.send("/put/1", key="k", body=b"x", X_Request_ID="one")
         (await w.origins[0].arrived.get()).answer(500)
@@ -213,7 +213,7 @@
     path = tmp_path / "n0.log"
 
     async def test(w: World) -> None:
-        w.node.dispatcher.trace = AttemptLog("n0", str(path), w.node.registry.numbers)
+        w.node.dispatcher.tracer = AttemptLog("n0", str(path), w.node.registry.numbers)
         watch = await w.watch()
         Catalog.push(watch, update_line(42, entry("s0", w.origins[0].address, "terminating")))
         await until(lambda: not w.node.registry.listed)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -227,7 +227,7 @@
 def test_nothing_goes_to_who_left_and_nobody_is_shunned_whom_every_word_since_has_listed(steps):
     async def body() -> None:
         fleet = Fleet()
-        host = SimpleNamespace(server_list=lambda kind, entries: None, trace=None)
+        host = SimpleNamespace(endpoint_update=lambda kind, entries: None, tracer=None)
 
         def process(known: dict | None) -> tuple[EndpointRegistry, Watch]:
             directory = EndpointRegistry(
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -103,7 +103,7 @@
 class Lists:
     def __init__(self) -> None:
         self.got: list[tuple] = []
-        self.trace = None
+        self.tracer = None
 
     def endpoint_update(self, kind, entries) -> None:
         self.got.append((kind, list(entries)))
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -127,7 +127,7 @@
         client.writer.write(text)
         got, head, _ = await client.answer()
         assert got == status and b"Connection: close" in head
-        assert w.node.dispatcher.last_id == 0 and w.origins[0].links == 0
+        assert w.node.dispatcher.last_request_number == 0 and w.origins[0].links == 0
         assert await client.reader.read() == b""
         client = await w.client()
         client.send()
@@ -162,7 +162,7 @@
         assert (await second.answer())[0] == 409
         at.answer()
         assert (await first.answer())[0] == 200
-        assert w.origins[0].links == 1 and not w.node.dispatcher.names
+        assert w.origins[0].links == 1 and not w.node.dispatcher.open_request_ids
         first.send("/pay/1", X_Request_ID="same")  # it is over: the id is free
         (await w.origins[0].arrived.get()).answer()
         assert (await first.answer())[0] == 200
@@ -193,7 +193,7 @@
         await at.gone.wait()
         while w.node.dispatcher.requests:
             await asyncio.sleep(0)
-        assert w.node.dispatcher.answered["left"] == 1
+        assert w.node.dispatcher.final_answers["left"] == 1
 
     with_node(test)
 
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -191,9 +191,9 @@
         async with site.node() as node:
             host, asking = node.dispatcher, node.discovery.schedule
             host.outcomes = [1] * len(Outcome)
-            host.reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
-            host.closings.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
-            host.unlisted = 1
+            host.final_reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
+            host.close_reasons.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
+            host.shed_without_list = 1
             asking.heard_at, asking.failures = 0.0, 1
             capfd.readouterr()
             host.report({0: 1, 400: 2}, 3, asking.figures(1e9))
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -21,10 +21,10 @@
 
     def __init__(self, world: World, path: Path) -> None:
         self.world, self.path = world, path
-        world.node.dispatcher.trace = AttemptLog("n0", str(path), world.node.registry.numbers)
+        world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
 
     def events(self, what: str) -> list[Event]:
-        self.world.node.dispatcher.trace.flush()
+        self.world.node.dispatcher.tracer.flush()
         logs = read([self.path])
         found = [e for r in logs.requests.values() for e in r.events]
         found += [e for events in logs.told.values() for e in events]
@@ -32,7 +32,7 @@
 
     async def closing(self, side: str) -> Event:
         """The first connection of a side that ends."""
-        closings = self.world.node.dispatcher.closings
+        closings = self.world.node.dispatcher.close_reasons
         while True:
             await until(lambda: closings)
             for event in self.events("closed"):
@@ -121,7 +121,7 @@
         await happens(w)
         event = await logged.closing("client")
         assert event.fields["reason"] == reason.value
-        assert w.node.dispatcher.closings[reason] >= 1
+        assert w.node.dispatcher.close_reasons[reason] >= 1
 
     with_node(test)
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -563,9 +563,9 @@
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     request = states.request("one")
     for outcome in Outcome:
-        log.ended(states.attempt(request, 0, 1), outcome, [])
+        log.attempt_ended(states.attempt(request, 0, 1), outcome, [])
         request.last_outcome = outcome
-        log.sent(states.attempt(request, 1, 1))
+        log.attempt_sent(states.attempt(request, 1, 1))
     log.stream.close()
     told = lines_of(tmp_path / "log")
     assert [line.get("error.type") for line in told if line["event.name"] == "ended"] == [
@@ -595,9 +595,9 @@
 def test_the_log_has_the_same_words_for_why_requests_and_connections_end(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     for reason in FinalReason:
-        log.final(states.request("one"), "refused", reason)
+        log.request_answered(states.request("one"), "refused", reason)
     for close_reason in CloseReason:
-        log.closed(ClosedConnection("client", "", close_reason))
+        log.connection_closed(ClosedConnection("client", "", close_reason))
     log.stream.close()
     told = lines_of(tmp_path / "log")
     assert " ".join(line["reason"] for line in told if line["event.name"] == "final") == (
@@ -613,11 +613,11 @@
 def test_the_log_has_the_same_words_for_lists_and_changes_of_state(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     for kind in EndpointUpdateKind:
-        log.listed(kind, 1, [], [])
+        log.endpoints_listed(kind, 1, [], [])
     for state, cause in zip(ProcessState, TransitionCause, strict=True):
-        log.changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
+        log.process_changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
     for lifecycle in Lifecycle:
-        log.changed(
+        log.process_changed(
             states.transition(ProcessState.GONE, ProcessState.GONE, TransitionCause.SAID, lifecycle), 100.0
         )
     log.stream.close()
