--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -197,10 +197,10 @@
         if name in self.out:
             return
         number = self.numbers.get(name, 0)
-        entry, target = self.listed.get(number), self.pool.targets.get(number)
+        entry, target = self.listed.get(number), self.pool.processes.get(number)
         self.out[name] = None
         if entry is not None and target is not None:
-            self.out[name] = ListedEndpoint(entry, target.address, target.started)
+            self.out[name] = ListedEndpoint(entry, target.address, target.started_at)
             self.dispatcher.endpoint_update(
                 EndpointUpdateKind.CHANGES, [self.withdraw(number, EndpointState.DRAINING)]
             )
@@ -219,14 +219,14 @@
             )
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
-        self.pool.withdraw(number)
+        self.pool.take_out_of_service(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
 
     def forget(self) -> None:
         """Guards against: where servers are replaced all day, what was known of those gone piles up."""
         for name, number in list(self.numbers.items()):
-            if number not in self.listed and self.pool.forget(number):
+            if number not in self.listed and self.pool.remove_if_unused(number):
                 del self.numbers[name]
         cold = monotonic_us() - COLD_MOST
         self.back = {name: at for name, at in self.back.items() if name in self.numbers or at > cold}
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -25,7 +25,7 @@
 from harecross.platform.log import log_exception, log_line
 from harecross.policy.balancer import Balancer
 from harecross.upstream.connection_pool import ConnectionPool
-from harecross.upstream.exchange import NEVER, Exchange
+from harecross.upstream.exchange import NO_DEADLINE_US, Exchange
 
 ROOM = 15_000  # of the client's time is kept for answering
 ROOM_PART = 20  # or one part in so many of a short time
@@ -39,7 +39,7 @@
         """Whether anybody still waits for the answer, as the kernel has it now; `left` follows once nobody does."""
 
     def begin_response(self, length: int | None, hold: Callable[[bool], None]) -> None:
-        """A large answer begins; `finish_response` or `send_failure` ends it. `hold` stops what comes, or lets it go on."""
+        """Starts a streamed response; `finish_response` or `send_failure` ends it. `hold` pauses reading or resumes."""
 
     def send_part(self, data: bytes) -> None:
         """More of a large answer."""
@@ -85,23 +85,23 @@
     number: int
     dispatcher: RequestDispatcher
 
-    def begin(self, length: int | None, report: Sequence[float]) -> bool:
+    def response_begins(self, length: int | None, report: Sequence[float]) -> bool:
         return self.dispatcher.response_begins(self, length, report)
 
-    def part(self, data: bytes) -> None:
+    def response_part(self, data: bytes) -> None:
         if self.request.response_writer is not None:
             self.request.response_writer.send_part(data)
 
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         return self.request.response_writer is not None and self.request.response_writer.is_connected()
 
-    def left(self) -> None:
+    def upload_sent(self) -> None:
         self.dispatcher.notify_uploading(self.request, False)
 
     def request_id(self) -> str:
-        return self.request.parsed.id.decode("latin-1")
+        return self.request.parsed.request_id.decode("latin-1")
 
-    def written(self, fresh: bool, whole: bool) -> None:
+    def request_written(self, fresh: bool, whole: bool) -> None:
         if self.dispatcher.tracer is not None:
             self.dispatcher.tracer.attempt_written(self, fresh, whole)
 
@@ -142,7 +142,7 @@
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.pool = servers
-        servers.on_closed = self.connection_closed
+        servers.on_connection_closed = self.connection_closed
         self.requests: dict[int, DispatchedRequest] = {}
         self.open_request_ids: set[bytes] = set()  # the callers' ids of these
         self.last_request_number = 0
@@ -176,9 +176,9 @@
         """
         parts: dict[str, float] = {
             **self.final_answers,
-            "open": self.pool.open,
-            "reports": self.pool.reports,
-            "spoilt": self.pool.spoilt,
+            "open": self.pool.open_connections,
+            "reports": self.pool.load_reports,
+            "spoilt": self.pool.malformed_responses,
         }
         parts.update({o.name.lower(): self.outcomes[o] for o in Outcome if self.outcomes[o]})
         parts.update({f"{how}_{reason}": n for (how, reason), n in sorted(self.final_reasons.items())})
@@ -218,7 +218,7 @@
         self.last_request_number += 1
         now = monotonic_us()
         # Counted from when the message came, not from when its turn on the connection came.
-        until = self.response_deadline_us(message, message.came, message.unread_for)
+        until = self.response_deadline_us(message, message.received_us, message.unread_us)
         r = DispatchedRequest(self.last_request_number, caller, message, until)
         if self.tracer is not None:
             self.tracer.request_admitted(r, now)
@@ -233,12 +233,12 @@
             self.send_final_answer(r, "refused", FinalReason.NO_LIST, retry_after=retry_after)
             return r
         self.requests[r.id] = r
-        self.open_request_ids.add(message.id)
+        self.open_request_ids.add(message.request_id)
         if message.upload is None or message.upload.complete:
             r.deadline_timer = self.loop.call_later((until - now) / 1e6, self.deadline_passed, r)
         try:
             self.balancer.request(
-                now, r.id, message.request_class, message.tenant, until - now, message.repeat
+                now, r.id, message.request_class, message.tenant, until - now, message.is_retry
             )
         except Exception:
             log_exception("request")
@@ -248,7 +248,7 @@
 
     def response_deadline_us(self, message: ParsedRequest, came: int, unread_for: int = 0) -> int:
         """When a request that was read at that time, and may have waited before, is to have its answer."""
-        until = came - unread_for + message.time_left - min(ROOM, message.time_left // ROOM_PART)
+        until = came - unread_for + message.timeout_us - min(ROOM, message.timeout_us // ROOM_PART)
         # Guards against: a request taken late in a planned restart is still open when the kill comes.
         return (
             until
@@ -267,7 +267,7 @@
     def notify_uploading(self, r: DispatchedRequest, on: bool) -> None:
         """Tells the module whether the request's body is still on the way to a server."""
         upload = r.parsed.upload
-        if upload is None or (on and (not r.in_flight or r.in_flight[0].over or upload.complete)):
+        if upload is None or (on and (not r.in_flight or r.in_flight[0].finished or upload.complete)):
             return
         try:
             self.balancer.uploading(monotonic_us(), r.id, on)
@@ -294,7 +294,7 @@
             self.tracer.request_answered(r, "left")
         for attempt in list(r.in_flight):
             # Guards against: the module has no more say in a large answer, or in a body whose beginning is gone.
-            if attempt.begun or attempt.until == NEVER or not attempt.is_sent():
+            if attempt.response_begun or attempt.deadline_us == NO_DEADLINE_US or not attempt.is_sent():
                 self.pool.abandon(attempt, Outcome.CANCELLED)
         self.notify_uploading(r, False)
         self.notify_client_disconnected(r)
@@ -328,14 +328,14 @@
             r.deadline_timer.cancel()
             r.deadline_timer = None
         if r.parsed.upload is not None and caller is not None:
-            r.parsed.upload.drop()
+            r.parsed.upload.discard()
         self.forget_if_done(r)
         return caller
 
     def forget_if_done(self, r: DispatchedRequest) -> None:
         """Keeps nothing of a request that is answered and no longer out anywhere."""
         if r.response_writer is None and not r.in_flight and self.requests.pop(r.id, None) is not None:
-            self.open_request_ids.discard(r.parsed.id)
+            self.open_request_ids.discard(r.parsed.request_id)
 
     def send_final_answer(
         self,
@@ -375,7 +375,7 @@
         if r.deadline_timer is not None:
             r.deadline_timer.cancel()
         r.response_writer.begin_response(
-            length, attempt.conn.hold if attempt.conn is not None else lambda on: None
+            length, attempt.connection.set_read_paused if attempt.connection is not None else lambda on: None
         )
         self.notify_outcome(attempt, Outcome.OK, True, report)
         return True
@@ -388,7 +388,7 @@
         self.notify_uploading(r, False)
         try:
             self.balancer.outcome(
-                now, r.id, attempt.number, attempt.server, outcome, now - attempt.began, final, report
+                now, r.id, attempt.number, attempt.server, outcome, now - attempt.started_us, final, report
             )
         except Exception:
             log_exception("outcome")
@@ -405,8 +405,8 @@
         if self.tracer is not None:
             self.tracer.attempt_ended(exchange, outcome, report)
         if r.first_run_us is None and outcome not in NEVER_RAN:
-            r.first_run_us = exchange.began
-        if exchange.begun:
+            r.first_run_us = exchange.started_us
+        if exchange.response_begun:
             # The module has had this outcome. What broke later is still that server's failure.
             if outcome == Outcome.OK:
                 self.send_final_answer(r, "served")
@@ -428,7 +428,7 @@
         now = monotonic_us()
         try:
             self.balancer.health_checked(
-                now, exchange.server, outcome == Outcome.OK, now - exchange.began, report
+                now, exchange.server, outcome == Outcome.OK, now - exchange.started_us, report
             )
         except Exception:
             log_exception("health_checked")
@@ -451,18 +451,18 @@
         elif not (r.being_admitted or r.response_writer.is_connected()):
             until = now  # it has waited, for a slot or for the end of another attempt, and its caller has not
         elif upload is not None and not upload.complete:
-            until = NEVER
+            until = NO_DEADLINE_US
         else:
             until = min(now + timeout, r.deadline_us) if timeout > 0 else r.deadline_us
         attempt = UpstreamAttempt(server, r.parsed.head, r.parsed.body, until, self.attempt_ended)
         attempt.dispatcher = self
         attempt.upload = upload
-        attempt.patience = min(timeout, r.parsed.time_left) if timeout > 0 else r.parsed.time_left
+        attempt.upload_timeout_us = min(timeout, r.parsed.timeout_us) if timeout > 0 else r.parsed.timeout_us
         c = self.settings.classes[min(r.parsed.request_class, len(self.settings.classes) - 1)]
         if c.idempotency == Idempotency.IDEMPOTENCY_KEY and r.first_run_us is not None:
             # Guards against: the repeat was decided within the window in which servers would drop it, and goes out
             # behind it, once its connection has come up.
-            attempt.begin_by = r.first_run_us + c.deduplication_window
+            attempt.start_by_us = r.first_run_us + c.deduplication_window
         attempt.request = r
         attempt.number = r.attempt_count
         r.attempt_count += 1
@@ -470,7 +470,7 @@
         if self.tracer is not None:
             self.tracer.attempt_sent(attempt)
         self.pool.send(attempt)
-        if until == NEVER:
+        if until == NO_DEADLINE_US:
             self.loop.call_soon(self.notify_uploading, r, True)
 
     def cancel(self, request: int, attempt: int) -> None:
@@ -494,7 +494,7 @@
             self.send_final_answer(r, "failed", self.balancer.final_reason)
 
     def health_check(self, server: int) -> None:
-        self.pool.send(self.pool.probe(server, self.health_check_ended))
+        self.pool.send(self.pool.make_health_check(server, self.health_check_ended))
 
     def set_timer(self, delay: int, token: int) -> None:
         self.loop.call_later(delay / 1e6, self.timer, token)
@@ -516,7 +516,7 @@
         self.on_fetch()
 
     def close_idle(self, server: int) -> None:
-        self.pool.close(server)
+        self.pool.close_idle_connections(server)
 
     def log_event(self, text: str) -> None:
         log_line(text)
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -14,8 +14,8 @@
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import DispatchedRequest
 from harecross.downstream.read_delay import InfoSocket, ReadDelay, WaitingSocket
-from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, Upload, too_many
-from harecross.http.request_parser import HEAD_MOST, HEADERS_MOST, BadRequest, ParsedRequest
+from harecross.http.body_buffer import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Upload, has_too_many_chunks
+from harecross.http.request_parser import MAX_HEAD_BYTES, MAX_HEADERS, BadRequestError, ParsedRequest
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_exception
 from harecross.platform.peer_state import has_left, is_quiet
@@ -142,7 +142,7 @@
         self.upload = self.sending = None
         self.hold(-self.held)
         request, self.request = self.request, None
-        name = request.parsed.id.decode("latin-1") if request is not None else ""
+        name = request.parsed.request_id.decode("latin-1") if request is not None else ""
         self.front.dispatcher.connection_closed(
             ClosedConnection("client", "", self.close_reason or CloseReason.PEER, name)
         )
@@ -175,14 +175,14 @@
             self.parser.feed_data(data)
         except HttpParserError as e:
             inner = e.__context__
-            self.refuse_rest(inner.status if isinstance(inner, BadRequest) else 400)
-        except BadRequest as e:
+            self.refuse_rest(inner.status if isinstance(inner, BadRequestError) else 400)
+        except BadRequestError as e:
             self.refuse_rest(e.status)
         else:
             if self.reading:
                 self.heard = monotonic_us()
                 self.unread = 0 if self.unread < 0 or self.head_done else self.unread + len(data)
-                if self.unread > HEAD_MOST:
+                if self.unread > MAX_HEAD_BYTES:
                     self.refuse_rest(431)
         self.next()
         if self.paused or self.closing or self.transport is None:
@@ -238,8 +238,8 @@
     def grown(self, size: int) -> None:
         # Guards against: a head without end fills the memory of all requests together.
         self.head_size += size
-        if self.head_size > HEAD_MOST:
-            raise BadRequest(431)
+        if self.head_size > MAX_HEAD_BYTES:
+            raise BadRequestError(431)
 
     def on_url(self, url: bytes) -> None:
         self.grown(len(url))
@@ -249,8 +249,8 @@
         self.grown(len(name) + len(value) + 4)
         if self.head_done:
             return  # a trailer
-        if len(self.headers) >= HEADERS_MOST:
-            raise BadRequest(431)
+        if len(self.headers) >= MAX_HEADERS:
+            raise BadRequestError(431)
         self.headers.append((name, value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
@@ -259,9 +259,9 @@
         if self.parser.should_upgrade():
             # Guards against: after CONNECT or Upgrade the parser takes the body for another protocol's bytes,
             # and the request would go on without it.
-            raise BadRequest(400)
+            raise BadRequestError(400)
         version = self.parser.get_http_version()
-        self.front.reader.check_head(version, self.headers)
+        self.front.reader.check_framing(version, self.headers)
         length = None
         for name, value in self.headers:
             low = name.lower()
@@ -270,7 +270,7 @@
             elif low == b"expect" and value.lower() == b"100-continue" and version == "1.1":
                 self.expects = True
         self.go_on()
-        if length is not None and length > BODY_MOST:
+        if length is not None and length > MAX_BUFFERED_BODY_BYTES:
             self.begin_upload(length)
 
     def go_on(self) -> None:
@@ -282,7 +282,7 @@
     def begin_upload(self, length: int | None) -> None:
         """The body is too large to be held: its request is handled while it comes."""
         self.upload = Upload(length)
-        self.upload.changed = self.upload_moved
+        self.upload.on_consumed = self.upload_moved
         self.queue.append(self.message(self.upload))
 
     def upload_moved(self) -> None:
@@ -290,7 +290,7 @@
         upload = self.sending
         if upload is None or self.transport is None:
             return
-        self.hold(len(upload.kept) - self.held)
+        self.hold(len(upload.buffered) - self.held)
         if self.request is not None:
             self.front.dispatcher.body_consumed(self.request)
         if self.paused and not upload.full and not self.closing and not self.queue:
@@ -300,32 +300,32 @@
 
     def on_chunk_header(self) -> None:
         self.chunks += 1
-        if too_many(self.chunks, self.size):
-            raise BadRequest(413)
+        if has_too_many_chunks(self.chunks, self.size):
+            raise BadRequestError(413)
 
     def on_body(self, data: bytes) -> None:
         self.size += len(data)
-        if self.size > BODY_LARGEST:
-            raise BadRequest(413)
+        if self.size > MAX_BODY_BYTES:
+            raise BadRequestError(413)
         late = monotonic_us() - self.begun - OWED
         if late > 0 and not self.waited and self.size * 1_000_000 < SLOWEST * late:
             # Guards against: a byte now and then holds a connection, and a server's, for good.
-            raise BadRequest(408)
+            raise BadRequestError(408)
         self.front.owes(self)
-        if self.upload is None and len(self.body) + len(data) > BODY_MOST:
+        if self.upload is None and len(self.body) + len(data) > MAX_BUFFERED_BODY_BYTES:
             self.begin_upload(None)
             data, self.body = self.body + data, b""
             self.hold(-self.held)
         if self.upload is not None:
             self.upload.feed(data)
-            if not self.upload.dropped:
-                self.hold(len(self.upload.kept) - self.held)
+            if not self.upload.discarded:
+                self.hold(len(self.upload.buffered) - self.held)
         else:
             self.body = self.body + data if self.body else data
             self.hold(len(data))
         if self.front.held > self.front.held_most:
             # Guards against: bodies within their bound, on all connections at once, fill the memory.
-            raise BadRequest(503)
+            raise BadRequestError(503)
 
     def on_message_complete(self) -> None:
         if self.closing:
@@ -338,7 +338,7 @@
             upload.finish()
             if self.sending is upload and self.request is not None:
                 self.front.dispatcher.body_received(self.request, self.unread_for)
-            elif self.sending is not upload and upload.dropped and self.idle():
+            elif self.sending is not upload and upload.discarded and self.idle():
                 self.front.rests(self)  # answered before it had come
             return
         if self.url == b"/_health" and self.parser.get_method() == b"GET":
@@ -351,12 +351,12 @@
             # Guards against: hundreds of requests on one connection wait, each with its body, for a turn
             # that costs a server's. None of them has been sent anywhere.
             self.queue.clear()
-            raise BadRequest(400)
+            raise BadRequestError(400)
 
     def message(self, upload: Upload | None = None) -> ParsedRequest:
         """The request that has been read, all but an upload."""
         assert self.parser is not None
-        return self.front.reader.read(
+        return self.front.reader.parse(
             self.parser.get_method(),
             self.url,
             self.headers,
@@ -403,11 +403,11 @@
             if not self.is_connected():
                 self.queue.clear()
                 return
-            self.keep = item.keep
+            self.keep = item.keep_alive
             self.busy = True
             self.sending = item.upload
-            self.chunked = item.chunks
-            if self.front.dispatcher.is_open(item.id):
+            self.chunked = item.accepts_chunked
+            if self.front.dispatcher.is_open(item.request_id):
                 # Guards against: the id of another's open request, passed on, is a second copy of that one.
                 self.conflict()
                 continue
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -11,7 +11,7 @@
 from harecross.downstream.client_connection import OWED, ClientConnection
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat
-from harecross.http.request_parser import RequestReader
+from harecross.http.request_parser import RequestParser
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.system_errors import AcceptFailure
@@ -55,13 +55,13 @@
     """
 
     def __init__(
-        self, host: RequestDispatcher, reader: RequestReader, room: DescriptorBudget, held_most: int
+        self, host: RequestDispatcher, reader: RequestParser, room: DescriptorBudget, held_most: int
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.dispatcher = host
         self.reader = reader
         self.room = room
-        host.pool.on_short = self.make_room
+        host.pool.on_descriptor_shortage = self.make_room
         self.short_since: int | None = None  # there is no room for the next connection
         self.held = 0  # bytes of bodies, over all connections
         self.held_most = held_most
@@ -159,7 +159,7 @@
                     break
                 if not caller.has_unread():
                     return self.put_out(caller)
-        if self.room.servers_may_give() and self.dispatcher.pool.spare():
+        if self.room.servers_may_give() and self.dispatcher.pool.close_one_idle():
             return True
         # Guards against: callers that send half a head and stay hold every place for as long as a slow one may.
         stuck = (c for c in self.owing if c.reading and not c.head_done and c.heard < monotonic_us() - STUCK)
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -52,7 +52,7 @@
         self.tell("start", **{"process.uptime": process_uptime()})
 
     def write(self, event: str, r: DispatchedRequest, **more: object) -> None:
-        self.tell(event, r.parsed.id.decode("latin-1"), **more)
+        self.tell(event, r.parsed.request_id.decode("latin-1"), **more)
 
     def tell(self, event: str, request: str = "", /, **more: object) -> None:
         """One line; `request` is "" for what is none of a request's events."""
@@ -136,7 +136,7 @@
         return self.names.get(server, str(server))
 
     def where(self, a: UpstreamAttempt) -> dict[str, object]:
-        target = a.target or a.dispatcher.pool.targets.get(a.server)
+        target = a.process or a.dispatcher.pool.processes.get(a.server)
         found: dict[str, object] = {"http.request.resend_count": a.number, "server.id": self.name(a.server)}
         if target is not None:
             found |= {"server.address": target.host, "server.port": target.port}
--- a/harecross/http/body_buffer.py
+++ b/harecross/http/body_buffer.py
@@ -4,29 +4,29 @@
 
 from collections.abc import Callable
 
-BODY_MOST = 1 << 16  # a body up to here is whole before it is passed on
-BODY_LARGEST = 1 << 25  # the largest that is passed on
-CHUNKS_MOST = (
+MAX_BUFFERED_BODY_BYTES = 1 << 16  # a body up to here is whole before it is passed on
+MAX_BODY_BYTES = 1 << 25  # the largest that is passed on
+MAX_CHUNKS = (
     1 << 12
 )  # of one body, and one more for each of the bytes below: a byte each costs more than it brings
-CHUNK_LEAST = 16
+MIN_CHUNK_BYTES = 16
 # The kernel's buffer for one large answer, as it is asked for. Below the least, a window is smaller than one
 # segment of a loopback interface, and its sender waits 0.2 s for each acknowledgement.
-STREAM_LEAST, STREAM_MOST = 1 << 14, 1 << 16
+MIN_STREAM_BUFFER_BYTES, MAX_STREAM_BUFFER_BYTES = 1 << 14, 1 << 16
 
 
-def stream_buffer(budget: int, streams: int) -> int:
+def stream_buffer_bytes(budget: int, streams: int) -> int:
     """How much the kernel may take of one large answer, so that all of them fit in `budget` bytes here.
 
     It grants twice what it is asked for (socket(7)), and a connection is read to its buffer's end at once: so
     much of an answer stands in this process while its caller does not take it.
     """
-    return max(STREAM_LEAST, min(STREAM_MOST, budget // (2 * max(1, streams))))
+    return max(MIN_STREAM_BUFFER_BYTES, min(MAX_STREAM_BUFFER_BYTES, budget // (2 * max(1, streams))))
 
 
-def too_many(chunks: int, size: int) -> bool:
+def has_too_many_chunks(chunks: int, size: int) -> bool:
     """Whether a body of so many bytes has come in needlessly small chunks."""
-    return chunks > CHUNKS_MOST + size // CHUNK_LEAST
+    return chunks > MAX_CHUNKS + size // MIN_CHUNK_BYTES
 
 
 class Upload:
@@ -36,71 +36,80 @@
     has gone to a server than that, only what has not gone yet is kept. One reader takes at a time.
     """
 
-    __slots__ = ("length", "kept", "start", "at", "complete", "dropped", "more", "changed")
+    __slots__ = (
+        "length",
+        "buffered",
+        "buffer_start",
+        "read_position",
+        "complete",
+        "discarded",
+        "on_data",
+        "on_consumed",
+    )
 
     def __init__(self, length: int | None) -> None:
         self.length = length  # as its caller declared it
-        self.kept = bytearray()
-        self.start = 0  # where in the body `kept` begins
-        self.at = 0  # where the reader is
+        self.buffered = bytearray()
+        self.buffer_start = 0  # where in the body `buffered` begins
+        self.read_position = 0  # where the reader is
         self.complete = False
-        self.dropped = False  # nobody wants what still comes
-        self.more: Callable[[], None] | None = None  # tells the reader, if there is one
-        self.changed: Callable[[], None] = lambda: None  # tells the writer that bytes have been taken
+        self.discarded = False  # nobody wants what still comes
+        self.on_data: Callable[[], None] | None = None  # tells the reader, if there is one
+        self.on_consumed: Callable[[], None] = lambda: None  # tells the writer that bytes have been taken
 
     @property
     def size(self) -> int:
         """Bytes that have come."""
-        return self.start + len(self.kept)
+        return self.buffer_start + len(self.buffered)
 
     @property
     def replayable(self) -> bool:
         """Whether all that has come is still here."""
-        return self.start == 0
+        return self.buffer_start == 0
 
     @property
     def full(self) -> bool:
         """Whether the writer should wait."""
-        return self.size - self.at >= BODY_MOST
+        return self.size - self.read_position >= MAX_BUFFERED_BODY_BYTES
 
     def feed(self, data: bytes) -> None:
         """More of it has come."""
-        if not self.dropped:
-            self.kept += data
-            if self.more is not None:
-                self.more()
+        if not self.discarded:
+            self.buffered += data
+            if self.on_data is not None:
+                self.on_data()
 
     def finish(self) -> None:
         """All of it has come."""
         self.complete = True
-        if not self.dropped and self.more is not None:
-            self.more()
+        if not self.discarded and self.on_data is not None:
+            self.on_data()
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Nothing is kept from now on."""
-        self.dropped = True
-        self.more = None
-        self.start, self.at = self.size, self.size
-        self.kept = bytearray()
-        self.changed()
+        self.discarded = True
+        self.on_data = None
+        self.buffer_start, self.read_position = self.size, self.size
+        self.buffered = bytearray()
+        self.on_consumed()
 
     def attach(self, more: Callable[[], None]) -> None:
         """A reader begins at the first byte. ValueError if that is gone."""
-        if not self.replayable or self.dropped:
+        if not self.replayable or self.discarded:
             raise ValueError("the beginning of the body is gone")
-        self.at = 0
-        self.more = more
+        self.read_position = 0
+        self.on_data = more
 
     def detach(self) -> None:
         """The reader takes no more."""
-        self.more = None
+        self.on_data = None
 
-    def take(self) -> bytes:
+    def read(self) -> bytes:
         """What has come since the last call."""
-        data = bytes(memoryview(self.kept)[self.at - self.start :])
-        self.at = self.size
-        if self.size > BODY_MOST:
-            self.start = self.size
-            self.kept = bytearray()
-        self.changed()
+        data = bytes(memoryview(self.buffered)[self.read_position - self.buffer_start :])
+        self.read_position = self.size
+        if self.size > MAX_BUFFERED_BODY_BYTES:
+            self.buffer_start = self.size
+            self.buffered = bytearray()
+        self.on_consumed()
         return data
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -20,7 +20,7 @@
 from harecross.discovery.subscription_schedule import discovery_terms
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.connection_manager import ACCEPTS, ConnectionManager
-from harecross.http.request_parser import RequestReader
+from harecross.http.request_parser import RequestParser
 from harecross.node.admin_operations import AdminOperations
 from harecross.node.admin_server import ROOM as DOOR_ROOM
 from harecross.node.config import BadConfig, Config, bound_socket, inherited_socket, read_config
@@ -150,11 +150,11 @@
         self.told = asyncio.Event()  # the list may be used
         self.discovery.on_word = self.list_told
         self.dispatcher.on_watch, self.dispatcher.on_fetch = self.watch, self.fetch
-        reader = RequestReader(settings, config.classes, config.tenants)
+        reader = RequestParser(settings, config.classes, config.tenants)
         self.callers = ConnectionManager(
             self.dispatcher, reader, self.room, bodies_part(self.bodies, 1, inherited is not None)
         )
-        self.pool.set_passing(self.bodies // 2)
+        self.pool.set_streaming_budget(self.bodies // 2)
         self.operations = None
         if config.admin is not None:
             self.operations = AdminOperations(
@@ -279,7 +279,7 @@
         parts = 2 if self.others() else 1
         self.room.total = self.whole // parts
         self.callers.held_most = bodies_part(self.bodies, parts, self.inherited is not None)
-        self.pool.set_passing(self.bodies // 2 // parts)
+        self.pool.set_streaming_budget(self.bodies // 2 // parts)
 
     def reload(self) -> None:
         """SIGHUP: the configuration is read again. Only `discovery` can change while the node runs."""
@@ -355,7 +355,7 @@
         self.discovery.listen(False)
         if self.more_sources is not None:
             await self.more_sources.stop()
-        self.pool.shut()
+        self.pool.close_all()
         if self.beside is not None:
             await self.beside.stop()
         end = self.loop.time() + FLUSH
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -10,21 +10,25 @@
 from typing import cast
 
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
-from harecross.http.body_buffer import STREAM_MOST, stream_buffer
-from harecross.http.request_parser import HOST
-from harecross.http.response_parser import report_places
+from harecross.http.body_buffer import MAX_STREAM_BUFFER_BYTES, stream_buffer_bytes
+from harecross.http.request_parser import UPSTREAM_HOST
+from harecross.http.response_parser import report_positions
 from harecross.interface import Outcome
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.peer_state import is_quiet
 from harecross.platform.system_errors import is_local_shortage
 from harecross.upstream.connection import ServerConnection
-from harecross.upstream.exchange import NEVER, Exchange, HealthCheck, ServerProcess
+from harecross.upstream.exchange import NO_DEADLINE_US, Exchange, HealthCheck, ServerProcess
 
-IDLE_MARGIN = 1_500_000  # an idle connection is dropped so long before the server would close it
-PASSING = 1 << 25  # bytes of large answers that may stand here, where nothing else is told
-CROWD = 4  # one in so many descriptors may be a large answer that begins
-STALLED = 6_000_000  # a large body that its server neither takes nor gives on for so long is given up
+IDLE_MARGIN_US = 1_500_000  # an idle connection is dropped so long before the server would close it
+DEFAULT_STREAMING_BUDGET_BYTES = (
+    1 << 25
+)  # bytes of large answers that may stand here, where nothing else is told
+STREAM_START_DIVISOR = 4  # one in so many descriptors may be a large answer that begins
+STALL_TIMEOUT_US = (
+    6_000_000  # a large body that its server neither takes nor gives on for so long is given up
+)
 
 
 class ConnectionPool:
@@ -35,93 +39,95 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout / 1e6
-        self.idle_time = max(idle_time - IDLE_MARGIN, idle_time // 2)
-        self.places = report_places(columns)
-        self.fields = len(columns)
-        self.room = room
-        self.on_closed: Callable[[ClosedConnection], None] = lambda closing: None
+        self.idle_time = max(idle_time - IDLE_MARGIN_US, idle_time // 2)
+        self.report_positions = report_positions(columns)
+        self.report_size = len(columns)
+        self.descriptors = room
+        self.on_connection_closed: Callable[[ClosedConnection], None] = lambda closing: None
         # Asks callers for a place: True if one of theirs has been put out.
-        self.on_short: Callable[[], bool] = lambda: False
-        self.reports = 0  # load reports read
-        self.spoilt = 0  # answers that could not be read
-        self.targets: dict[int, ServerProcess] = {}
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.streams: set[ServerConnection] = set()  # those that carry a large body
-        self.passing_most = 0  # bytes of large answers that may stand here, all together
-        self.buffer = STREAM_MOST  # the kernel's for each of them, as last set
-        self.first = STREAM_MOST  # and for any answer, until it is known to be large
-        self.set_passing(PASSING)
+        self.on_descriptor_shortage: Callable[[], bool] = lambda: False
+        self.load_reports = 0  # load reports read
+        self.malformed_responses = 0  # answers that could not be read
+        self.processes: dict[int, ServerProcess] = {}
+        self.connect_tasks: set[asyncio.Task[None]] = set()
+        self.streaming: set[ServerConnection] = set()  # those that carry a large body
+        self.streaming_budget_bytes = 0  # bytes of large answers that may stand here, all together
+        self.stream_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's for each of them, as last set
+        self.first_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # and for any answer, until it is known to be large
+        self.set_streaming_budget(DEFAULT_STREAMING_BUDGET_BYTES)
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Connections to servers, and attempts at one."""
-        return self.room.servers
+        return self.descriptors.servers
 
     def update(self, server: int, address: str, started: int) -> None:
         """A server in service. Old connections never lead to a new process or address."""
         host, _, port = address.rpartition(":")
-        old = self.targets.get(server)
+        old = self.processes.get(server)
         if old is not None:
-            if (old.host, old.port, old.started) == (host, int(port), started):
-                old.ready = True
+            if (old.host, old.port, old.started_at) == (host, int(port), started):
+                old.in_service = True
                 return
-            self.withdraw(server)
-        self.targets[server] = ServerProcess(server, host, int(port), started)
+            self.take_out_of_service(server)
+        self.processes[server] = ServerProcess(server, host, int(port), started)
 
-    def withdraw(self, server: int) -> None:
+    def take_out_of_service(self, server: int) -> None:
         """Nothing new goes to the server from now on; what is out on its connections is waited for."""
-        target = self.targets.get(server)
+        target = self.processes.get(server)
         if target is not None:
-            target.ready = False
-            self.close_idle(target, CloseReason.SERVER_OUT_OF_SERVICE)
+            target.in_service = False
+            self.close_idle_of(target, CloseReason.SERVER_OUT_OF_SERVICE)
 
-    def forget(self, server: int) -> bool:
+    def remove_if_unused(self, server: int) -> bool:
         """Lets go of a server that is not in service, once nothing is out on it."""
-        target = self.targets.get(server)
+        target = self.processes.get(server)
         if target is None:
             return True
-        if target.ready or target.links:
+        if target.in_service or target.connection_count:
             return False
-        del self.targets[server]
+        del self.processes[server]
         return True
 
-    def close_idle(self, target: ServerProcess, reason: CloseReason) -> None:
+    def close_idle_of(self, target: ServerProcess, reason: CloseReason) -> None:
         for conn in list(target.idle):
             conn.discard(reason)
         target.idle.clear()
 
-    def close(self, server: int) -> None:
-        target = self.targets.get(server)
+    def close_idle_connections(self, server: int) -> None:
+        target = self.processes.get(server)
         if target is not None:
-            self.close_idle(target, CloseReason.EJECTED)
+            self.close_idle_of(target, CloseReason.EJECTED)
 
     def send(self, exchange: Exchange) -> None:
         """Sends on the connection used last, or on a new one. The outcome never comes within this call."""
         now = monotonic_us()
-        exchange.began = now
-        target = exchange.target = self.targets.get(exchange.server)
-        if target is None or not target.ready or min(exchange.until, exchange.begin_by) <= now:
-            self.loop.call_soon(self.end, exchange, Outcome.NOT_SENT)
+        exchange.started_us = now
+        target = exchange.process = self.processes.get(exchange.server)
+        if target is None or not target.in_service or min(exchange.deadline_us, exchange.start_by_us) <= now:
+            self.loop.call_soon(self.finish, exchange, Outcome.NOT_SENT)
             return
-        if exchange.until < NEVER:
-            self.limit(exchange)
-        fits = self.room.server_fits()
+        if exchange.deadline_us < NO_DEADLINE_US:
+            self.start_deadline_timer(exchange)
+        fits = self.descriptors.server_fits()
         # Where no other one fits, the one that has not rested is better than the work of another handshake.
-        conn = self.kept(target, now) or (None if fits else self.kept(target, now, rested=False))
+        conn = self.acquire_idle(target, now) or (
+            None if fits else self.acquire_idle(target, now, rested=False)
+        )
         if conn is not None:
             conn.start(exchange, now)
             return
-        if not (fits or self.spare() or self.on_short()):
+        if not (fits or self.close_one_idle() or self.on_descriptor_shortage()):
             # Guards against: at the descriptor limit the node could not even accept and refuse.
-            self.loop.call_soon(self.end, exchange, Outcome.NOT_SENT)
+            self.loop.call_soon(self.finish, exchange, Outcome.NOT_SENT)
             return
-        self.room.servers += 1
-        target.links += 1
+        self.descriptors.servers += 1
+        target.connection_count += 1
         task = self.loop.create_task(self.connect(exchange, target))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
-    def kept(self, target: ServerProcess, now: int, rested: bool = True) -> ServerConnection | None:
+    def acquire_idle(self, target: ServerProcess, now: int, rested: bool = True) -> ServerConnection | None:
         """The idle connection used last that has rested and on which nothing has come; None if there is none.
 
         Guards against: a request written as the server closes its idle end is a reset, which may have run; and on one
@@ -131,12 +137,12 @@
         at = len(idle) - 1
         while at >= 0:
             conn = idle[at]
-            if now - conn.since >= self.idle_time:
+            if now - conn.idle_since_us >= self.idle_time:
                 for old in idle[: at + 1]:  # it, and all that stand before it
                     old.discard(CloseReason.IDLE)
                 del idle[: at + 1]
                 return None
-            if conn.rested <= now or not rested:
+            if conn.reusable_from_us <= now or not rested:
                 del idle[at]
                 if (
                     conn.transport is not None
@@ -148,20 +154,25 @@
             at -= 1
         return None
 
-    def limit(self, exchange: Exchange) -> None:
+    def start_deadline_timer(self, exchange: Exchange) -> None:
         """Gives it up at its time."""
-        exchange.timer = self.loop.call_later((exchange.until - monotonic_us()) / 1e6, self.expire, exchange)
+        exchange.deadline_timer = self.loop.call_later(
+            (exchange.deadline_us - monotonic_us()) / 1e6, self.deadline_passed, exchange
+        )
 
-    def probe(
+    def make_health_check(
         self, server: int, ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None]
     ) -> Exchange:
         """A probe of a server, which waits as long as a connection may take to come up."""
-        head = b"GET %s HTTP/1.1\r\nHost: %s\r\n" % (b"/_load" if self.fields else b"/ping", HOST)
+        head = b"GET %s HTTP/1.1\r\nHost: %s\r\n" % (
+            b"/_load" if self.report_size else b"/ping",
+            UPSTREAM_HOST,
+        )
         return HealthCheck(server, head, b"", monotonic_us() + int(self.connect_timeout * 1e6), ended)
 
-    def spare(self) -> bool:
+    def close_one_idle(self) -> bool:
         """Closes an idle connection to make room for a new one."""
-        for target in self.targets.values():
+        for target in self.processes.values():
             if target.idle:
                 target.idle.pop(0).discard(CloseReason.DESCRIPTOR_SHORTAGE)
                 return True
@@ -178,53 +189,57 @@
             if conn.transport is not None:
                 conn.discard(CloseReason.CONNECT_TIMEOUT)
             else:
-                self.room.servers -= 1
-                target.links -= 1
+                self.descriptors.servers -= 1
+                target.connection_count -= 1
             # Guards against: a server is blamed, and put out, for a shortage of this machine's own.
             blameless = isinstance(error, OSError) and is_local_shortage(error)
-            self.end(exchange, Outcome.NOT_SENT if blameless else Outcome.CONNECT_FAILED)
+            self.finish(exchange, Outcome.NOT_SENT if blameless else Outcome.CONNECT_FAILED)
             return
         finally:
             limit.cancel()
-        if exchange.over:
-            self.put(conn)
+        if exchange.finished:
+            self.release(conn)
             return
         # Guards against: while the connection came up the list may have said that the server drains, is
         # gone or is another process, the time may have run out, or the caller may have left. Not a byte has gone out.
         now = monotonic_us()
-        if not target.ready or min(exchange.until, exchange.begin_by) <= now or not exchange.wanted():
-            self.put(conn)
-            self.end(exchange, Outcome.NOT_SENT)
+        if (
+            not target.in_service
+            or min(exchange.deadline_us, exchange.start_by_us) <= now
+            or not exchange.is_wanted()
+        ):
+            self.release(conn)
+            self.finish(exchange, Outcome.NOT_SENT)
         elif conn.transport is None or conn.transport.is_closing():
-            self.end(exchange, Outcome.CONNECT_FAILED)
+            self.finish(exchange, Outcome.CONNECT_FAILED)
         else:
             conn.start(exchange, now)
 
-    def put(self, conn: ServerConnection) -> None:
+    def release(self, conn: ServerConnection) -> None:
         """Keeps an idle connection for the next exchange."""
         if (
-            conn.target.ready
+            conn.process.in_service
             and conn.usable
             and conn.transport is not None
             and not conn.transport.is_closing()
         ):
-            conn.since = monotonic_us()
-            conn.target.idle.append(conn)
+            conn.idle_since_us = monotonic_us()
+            conn.process.idle.append(conn)
         else:
-            conn.discard(CloseReason.PEER if conn.target.ready else CloseReason.SERVER_OUT_OF_SERVICE)
+            conn.discard(CloseReason.PEER if conn.process.in_service else CloseReason.SERVER_OUT_OF_SERVICE)
 
-    def end(
+    def finish(
         self, exchange: Exchange, outcome: Outcome, body: bytes = b"", report: Sequence[float] = ()
     ) -> None:
-        if exchange.over:
+        if exchange.finished:
             return
-        exchange.over = True
-        if exchange.timer is not None:
-            exchange.timer.cancel()
-        exchange.conn = None
-        exchange.ended(exchange, outcome, body, report)
+        exchange.finished = True
+        if exchange.deadline_timer is not None:
+            exchange.deadline_timer.cancel()
+        exchange.connection = None
+        exchange.on_ended(exchange, outcome, body, report)
 
-    def expire(self, exchange: Exchange) -> None:
+    def deadline_passed(self, exchange: Exchange) -> None:
         self.abandon(exchange, Outcome.TIMEOUT)
 
     def abandon(self, exchange: Exchange, outcome: Outcome) -> None:
@@ -232,39 +247,41 @@
 
         Before the last byte has left nothing has run. A connection still coming up is kept for others.
         """
-        if exchange.over:
+        if exchange.finished:
             return
-        conn = exchange.conn
+        conn = exchange.connection
         if conn is None:
             outcome = Outcome.NOT_SENT
         else:
             if not conn.sent:
                 outcome = Outcome.NOT_SENT
-            conn.let_go(exchange)
+            conn.detach(exchange)
             conn.exchange = None
             conn.discard(CloseReason.ABANDONED, exchange)
-        self.end(exchange, outcome)
+        self.finish(exchange, outcome)
 
-    def set_passing(self, most: int) -> None:
+    def set_streaming_budget(self, most: int) -> None:
         """Bounds what large answers may hold here, in bytes; what has begun keeps to it after the next sweep.
 
         Guards against: a crowd of answers begins at once, each with the buffer of a single one.
         """
-        if most != self.passing_most:
-            self.passing_most = most
-            self.first = stream_buffer(most, self.room.total // CROWD)
+        if most != self.streaming_budget_bytes:
+            self.streaming_budget_bytes = most
+            self.first_buffer_bytes = stream_buffer_bytes(
+                most, self.descriptors.total // STREAM_START_DIVISOR
+            )
 
-    def fit_buffers(self) -> None:
+    def resize_stream_buffers(self) -> None:
         """Makes the kernel's buffers smaller where many large bodies pass, and larger again where few do.
 
         Guards against: hundreds of slow callers, each with an answer's buffer of the time when there were few.
         """
-        buffer = stream_buffer(self.passing_most, len(self.streams))
-        if self.buffer // 2 < buffer < 2 * self.buffer:
+        buffer = stream_buffer_bytes(self.streaming_budget_bytes, len(self.streaming))
+        if self.stream_buffer_bytes // 2 < buffer < 2 * self.stream_buffer_bytes:
             return
-        self.buffer = buffer
-        for conn in self.streams:
-            conn.narrow(buffer)
+        self.stream_buffer_bytes = buffer
+        for conn in self.streaming:
+            conn.set_receive_buffer(buffer)
 
     def sweep(self) -> None:
         """Drops connections that have stood idle almost as long as the server allows.
@@ -273,17 +290,21 @@
         for the caller is not the server's doing.
         """
         now = monotonic_us()
-        self.fit_buffers()
-        for conn in [c for c in self.streams if now - c.moved > STALLED]:
-            if conn.exchange is not None and not conn.held and (conn.stuck or not conn.rest):
-                conn.lost(CloseReason.STALLED)
+        self.resize_stream_buffers()
+        for conn in [c for c in self.streaming if now - c.progress_us > STALL_TIMEOUT_US]:
+            if (
+                conn.exchange is not None
+                and not conn.read_paused
+                and (conn.write_blocked or not conn.upload_unfinished)
+            ):
+                conn.fail_exchange(CloseReason.STALLED)
         oldest = now - self.idle_time
-        for target in self.targets.values():
-            while target.idle and target.idle[0].since <= oldest:
+        for target in self.processes.values():
+            while target.idle and target.idle[0].idle_since_us <= oldest:
                 target.idle.pop(0).discard(CloseReason.IDLE)
 
-    def shut(self) -> None:
-        for task in self.tasks:
+    def close_all(self) -> None:
+        for task in self.connect_tasks:
             task.cancel()
-        for target in self.targets.values():
-            self.close_idle(target, CloseReason.SHUTDOWN)
+        for target in self.processes.values():
+            self.close_idle_of(target, CloseReason.SHUTDOWN)
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from harecross.upstream.connection import ServerConnection
 
-NEVER = 1 << 62  # no time at all
+NO_DEADLINE_US = 1 << 62  # no time at all
 
 
 class ServerProcess:
     """One process of a server, as discovery lists it. A restart makes a new one."""
 
-    __slots__ = ("server", "host", "port", "started", "ready", "idle", "links")
+    __slots__ = ("server", "host", "port", "started_at", "in_service", "idle", "connection_count")
 
     def __init__(self, server: int, host: str, port: int, started: int) -> None:
         self.server = server
         self.host = host
         self.port = port
-        self.started = started
-        self.ready = True  # in service
-        self.links = 0  # connections to it, and attempts at one
+        self.started_at = started
+        self.in_service = True  # in service
+        self.connection_count = 0  # connections to it, and attempts at one
         self.idle: list[ServerConnection] = []  # the one used last stands last
 
     @property
@@ -35,23 +35,23 @@
 
 
 class Exchange:
-    """One message to a server and what becomes of it; `ended` is called exactly once."""
+    """One message to a server and what becomes of it; `on_ended` is called exactly once."""
 
     __slots__ = (
         "server",
-        "target",
+        "process",
         "head",
         "body",
-        "until",
-        "began",
-        "timer",
-        "conn",
-        "over",
-        "ended",
+        "deadline_us",
+        "started_us",
+        "deadline_timer",
+        "connection",
+        "finished",
+        "on_ended",
         "upload",
-        "patience",
-        "begun",
-        "begin_by",
+        "upload_timeout_us",
+        "response_begun",
+        "start_by_us",
     )
 
     def __init__(
@@ -65,37 +65,37 @@
         self.server = server
         self.head = head  # up to the X-Timeout header, which tells what is left when the first byte goes out
         self.body = body
-        self.until = until
-        self.ended = ended
-        self.began = 0
-        self.target: ServerProcess | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.conn: ServerConnection | None = None
-        self.over = False
-        self.upload: Upload | None = None  # in place of `body`; `until` is set once all of it has left
-        self.patience = 0  # and is then so much later
-        self.begun = False  # its answer is being passed on
-        self.begin_by = NEVER  # its first byte goes out before then or not at all
-
-    def begin(self, length: int | None, report: Sequence[float]) -> bool:
+        self.deadline_us = until
+        self.on_ended = ended
+        self.started_us = 0
+        self.process: ServerProcess | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.connection: ServerConnection | None = None
+        self.finished = False
+        self.upload: Upload | None = None  # in place of `body`; `deadline_us` is set once all of it has left
+        self.upload_timeout_us = 0  # and is then so much later
+        self.response_begun = False  # its answer is being passed on
+        self.start_by_us = NO_DEADLINE_US  # its first byte goes out before then or not at all
+
+    def response_begins(self, length: int | None, report: Sequence[float]) -> bool:
         """A large answer begins, of that many bytes if it says so. Whether anybody wants it."""
         return False
 
-    def part(self, data: bytes) -> None:
+    def response_part(self, data: bytes) -> None:
         """More of that answer."""
 
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether anybody waits for what comes of it: asked again before its first byte goes out late."""
         return True
 
     def is_sent(self) -> bool:
         """Whether its last byte has left, so that it may run."""
-        return self.conn is not None and self.conn.sent
+        return self.connection is not None and self.connection.sent
 
-    def left(self) -> None:
+    def upload_sent(self) -> None:
         """The last byte of the upload has left."""
 
-    def written(self, fresh: bool, whole: bool) -> None:
+    def request_written(self, fresh: bool, whole: bool) -> None:
         """It was written to a connection, `fresh` or kept; not `whole` while bytes of it stand here."""
 
     def request_id(self) -> str:
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -167,7 +167,7 @@
                     elif self.told.probe.kind == "tcp":
                         self.keep(self.connect(server))
                     else:
-                        self.pool.send(self.pool.probe(server, self.probed))
+                        self.pool.send(self.pool.make_health_check(server, self.probed))
                 self.pool.sweep()
             except Exception:
                 log_exception(f"{self.name}: probes")
@@ -179,7 +179,7 @@
 
     async def connect(self, server: int) -> None:
         """A probe that only connects."""
-        target = self.pool.targets.get(server)
+        target = self.pool.processes.get(server)
         began = monotonic_us()
         ok = False
         if target is not None:
@@ -200,4 +200,4 @@
             self.ending = asyncio.get_running_loop().create_task(self.sources.stop())
         for task in self.tasks:
             task.cancel()
-        self.pool.shut()
+        self.pool.close_all()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -67,4 +67,4 @@
 @pytest.fixture
 def no_rest(monkeypatch):
     """A kept connection may be used again at once."""
-    monkeypatch.setattr(connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "MAX_REST_US", 0)
--- a/tests/crossing_support.py
+++ b/tests/crossing_support.py
@@ -79,7 +79,7 @@
     """A kept connection to each server, and a measure of each class."""
     client = await Client.open(w.node.address)
     wanted = len(w.origins) if servers is None else servers
-    while sum(bool(t.idle) for t in w.node.pool.targets.values()) < wanted:
+    while sum(bool(t.idle) for t in w.node.pool.processes.values()) < wanted:
         for path, key in KINDS:
             client.send(path, key=key)
             for o in w.origins:
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -171,15 +171,15 @@
 
 def request(name: str, request_class: int = 0) -> DispatchedRequest:
     message = ParsedRequest(
-        id=name.encode(),
+        request_id=name.encode(),
         request_class=request_class,
         tenant=0,
-        repeat=False,
-        time_left=2_000_000,
+        is_retry=False,
+        timeout_us=2_000_000,
         head=b"GET /read/%s HTTP/1.1\r\n" % name.encode(),
         body=b"",
-        came=0,
-        keep=True,
+        received_us=0,
+        keep_alive=True,
     )
     return DispatchedRequest(1, NoAnswers(), message, 2_000_000)  # type: ignore[arg-type]
 
@@ -187,7 +187,7 @@
 def attempt(of: DispatchedRequest, number: int, server: int) -> UpstreamAttempt:
     made = UpstreamAttempt(server, b"", b"", 2_000_000, lambda *ended: None)
     made.request, made.number = of, number
-    made.target = ServerProcess(server, f"10.2.0.{server}", 8080 + server, 0)
+    made.process = ServerProcess(server, f"10.2.0.{server}", 8080 + server, 0)
     return made
 
 
@@ -242,7 +242,7 @@
         log.attempt_ended(second, Outcome.TIMEOUT, [])
         log.request_answered(late, "failed", FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
-        unknown.target = None
+        unknown.process = None
         unknown.dispatcher = NoServers()  # type: ignore[assignment]
         log.attempt_ended(unknown, Outcome.CANCELLED, [])
         log.stream.close()
@@ -252,7 +252,7 @@
     """In place of an attempt's dispatcher: it knows no addresses."""
 
     class pool:
-        targets: dict[int, ServerProcess] = {}
+        processes: dict[int, ServerProcess] = {}
 
 
 # ---- the control service's remembered lists -------------------------------------------------------------
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,12 +15,12 @@
 
 from harecross.downstream import client_connection, connection_manager
 from harecross.http.body_buffer import (
-    BODY_LARGEST,
-    BODY_MOST,
-    STREAM_LEAST,
-    STREAM_MOST,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_STREAM_BUFFER_BYTES,
+    MIN_STREAM_BUFFER_BYTES,
     Upload,
-    stream_buffer,
+    stream_buffer_bytes,
 )
 from harecross.http.response_parser import ReadResult, ResponseParser
 from harecross.interface import Outcome
@@ -40,39 +40,39 @@
     upload.attach(lambda: None)
     for step in steps:
         if step is None:
-            taken += upload.take()
-            assert upload.replayable == (len(sent) <= BODY_MOST)
-            assert upload.replayable or not upload.kept
+            taken += upload.read()
+            assert upload.replayable == (len(sent) <= MAX_BUFFERED_BODY_BYTES)
+            assert upload.replayable or not upload.buffered
         else:
             data = BIG[len(sent) : len(sent) + step]
             sent += data
             upload.feed(data)
         assert upload.size == len(sent)
-    assert taken + upload.take() == sent
+    assert taken + upload.read() == sent
 
 
-@given(st.integers(0, 2 * BODY_MOST), st.integers(0, 2 * BODY_MOST))
+@given(st.integers(0, 2 * MAX_BUFFERED_BODY_BYTES), st.integers(0, 2 * MAX_BUFFERED_BODY_BYTES))
 def test_an_upload_begins_anew_only_while_its_beginning_is_there(before, after):
     upload = Upload(None)
     upload.attach(lambda: None)
     upload.feed(BIG[:before])
-    upload.take()
+    upload.read()
     upload.detach()
     upload.feed(BIG[before : before + after])
-    if before > BODY_MOST:
+    if before > MAX_BUFFERED_BODY_BYTES:
         with pytest.raises(ValueError):
             upload.attach(lambda: None)
     else:
         upload.attach(lambda: None)
-        assert upload.take() == BIG[: before + after]
+        assert upload.read() == BIG[: before + after]
 
 
 def test_an_upload_that_nobody_wants_keeps_nothing():
     upload = Upload(None)
     upload.feed(BIG)
-    upload.drop()
+    upload.discard()
     upload.feed(BIG)
-    assert not upload.kept and not upload.full
+    assert not upload.buffered and not upload.full
 
 
 # ---- an answer in pieces -------------------------------------------------------------------------------
@@ -92,15 +92,15 @@
 
 def read_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[ReadResult, bytes, ResponseParser]:
     """What an answer says of a text that comes in pieces, and of the connection's end."""
-    answer, body, reading = ResponseParser(), b"", ReadResult.MORE
+    answer, body, reading = ResponseParser(), b"", ReadResult.INCOMPLETE
     marks = [0, *sorted(cuts), len(text)]
     for a, b in zip(marks, marks[1:], strict=False):
-        if reading == ReadResult.MORE and b > a:
+        if reading == ReadResult.INCOMPLETE and b > a:
             reading = answer.feed(text[a:b])
             if answer.streaming:
-                body += answer.take()
-    if reading == ReadResult.MORE and end:
-        reading = answer.end()
+                body += answer.read_body()
+    if reading == ReadResult.INCOMPLETE and end:
+        reading = answer.feed_eof()
     return reading, body + answer.body, answer
 
 
@@ -110,14 +110,14 @@
     text = FORMS[form](BIG[:size])
     cuts = data.draw(st.lists(st.integers(1, len(text)), max_size=12))
     reading, body, answer = read_in_pieces(text, cuts, end=True)
-    assert (reading, body) == (ReadResult.WHOLE, BIG[:size])
-    assert answer.streaming == (size > (BODY_MOST if form == "length" else 1 << 14))
+    assert (reading, body) == (ReadResult.COMPLETE, BIG[:size])
+    assert answer.streaming == (size > (MAX_BUFFERED_BODY_BYTES if form == "length" else 1 << 14))
     short = text[: data.draw(st.integers(0, len(text) - 1))]
     reading, body, _ = read_in_pieces(short, [c for c in cuts if c < len(short)], end=True)
     if form == "close" and b"\r\n\r\n" in short:
-        assert (reading, body) == (ReadResult.WHOLE, short.partition(b"\r\n\r\n")[2])  # nobody could tell
+        assert (reading, body) == (ReadResult.COMPLETE, short.partition(b"\r\n\r\n")[2])  # nobody could tell
     else:
-        assert reading == ReadResult.SPOILT
+        assert reading == ReadResult.MALFORMED
 
 
 @pytest.mark.parametrize(
@@ -125,13 +125,13 @@
     [
         b"HTTP/1.1 200 OK\r\n\r\nsome",  # does not say that it ends with its connection
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort",
-        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (BODY_LARGEST + 1),
-        b"HTTP/1.1 500 Error\r\nContent-Length: %d\r\n\r\n" % (BODY_MOST + 1),
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
+        b"HTTP/1.1 500 Error\r\nContent-Length: %d\r\n\r\n" % (MAX_BUFFERED_BODY_BYTES + 1),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000,
     ],
 )
 def test_an_answer_that_cannot_be_passed_on_is_spoilt(text):
-    assert read_in_pieces(text, [], end=True)[0] == ReadResult.SPOILT
+    assert read_in_pieces(text, [], end=True)[0] == ReadResult.MALFORMED
 
 
 # ---- the module ----------------------------------------------------------------------------------------
@@ -320,7 +320,7 @@
 
 
 def test_a_server_that_stalls_within_a_long_answer_is_given_up(monkeypatch):
-    monkeypatch.setattr(connection_pool, "STALLED", 50_000)
+    monkeypatch.setattr(connection_pool, "STALL_TIMEOUT_US", 50_000)
 
     async def stalls(reader, writer) -> None:
         await read_message(reader)
@@ -331,8 +331,8 @@
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open))
-        assert not w.node.pool.streams
+        await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open_connections))
+        assert not w.node.pool.streaming
 
     with_peers(test, stalls)
 
@@ -378,24 +378,26 @@
 
     async def test(w) -> None:
         pool = w.node.pool
-        pool.set_passing(1 << 20)
-        assert pool.first == STREAM_LEAST
+        pool.set_streaming_budget(1 << 20)
+        assert pool.first_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         clients = []
         for _ in range(40):
             client = await w.client()
             client.send()
             clients.append(client)
-        held = list(pool.streams)
-        while len(held) < 15 or not all(c.held for c in held):
+        held = list(pool.streaming)
+        while len(held) < 15 or not all(c.read_paused for c in held):
             await asyncio.sleep(0.01)
-            held = list(pool.streams)
+            held = list(pool.streaming)
         here = [c.transport.get_write_buffer_size() for c in w.node.callers.open if c.transport is not None]
-        assert max(here) <= 3 * STREAM_LEAST and pool.buffer == STREAM_LEAST
+        assert (
+            max(here) <= 3 * MIN_STREAM_BUFFER_BYTES and pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
+        )
         for client in clients:
             client.writer.transport.abort()
-        await until(lambda: not pool.streams)
+        await until(lambda: not pool.streaming)
         pool.sweep()
-        assert pool.buffer == STREAM_MOST
+        assert pool.stream_buffer_bytes == MAX_STREAM_BUFFER_BYTES
         # With room for it a single answer has the whole buffer again, and comes whole.
         client = await w.client()
         client.send()
@@ -407,10 +409,10 @@
 
 @given(st.integers(0, 1 << 40), st.integers(0, 5000))
 def test_a_stream_s_buffer_is_its_part_of_the_budget_within_bounds(budget, streams):
-    buffer = stream_buffer(budget, streams)
-    assert STREAM_LEAST <= buffer <= STREAM_MOST
-    assert buffer == STREAM_LEAST or 2 * buffer * streams <= budget
-    assert stream_buffer(budget, streams + 1) <= buffer <= stream_buffer(budget + 1, streams)
+    buffer = stream_buffer_bytes(budget, streams)
+    assert MIN_STREAM_BUFFER_BYTES <= buffer <= MAX_STREAM_BUFFER_BYTES
+    assert buffer == MIN_STREAM_BUFFER_BYTES or 2 * buffer * streams <= budget
+    assert stream_buffer_bytes(budget, streams + 1) <= buffer <= stream_buffer_bytes(budget + 1, streams)
 
 
 def test_two_processes_hold_no_more_of_bodies_than_one_may():
@@ -541,7 +543,7 @@
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
         status, head, _ = await client.answer()
         assert status == 408 and b"Connection: close" in head
-        await until(lambda: not (w.node.pool.open))
+        await until(lambda: not (w.node.pool.open_connections))
         assert not w.node.dispatcher.requests and w.node.dispatcher.final_answers["served"] == 0
         assert w.node.dispatcher.balancer.controller.in_flight == 0 and w.node.callers.held == 0
 
@@ -577,7 +579,7 @@
         await asyncio.sleep(0.02)
         client.writer.write(b"\r\nno chunk\r\n" * 2000)
         assert (await client.answer())[0] == 400
-        await until(lambda: not (w.node.pool.open))
+        await until(lambda: not (w.node.pool.open_connections))
         assert not bodies and not w.node.dispatcher.requests
 
     with_peers(test, taking([], bodies))
@@ -602,14 +604,14 @@
 
 
 def test_a_body_beyond_the_largest_is_turned_away(monkeypatch):
-    monkeypatch.setattr(client_connection, "BODY_LARGEST", 200_000)
+    monkeypatch.setattr(client_connection, "MAX_BODY_BYTES", 200_000)
     bodies: list[bytes] = []
 
     async def test(w) -> None:
         client = await w.client()
         client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(BIG, 5000))
         assert (await client.answer())[0] == 413
-        await until(lambda: not (w.node.pool.open))
+        await until(lambda: not (w.node.pool.open_connections))
         assert not bodies
 
     with_peers(test, taking([], bodies))
@@ -619,9 +621,9 @@
     async def test(w) -> None:
         client = await w.client()
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
-        await until(lambda: w.node.pool.streams)
+        await until(lambda: w.node.pool.streaming)
         client.writer.transport.abort()
-        await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open))
+        await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open_connections))
         assert w.node.dispatcher.balancer.controller.in_flight == 0
         assert w.node.dispatcher.outcomes[Outcome.OK] == 0
 
--- a/tests/test_crossings_left.py
+++ b/tests/test_crossings_left.py
@@ -36,9 +36,9 @@
             client.writer.close()
             await until(lambda: w.node.dispatcher.final_answers["left"])
             held.release()
-            await until(lambda: not w.node.pool.tasks)
+            await until(lambda: not w.node.pool.connect_tasks)
             await turns()
-            assert at_servers(w) == 0 and w.node.pool.open == 1  # kept for others
+            assert at_servers(w) == 0 and w.node.pool.open_connections == 1  # kept for others
             nothing_is_counted(w)
         else:
             held.release()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -70,8 +70,8 @@
         await server.request(conn)
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
-        await asyncio.sleep(connection.REST_MOST / 1e6 + 0.01)
-        target = w.node.pool.targets[1]
+        await asyncio.sleep(connection.MAX_REST_US / 1e6 + 0.01)
+        target = w.node.pool.processes[1]
         assert len(target.idle) == 1
 
         def happens() -> None:
@@ -125,7 +125,7 @@
             other.sendall(answer(b"two"))
         status, _, body = await client.answer()
         assert (status, body) == (200, b"two")
-        assert not w.node.pool.targets[1].idle or len(w.node.pool.targets[1].idle) == 1
+        assert not w.node.pool.processes[1].idle or len(w.node.pool.processes[1].idle) == 1
 
     with_direct(test)
 
@@ -139,12 +139,12 @@
             await server.request(conn)
             conn.sendall(answer(b"%d" % n))
             assert (await client.answer())[2] == b"%d" % n
-            (kept,) = w.node.pool.targets[1].idle
-            rest = kept.rested - kept.since
-            assert rest <= connection.REST_MOST
+            (kept,) = w.node.pool.processes[1].idle
+            rest = kept.reusable_from_us - kept.idle_since_us
+            assert rest <= connection.MAX_REST_US
             await asyncio.sleep(max(0, rest) / 1e6 + 0.002)
             client.send("/pay/1")
-        assert w.node.pool.open == 1
+        assert w.node.pool.open_connections == 1
 
     with_direct(test)
 
@@ -155,8 +155,8 @@
 
     async def test(w: World) -> None:
         await warm(w)
-        for target in w.node.pool.targets.values():
-            w.node.pool.close_idle(target, CloseReason.IDLE)
+        for target in w.node.pool.processes.values():
+            w.node.pool.close_idle_of(target, CloseReason.IDLE)
         client = await w.client()
         client.send("/put/1", key="k")
         at = await first(*w.origins)
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -181,11 +181,13 @@
                 directory.apply(update(generation, *changed))
                 used = {n for n, at in directory.numbers.items() if at in directory.listed}
                 assert used == {item["instanceId"] for item in now.values()}
-                assert {t.port for t in w.node.pool.targets.values() if t.ready} == set(range(2000, 2020))
+                assert {t.port for t in w.node.pool.processes.values() if t.in_service} == set(
+                    range(2000, 2020)
+                )
             generation += 1
             directory.apply(update(generation, *now.values(), reset=True))
             assert len(directory.numbers) == len(directory.listed) == len(directory.owners) == servers
-            assert len(w.node.pool.targets) == servers and not directory.draining
+            assert len(w.node.pool.processes) == servers and not directory.draining
             assert len(w.node.dispatcher.balancer.servers) == servers
             assert len(directory.zones.others) <= 6
 
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -63,7 +63,7 @@
 
 def test_a_node_writes_what_becomes_of_a_request(tmp_path, monkeypatch):
     # A kept connection rests for a part of what its last exchange took: longer on a busy machine than the retry waits.
-    monkeypatch.setattr(connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "MAX_REST_US", 0)
     path = tmp_path / "n0.log"
 
     async def test(w: World) -> None:
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -304,7 +304,9 @@
                 watch, first = move(more[0]), False
             assert used() == fleet.in_service(fleet.version), (step, more)
             ready = {
-                n for n, at in directory.numbers.items() if (t := directory.pool.targets.get(at)) and t.ready
+                n
+                for n, at in directory.numbers.items()
+                if (t := directory.pool.processes.get(at)) and t.in_service
             }
             assert ready == used()
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -126,21 +126,23 @@
         assert abs(monotonic_us() - b.ready_at) < 60_000_000
         # A line on a server that goes holds even where the rest of it is missing.
         directory.apply(update(3, {"instanceId": "a", "lifecycle": "terminated"}))
-        assert host.got[-1][1][0].state == EndpointState.GONE and a.server not in pool.targets
+        assert host.got[-1][1][0].state == EndpointState.GONE and a.server not in pool.processes
         directory.apply(update(4, item, reset=True))
         assert host.got[-1][0] == EndpointUpdateKind.FULL
         # What has gone, and holds nothing, is forgotten; a line on one never heard of makes nothing.
         directory.apply(update(5, entry("z", "127.0.0.1:9", "terminated")))
-        assert list(pool.targets) == list(directory.listed) == list(directory.numbers.values()) == [b.server]
+        assert (
+            list(pool.processes) == list(directory.listed) == list(directory.numbers.values()) == [b.server]
+        )
         # A new server at an old address is another process: nothing is sent there under the old name.
         directory.apply(update(6, entry("d", "127.0.0.1:3", startedAtMs=now_ms)))
         gone, d = host.got[-1][1]
         assert (gone.server, gone.state, d.server) == (b.server, EndpointState.GONE, 4)
         directory.apply(update(7, item))  # an old line, late
-        assert list(directory.listed) == [d.server] == list(pool.targets)
+        assert list(directory.listed) == [d.server] == list(pool.processes)
         for n in range(20):
             directory.apply(update(8 + n, entry(f"e{n}", "127.0.0.1:4", zone=f"z{n}"), reset=True))
-        assert len(pool.targets) == len(directory.numbers) == len(directory.zones.others) == 1
+        assert len(pool.processes) == len(directory.numbers) == len(directory.zones.others) == 1
 
     run(test())
 
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -51,9 +51,9 @@
                     at.answer(status)
                 await client.answer()
             client.writer.close()
-            while w.node.callers.open or w.node.pool.open:
-                for target in w.node.pool.targets.values():
-                    w.node.pool.close_idle(target, CloseReason.IDLE)
+            while w.node.callers.open or w.node.pool.open_connections:
+                for target in w.node.pool.processes.values():
+                    w.node.pool.close_idle_of(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
             kinds = (ResponseParser, connection_manager.ClientConnection, ServerConnection, DispatchedRequest)
             assert not [o for o in gc.get_objects() if isinstance(o, kinds)]
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -12,7 +12,7 @@
     with_node,
 )
 
-from harecross.http.request_parser import time_left
+from harecross.http.request_parser import parse_timeout_us
 from harecross.policy.balancer import Balancer
 
 
@@ -180,8 +180,8 @@
 
 
 def test_times_with_their_units():
-    assert [time_left(t) for t in (b"480m", b"250u", b"1.5m", b" 3m ")] == [480_000, 250, 1500, 3000]
-    assert [time_left(t) for t in (b"", b"5", b"-5m", b"5s", b"m")] == [None] * 5
+    assert [parse_timeout_us(t) for t in (b"480m", b"250u", b"1.5m", b" 3m ")] == [480_000, 250, 1500, 3000]
+    assert [parse_timeout_us(t) for t in (b"", b"5", b"-5m", b"5s", b"m")] == [None] * 5
 
 
 def test_a_client_that_leaves_ends_its_attempt():
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -14,7 +14,7 @@
 )
 
 from harecross.downstream import connection_manager
-from harecross.http.response_parser import read_report, report_places
+from harecross.http.response_parser import parse_load_report, report_positions
 from harecross.interface import Outcome
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
@@ -112,7 +112,7 @@
         text, usable = EXTRA[name]
         at.writer.write(text)
         assert (await client.answer())[::2] == (200, b"good")
-        assert w.node.pool.reports == 0
+        assert w.node.pool.load_reports == 0
         if not usable:
             await at.gone.wait()
         client.send("/pay/1")
@@ -221,7 +221,7 @@
             at.answer()
         for client in clients:
             await client.answer()
-        (target,) = w.node.pool.targets.values()
+        (target,) = w.node.pool.processes.values()
         last = target.idle[-1]
         clients[0].send()
         at = await w.origins[0].arrived.get()
@@ -230,7 +230,7 @@
         await clients[0].answer()
         # An idle connection is dropped before the server would close it.
         for conn in target.idle:
-            conn.since -= 14_000_000
+            conn.idle_since_us -= 14_000_000
         w.node.pool.sweep()
         assert {await w.origins[0].closed.get() for _ in clients} == {0, 1}
 
@@ -266,9 +266,9 @@
         pool.send(exchange)
         await begun.wait()
         if what == "drains":
-            pool.withdraw(1)
+            pool.take_out_of_service(1)
         elif what == "late":
-            exchange.until = 0
+            exchange.deadline_us = 0
         elif what == "given up":
             pool.abandon(exchange, Outcome.CANCELLED)
         go.set()
@@ -277,32 +277,32 @@
             assert await outcomes.get() == Outcome.OK
         else:
             assert await outcomes.get() == Outcome.NOT_SENT
-            while pool.tasks:
+            while pool.connect_tasks:
                 await asyncio.sleep(0)
             # A connection to a server in service is kept, and the next exchange uses it.
-            assert len(pool.targets[1].idle) == (what != "drains")
+            assert len(pool.processes[1].idle) == (what != "drains")
             if what == "drains":
                 assert await origin.closed.get() == 0
             assert origin.arrived.empty()
-        pool.shut()
+        pool.close_all()
 
     run(test())
 
 
 def test_load_reports_under_either_name():
-    places = report_places(["load_share", "err_ps"])
-    assert list(read_report(b"inflight=7,util=0.5, eps=2", places, 2)) == [0.5, 2.0]
-    assert list(read_report(b"load_share=0.25,err_ps=0", places, 2)) == [0.25, 0.0]
+    places = report_positions(["load_share", "err_ps"])
+    assert list(parse_load_report(b"inflight=7,util=0.5, eps=2", places, 2)) == [0.5, 2.0]
+    assert list(parse_load_report(b"load_share=0.25,err_ps=0", places, 2)) == [0.25, 0.0]
     # Any of these would stay in a server's averages for good.
     for text in (b"util=0.5", b"util=x,eps=1", b"util=nan,eps=1", b"util=1,eps=inf", b"util=-1,eps=1"):
-        assert read_report(text, places, 2) == ()
+        assert parse_load_report(text, places, 2) == ()
     for text in (
         b"util=1e99,eps=1",
         b"util=1_0,eps=1",
         b"util=1,util=0,eps=1",
         b"util=1,eps=1," + b"x" * 2000,
     ):
-        assert read_report(text, places, 2) == ()
+        assert parse_load_report(text, places, 2) == ()
 
 
 def test_near_the_descriptor_limit_work_is_refused(monkeypatch):
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -183,7 +183,7 @@
 def test_the_end_of_a_connection_to_a_server_has_its_reason_and_its_request(
     happens, reason, request_id, tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "MAX_REST_US", 0)
 
     async def test(w: World) -> None:
         logged = Logged(w, tmp_path / "log")
