--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -8,9 +8,10 @@
 from typing import Any, NamedTuple, Protocol
 
 from harecross.discovery.start_times import LONG_AGO, StartTimes
-from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 from harecross.upstream.connection_pool import ConnectionPool
 
 STATES = {
@@ -102,7 +103,7 @@
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
             raise ValueError("no list of servers")
         full = full or cached or bool(update.get("reset"))
-        trace = self.dispatcher.trace
+        trace = self.dispatcher.tracer
         before = set(self.listed) if trace is not None else set()
         entries: dict[int, Endpoint] = {}
         for item in update["instances"]:
@@ -129,7 +130,7 @@
             named = {number: name for name, number in self.numbers.items()}
             now_listed = set(self.listed)
             came, left = ({named[n] for n in part} for part in (now_listed - before, before - now_listed))
-            trace.listed(kind, update.get("generation"), came, left)
+            trace.endpoints_listed(kind, update.get("generation"), came, left)
         self.forget()
         if self.heard is not None:
             self.heard(update, full, cached)
@@ -196,10 +197,10 @@
         if name in self.out:
             return
         number = self.numbers.get(name, 0)
-        entry, target = self.listed.get(number), self.pool.targets.get(number)
+        entry, target = self.listed.get(number), self.pool.processes.get(number)
         self.out[name] = None
         if entry is not None and target is not None:
-            self.out[name] = ListedEndpoint(entry, target.address, target.started)
+            self.out[name] = ListedEndpoint(entry, target.address, target.started_at)
             self.dispatcher.endpoint_update(
                 EndpointUpdateKind.CHANGES, [self.withdraw(number, EndpointState.DRAINING)]
             )
@@ -218,14 +219,14 @@
             )
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
-        self.pool.withdraw(number)
+        self.pool.take_out_of_service(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
 
     def forget(self) -> None:
         """Guards against: where servers are replaced all day, what was known of those gone piles up."""
         for name, number in list(self.numbers.items()):
-            if number not in self.listed and self.pool.forget(number):
+            if number not in self.listed and self.pool.remove_if_unused(number):
                 del self.numbers[name]
         cold = monotonic_us() - COLD_MOST
         self.back = {name: at for name, at in self.back.items() if name in self.numbers or at > cold}
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -6,12 +6,12 @@
 import socket
 from enum import Enum
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.client_connection import OWED, ClientConnection
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat
-from harecross.http.request_parser import RequestReader
+from harecross.http.request_parser import RequestParser
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.system_errors import AcceptFailure
@@ -55,13 +55,13 @@
     """
 
     def __init__(
-        self, host: RequestDispatcher, reader: RequestReader, room: DescriptorBudget, held_most: int
+        self, host: RequestDispatcher, reader: RequestParser, room: DescriptorBudget, held_most: int
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.dispatcher = host
         self.reader = reader
         self.room = room
-        host.pool.on_short = self.make_room
+        host.pool.on_descriptor_shortage = self.make_room
         self.short_since: int | None = None  # there is no room for the next connection
         self.held = 0  # bytes of bodies, over all connections
         self.held_most = held_most
@@ -126,7 +126,9 @@
             if not fits:
                 self.turned_away += 1
                 connection.close()
-                self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
+                self.dispatcher.connection_closed(
+                    ClosedConnection("client", "", CloseReason.DESCRIPTOR_SHORTAGE)
+                )
                 continue
             self.room.callers += 1
             self.listener.welcome(connection)
@@ -157,7 +159,7 @@
                     break
                 if not caller.has_unread():
                     return self.put_out(caller)
-        if self.room.servers_may_give() and self.dispatcher.pool.spare():
+        if self.room.servers_may_give() and self.dispatcher.pool.close_one_idle():
             return True
         # Guards against: callers that send half a head and stay hold every place for as long as a slow one may.
         stuck = (c for c in self.owing if c.reading and not c.head_done and c.heard < monotonic_us() - STUCK)
@@ -168,7 +170,7 @@
         """Ends a connection at once. Its place counts as free, though the descriptor goes a moment later."""
         self.owes_nothing(caller)
         self.ending.pop(caller, None)
-        caller.abort(CloseReason.NO_ROOM)
+        caller.abort(CloseReason.DESCRIPTOR_SHORTAGE)
         return True
 
     async def close(self, by: float, shared: bool = False) -> None:
@@ -259,21 +261,21 @@
                 else:
                     caller.overdue()
         for caller in taken(self.resting, now if emptied else now - RESTING):
-            reason = CloseReason.STOP if emptied else CloseReason.IDLE
+            reason = CloseReason.SHUTDOWN if emptied else CloseReason.IDLE
             if not caller.end_idle(reason) and caller.transport is not None:
                 self.rests(caller)
         for group, most in ((self.ending, LINGER), (self.lagging, LAGGING)):
             for caller in taken(group, now - most):
-                caller.abort(CloseReason.NOT_READ)
+                caller.abort(CloseReason.RESPONSE_NOT_READ)
 
     def close_idle(self) -> None:
         """Closes connections that have had an answer and hold nothing; new ones may have a request coming."""
         for caller in list(self.resting):
-            caller.end_idle(CloseReason.STOP)
+            caller.end_idle(CloseReason.SHUTDOWN)
 
     def close_all(self) -> None:
         for caller in list(self.open):
-            caller.close(CloseReason.STOP)
+            caller.close(CloseReason.SHUTDOWN)
 
     def busy(self) -> bool:
         """Whether a request that came whole has no answer yet, be it that nobody has read it."""
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -18,9 +18,9 @@
 from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
 from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
 from harecross.discovery.subscription_schedule import discovery_terms
-from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.connection_manager import ACCEPTS, ConnectionManager
-from harecross.http.request_parser import RequestReader
+from harecross.http.request_parser import RequestParser
 from harecross.node.admin_operations import AdminOperations
 from harecross.node.admin_server import ROOM as DOOR_ROOM
 from harecross.node.config import BadConfig, Config, bound_socket, inherited_socket, read_config
@@ -28,6 +28,7 @@
 from harecross.node.shutdown_schedule import LAST_REQUESTS, stopping
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.platform.log import log_line
 from harecross.upstream.connection_pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -136,7 +137,7 @@
             from harecross.follow.attempts import AttemptLog
 
             try:
-                self.dispatcher.trace = AttemptLog(config.name, attempts, self.registry.numbers)
+                self.dispatcher.tracer = AttemptLog(config.name, attempts, self.registry.numbers)
             except OSError as e:
                 raise BadConfig(f"log.attempts {attempts}: {e.strerror}") from None
         if more_sources is not None:
@@ -149,11 +150,11 @@
         self.told = asyncio.Event()  # the list may be used
         self.discovery.on_word = self.list_told
         self.dispatcher.on_watch, self.dispatcher.on_fetch = self.watch, self.fetch
-        reader = RequestReader(settings, config.classes, config.tenants)
+        reader = RequestParser(settings, config.classes, config.tenants)
         self.callers = ConnectionManager(
             self.dispatcher, reader, self.room, bodies_part(self.bodies, 1, inherited is not None)
         )
-        self.pool.set_passing(self.bodies // 2)
+        self.pool.set_streaming_budget(self.bodies // 2)
         self.operations = None
         if config.admin is not None:
             self.operations = AdminOperations(
@@ -278,7 +279,7 @@
         parts = 2 if self.others() else 1
         self.room.total = self.whole // parts
         self.callers.held_most = bodies_part(self.bodies, parts, self.inherited is not None)
-        self.pool.set_passing(self.bodies // 2 // parts)
+        self.pool.set_streaming_budget(self.bodies // 2 // parts)
 
     def reload(self) -> None:
         """SIGHUP: the configuration is read again. Only `discovery` can change while the node runs."""
@@ -324,12 +325,12 @@
         again, and while its neighbour restarts too nobody serves their clients.
         """
         classes = self.config.settings.classes
-        times = stopping(max(c.deadline for c in classes) / 1e6, self.dispatcher.usual_time())
+        times = stopping(max(c.deadline for c in classes) / 1e6, self.dispatcher.typical_response_time_s())
         log_line(
             f"stopping: no more is taken after {times.close:.1f} s, what came late is over after {times.end:.1f} s"
         )
         now, began = monotonic_us(), self.loop.time()
-        self.dispatcher.late_from, self.dispatcher.latest = (
+        self.dispatcher.shutdown_late_from_us, self.dispatcher.shutdown_deadline_us = (
             now + int(times.counted * 1e6),
             now + int(times.end * 1e6),
         )
@@ -354,7 +355,7 @@
         self.discovery.listen(False)
         if self.more_sources is not None:
             await self.more_sources.stop()
-        self.pool.shut()
+        self.pool.close_all()
         if self.beside is not None:
             await self.beside.stop()
         end = self.loop.time() + FLUSH
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -10,13 +10,13 @@
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.endpoint_status import endpoint_status_rows
-from harecross.dispatch.dispatcher import log_line
 from harecross.downstream.connection_manager import ConnectionManager
 from harecross.node.admin_server import AdminAnswer, AdminServer
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, difference
 from harecross.platform.clock import monotonic_us
 from harecross.platform.durable_file import UnsyncedReplace
+from harecross.platform.log import log_line
 from harecross.policy import learned_state
 
 LOOK_EVERY = 0.05  # seconds between two looks at what another process was told
@@ -141,7 +141,9 @@
         """Each server as this process sees it, one line of JSON; `id=` names those that are asked for."""
         asked = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
         wanted = {self.registry.resolve(name): name for name in asked}
-        rows = endpoint_status_rows(self.registry, self.registry.dispatcher.out_on(), monotonic_us())
+        rows = endpoint_status_rows(
+            self.registry, self.registry.dispatcher.in_flight_by_server(), monotonic_us()
+        )
         for row in rows:
             row["id"] = wanted.get(row["id"], row["id"])  # by the name that was asked for
         told = {
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -10,10 +10,11 @@
 from harecross.discovery.discovery_client import DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.listed_endpoints import ListedEndpoints
-from harecross.dispatch.dispatcher import RequestDispatcher, log_exception, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.interface import ClassSettings, Idempotency, Outcome, Settings
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.platform.log import log_exception, log_line
 from harecross.settings import COLUMNS, address
 from harecross.sources.run import Sources
 from harecross.upstream.connection_pool import ConnectionPool
@@ -166,7 +167,7 @@
                     elif self.told.probe.kind == "tcp":
                         self.keep(self.connect(server))
                     else:
-                        self.pool.send(self.pool.probe(server, self.probed))
+                        self.pool.send(self.pool.make_health_check(server, self.probed))
                 self.pool.sweep()
             except Exception:
                 log_exception(f"{self.name}: probes")
@@ -174,11 +175,11 @@
     def probed(self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]) -> None:
         self.schedule.ended(exchange.server)
         if outcome != Outcome.NOT_SENT:
-            self.dispatcher.probe_ended(exchange, outcome, body, report)
+            self.dispatcher.health_check_ended(exchange, outcome, body, report)
 
     async def connect(self, server: int) -> None:
         """A probe that only connects."""
-        target = self.pool.targets.get(server)
+        target = self.pool.processes.get(server)
         began = monotonic_us()
         ok = False
         if target is not None:
@@ -199,4 +200,4 @@
             self.ending = asyncio.get_running_loop().create_task(self.sources.stop())
         for task in self.tasks:
             task.cancel()
-        self.pool.shut()
+        self.pool.close_all()
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -21,10 +21,10 @@
 
     def __init__(self, world: World, path: Path) -> None:
         self.world, self.path = world, path
-        world.node.dispatcher.trace = AttemptLog("n0", str(path), world.node.registry.numbers)
+        world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
 
     def events(self, what: str) -> list[Event]:
-        self.world.node.dispatcher.trace.flush()
+        self.world.node.dispatcher.tracer.flush()
         logs = read([self.path])
         found = [e for r in logs.requests.values() for e in r.events]
         found += [e for events in logs.told.values() for e in events]
@@ -32,7 +32,7 @@
 
     async def closing(self, side: str) -> Event:
         """The first connection of a side that ends."""
-        closings = self.world.node.dispatcher.closings
+        closings = self.world.node.dispatcher.close_reasons
         while True:
             await until(lambda: closings)
             for event in self.events("closed"):
@@ -102,12 +102,12 @@
     "happens, reason",
     [
         (client_leaves, CloseReason.PEER),
-        (client_asks_for_the_end, CloseReason.LAST_ANSWER),
-        (client_says_nothing, CloseReason.SILENT),
+        (client_asks_for_the_end, CloseReason.LAST_RESPONSE),
+        (client_says_nothing, CloseReason.REQUEST_TIMEOUT),
         (client_sends_noise, CloseReason.BAD_REQUEST),
         (client_rests, CloseReason.IDLE),
-        (node_stops, CloseReason.STOP),
-        (place_is_wanted, CloseReason.NO_ROOM),
+        (node_stops, CloseReason.SHUTDOWN),
+        (place_is_wanted, CloseReason.DESCRIPTOR_SHORTAGE),
     ],
     ids=name_of,
 )
@@ -121,7 +121,7 @@
         await happens(w)
         event = await logged.closing("client")
         assert event.fields["reason"] == reason.value
-        assert w.node.dispatcher.closings[reason] >= 1
+        assert w.node.dispatcher.close_reasons[reason] >= 1
 
     with_node(test)
 
@@ -172,10 +172,10 @@
     "happens, reason, request_id",
     [
         (server_closes, CloseReason.PEER, "lost"),
-        (server_ends_with_its_answer, CloseReason.LAST_ANSWER, "last"),
-        (server_answers_noise, CloseReason.SPOILT, "lost"),
-        (server_is_silent, CloseReason.GIVEN_UP, "lost"),
-        (server_drains, CloseReason.SERVER_LEAVES, ""),
+        (server_ends_with_its_answer, CloseReason.LAST_RESPONSE, "last"),
+        (server_answers_noise, CloseReason.MALFORMED_RESPONSE, "lost"),
+        (server_is_silent, CloseReason.ABANDONED, "lost"),
+        (server_drains, CloseReason.SERVER_OUT_OF_SERVICE, ""),
         (connection_rests, CloseReason.IDLE, ""),
     ],
     ids=name_of,
@@ -183,7 +183,7 @@
 def test_the_end_of_a_connection_to_a_server_has_its_reason_and_its_request(
     happens, reason, request_id, tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(connection, "REST_MOST", 0)
+    monkeypatch.setattr(connection, "MAX_REST_US", 0)
 
     async def test(w: World) -> None:
         logged = Logged(w, tmp_path / "log")
