--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -118,8 +118,8 @@
     Mutation(
         "an unsafe request that may have run is sent again",
         "policy/balancer.py",
-        "r.effect == Effect.SAFE or (r.effect == Effect.KEYED and now < r.ran_at + window)",
-        "True",
+        "repeatable = r.idempotency == Idempotency.IDEMPOTENT or (",
+        "repeatable = True or (",
     ),
     Mutation(
         "a stop does not wait for what is out",
@@ -135,9 +135,9 @@
     ),
     Mutation(
         "a cold server gets what a warm one does",
-        "policy/draw.py",
-        "        rate = self.warm_rate * self.warmth(now, srv)\n",
-        "        return True\n        rate = self.warm_rate * self.warmth(now, srv)\n",
+        "policy/endpoint_picker.py",
+        "        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
+        "        return True\n        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
     ),
 ]
 
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -19,7 +19,7 @@
     (discovery has it in service), `open`, `warmth` (part of a warm server's capacity, 1 for one that is not
     in use) and `ejected`.
     """
-    views = {view.server: view for view in directory.dispatcher.balancer.view(now)}
+    views = {view.server: view for view in directory.dispatcher.balancer.endpoint_snapshots(now)}
     numbers = directory.numbers
     rows = []
     for name in sorted({*numbers, *directory.out, *directory.draining}):
@@ -38,7 +38,7 @@
                 "state": state,
                 "listed": number in directory.listed or directory.out.get(name) is not None,
                 "open": out_on.get(number, 0),
-                "warmth": round(view.warmth, 3) if view is not None and used else 1.0,
+                "warmth": round(view.slow_start_factor, 3) if view is not None and used else 1.0,
                 "ejected": bool(view is not None and used and view.ejected),
             }
         )
--- a/harecross/fleet/sums.py
+++ b/harecross/fleet/sums.py
@@ -119,7 +119,7 @@
 
     def draw(self) -> list[int]:
         f = self.fleet
-        return self.rng.sample(range(f.servers), fleet_limits.subset(f.servers, f.nodes))
+        return self.rng.sample(range(f.servers), fleet_limits.subset_size(f.servers, f.nodes))
 
     # ---- the day ------------------------------------------------------------------------------------------
 
@@ -182,16 +182,18 @@
         if warm:
             rate = node.rate / warm  # what a warm member gets of this node now
         else:
-            part = fleet_limits.cold_part(node.cold_part, f.multiple, True, False, 0)
+            part = fleet_limits.all_cold_fraction(node.cold_part, f.multiple, True, False, 0)
             rate = part * node.rate / len(node.members)
         had, since = node.tokens.get(server, (0.0, 0.0))
-        tokens = fleet_limits.cold_tokens(had, rate * self.warmth(at), int((at - since) * 1e6))
+        tokens = fleet_limits.slow_start_tokens(had, rate * self.warmth(at), int((at - since) * 1e6))
         node.tokens[server] = (tokens - 1 if tokens >= 1 else tokens, at)
         return tokens >= 1
 
     def warmth(self, at: float) -> float:
         """Of the cold servers, which all started with the event."""
-        return fleet_limits.warmth(self.fleet.cold_from, max(0.0, self.fleet.cold_s - at), self.fleet.cold_s)
+        return fleet_limits.slow_start_factor(
+            self.fleet.cold_from, max(0.0, self.fleet.cold_s - at), self.fleet.cold_s
+        )
 
     # ---- sums and bounds ----------------------------------------------------------------------------------
 
@@ -212,12 +214,12 @@
                 chance((began or n) * each / f.servers) + inside,
             ),
             "calls of a pass": Sum(
-                sum(fleet_limits.pass_limit(len(node.members), f.servers, f.nodes) for node in self.nodes)
+                sum(fleet_limits.min_rtt_limit(len(node.members), f.servers, f.nodes) for node in self.nodes)
                 / f.servers,
                 9 * max(1.0, f.servers / f.nodes),
             ),
             "calls that nobody refuses": Sum(
-                sum(fleet_limits.floor(f.servers, f.nodes) for _ in self.nodes) / f.servers, 3.0
+                sum(fleet_limits.limit_floor(f.servers, f.nodes) for _ in self.nodes) / f.servers, 3.0
             ),
         }
         if self.cold:
--- a/harecross/interface.py
+++ b/harecross/interface.py
@@ -1,7 +1,7 @@
 """The decision module's interface: settings, servers, outcomes, actions and events.
 
 Times are integer microseconds of one monotonic clock that the host passes in as `now`.
-Everything a host must know to embed `harecross.decide.Balancer` stands in this file.
+Everything a host must know to embed `harecross.policy.balancer.Balancer` stands in this file.
 """
 
 from __future__ import annotations
@@ -177,7 +177,7 @@
     server: int
     state: EndpointState  # DRAINING where it has left the list with calls still out
     ejected: bool
-    warmth: float  # present part of a warm server's capacity, in (0, 1]
+    slow_start_factor: float  # present part of a warm server's capacity, in (0, 1]
     cost: float  # expected time of one more call, in mean round-trips or, where it reports, mean reports
     limit: float  # calls that this copy would hold there, on average
 
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -83,7 +83,7 @@
         if text is None:
             return
         try:
-            learned_state.recall(
+            learned_state.import_learned_state(
                 self.registry.dispatcher.balancer, self.registry.numbers, text, monotonic_us()
             )
             log_line("what the other process has learned is taken over")
@@ -96,7 +96,7 @@
         if self.callers.leaving or now < self.learned_at + LEARN_EVERY:
             return
         self.learned_at = now
-        text = learned_state.learned(self.registry.dispatcher.balancer, self.registry.numbers)
+        text = learned_state.export_learned_state(self.registry.dispatcher.balancer, self.registry.numbers)
         if text is not None:
             self.store.write_learned(text)
 
--- a/harecross/policy/learned_state.py
+++ b/harecross/policy/learned_state.py
@@ -11,41 +11,41 @@
 from typing import Any
 
 from harecross.policy.balancer import Balancer
-from harecross.policy.health import FASTEST, SLOWEST
+from harecross.policy.outlier_detection import MAX_SLOWNESS, MIN_SLOWNESS
 
 
-def learned(balancer: Balancer, names: Mapping[str, int]) -> bytes | None:
+def export_learned_state(balancer: Balancer, names: Mapping[str, int]) -> bytes | None:
     """What there is to hand on; None before the first pass has measured anything."""
     ctl = balancer.controller
-    if ctl.passes == 0:
+    if ctl.min_rtt_windows == 0:
         return None
     servers = {}
-    for name, number in names.items():
-        srv = balancer.servers.get(number)
-        if srv is not None and srv.member and srv.calls:
-            servers[name] = [srv.slowness, srv.fail_rate, srv.ejected]
+    for name, bounded_number in names.items():
+        srv = balancer.servers.get(bounded_number)
+        if srv is not None and srv.in_subset and srv.outcome_count:
+            servers[name] = [srv.slowness, srv.failure_rate, srv.ejected]
     told = {
         "limit": ctl.limit,
-        "usual": ctl.usual,
+        "usual": ctl.baseline_in_flight,
         "min_rtt": ctl.min_rtt,
         "target": ctl.target,
         "mean_rtt": balancer.mean_rtt,
-        "deviation": balancer.deviation,
-        "warm_rate": balancer.warm_rate,
-        "cut": [zone.id for zone in balancer.cut],
+        "deviation": balancer.rtt_deviation,
+        "warm_rate": balancer.warm_server_rate,
+        "cut": [zone.id for zone in balancer.ejected_zones],
         "servers": servers,
     }
     return json.dumps(told).encode()
 
 
-def number(value: Any, least: float, most: float) -> float:
+def bounded_number(value: Any, least: float, most: float) -> float:
     """The number, within bounds. ValueError for what is none."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not isfinite(value):
         raise ValueError(f"{value!r} is no number")
     return min(max(float(value), least), most)
 
 
-def recall(balancer: Balancer, names: Mapping[str, int], text: bytes, now: int) -> None:
+def import_learned_state(balancer: Balancer, names: Mapping[str, int], text: bytes, now: int) -> None:
     """Begins where another process stands. ValueError, and nothing changed, for what cannot be read.
 
     Guards against: a process that takes over in the middle of the traffic refuses and times out anew until it
@@ -56,40 +56,44 @@
         told = json.loads(text)
         lists = {}
         for key in ("min_rtt", "target", "mean_rtt", "deviation"):
-            lists[key] = [number(v, 0, 1e9) for v in told[key]]
+            lists[key] = [bounded_number(v, 0, 1e9) for v in told[key]]
             if len(lists[key]) != classes:
                 raise ValueError(f"{key} is for other classes")
-        limit = number(told["limit"], ctl.floor, ctl.ceiling)
-        usual = number(told["usual"], 0, limit)
-        warm_rate = number(told["warm_rate"], 0, 1e6)
-        cut = [int(number(zone, 0, 1e6)) for zone in told["cut"]]
+        limit = bounded_number(told["limit"], ctl.floor, ctl.max_limit)
+        usual = bounded_number(told["usual"], 0, limit)
+        warm_rate = bounded_number(told["warm_rate"], 0, 1e6)
+        cut = [int(bounded_number(zone, 0, 1e6)) for zone in told["cut"]]
         servers = {
-            str(name): (number(slow, FASTEST, SLOWEST), number(fails, 0, 1), bool(ejected))
+            str(name): (
+                bounded_number(slow, MIN_SLOWNESS, MAX_SLOWNESS),
+                bounded_number(fails, 0, 1),
+                bool(ejected),
+            )
             for name, (slow, fails, ejected) in told["servers"].items()
         }
     except (KeyError, TypeError, AttributeError) as e:
         raise ValueError(f"not what a process hands on: {e!r}") from None
     if min(lists["mean_rtt"]) <= 0 or min(lists["target"]) <= 0:
         raise ValueError("a round-trip of nothing")
-    ctl.end_pass(now)
-    ctl.limit, ctl.usual, ctl.ramping = limit, usual, False
+    ctl.end_min_rtt_window(now)
+    ctl.limit, ctl.baseline_in_flight, ctl.ramping = limit, usual, False
     ctl.min_rtt, ctl.target = lists["min_rtt"], lists["target"]
-    balancer.mean_rtt, balancer.deviation, balancer.warm_rate = (
+    balancer.mean_rtt, balancer.rtt_deviation, balancer.warm_server_rate = (
         lists["mean_rtt"],
         lists["deviation"],
         warm_rate,
     )
     for name, (slow, fails, ejected) in servers.items():
         srv = balancer.servers.get(names.get(name, 0))
-        if srv is None or not srv.member:
+        if srv is None or not srv.in_subset:
             continue
-        srv.slowness, srv.fail_rate, srv.seen_at = slow, fails, now
+        srv.slowness, srv.failure_rate, srv.last_outcome_at = slow, fails, now
         if ejected:
             balancer.eject(now, srv, silent=False)
     for zone in cut:
         known = balancer.zones.get(zone)
-        if known is not None and not known.cut and any(m.zone != zone for m in balancer.able):
-            known.cut = True
-            known.trial_at = now
-            balancer.cut.append(known)
-            balancer.sort_members()  # so that the last zone is not cut off too
+        if known is not None and not known.ejected and any(m.zone != zone for m in balancer.eligible):
+            known.ejected = True
+            known.next_probe_at = now
+            balancer.ejected_zones.append(known)
+            balancer.classify_members()  # so that the last zone is not cut off too
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -212,7 +212,7 @@
         It ejects a third of its members at most; the others of a dead priority show by what a call costs there.
         """
         names = {number: name for name, number in self.registry.numbers.items()}
-        views = self.registry.dispatcher.balancer.view(monotonic_us())
+        views = self.registry.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         return {names[v.server] for v in views if (v.ejected or v.cost >= SICK) and v.server in names}
 
     @property
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -51,7 +51,7 @@
 
     def views(self) -> tuple[list[ServerView], float]:
         """What is thought of each listed server, and the calls one copy would hold at each."""
-        seen = {v.server: v for v in self.dispatcher.balancer.view(monotonic_us())}
+        seen = {v.server: v for v in self.dispatcher.balancer.endpoint_snapshots(monotonic_us())}
         limits = [v.limit for v in seen.values()]
         views = []
         for name, line in self.roster.lines.items():
@@ -69,7 +69,7 @@
             if v is None or draining:
                 views.append(ServerView(name, where, zone, draining))
             else:
-                views.append(ServerView(name, where, zone, False, v.ejected, v.warmth, v.cost))
+                views.append(ServerView(name, where, zone, False, v.ejected, v.slow_start_factor, v.cost))
         return views, max(limits, default=0.0)
 
     def take_loads(self) -> None:
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -17,20 +17,20 @@
 from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
 from google.protobuf.message import Message
 
-from harecross.policy.balancer import RETRY_RATIO
+from harecross.policy.balancer import RETRY_BUDGET_RATIO
 from harecross.policy.controller import (
-    BUFFER,
-    PASS_CALLS,
-    PASS_INTERVAL,
-    PASS_JITTER,
-    PERCENTILE,
-    WINDOW,
+    JITTER,
+    MIN_RTT_BUFFER,
+    MIN_RTT_INTERVAL_US,
+    MIN_RTT_REQUESTS,
+    SAMPLE_PERCENTILE,
+    WINDOW_US,
 )
-from harecross.policy.fleet_limits import MIN_LIMIT
+from harecross.policy.fleet_limits import MIN_CONCURRENCY
 from harecross.xds.cache import CDS, EDS, LDS, RDS, Resource, Snapshot
 from harecross.xds.publish import PublishedEndpoint, Told, priority
 
-RETRY_PERCENT = 100 * RETRY_RATIO  # of the calls out may be retries
+RETRY_PERCENT = 100 * RETRY_BUDGET_RATIO  # of the calls out may be retries
 
 
 def encoded(name: str, message: Message) -> Resource:
@@ -52,7 +52,7 @@
         threshold = c.circuit_breakers.thresholds.add()
         threshold.max_requests.value = limit
         threshold.retry_budget.budget_percent.value = RETRY_PERCENT
-        threshold.retry_budget.min_retry_concurrency.value = MIN_LIMIT
+        threshold.retry_budget.min_retry_concurrency.value = MIN_CONCURRENCY
     return encoded(name, c)
 
 
@@ -108,13 +108,13 @@
     """The filter with the decision module's own figures."""
     a = adaptive_concurrency_pb2.AdaptiveConcurrency()
     g = a.gradient_controller_config
-    g.sample_aggregate_percentile.value = 100 * PERCENTILE
-    g.concurrency_limit_params.concurrency_update_interval.FromMicroseconds(WINDOW)
-    g.min_rtt_calc_params.interval.FromMicroseconds(PASS_INTERVAL)
-    g.min_rtt_calc_params.request_count.value = PASS_CALLS
-    g.min_rtt_calc_params.jitter.value = 100 * PASS_JITTER
-    g.min_rtt_calc_params.min_concurrency.value = MIN_LIMIT
-    g.min_rtt_calc_params.buffer.value = 100 * BUFFER
+    g.sample_aggregate_percentile.value = 100 * SAMPLE_PERCENTILE
+    g.concurrency_limit_params.concurrency_update_interval.FromMicroseconds(WINDOW_US)
+    g.min_rtt_calc_params.interval.FromMicroseconds(MIN_RTT_INTERVAL_US)
+    g.min_rtt_calc_params.request_count.value = MIN_RTT_REQUESTS
+    g.min_rtt_calc_params.jitter.value = 100 * JITTER
+    g.min_rtt_calc_params.min_concurrency.value = MIN_CONCURRENCY
+    g.min_rtt_calc_params.buffer.value = 100 * MIN_RTT_BUFFER
     return a
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -98,7 +98,7 @@
     out = bytearray()
     actions = WireActions(out, 3)
     expected = b""
-    actions.refuse(1, 2)
+    actions.shed(1, 2)
     expected += struct.pack("<BHQI", 66, 3, 1, 2)
     actions.fail(1)
     expected += struct.pack("<BHQ", 67, 3, 1)
@@ -106,19 +106,19 @@
     expected += struct.pack("<BHQB", 68, 3, 1, 2)
     actions.set_timer(5, 6)
     expected += struct.pack("<BHIQ", 69, 3, 5, 6)
-    actions.probe(7)
+    actions.health_check(7)
     expected += struct.pack("<BHI", 70, 3, 7)
-    actions.close(7)
+    actions.close_idle(7)
     expected += struct.pack("<BHI", 71, 3, 7)
-    actions.tell(-1, b"ab")
+    actions.send_peer_message(-1, b"ab")
     expected += struct.pack("<BHHH", 72, 3, 0xFFFF, 2) + b"ab"
-    actions.log("x")
+    actions.log_event("x")
     expected += struct.pack("<BHH", 73, 3, 1) + b"x"
     actions.fault("y")
     expected += struct.pack("<BHH", 74, 3, 1) + b"y"
-    actions.watch(True)
+    actions.subscribe(True)
     expected += struct.pack("<BHB", 75, 3, 1)
-    actions.fetch()
+    actions.poll_endpoints()
     expected += struct.pack("<BH", 76, 3)
     assert bytes(out) == expected
 
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -87,8 +87,10 @@
         Catalog.push(watch, line(42, joins))
         await until(lambda: "new" in w.node.registry.numbers)
         server = w.node.registry.numbers["new"]
-        (view,) = [v for v in w.node.dispatcher.balancer.view(monotonic_us()) if v.server == server]
-        assert view.warmth < 0.7, "it has just started"
+        (view,) = [
+            v for v in w.node.dispatcher.balancer.endpoint_snapshots(monotonic_us()) if v.server == server
+        ]
+        assert view.slow_start_factor < 0.7, "it has just started"
         assert sighted - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
         # Recalled after a drain, it is the process that it was.
         ready_at = w.node.registry.listed[server].ready_at
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -20,15 +20,15 @@
     TenantSettings,
 )
 from harecross.policy.balancer import Balancer
-from harecross.policy.members import FADE
-from harecross.policy.shares import Shares
+from harecross.policy.server_state import RETENTION_US
+from harecross.policy.tenant_quotas import TenantQuotas
 
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
 
 def test_refused_at_the_limit_at_once_with_back_off():
     node, rec = balancer(1)
-    limit = int(node.controller.allowed())
+    limit = int(node.controller.current_limit())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
     assert answers == ["send"] * limit + ["shed"]
     node.request(0, 99, 0, 0, 3 * SEC, False)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("outcome", sorted(NEVER_RAN))
-@pytest.mark.parametrize("klass", [0, 1, 2])
+@pytest.mark.parametrize("request_class", [0, 1, 2])
 def test_an_attempt_that_never_ran_goes_to_another_try(outcome, request_class):
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1, request_class)
@@ -100,7 +100,7 @@
     near, far = Endpoint(1, zone=0), Endpoint(2, zone=1)
     for seed in range(10):
         node, rec = balancer([near, far], seed=seed, cross_zone_cost=0.05)
-        node.spill = 0.0
+        node.cross_zone_fraction = 0.0
         _, _, first, _ = ask(node, rec, 0, 1)
         assert end(node, rec, 1000, 1, 0, first, Outcome.REJECTED)[0][:3] == ("send", 1, 3 - first)
 
@@ -219,14 +219,14 @@
         bad += action[2] == 3
         end(node, rec, now + 100, i, 0, action[2], Outcome.ERROR if action[2] == 3 else Outcome.OK, 250_000)
     assert bad < 15
-    before = node.servers[3].calls
+    before = node.servers[3].outcome_count
     for i in range(300, 900):
         now += 20_000
         action = ask(node, rec, now, i, 0)
         end(node, rec, now + 100, i, 0, action[2], Outcome.OK, 250_000)
         if i % 100 == 99:
             now += 10 * SEC
-    assert not node.servers[3].ejected and node.servers[3].calls > before
+    assert not node.servers[3].ejected and node.servers[3].outcome_count > before
 
 
 def test_a_silent_member_is_ejected_and_frees_the_limit():
@@ -241,7 +241,7 @@
         if len(out) > 6:
             end(node, rec, now, out[0][0], 0, out[0][1], Outcome.OK, 200_000)
             del out[0]
-    assert node.servers[3].ejected and node.servers[3].silent
+    assert node.servers[3].ejected and node.servers[3].unresponsive
     assert node.controller.in_flight == 6
 
 
@@ -291,7 +291,7 @@
 
 def shares_over(seconds: float, rates: list[float], quotas: list[float]) -> list[float]:
     """The part of each tenant's evenly spaced requests that its node takes."""
-    shares = Shares(quotas)
+    shares = TenantQuotas(quotas)
     asked, taken = [0] * len(rates), [0] * len(rates)
     due = sorted((n / r, i) for i, r in enumerate(rates) for n in range(1, int(r * seconds) + 1))
     for at, tenant in due:
@@ -429,8 +429,8 @@
                 end(node, rec, now, request, 0, server, outcome, 100_000)
 
     play(1500, Outcome.OK)
-    usual = node.controller.usual
-    assert usual > 8 and node.controller.allowed() > 12
+    usual = node.controller.baseline_in_flight
+    assert usual > 8 and node.controller.current_limit() > 12
     play(1500, Outcome.ERROR)
     assert node.controller.floor < usual and node.controller.limit < 0.6 * usual
 
@@ -461,7 +461,7 @@
         if action[0] == "send":
             down = step >= rounds and refuse(action[2])
             out.append((now + (1_000 if down else 100_000), now, 0, action[2]))
-        assert node.controller.in_flight <= node.controller.allowed() + 4
+        assert node.controller.in_flight <= node.controller.current_limit() + 4
     return node, [n for at, n in tries.items() if at > rounds * 5_000]
 
 
@@ -525,17 +525,17 @@
 @pytest.mark.parametrize("share", [0.2, 0.4, 0.9])
 def test_no_member_is_ejected_for_lost_answers_where_all_lose_them(share):
     node, got = losing_answers(share, tuple(range(1, 11)))
-    assert sum(srv.ejections for srv in node.servers.values()) <= 1 and min(got.values()) > 0
+    assert sum(srv.ejection_count for srv in node.servers.values()) <= 1 and min(got.values()) > 0
 
 
 def test_a_member_that_has_just_turned_slow_loses_draws_before_its_calls_return():
     """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
     node, rec = balancer(2)
     slow, quick = node.members
-    slow.in_flight, slow.quiet_since = 1, 0
-    quick.in_flight, quick.quiet_since = 2, 900_000
-    assert slow.load(300_000, 250_000.0, FADE) < quick.load(1_000_000, 250_000.0, FADE)
-    assert slow.load(1_000_000, 250_000.0, FADE) > quick.load(1_000_000, 250_000.0, FADE)
+    slow.in_flight, slow.silent_since = 1, 0
+    quick.in_flight, quick.silent_since = 2, 900_000
+    assert slow.load(300_000, 250_000.0, RETENTION_US) < quick.load(1_000_000, 250_000.0, RETENTION_US)
+    assert slow.load(1_000_000, 250_000.0, RETENTION_US) > quick.load(1_000_000, 250_000.0, RETENTION_US)
 
 
 def test_calls_keep_to_their_zone_only_where_a_crossing_costs():
@@ -567,7 +567,7 @@
         far += i >= 1000 and server % 2 == 0
         crowded = i >= 500 and server % 2 == 1
         end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
-    assert node.spill > 0.5 and far > 300
+    assert node.cross_zone_fraction > 0.5 and far > 300
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
@@ -575,7 +575,7 @@
     """A zone's one server would take all calls of the one node beside it."""
     entries = [Endpoint(i + 1, zone=min(i, 1)) for i in range(6)]
     node, rec = balancer(entries, cross_zone_cost=0.04, instance_count=nodes)
-    assert node.spill == pytest.approx(least)
+    assert node.cross_zone_fraction == pytest.approx(least)
     now = far = 0
     for i in range(600):
         now += 20_000
@@ -583,7 +583,7 @@
         far += server != 1
         end(node, rec, now, i, 0, server, Outcome.OK, 250_000)
     assert far / 600 >= least * 5 / 6 - 0.05
-    assert node.spill >= least
+    assert node.cross_zone_fraction >= least
 
 
 def two_zones() -> list[Endpoint]:
@@ -609,20 +609,20 @@
     """The network between two zones parts: half the members are out of reach, more than may be ejected."""
     node, rec = balancer(two_zones())
     went = parted(node, rec, 0, 1, 30)
-    assert [zone.id for zone in node.cut] == [1]
+    assert [zone.id for zone in node.ejected_zones] == [1]
     assert went.count(1) <= 6
-    assert not [m for m in node.able if m.zone == 1]
+    assert not [m for m in node.eligible if m.zone == 1]
     went = parted(node, rec, 0, 31, 300)  # half a minute: trials after 2, 4, 8 and 16 s
     assert 3 <= went.count(1) <= 5
     went = parted(node, rec, 1, 500, 400)  # now the other zone answers, and this one does not
-    assert [zone.id for zone in node.cut] == [0]
+    assert [zone.id for zone in node.ejected_zones] == [0]
     assert went[-20:] == [1] * 20
 
 
 def test_no_zone_is_cut_while_no_other_answers():
     node, rec = balancer(two_zones())
     parted(node, rec, None, 1, 30)
-    assert node.cut == []
+    assert node.ejected_zones == []
 
 
 def test_calls_stuck_in_a_cut_zone_do_not_fill_the_limit():
@@ -638,11 +638,11 @@
                 end(node, rec, now, i, 0, action[2], Outcome.TIMEOUT, 3 * SEC)
         elif action[0] == "send":
             end(node, rec, now, i, 0, action[2], Outcome.OK, 50_000)
-    assert [zone.id for zone in node.cut] == [1] and stuck > 4
+    assert [zone.id for zone in node.ejected_zones] == [1] and stuck > 4
     assert node.controller.in_flight == 0
     for i, r in list(node.requests.items()):  # late answers bring the zone back, and the count stays right
-        end(node, rec, now, i, 0, r.out.id, Outcome.OK, 50_000)
-    assert node.cut == [] and node.controller.in_flight == 0
+        end(node, rec, now, i, 0, r.server.id, Outcome.OK, 50_000)
+    assert node.ejected_zones == [] and node.controller.in_flight == 0
 
 
 def alone_in_its_zone():
@@ -650,7 +650,7 @@
     node, rec = balancer([Endpoint(i + 1, zone=i % 5) for i in range(60)], instance_count=60)
     before = node.controller.limit, set(node.members)
     parted(node, rec, 0, 1, 200)
-    assert sorted(zone.id for zone in node.cut) == [1, 2, 3, 4]
+    assert sorted(zone.id for zone in node.ejected_zones) == [1, 2, 3, 4]
     return node, rec, before
 
 
@@ -658,27 +658,32 @@
     """With a random subset it had one or two servers left there, and buried them; the zone's others were idle."""
     node, rec, (limit, first) = alone_in_its_zone()
     assert len([m for m in first if m.zone == 0]) < 6
-    assert len(node.able) == 12 and node.able == [m for m in node.members if m.zone == 0]
+    assert len(node.eligible) == 12 and node.eligible == [m for m in node.members if m.zone == 0]
     # Back again the subset is what it was, and keeps no connection more.
     for i in range(1000, 1400):
         now = i * 100_000
         (action,) = [ask(node, rec, now, i)]
         if action[0] == "send":
             end(node, rec, now + 50_000, i, 0, action[2], Outcome.OK, 50_000)
-    assert node.cut == [] and set(node.members) == first and not node.stand_ins
+    assert node.ejected_zones == [] and set(node.members) == first and not node.substitutes
 
 
 def test_the_limit_follows_what_is_left_of_the_subset():
     """One or two servers got the calls that were right for twenty-four."""
     node, _ = balancer([Endpoint(i + 1, zone=int(i > 1)) for i in range(24)], instance_count=24)
-    node.controller.limit, node.controller.usual = 96.0, 80.0
-    node.zones[1].cut = True
+    node.controller.limit, node.controller.baseline_in_flight = 96.0, 80.0
+    node.zones[1].ejected = True
     node.refill(0)
-    assert len(node.able) == 2
-    assert node.controller.limit == pytest.approx(96 * 2 / 16 / 0.66) and node.controller.usual < 16
-    node.zones[1].cut = False
+    assert len(node.eligible) == 2
+    assert (
+        node.controller.limit == pytest.approx(96 * 2 / 16 / 0.66) and node.controller.baseline_in_flight < 16
+    )
+    node.zones[1].ejected = False
     node.refill(0)
-    assert (node.controller.limit, node.controller.usual) == (pytest.approx(96.0), pytest.approx(80.0))
+    assert (node.controller.limit, node.controller.baseline_in_flight) == (
+        pytest.approx(96.0),
+        pytest.approx(80.0),
+    )
 
 
 def test_a_few_ejected_members_leave_the_limit_as_it_is():
@@ -686,7 +691,7 @@
     limit = node.controller.limit
     for m in node.members[:4]:
         node.eject(0, m, silent=False)
-    assert len(node.able) == 8 and node.controller.limit == limit
+    assert len(node.eligible) == 8 and node.controller.limit == limit
 
 
 def test_a_slow_member_is_drawn_less_often():
@@ -703,16 +708,16 @@
 
 def test_a_failing_member_loses_draws_before_it_is_ejected():
     node, rec = balancer(4)
-    node.servers[1].fail_rate = 0.25
-    node.servers[1].quiet_since = 0
-    assert node.servers[1].load(0, 100_000.0, FADE) == pytest.approx(
-        3 * node.servers[2].load(0, 100_000.0, FADE)
+    node.servers[1].failure_rate = 0.25
+    node.servers[1].silent_since = 0
+    assert node.servers[1].load(0, 100_000.0, RETENTION_US) == pytest.approx(
+        3 * node.servers[2].load(0, 100_000.0, RETENTION_US)
     )
 
 
 def test_a_slow_member_does_not_speak_for_the_subset():
     node, rec = balancer(4)
-    node.controller.end_pass(0)
+    node.controller.end_min_rtt_window(0)
     node.servers[1].slowness = 3.0
     counts = []
     for i, server in enumerate((1, 2)):
@@ -736,13 +741,13 @@
     node.servers[1].slowness = 5.0
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC - 1)])
     assert not node.servers[1].ejected and node.servers[1].slowness == 1.0
-    assert node.servers[1].cold_until == SEC - 1 + 4 * SEC
+    assert node.servers[1].slow_start_until == SEC - 1 + 4 * SEC
 
 
 def test_the_bucket_of_a_cold_server_starts_empty():
     """A call saved up while nobody watched would come on top of every other node's."""
     node, rec = balancer(2)
-    node.warm_rate = 10.0
+    node.warm_server_rate = 10.0
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC)])
     cold = node.servers[1]
     assert not node.may_send(SEC, cold)
@@ -760,10 +765,10 @@
 def test_unvisited_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
     entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_cost=0.04, instance_count=12)
-    node.far_ratio, node.best_ratio, node.near_ratio = 5.0, 0.2, 0.6
+    node.remote_latency_ratio, node.best_local_ratio, node.local_latency_ratio = 5.0, 0.2, 0.6
     for i in range(1, 60):
-        node.each_window(i * 100_000)
-    assert node.far_ratio < 3.0 and node.spill > 0
+        node.on_window_end(i * 100_000)
+    assert node.remote_latency_ratio < 3.0 and node.cross_zone_fraction > 0
 
 
 def test_when_the_drawn_are_all_cold_another_member_serves():
@@ -838,18 +843,18 @@
 
 def test_a_thin_copy_remembers_for_as_long_as_it_takes_to_meet_each_member_twice():
     node, _ = thin_copy_with_two_failing_members()
-    assert node.memory() == pytest.approx(2 * 20 * SEC, rel=0.1)
+    assert node.retention() == pytest.approx(2 * 20 * SEC, rel=0.1)
     failing, good = node.servers[1], node.servers[3]
-    failing.fail_rate, failing.in_flight = 0.5, 0
-    failing.seen_at = good.seen_at = 1000 * SEC
-    assert failing.load(1015 * SEC, 1e5, node.memory()) > 2 * good.load(1015 * SEC, 1e5, node.memory())
+    failing.failure_rate, failing.in_flight = 0.5, 0
+    failing.last_outcome_at = good.last_outcome_at = 1000 * SEC
+    assert failing.load(1015 * SEC, 1e5, node.retention()) > 2 * good.load(1015 * SEC, 1e5, node.retention())
 
 
 def test_one_failure_of_a_member_never_met_before_counts():
     node, rec = balancer(20)
     _, _, server, _ = ask(node, rec, 0, 1)
     end(node, rec, 1000, 1, 0, server, Outcome.ERROR)
-    assert node.servers[server].fail_rate > 0.25
+    assert node.servers[server].failure_rate > 0.25
 
 
 def test_a_client_that_gave_up_counts_as_a_slow_answer():
@@ -858,11 +863,11 @@
     ctl = node.controller
     _, _, server, _ = ask(node, rec, 0, 1)
     node.client_disconnected(10_000, 1)  # impatient: tells nothing
-    before = ctl.pass_count
+    before = ctl.min_rtt_requests_left
     _, _, server, _ = ask(node, rec, 0, 2)
     slowness = node.servers[server].slowness
     node.client_disconnected(2 * SEC, 2)
-    assert ctl.pass_count == before - 1
+    assert ctl.min_rtt_requests_left == before - 1
     assert node.servers[server].slowness > slowness
 
 
@@ -879,9 +884,11 @@
     """At a start most members of a thin copy are strangers; the slowest kind must not get an even share."""
     node, rec = balancer(two_kinds(), report_fields=("latency_ms", "util"))
     for kind, shown in ((0, (30.0, 0.4)), (1, (90.0, 0.9))):
-        node.learn_cost(node.servers[2 + kind], shown)
+        node.record_load_report(node.servers[2 + kind], shown)
     fast, slow = node.servers[4], node.servers[5]
-    assert slow.load(0, 1e5, FADE, node.mean_cost) > 2 * fast.load(0, 1e5, FADE, node.mean_cost)
+    assert slow.load(0, 1e5, RETENTION_US, node.mean_load_cost) > 2 * fast.load(
+        0, 1e5, RETENTION_US, node.mean_load_cost
+    )
 
 
 def rolling(seed: int, late: bool) -> tuple[float, float]:
@@ -932,16 +939,16 @@
     now, parts = 1, []
     for step in range(40):
         now += 100_000
-        node.asked = 10
-        node.servers[1].cold_until = 0 if step >= 30 else 10 * SEC
+        node.request_count = 10
+        node.servers[1].slow_start_until = 0 if step >= 30 else 10 * SEC
         for i in (2, 3, 4):
-            node.servers[i].cold_until = 10 * SEC
-        node.each_window(now)
-        parts.append(node.cold_part)
+            node.servers[i].slow_start_until = 10 * SEC
+        node.on_window_end(now)
+        parts.append(node.all_cold_fraction)
     assert parts[0] < 1 < parts[15] <= parts[29] and parts[39] == parts[29]
-    node.controller.lost = 0.5
-    node.each_window(now + 100_000)
-    assert node.cold_part == parts[0] < 1
+    node.controller.lost_fraction = 0.5
+    node.on_window_end(now + 100_000)
+    assert node.all_cold_fraction == parts[0] < 1
 
 
 def test_when_every_member_is_cold_each_gets_its_part_of_what_is_asked():
@@ -980,12 +987,12 @@
     node, rec = balancer(1, tier=1, tiers=2)
     for i in range(40):
         node.request(0, i, 0, 0, 3 * SEC, False)
-    held = len(node.waiting)
+    held = len(node.queue)
     assert held > 0 and rec.take("shed")
-    node.client_disconnected(10, node.waiting[0].id)
-    assert len(node.waiting) == held - 1
+    node.client_disconnected(10, node.queue[0].id)
+    assert len(node.queue) == held - 1
     node.request(20, 99, 0, 0, 3 * SEC, False)
-    assert len(node.waiting) == held and not rec.take("shed", "fail", "send")
+    assert len(node.queue) == held and not rec.take("shed", "fail", "send")
 
 
 def subset_after_a_release(seed: int, nodes: int = 200, servers: int = 120, replaced: int = 36) -> set[int]:
@@ -1024,7 +1031,7 @@
     before = set(node.members)
     for n in range(1, 13):
         ask(node, rec, n * 1000, n)
-    out = {r.out for r in node.requests.values()}
+    out = {r.server for r in node.requests.values()}
     in_flight = node.controller.in_flight
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 241)])
     displaced = before - set(node.members)
@@ -1032,7 +1039,7 @@
     assert {c[1] for c in rec.take("close_idle")} >= {m.id for m in displaced}
     assert node.controller.in_flight == in_flight and displaced & out
     for n, r in list(node.requests.items()):
-        end(node, rec, SEC + 1000, n, 0, r.out.id, Outcome.OK)
+        end(node, rec, SEC + 1000, n, 0, r.server.id, Outcome.OK)
     assert node.controller.in_flight == 0 and all(m.in_flight == 0 for m in before)
     assert displaced <= set(node.servers.values()), "it is listed, and may be drawn into the subset again"
 
@@ -1051,4 +1058,4 @@
         node.eject(0, m, silent=False)
     ejected = list(node.ejected)
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 401)])
-    assert ejected and all(m.member and m in node.members for m in ejected)
+    assert ejected and all(m.in_subset and m in node.members for m in ejected)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,7 +14,7 @@
 
 from harecross.interface import Endpoint, Outcome
 from harecross.node.handover_store import LEARNED_FRESH, HandoverStore
-from harecross.policy.learned_state import learned, recall
+from harecross.policy.learned_state import export_learned_state, import_learned_state
 
 MS = 1000
 NAMES = {f"s{i}": i for i in range(1, 5)}
@@ -33,42 +33,47 @@
         server = action[2]
         outcome = Outcome.ERROR if server == 4 else Outcome.OK
         end(node, recorder, now + MS, i, 0, server, outcome, latency=90 * MS if server == 3 else 20 * MS)
-    assert node.controller.passes and node.ejected
+    assert node.controller.min_rtt_windows and node.ejected
     return node, now
 
 
 def test_the_next_process_begins_where_the_last_one_stands():
     old, now = used()
-    text = learned(old, NAMES)
+    text = export_learned_state(old, NAMES)
     assert text is not None
     new, _ = balancer(ENTRIES, seed=2)
-    assert new.controller.in_pass
-    recall(new, NAMES, text, 7)
+    assert new.controller.measuring_min_rtt
+    import_learned_state(new, NAMES, text, 7)
     a, b = old.controller, new.controller
-    assert (b.limit, b.usual, b.min_rtt, b.target) == (a.limit, a.usual, a.min_rtt, a.target)
-    assert not b.in_pass and new.mean_rtt == old.mean_rtt
+    assert (b.limit, b.baseline_in_flight, b.min_rtt, b.target) == (
+        a.limit,
+        a.baseline_in_flight,
+        a.min_rtt,
+        a.target,
+    )
+    assert not b.measuring_min_rtt and new.mean_rtt == old.mean_rtt
     assert [s.id for s in new.ejected] == [4]  # no call is lost to learning it again
     assert new.servers[3].slowness == old.servers[3].slowness > new.servers[1].slowness
 
 
 def test_a_cut_off_zone_is_not_learned_again_and_the_last_zone_is_not_cut():
     old, _ = used()
-    text = json.loads(learned(old, NAMES))
+    text = json.loads(export_learned_state(old, NAMES))
     new, _ = balancer(ENTRIES, seed=2)
-    recall(new, NAMES, json.dumps({**text, "cut": [0, 1], "servers": {}}).encode(), 7)
-    assert len(new.cut) == 1 and new.able
-    assert all(m.zone != new.cut[0].id for m in new.able)
+    import_learned_state(new, NAMES, json.dumps({**text, "cut": [0, 1], "servers": {}}).encode(), 7)
+    assert len(new.ejected_zones) == 1 and new.eligible
+    assert all(m.zone != new.ejected_zones[0].id for m in new.eligible)
 
 
 def test_a_copy_that_has_measured_nothing_hands_on_nothing():
-    assert learned(balancer(ENTRIES)[0], NAMES) is None
+    assert export_learned_state(balancer(ENTRIES)[0], NAMES) is None
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.data())
 def test_what_cannot_be_believed_changes_nothing(data):
     old, _ = used()
-    told = json.loads(learned(old, NAMES))
+    told = json.loads(export_learned_state(old, NAMES))
     key = data.draw(st.sampled_from(sorted(told)))
     bad = st.sampled_from([None, "x", [], [1], [0, 0, 0], {"s1": 3}, True, float("nan")])
     told[key] = data.draw(bad)
@@ -77,8 +82,8 @@
         return  # true of some copy
     new, _ = balancer(ENTRIES, seed=2)
     with pytest.raises(ValueError):
-        recall(new, NAMES, json.dumps(told).encode(), 7)
-    assert new.controller.in_pass and not new.ejected and new.controller.passes == 0
+        import_learned_state(new, NAMES, json.dumps(told).encode(), 7)
+    assert new.controller.measuring_min_rtt and not new.ejected and new.controller.min_rtt_windows == 0
 
 
 @pytest.mark.parametrize("at", range(0, 400, 7))
@@ -86,11 +91,11 @@
     text = TEXT[: min(at, len(TEXT) - 1)]
     new, _ = balancer(ENTRIES, seed=2)
     with pytest.raises(ValueError):
-        recall(new, NAMES, text, 7)
-    assert new.controller.in_pass
+        import_learned_state(new, NAMES, text, 7)
+    assert new.controller.measuring_min_rtt
 
 
-TEXT = learned(used()[0], NAMES) or b""
+TEXT = export_learned_state(used()[0], NAMES) or b""
 
 
 def test_what_was_learned_is_read_only_while_its_process_lives_and_is_fresh(tmp_path, monkeypatch):
@@ -119,8 +124,8 @@
     async def test(site: Site) -> None:
         async with site.node() as old:
             ctl = old.dispatcher.balancer.controller
-            ctl.end_pass(1)
-            ctl.limit = ctl.usual = 11.0
+            ctl.end_min_rtt_window(1)
+            ctl.limit = ctl.baseline_in_flight = 11.0
             old.operations.learned_at = 0.0
             old.operations.learn()
             async with site.node() as new:
@@ -128,7 +133,7 @@
                 assert (await tell(new, "/status"))[0] == 200
             old.operations.store.write_learned(b"{}")
             async with site.node() as new:
-                assert new.dispatcher.balancer.controller.in_pass
+                assert new.dispatcher.balancer.controller.measuring_min_rtt
         err = capfd.readouterr().err
         assert "is taken over" in err and "not taken over" in err
 
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -24,7 +24,7 @@
 
     async def test(w: World) -> None:
         controller = w.node.dispatcher.balancer.controller
-        controller.end_pass(monotonic_us())
+        controller.end_min_rtt_window(monotonic_us())
         client = await w.client()
         for i in range(64):
             client.send("/pay/1")
@@ -34,7 +34,7 @@
             else:
                 at.answer()
             assert (await client.answer())[0] == (502 if i % 8 == 7 else 200)
-        assert controller.lost == 0 and max(controller.samples)[0] < 1
+        assert controller.lost_fraction == 0 and max(controller.samples)[0] < 1
 
     with_node(test)
 
@@ -89,8 +89,8 @@
 def usual(node: Balancer, mean: float, deviation: float, late: float) -> None:
     """What the module knows of round-trips, and how many calls are late."""
     node.mean_rtt[:] = [mean] * 3
-    node.deviation[:] = [deviation] * 3
-    node.controller.late = late
+    node.rtt_deviation[:] = [deviation] * 3
+    node.controller.late_fraction = late
 
 
 def test_a_slow_call_is_not_cut_off_while_others_are_slow(monkeypatch):
@@ -122,7 +122,7 @@
 
 def test_a_call_is_lost_once_a_later_one_is_answered(monkeypatch):
     """The server's own word cuts it off, long before the time at which silence alone would."""
-    monkeypatch.setattr(balancer, "TRY_MOST", 10**6)
+    monkeypatch.setattr(balancer, "LOST_DEVIATIONS", 10**6)
 
     async def test(w: World) -> None:
         clients = [await w.client() for _ in "ab"]
@@ -170,9 +170,11 @@
 def test_lost_calls_are_not_overload(monkeypatch):
     """A few calls in a hundred, lost on servers in good health, counted as late and halved the limit."""
     seen: list[int] = []
-    sample = GradientController.sample
+    sample = GradientController.record_sample
     monkeypatch.setattr(
-        GradientController, "sample", lambda c, now, k, took: (seen.append(took), sample(c, now, k, took))[1]
+        GradientController,
+        "record_sample",
+        lambda c, now, k, took: (seen.append(took), sample(c, now, k, took))[1],
     )
 
     async def test(w: World) -> None:
@@ -199,7 +201,7 @@
 
     async def test(w: World) -> None:
         controller = w.node.dispatcher.balancer.controller
-        controller.end_pass(monotonic_us())
+        controller.end_min_rtt_window(monotonic_us())
         client = await w.client()
         for how in ("reset", "error"):
             client.send("/pay/1")
@@ -209,7 +211,7 @@
             else:
                 at.answer(500)
             assert (await client.answer())[0] == 502
-            assert (controller.lost > 0) == (how == "error")
+            assert (controller.lost_fraction > 0) == (how == "error")
         assert w.node.dispatcher.outcomes[Outcome.RESET] == 1
 
     with_node(test)
@@ -220,9 +222,9 @@
 
     async def test(w: World) -> None:
         balancer = w.node.dispatcher.balancer
-        balancer.each_window = lambda now: None  # the share that leaves the zone stays at nothing
-        balancer.spill = 0.0
-        balancer.controller.end_pass(monotonic_us())
+        balancer.on_window_end = lambda now: None  # the share that leaves the zone stays at nothing
+        balancer.cross_zone_fraction = 0.0
+        balancer.controller.end_min_rtt_window(monotonic_us())
         balancer.controller.limit = 12.0
         clients = [await w.client() for _ in range(12)]
         for client in clients:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -97,7 +97,7 @@
             if kind == EndpointUpdateKind.CHANGES and rng.random() < 0.2:
                 state = EndpointState.GONE
             ready_at = self.now if rng.random() < 0.3 and kind != EndpointUpdateKind.CACHED else 0
-            place = {"cell": server % 3, "zone": server % 2, "kind": server % 4}
+            place = {"cell": server % 3, "zone": server % 2, "machine_type": server % 4}
             entries.append(Endpoint(server, state, ready_at=ready_at, **place))
         if kind != EndpointUpdateKind.CHANGES:
             for server in set(self.entries) - set(names):
@@ -169,7 +169,7 @@
             assert r["until"] + self.s.tick >= self.now, "rule 1: no answer in time"
 
     def check(self) -> None:
-        self.top_rate = max(self.top_rate, self.node.warm_rate)
+        self.top_rate = max(self.top_rate, self.node.warm_server_rate)
         for action in self.rec.take():
             self.log.append((self.now, *action))
             name, *args = action
--- a/tests/test_sums.py
+++ b/tests/test_sums.py
@@ -34,10 +34,10 @@
 @pytest.mark.parametrize(
     "name, wrong, what",
     [
-        ("subset", lambda servers, nodes, most=0: servers, "connections"),
-        ("floor", lambda servers, nodes: 3.0 * servers, "calls that nobody refuses"),
-        ("pass_limit", lambda members, servers, nodes: 9.0 * servers, "calls of a pass"),
-        ("pass_limit", lambda members, servers, nodes: 3.0 * members, "calls of a pass"),
+        ("subset_size", lambda servers, nodes, most=0: servers, "connections"),
+        ("limit_floor", lambda servers, nodes: 3.0 * servers, "calls that nobody refuses"),
+        ("min_rtt_limit", lambda members, servers, nodes: 9.0 * servers, "calls of a pass"),
+        ("min_rtt_limit", lambda members, servers, nodes: 3.0 * members, "calls of a pass"),
     ],
 )
 def test_without_the_division_by_nodes_the_sums_are_over(name, wrong, what, monkeypatch):
@@ -51,18 +51,20 @@
 
 
 def test_sizes_are_those_of_one_node_of_many():
-    assert [fleet_limits.subset(120, nodes) for nodes in (1, 40, 200, 2000)] == [24, 24, 10, 10]
-    assert fleet_limits.subset(4, 1) == 4 and fleet_limits.subset(1000, 1, most=300) == 300
+    assert [fleet_limits.subset_size(120, nodes) for nodes in (1, 40, 200, 2000)] == [24, 24, 10, 10]
+    assert fleet_limits.subset_size(4, 1) == 4 and fleet_limits.subset_size(1000, 1, most=300) == 300
     for nodes in (1, 40, 200, 2000):
-        assert nodes * fleet_limits.floor(120, nodes) == pytest.approx(3 * 120)
-        assert nodes * fleet_limits.pass_limit(24, 120, nodes) <= 9 * 120 * max(1.0, 120 / nodes) + 1e-6
-        assert fleet_limits.pass_limit(24, 120, nodes) <= fleet_limits.start_limit(24, 120, nodes) <= 72 * 3
-    assert fleet_limits.leaving_zone(near=1, members=24, nodes=1) == pytest.approx(23 / 24)
-    assert fleet_limits.leaving_zone(near=6, members=24, nodes=4) == 0
-    assert fleet_limits.cold_part(2.0, 3.0, in_good_time=False, warm=False, span=10**6) == 0.75
-    assert fleet_limits.cold_part(1.0, 3.0, in_good_time=True, warm=False, span=10**6) == 1.5
-    assert fleet_limits.cold_part(2.9, 3.0, in_good_time=True, warm=False, span=10**7) == 3.0
-    assert fleet_limits.cold_part(2.0, 3.0, in_good_time=True, warm=True, span=10**6) == 2.0
+        assert nodes * fleet_limits.limit_floor(120, nodes) == pytest.approx(3 * 120)
+        assert nodes * fleet_limits.min_rtt_limit(24, 120, nodes) <= 9 * 120 * max(1.0, 120 / nodes) + 1e-6
+        assert (
+            fleet_limits.min_rtt_limit(24, 120, nodes) <= fleet_limits.initial_limit(24, 120, nodes) <= 72 * 3
+        )
+    assert fleet_limits.min_cross_zone_fraction(near=1, members=24, nodes=1) == pytest.approx(23 / 24)
+    assert fleet_limits.min_cross_zone_fraction(near=6, members=24, nodes=4) == 0
+    assert fleet_limits.all_cold_fraction(2.0, 3.0, in_good_time=False, warm=False, span=10**6) == 0.75
+    assert fleet_limits.all_cold_fraction(1.0, 3.0, in_good_time=True, warm=False, span=10**6) == 1.5
+    assert fleet_limits.all_cold_fraction(2.9, 3.0, in_good_time=True, warm=False, span=10**7) == 3.0
+    assert fleet_limits.all_cold_fraction(2.0, 3.0, in_good_time=True, warm=True, span=10**6) == 2.0
 
 
 @pytest.mark.parametrize(
@@ -83,7 +85,7 @@
     assert all(s["most"] <= s["bound"] * 1.001 for r in rows for s in r["sums"].values())
     table = run("--nodes", "40", "--servers", "30")
     assert table.exit_code == 0 and "handshakes a second" in table.output
-    monkeypatch.setattr(fleet_limits, "floor", lambda servers, nodes: 1e6)
+    monkeypatch.setattr(fleet_limits, "limit_floor", lambda servers, nodes: 1e6)
     assert run("--nodes", "40", "--servers", "30").exit_code == 1
     bad = tmp_path / "fleet.toml"
     bad.write_text("[tier]\nuneven = 0.1\n")
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -51,10 +51,11 @@
     b = judge()
     listed(b, 200)
     before = b.stats()
-    views = b.view(0)
+    views = b.endpoint_snapshots(0)
     assert {v.server for v in views} == set(range(1, 201)) and b.stats() == before
     assert all(
-        v.state == EndpointState.READY and not v.ejected and v.warmth == 1 and v.cost == 1 for v in views
+        v.state == EndpointState.READY and not v.ejected and v.slow_start_factor == 1 and v.cost == 1
+        for v in views
     )
 
 
@@ -65,14 +66,14 @@
         for server in (2, 3, 4, 5):
             b.health_checked(n * SECOND, server, True, 1000, ())
         b.health_checked(n * SECOND, 1, False, 1000, ())
-    assert [v.server for v in b.view(0) if v.ejected] == [1]
+    assert [v.server for v in b.endpoint_snapshots(0) if v.ejected] == [1]
     b.health_checked(2 * SECOND + 1, 1, True, 1000, ())
-    assert b.view(0)[0].ejected  # not before its time
+    assert b.endpoint_snapshots(0)[0].ejected  # not before its time
     b.health_checked(9 * SECOND, 1, False, 1000, ())
     b.health_checked(10 * SECOND, 1, True, 1000, ())
-    assert b.view(0)[0].ejected  # failed its trial: a longer time
+    assert b.endpoint_snapshots(0)[0].ejected  # failed its trial: a longer time
     b.health_checked(60 * SECOND, 1, True, 1000, ())
-    assert not b.view(0)[0].ejected
+    assert not b.endpoint_snapshots(0)[0].ejected
 
 
 def test_no_more_than_a_third_is_ejected_whatever_is_reported():
@@ -81,7 +82,7 @@
     for n in range(5):
         for server in range(1, 10):
             b.load_reported(n * SECOND, server, *((0, 100) if server <= 6 else (100, 0)), ())
-    assert 1 <= sum(v.ejected for v in b.view(0)) <= 3
+    assert 1 <= sum(v.ejected for v in b.endpoint_snapshots(0)) <= 3
 
 
 def test_a_slow_server_costs_more_and_a_cold_one_shows_its_warmth():
@@ -91,10 +92,12 @@
     for n in range(20):
         for server, ms in ((1, 10), (2, 10), (3, 40)):
             b.load_reported(SECOND + n, server, 50, 0, (ms,))
-    views = {v.server: v for v in b.view(SECOND + 20)}
-    assert views[3].cost > 2 * views[1].cost and 0.19 < views[4].warmth < 0.21
-    later = {v.server: v.warmth for v in b.view(6 * SECOND)}
-    assert 0.55 < later[4] < 0.65 and {v.warmth for v in b.view(11 * SECOND)} == {1.0}
+    views = {v.server: v for v in b.endpoint_snapshots(SECOND + 20)}
+    assert views[3].cost > 2 * views[1].cost and 0.19 < views[4].slow_start_factor < 0.21
+    later = {v.server: v.slow_start_factor for v in b.endpoint_snapshots(6 * SECOND)}
+    assert 0.55 < later[4] < 0.65 and {v.slow_start_factor for v in b.endpoint_snapshots(11 * SECOND)} == {
+        1.0
+    }
 
 
 def test_a_report_that_cannot_be_changes_nothing():
@@ -104,7 +107,7 @@
     b.load_reported(0, 1, 0, 0, ())
     b.load_reported(0, 1, 1, 0, (float("nan"),))
     b.load_reported(0, 2, 1, 0, (-5.0,))
-    assert all(0 < v.cost < 1e9 and not v.ejected for v in b.view(0))
+    assert all(0 < v.cost < 1e9 and not v.ejected for v in b.endpoint_snapshots(0))
 
 
 # ---- releases -----------------------------------------------------------------------------------------
