--- a/harecross/policy/controller.py
+++ b/harecross/policy/controller.py
@@ -46,8 +46,8 @@
 
     A sample counts relative to what its class can bear, min_rtt + B. With one class this is the source's
     gradient (min_rtt + B) / sample_rtt; with several, a shift of their mix no longer looks like overload.
-    B = min_rtt x buffer_pct, BUFFER or more: as much as lets min_rtt + B reach `latency_allowance`, the part of the
-    class's aim that a round-trip may use up, since an answer within the aim has its full worth.
+    B = min_rtt x buffer_pct, BUFFER or more: as much as lets min_rtt + B reach `latency_allowance`, the part
+    of the class's aim that a round-trip may use up, since an answer within the aim has its full worth.
     """
 
     def __init__(self, latency_allowance: Sequence[int], max_limit: int, rng: Random, now: int) -> None:
