--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -123,7 +123,7 @@
     Mutation(
         "a stop does not wait for what is out",
         "node/__main__.py",
-        "        while self.client_connections.busy():\n            await asyncio.sleep(0.01)\n",
+        "        while self.client_connections.has_open_requests():\n            await asyncio.sleep(0.01)\n",
         "",
     ),
     Mutation(
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -23,7 +23,9 @@
     from harecross.downstream.connection_manager import ConnectionManager
 
 AHEAD = 8  # requests that may wait on one connection; callers send one at a time
-OWED = 2_500_000  # from connecting to a message's first byte, from that to the end of its head, between two
+RECEIVE_TIMEOUT_US = (
+    2_500_000  # from connecting to a message's first byte, from that to the end of its head, between two
+)
 # parts of a body, and before this rate counts:
 SLOWEST = 32_000  # bytes a second of a body
 BUFFER = 1 << 16  # of the kernel for a large answer, of which it takes twice as much
@@ -132,10 +134,10 @@
         self.sock = transport.get_extra_info("socket")
         self.descriptor = transport.get_extra_info("socket").fileno()
         self.parser = HttpRequestParser(self)
-        self.front.joined(self)
+        self.front.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.front.parted(self)
+        self.front.connection_closed(self)
         self.transport = self.parser = None
         self.queue.clear()
         self.upload = self.sending = None
@@ -189,7 +191,7 @@
         if self.upload is not None and self.upload.full:
             # The server is to keep up: until then nothing is owed here.
             self.waited = True
-            self.front.owes_nothing(self)
+            self.front.unmark(self)
         elif not self.queue:
             return
         self.paused, self.paused_at = True, monotonic_us()
@@ -207,22 +209,22 @@
         self.full = True
         if self.hold_answer is not None:
             self.hold_answer(True)
-            self.front.lags(self)
+            self.front.mark_slow_reader(self)
         else:
-            self.front.owes(self)
+            self.front.mark_receiving(self)
 
     def resume_writing(self) -> None:
         self.full = False
-        self.front.lagging.pop(self, None)
+        self.front.slow_readers.pop(self, None)
         if self.hold_answer is not None:
             self.hold_answer(False)
             return
         if not self.closing:
             if not self.reading:
-                self.front.owes_nothing(self)
+                self.front.unmark(self)
             self.next()
         if self.idle():
-            self.front.rests(self)
+            self.front.mark_idle(self)
 
     # ---- httptools ------------------------------------------------------------------------------------
 
@@ -232,7 +234,7 @@
         self.clear()
         self.reading = True
         self.begun = monotonic_us()
-        self.front.owes(self)
+        self.front.mark_receiving(self)
 
     def grown(self, size: int) -> None:
         # Guards against: a head without end fills the memory of all requests together.
@@ -294,7 +296,7 @@
             self.front.dispatcher.upload_grew(self.request)
         if self.paused and not upload.full and not self.closing and not self.queue:
             if self.reading:
-                self.front.owes(self)
+                self.front.mark_receiving(self)
             self.read_on()
 
     def on_chunk_header(self) -> None:
@@ -306,11 +308,11 @@
         self.size += len(data)
         if self.size > BODY_LARGEST:
             raise BadRequest(413)
-        late = monotonic_us() - self.begun - OWED
+        late = monotonic_us() - self.begun - RECEIVE_TIMEOUT_US
         if late > 0 and not self.waited and self.size * 1_000_000 < SLOWEST * late:
             # Guards against: a byte now and then holds a connection, and a server's, for good.
             raise BadRequest(408)
-        self.front.owes(self)
+        self.front.mark_receiving(self)
         if self.upload is None and len(self.body) + len(data) > BODY_MOST:
             self.begin_upload(None)
             data, self.body = self.body + data, b""
@@ -322,7 +324,7 @@
         else:
             self.body = self.body + data if self.body else data
             self.hold(len(data))
-        if self.front.held > self.front.held_most:
+        if self.front.buffered_body_bytes > self.front.max_buffered_body_bytes:
             # Guards against: bodies within their bound, on all connections at once, fill the memory.
             raise BadRequest(503)
 
@@ -331,19 +333,21 @@
             return
         assert self.parser is not None
         self.reading = False
-        self.front.owes_nothing(self)
+        self.front.unmark(self)
         if self.upload is not None:
             upload, self.upload = self.upload, None
             upload.finish()
             if self.sending is upload and self.request is not None:
                 self.front.dispatcher.body_came(self.request, self.unread_for)
             elif self.sending is not upload and upload.dropped and self.idle():
-                self.front.rests(self)  # answered before it had come
+                self.front.mark_idle(self)  # answered before it had come
             return
         if self.url == b"/_health" and self.parser.get_method() == b"GET":
             # The front takes a node in once this has answered 200; one that is stopping wants no more, and one that
             # has no list of its own time may send nothing yet.
-            self.queue.append(-503 if self.front.stopping or not self.front.dispatcher.may_send() else -200)
+            self.queue.append(
+                -503 if self.front.health_check_failing or not self.front.dispatcher.may_send() else -200
+            )
             return
         self.queue.append(self.message())
         if len(self.queue) > AHEAD:
@@ -371,14 +375,14 @@
 
     def hold(self, size: int) -> None:
         self.held += size
-        self.front.held += size
+        self.front.buffered_body_bytes += size
 
     def refuse_rest(self, status: int) -> None:
         """The connection ends with this status: where a message ends is lost, or nobody wants the rest."""
         self.closing = True
         self.reading = False
-        self.front.owes_nothing(self)
-        self.front.found(status)
+        self.front.unmark(self)
+        self.front.count_bad_request(status)
         upload, self.upload = self.upload, None
         if upload is not None and upload is self.sending:
             # The rest of a body never comes: its request has not been taken, and ends where it stands.
@@ -448,7 +452,7 @@
 
     def conflict(self) -> None:
         self.keep = False
-        self.front.found(409)
+        self.front.count_bad_request(409)
         self.answer(409, b"")
 
     def served(self, body: bytes) -> None:
@@ -501,7 +505,7 @@
 
     def ends(self) -> bool:
         """Whether the connection ends with the answer. What has come already is answered first."""
-        return not self.keep or (not self.queue and self.front.leaving)
+        return not self.keep or (not self.queue and self.front.draining)
 
     def answer(self, status: int, body: bytes, retry_after: int = 0) -> None:
         """Writes the whole answer at once, and closes the connection where it cannot go on."""
@@ -539,10 +543,10 @@
         if self.paused and not self.queue:
             self.read_on()
             if self.reading:
-                self.front.owes(self)
+                self.front.mark_receiving(self)
         self.go_on()
         if self.idle():
-            self.front.rests(self)
+            self.front.mark_idle(self)
         if was_busy and self.queue:
             self.front.loop.call_soon(self.next)
 
@@ -555,9 +559,9 @@
         if self.close_reason is None:
             self.close_reason = CloseReason.BAD_REQUEST if self.closing else CloseReason.LAST_ANSWER
         if self.full:
-            self.front.lags(self)  # its end still waits behind what the caller has not taken
+            self.front.mark_slow_reader(self)  # its end still waits behind what the caller has not taken
         else:
-            self.front.ends(self)
+            self.front.mark_lingering(self)
         if self.closing or self.reading:
             self.closing = True
             self.transport.write_eof()
@@ -595,5 +599,5 @@
         elif self.full:
             self.abort(CloseReason.NOT_READ)
         else:
-            self.front.found(0)
+            self.front.count_bad_request(0)
             self.close(CloseReason.SILENT)
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -8,7 +8,7 @@
 
 from harecross.dispatch.close_reasons import CloseReason, Closing
 from harecross.dispatch.dispatcher import RequestDispatcher
-from harecross.downstream.client_connection import OWED, ClientConnection
+from harecross.downstream.client_connection import RECEIVE_TIMEOUT_US, ClientConnection
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat
 from harecross.http.request_parser import RequestReader
@@ -16,15 +16,17 @@
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.system_errors import AcceptFailure
 
-LAGGING = 10_000_000  # a caller that takes nothing of a large answer for so long is put out
-EMPTIED = 1_200_000  # after a standby began, idle connections close; none may be held after 4 s
-RESTING = 5_000_000  # an idle connection is kept so long
-YOUNG = 200_000  # a new connection that has said nothing yet is not put out before
-STUCK = 900_000  # a head without a new byte is not put out before; slow callers write a piece every 0.8 s
-QUEUED = 200_000  # new connections wait so long for room before they are closed
-LOOK_AGAIN = 0.005  # seconds between two looks for room
-ACCEPTS = 16  # connections taken in one go: each holds a descriptor before it can be turned away
-LINGER = 1_000_000  # a connection that ends may take so long over it
+SLOW_READER_TIMEOUT_US = 10_000_000  # a caller that takes nothing of a large answer for so long is put out
+STANDBY_DRAIN_US = 1_200_000  # after a standby began, idle connections close; none may be held after 4 s
+IDLE_TIMEOUT_US = 5_000_000  # an idle connection is kept so long
+EVICTION_GRACE_US = 200_000  # a new connection that has said nothing yet is not put out before
+STALLED_HEAD_US = (
+    900_000  # a head without a new byte is not put out before; slow callers write a piece every 0.8 s
+)
+DESCRIPTOR_WAIT_US = 200_000  # new connections wait so long for room before they are closed
+BACKLOG_RECHECK_S = 0.005  # seconds between two looks for room
+MAX_ACCEPTS_PER_TURN = 16  # connections taken in one go: each holds a descriptor before it can be turned away
+LINGER_TIMEOUT_US = 1_000_000  # a connection that ends may take so long over it
 
 
 class Backlog(Enum):
@@ -65,24 +67,26 @@
         self.dispatcher = host
         self.reader = reader
         self.descriptor_budget = descriptor_budget
-        host.pool.on_short = self.make_room
-        self.short_since: int | None = None  # there is no room for the next connection
-        self.held = 0  # bytes of bodies, over all connections
-        self.held_most = held_most
+        host.pool.on_short = self.evict_one
+        self.budget_full_since: int | None = None  # there is no room for the next connection
+        self.buffered_body_bytes = 0  # bytes of bodies, over all connections
+        self.max_buffered_body_bytes = held_most
         self.open: set[ClientConnection] = set()
         self.silent: dict[ClientConnection, int] = {}  # said nothing yet
-        self.owing: dict[
+        self.receiving: dict[
             ClientConnection, int
         ] = {}  # part of a message has come, or an answer waits to be read
-        self.resting: dict[ClientConnection, int] = {}  # served, and idle
-        self.ending: dict[ClientConnection, int] = {}  # has had its last answer
-        self.lagging: dict[ClientConnection, int] = {}  # does not take a large answer as fast as it comes
-        self.bad: dict[int, int] = {}  # what was answered here, by status; 0: closed for silence
-        self.turned_away = 0  # connections closed at once
-        self.stopping = False  # health says so
-        self.leaving = False  # connections close after what is on them
-        self.standing_by = False
-        self.stood_at = 0
+        self.idle: dict[ClientConnection, int] = {}  # served, and idle
+        self.lingering: dict[ClientConnection, int] = {}  # has had its last answer
+        self.slow_readers: dict[
+            ClientConnection, int
+        ] = {}  # does not take a large answer as fast as it comes
+        self.bad_requests: dict[int, int] = {}  # what was answered here, by status; 0: closed for silence
+        self.refused_connections = 0  # connections closed at once
+        self.health_check_failing = False  # health says so
+        self.draining = False  # connections close after what is on them
+        self.in_standby = False
+        self.standby_since = 0
         self.listener: Listener | None = None
         self.heartbeat = Heartbeat()
 
@@ -95,9 +99,9 @@
         self.listener = Listener(
             sock, lambda waiting: ClientConnection(self, waiting), self.accept, self.heartbeat
         )
-        self.listener.dropped = self.dropped
+        self.listener.dropped = self.connection_setup_failed
 
-    def begin(self) -> None:
+    def start_accepting(self) -> None:
         """Takes connections from now on."""
         assert self.listener is not None
         self.heartbeat.start()
@@ -110,15 +114,15 @@
         server nor a usual caller can be reached. Beyond the bound a connection is closed at no further cost.
         """
         assert self.listener is not None
-        for taken_now in range(ACCEPTS):
+        for taken_now in range(MAX_ACCEPTS_PER_TURN):
             fits = self.descriptor_budget.client_connection_fits()
             if not fits and taken_now:
                 # The loop says whether another waits: nobody is put out for one that does not come.
                 return Backlog.MORE
-            fits = fits or self.make_room()
+            fits = fits or self.evict_one()
             if fits:
-                self.short_since = None
-            elif self.waits():
+                self.budget_full_since = None
+            elif self.leave_in_backlog():
                 return Backlog.WAITS
             connection = self.listener.take()
             if connection is AcceptFailure.CONNECTION_GONE:
@@ -128,7 +132,7 @@
             if isinstance(connection, AcceptFailure):
                 return Backlog.EMPTY
             if not fits:
-                self.turned_away += 1
+                self.refused_connections += 1
                 connection.close()
                 self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
                 continue
@@ -136,46 +140,54 @@
             self.listener.welcome(connection)
         return Backlog.MORE
 
-    def waits(self) -> bool:
+    def leave_in_backlog(self) -> bool:
         """Leaves what has come in the backlog for a moment; False once that has lasted."""
         now = monotonic_us()
-        if self.short_since is None:
-            self.short_since = now
-        if self.leaving or now - self.short_since > QUEUED or self.listener is None:
+        if self.budget_full_since is None:
+            self.budget_full_since = now
+        if self.draining or now - self.budget_full_since > DESCRIPTOR_WAIT_US or self.listener is None:
             return False
-        self.listener.pause(LOOK_AGAIN)
+        self.listener.pause(BACKLOG_RECHECK_S)
         return True
 
-    def dropped(self) -> None:
+    def connection_setup_failed(self) -> None:
         """A connection could not be set up: its place is free."""
         self.descriptor_budget.client_connections -= 1
 
-    def make_room(self) -> bool:
+    def evict_one(self) -> bool:
         """Puts out who holds a connection and nothing else: those that never spoke before those served.
 
         Whether anybody has been.
         """
-        for group, age in ((self.ending, YOUNG), (self.silent, YOUNG), (self.resting, 0)):
+        for group, age in (
+            (self.lingering, EVICTION_GRACE_US),
+            (self.silent, EVICTION_GRACE_US),
+            (self.idle, 0),
+        ):
             for caller, since in group.items():
                 if monotonic_us() - since < age:
                     break
                 if not caller.has_unread():
-                    return self.put_out(caller)
+                    return self.evict(caller)
         if self.descriptor_budget.upstream_may_release() and self.dispatcher.pool.spare():
             return True
         # Guards against: callers that send half a head and stay hold every place for as long as a slow one may.
-        stuck = (c for c in self.owing if c.reading and not c.head_done and c.heard < monotonic_us() - STUCK)
+        stuck = (
+            c
+            for c in self.receiving
+            if c.reading and not c.head_done and c.heard < monotonic_us() - STALLED_HEAD_US
+        )
         oldest = min(stuck, key=lambda c: c.heard, default=None)
-        return oldest is not None and self.put_out(oldest)
+        return oldest is not None and self.evict(oldest)
 
-    def put_out(self, caller: ClientConnection) -> bool:
+    def evict(self, caller: ClientConnection) -> bool:
         """Ends a connection at once. Its place counts as free, though the descriptor goes a moment later."""
-        self.owes_nothing(caller)
-        self.ending.pop(caller, None)
+        self.unmark(caller)
+        self.lingering.pop(caller, None)
         caller.abort(CloseReason.NO_ROOM)
         return True
 
-    async def close(self, by: float, shared: bool = False) -> None:
+    async def drain_listener(self, by: float, shared: bool = False) -> None:
         """Closes the listener, once nothing waits any more; `by` that time of the loop at the latest.
 
         `shared`: another process may have the socket too. Guards against: closing it resets what waits in its
@@ -183,71 +195,77 @@
         """
         assert self.listener is not None
         self.listener.stop()
-        await self.take_waiting(by)
+        await self.accept_waiting(by)
         if not shared:
             await self.listener.refuse_new()
-            await self.take_waiting(by)
+            await self.accept_waiting(by)
         await self.listener.close()
 
-    async def take_waiting(self, by: float) -> None:
+    async def accept_waiting(self, by: float) -> None:
         """Takes connections until none waits, or until that time of the loop."""
         assert self.listener is not None
         while (backlog := self.accept()) is not Backlog.EMPTY and self.loop.time() < by:
             self.listener.stop()
-            await asyncio.sleep(0 if backlog is Backlog.MORE else LOOK_AGAIN)
+            await asyncio.sleep(0 if backlog is Backlog.MORE else BACKLOG_RECHECK_S)
 
-    async def hand_over(self) -> None:
+    async def close_listener_at_once(self) -> None:
         """Takes no more: what waits on the listening socket is for the process that shares it."""
         assert self.listener is not None
-        self.leaving = True
+        self.draining = True
         await self.listener.close()
 
-    def stand(self, by: bool) -> None:
-        """Sends clients away, or takes them again.
+    def enter_standby(self) -> None:
+        """Sends clients away: the health check fails and each answer ends its connection.
 
-        Health says no and every answer ends its connection; those that stay idle are closed once clients
-        have had time to hear of it.
+        Idle connections are closed once clients have had time to notice.
         """
-        self.standing_by = self.stopping = self.leaving = by
-        self.stood_at = monotonic_us()
+        self.set_standby(True)
+
+    def leave_standby(self) -> None:
+        """Accepts clients again."""
+        self.set_standby(False)
+
+    def set_standby(self, standby: bool) -> None:
+        self.in_standby = self.health_check_failing = self.draining = standby
+        self.standby_since = monotonic_us()
 
     # ---- what connections owe -------------------------------------------------------------------------
 
-    def joined(self, caller: ClientConnection) -> None:
+    def connection_opened(self, caller: ClientConnection) -> None:
         self.open.add(caller)
         self.silent[caller] = monotonic_us()
 
-    def parted(self, caller: ClientConnection) -> None:
+    def connection_closed(self, caller: ClientConnection) -> None:
         self.open.discard(caller)
         self.descriptor_budget.client_connections -= 1
-        self.owes_nothing(caller)
-        self.ending.pop(caller, None)
-        self.lagging.pop(caller, None)
+        self.unmark(caller)
+        self.lingering.pop(caller, None)
+        self.slow_readers.pop(caller, None)
 
-    def found(self, status: int) -> None:
+    def count_bad_request(self, status: int) -> None:
         """Counts what was wrong with a caller."""
-        self.bad[status] = self.bad.get(status, 0) + 1
+        self.bad_requests[status] = self.bad_requests.get(status, 0) + 1
 
-    def owes(self, caller: ClientConnection) -> None:
+    def mark_receiving(self, caller: ClientConnection) -> None:
         """The caller has begun something that it must end in time."""
-        self.owes_nothing(caller)
-        self.owing[caller] = monotonic_us()
+        self.unmark(caller)
+        self.receiving[caller] = monotonic_us()
 
-    def owes_nothing(self, caller: ClientConnection) -> None:
-        for group in (self.silent, self.owing, self.resting):
+    def unmark(self, caller: ClientConnection) -> None:
+        for group in (self.silent, self.receiving, self.idle):
             group.pop(caller, None)
 
-    def rests(self, caller: ClientConnection) -> None:
-        self.owes_nothing(caller)
-        self.resting[caller] = monotonic_us()
+    def mark_idle(self, caller: ClientConnection) -> None:
+        self.unmark(caller)
+        self.idle[caller] = monotonic_us()
 
-    def lags(self, caller: ClientConnection) -> None:
-        self.owes_nothing(caller)
-        self.lagging[caller] = monotonic_us()
+    def mark_slow_reader(self, caller: ClientConnection) -> None:
+        self.unmark(caller)
+        self.slow_readers[caller] = monotonic_us()
 
-    def ends(self, caller: ClientConnection) -> None:
-        self.owes_nothing(caller)
-        self.ending[caller] = monotonic_us()
+    def mark_lingering(self, caller: ClientConnection) -> None:
+        self.unmark(caller)
+        self.lingering[caller] = monotonic_us()
 
     def sweep(self) -> None:
         """Ends what has gone on for too long.
@@ -255,30 +273,33 @@
         Guards against: connections that say nothing, or half a request, or read nothing, are held for good.
         """
         now = monotonic_us()
-        emptied = self.standing_by and now > self.stood_at + EMPTIED
-        for group, most in ((self.silent, EMPTIED // 2 if emptied else OWED), (self.owing, OWED)):
+        emptied = self.in_standby and now > self.standby_since + STANDBY_DRAIN_US
+        for group, most in (
+            (self.silent, STANDBY_DRAIN_US // 2 if emptied else RECEIVE_TIMEOUT_US),
+            (self.receiving, RECEIVE_TIMEOUT_US),
+        ):
             for caller in taken(group, now - most):
                 if caller.has_unread():
                     group[caller] = now  # what it owes has come in this turn
                 else:
                     caller.overdue()
-        for caller in taken(self.resting, now if emptied else now - RESTING):
+        for caller in taken(self.idle, now if emptied else now - IDLE_TIMEOUT_US):
             reason = CloseReason.STOP if emptied else CloseReason.IDLE
             if not caller.end_idle(reason) and caller.transport is not None:
-                self.rests(caller)
-        for group, most in ((self.ending, LINGER), (self.lagging, LAGGING)):
+                self.mark_idle(caller)
+        for group, most in ((self.lingering, LINGER_TIMEOUT_US), (self.slow_readers, SLOW_READER_TIMEOUT_US)):
             for caller in taken(group, now - most):
                 caller.abort(CloseReason.NOT_READ)
 
     def close_idle(self) -> None:
         """Closes connections that have had an answer and hold nothing; new ones may have a request coming."""
-        for caller in list(self.resting):
+        for caller in list(self.idle):
             caller.end_idle(CloseReason.STOP)
 
     def close_all(self) -> None:
         for caller in list(self.open):
             caller.close(CloseReason.STOP)
 
-    def busy(self) -> bool:
+    def has_open_requests(self) -> bool:
         """Whether a request that came whole has no answer yet, be it that nobody has read it."""
         return any(c.busy or c.queue or c.has_unread() for c in self.open)
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -19,7 +19,7 @@
 from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
 from harecross.discovery.subscription_schedule import discovery_terms
 from harecross.dispatch.dispatcher import RequestDispatcher, log_line
-from harecross.downstream.connection_manager import ACCEPTS, ConnectionManager
+from harecross.downstream.connection_manager import MAX_ACCEPTS_PER_TURN, ConnectionManager
 from harecross.http.request_parser import RequestReader
 from harecross.node.admin_operations import AdminOperations
 from harecross.node.admin_server import ROOM as DOOR_ROOM
@@ -35,7 +35,7 @@
 
 BACKLOG = 1024
 # Descriptors for connections about to be closed, two watches and those of discoveries that have been left, a file.
-RESERVE = ACCEPTS + 8 + FORMER_MOST
+RESERVE = MAX_ACCEPTS_PER_TURN + 8 + FORMER_MOST
 SOURCES = 24  # descriptors for DNS servers, files of addresses and kept sets, where there are any
 BODIES = 4  # one part in so many of the memory may hold callers' bodies
 SWEEP_EVERY = 0.25  # seconds
@@ -230,7 +230,7 @@
         self.client_connections.listen(sock, self.backlog)
         self.address = sock.getsockname()
         await self.first_word()
-        self.client_connections.begin()
+        self.client_connections.start_accepting()
         self.every(SWEEP_EVERY, self.sweep)
         gc.collect()
         gc.freeze()
@@ -284,7 +284,9 @@
         """Guards against: two processes that each take all that one may hold are over the limit together."""
         parts = 2 if self.others() else 1
         self.descriptor_budget.total = self.whole // parts
-        self.client_connections.held_most = bodies_part(self.bodies, parts, self.inherited is not None)
+        self.client_connections.max_buffered_body_bytes = bodies_part(
+            self.bodies, parts, self.inherited is not None
+        )
         self.pool.set_passing(self.bodies // 2 // parts)
 
     def reload(self) -> None:
@@ -342,20 +344,22 @@
         )
         if self.inherited is not None and self.others():
             log_line("another process serves on")
-            await self.client_connections.hand_over()
+            await self.client_connections.close_listener_at_once()
             while self.client_connections.open and self.loop.time() < began + times.close:
                 await asyncio.sleep(0.01)
             self.client_connections.close_idle()
         else:
-            self.client_connections.stopping = True
+            self.client_connections.health_check_failing = True
             await asyncio.sleep(times.leave)
-            self.client_connections.leaving = True
+            self.client_connections.draining = True
             self.client_connections.close_idle()
             await asyncio.sleep(max(0.0, began + times.close - self.loop.time()))
-            await self.client_connections.close(by=began + times.end, shared=self.inherited is not None)
+            await self.client_connections.drain_listener(
+                by=began + times.end, shared=self.inherited is not None
+            )
         if self.client_connections.open:
             await asyncio.sleep(LAST_REQUESTS)
-        while self.client_connections.busy():
+        while self.client_connections.has_open_requests():
             await asyncio.sleep(0.01)
         self.client_connections.close_all()
         self.discovery.listen(False)
@@ -404,7 +408,9 @@
             word = self.readiness.word(now, self.discovery.schedule)
             if word in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
                 lists[f"list_{word.value}"] = 1.0
-        self.dispatcher.report(self.client_connections.bad, self.client_connections.turned_away, lists)
+        self.dispatcher.report(
+            self.client_connections.bad_requests, self.client_connections.refused_connections, lists
+        )
 
 
 def read_operators(path: str) -> OperatorsFile:
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -93,7 +93,7 @@
     def learn(self) -> None:
         """Writes what this process has learned, now and then, until it is to stop."""
         now = self.loop.time()
-        if self.client_connections.leaving or now < self.learned_at + LEARN_EVERY:
+        if self.client_connections.draining or now < self.learned_at + LEARN_EVERY:
             return
         self.learned_at = now
         text = learned_state.learned(self.registry.dispatcher.balancer, self.registry.numbers)
@@ -119,8 +119,11 @@
             self.registry.hold(name)
         for name in back:
             self.registry.put_back(name)
-        if held.standby != self.client_connections.standing_by:
-            self.client_connections.stand(held.standby)
+        if held.standby != self.client_connections.in_standby:
+            if held.standby:
+                self.client_connections.enter_standby()
+            else:
+                self.client_connections.leave_standby()
 
     # ---- calls ----------------------------------------------------------------------------------------
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -338,7 +338,7 @@
 
 
 def test_a_caller_that_does_not_read_stops_the_server_and_is_put_out(monkeypatch):
-    monkeypatch.setattr(connection_manager, "LAGGING", 300_000)
+    monkeypatch.setattr(connection_manager, "SLOW_READER_TIMEOUT_US", 300_000)
     written, stopped = [0], asyncio.Event()
 
     async def pours(reader, writer) -> None:
@@ -467,7 +467,7 @@
             assert (await client.answer())[0] == 200
         assert bodies == [BIG, BIG]
         assert w.node.dispatcher.balancer.controller.in_flight == 0
-        assert w.node.client_connections.held == 0
+        assert w.node.client_connections.buffered_body_bytes == 0
 
     with_peers(test, taking(heads, bodies))
 
@@ -536,8 +536,8 @@
 
 
 def test_a_body_that_stops_half_way_ends_its_request(monkeypatch):
-    monkeypatch.setattr(connection_manager, "OWED", 100_000)
-    monkeypatch.setattr(client_connection, "OWED", 100_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT_US", 100_000)
     heads: list[bytes] = []
 
     async def test(w) -> None:
@@ -547,14 +547,17 @@
         assert status == 408 and b"Connection: close" in head
         await until(lambda: not (w.node.pool.open))
         assert not w.node.dispatcher.requests and w.node.dispatcher.answered["served"] == 0
-        assert w.node.dispatcher.balancer.controller.in_flight == 0 and w.node.client_connections.held == 0
+        assert (
+            w.node.dispatcher.balancer.controller.in_flight == 0
+            and w.node.client_connections.buffered_body_bytes == 0
+        )
 
     with_peers(test, taking(heads, []))
 
 
 def test_a_body_by_the_byte_is_cut_off(monkeypatch):
-    monkeypatch.setattr(connection_manager, "OWED", 60_000)
-    monkeypatch.setattr(client_connection, "OWED", 60_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 60_000)
+    monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT_US", 60_000)
 
     async def test(w) -> None:
         client = await w.client()
@@ -600,7 +603,7 @@
         client.writer.write(BIG[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
         assert (await client.answer())[0] == 200
-        assert bodies == [b"hi"] and w.node.client_connections.held == 0
+        assert bodies == [b"hi"] and w.node.client_connections.buffered_body_bytes == 0
 
     with_peers(test, taking([], bodies))
 
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -35,7 +35,7 @@
     client = Plain(w.node.address)
     client.send("/_health")
     assert await status(client) == 200
-    assert w.node.client_connections.resting
+    assert w.node.client_connections.idle
     return client
 
 
@@ -85,7 +85,7 @@
 
     async def test(w: World) -> None:
         client = await silent_client(w)
-        before(w.node.client_connections, "busy", lambda: client.send(*kind))
+        before(w.node.client_connections, "has_open_requests", lambda: client.send(*kind))
         w.node.stop_requested.set()
         assert await status(client) == 200
         await w.task
@@ -105,7 +105,7 @@
                 clients.append(Plain(w.node.address))
                 clients[-1].send(*kind)
 
-        before(w.node.client_connections, "close", come)
+        before(w.node.client_connections, "drain_listener", come)
         w.node.stop_requested.set()
         await w.task
         assert all([await status(c) in (200, 503) for c in clients]) and len(clients) == 40
@@ -116,9 +116,9 @@
 @every_kind
 @pytest.mark.parametrize("group", ["silent", "resting", "half a head"])
 def test_a_request_that_crosses_a_sweep(kind, group, monkeypatch):
-    monkeypatch.setattr(connection_manager, "RESTING", 300_000)
-    monkeypatch.setattr(connection_manager, "OWED", 300_000)
-    monkeypatch.setattr(client_connection, "OWED", 300_000)
+    monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT_US", 300_000)
 
     async def test(w: World) -> None:
         for origin in w.origins:
@@ -145,10 +145,10 @@
         real_tick = w.node.sweep
         while not old():
             await turns(2)
-            for held in (groups.silent, groups.owing, groups.resting):
+            for held in (groups.silent, groups.receiving, groups.idle):
                 if one in held:  # not swept before the crossing
                     held[one] = max(held[one], int((groups.loop.time() - 0.2) * 1e6))
-        for held in (groups.silent, groups.owing, groups.resting):
+        for held in (groups.silent, groups.receiving, groups.idle):
             if one in held:
                 held[one] -= 10_000_000
         real_tick()
@@ -164,7 +164,7 @@
             origin.answer_all()
         client, other = await served(w), await served(w)
         client.send(*kind)
-        assert w.node.client_connections.make_room()  # the oldest at rest, were it not for what lies on it
+        assert w.node.client_connections.evict_one()  # the oldest at rest, were it not for what lies on it
         assert await status(client) == 200
         assert await status(other) == 0
 
@@ -210,7 +210,7 @@
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.leave()
 
-        before(w.node.client_connections, "busy", reset)
+        before(w.node.client_connections, "has_open_requests", reset)
         w.node.stop_requested.set()
         await w.task
 
@@ -225,9 +225,9 @@
         client = await silent_client(w)
         groups = w.node.client_connections
         (one,) = groups.silent
-        groups.stand(True)
-        groups.stood_at -= connection_manager.EMPTIED + 1
-        groups.silent[one] -= connection_manager.EMPTIED
+        groups.enter_standby()
+        groups.standby_since -= connection_manager.STANDBY_DRAIN_US + 1
+        groups.silent[one] -= connection_manager.STANDBY_DRAIN_US
         client.send(*kind)
         groups.sweep()
         assert await status(client) == 200
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -48,8 +48,8 @@
 
 
 def test_half_heads_that_stay_make_room_and_slow_ones_are_served(monkeypatch):
-    monkeypatch.setattr(connection_manager, "STUCK", 1_000_000)
-    monkeypatch.setattr(connection_manager, "QUEUED", 20_000_000)
+    monkeypatch.setattr(connection_manager, "STALLED_HEAD_US", 1_000_000)
+    monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
     async def test(w) -> None:
         w.origins[0].answer_all()
@@ -82,30 +82,30 @@
 
 
 def test_a_new_connection_waits_for_a_place_and_is_served(monkeypatch):
-    monkeypatch.setattr(connection_manager, "QUEUED", 20_000_000)
+    monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
     async def test(w) -> None:
         w.node.descriptor_budget.client_connections += 1000  # all places are held by requests
         late = await w.client()
         late.send("/_health")
         answer = asyncio.create_task(late.answer())
-        await until(lambda: w.node.client_connections.short_since is not None)
-        assert not answer.done() and w.node.client_connections.turned_away == 0
+        await until(lambda: w.node.client_connections.budget_full_since is not None)
+        assert not answer.done() and w.node.client_connections.refused_connections == 0
         w.node.descriptor_budget.client_connections -= 1000
-        assert (await answer)[0] == 200 and w.node.client_connections.turned_away == 0
+        assert (await answer)[0] == 200 and w.node.client_connections.refused_connections == 0
 
     with_node(test)
 
 
 def test_a_new_connection_does_not_wait_for_good(monkeypatch):
-    monkeypatch.setattr(connection_manager, "QUEUED", 30_000)
+    monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 30_000)
 
     async def test(w) -> None:
         w.node.descriptor_budget.client_connections += 1000
         late = await w.client()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await late.answer()
-        assert w.node.client_connections.turned_away == 1
+        assert w.node.client_connections.refused_connections == 1
 
     with_node(test)
 
@@ -136,6 +136,6 @@
         new.send("/_health")
         assert (await new.answer())[0] == 200
         await until(lambda: w.node.descriptor_budget.client_connections == 6)
-        assert len(w.node.client_connections.resting) == 6
+        assert len(w.node.client_connections.idle) == 6
 
     with_node(test)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -228,7 +228,7 @@
 )
 def test_callers_that_stop_half_way_are_let_go(text, monkeypatch):
     """Silence and half requests held a connection, and its descriptor, for good."""
-    monkeypatch.setattr(connection_manager, "OWED", 100_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
         client = await w.client()
@@ -241,7 +241,7 @@
 
 
 def test_idle_connections_are_let_go(monkeypatch):
-    monkeypatch.setattr(connection_manager, "RESTING", 100_000)
+    monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
         client = await w.client()
@@ -255,7 +255,7 @@
 
 def test_a_caller_that_does_not_read_is_let_go(monkeypatch):
     """Its answers piled up in memory without bound."""
-    monkeypatch.setattr(connection_manager, "OWED", 300_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     full = asyncio.Event()
     pause = connection_manager.ClientConnection.pause_writing
     monkeypatch.setattr(
@@ -296,7 +296,7 @@
 
 def test_bodies_are_bounded_by_the_memory_limit():
     async def test(w: World) -> None:
-        assert w.node.client_connections.held_most == 1 << 18
+        assert w.node.client_connections.max_buffered_body_bytes == 1 << 18
         clients = [await w.client() for _ in range(5)]
         for client in clients:
             client.writer.write(b"POST /pay/1" + HEAD + b"Content-Length: 65536\r\n\r\n" + b"x" * 65535)
@@ -1062,7 +1062,7 @@
 
 
 def test_near_the_descriptor_limit_work_is_refused(monkeypatch):
-    monkeypatch.setattr(connection_manager, "YOUNG", 10**9)
+    monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
 
     async def test(w: World) -> None:
         clients = [await w.client() for _ in range(4)]
@@ -1086,7 +1086,7 @@
 
 def test_connections_beyond_the_limit_are_closed_at_once_and_usual_callers_last(monkeypatch):
     """Hundreds of connections that said nothing took every descriptor; then no server could be reached."""
-    monkeypatch.setattr(connection_manager, "YOUNG", 0)
+    monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 0)
 
     async def test(w: World) -> None:
         usual = await w.client()
@@ -1102,14 +1102,15 @@
         (await w.origins[0].arrived.get()).answer()
         assert (await usual.answer())[0] == 200
         # Where nothing may be put out, the newest is turned away and costs no more than that.
-        monkeypatch.setattr(connection_manager, "YOUNG", 10**9)
+        monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
         usual.send()
         at = await w.origins[0].arrived.get()
         extra = [await w.client() for _ in range(most)]
         with contextlib.suppress(ConnectionError):
             assert await extra[-1].reader.read() == b""
         assert (
-            w.node.client_connections.turned_away > 0 and w.node.descriptor_budget.client_connections <= most
+            w.node.client_connections.refused_connections > 0
+            and w.node.descriptor_budget.client_connections <= most
         )
         at.answer()
         assert (await usual.answer())[0] == 200
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -345,7 +345,7 @@
                 writer.write(b"POST /standby HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"[: 3 * i])
             assert (await tell(node, "/status"))[0] == 200
             assert len(node.operations.door.open) <= admin_server.ROOM
-            assert not node.client_connections.standing_by
+            assert not node.client_connections.in_standby
             for _, writer in silent:
                 writer.close()
 
@@ -379,7 +379,7 @@
 
 
 def test_a_standby_empties_the_node_and_active_fills_it_again(tmp_path, monkeypatch):
-    monkeypatch.setattr(connection_manager, "EMPTIED", 100_000)
+    monkeypatch.setattr(connection_manager, "STANDBY_DRAIN_US", 100_000)
 
     async def test(site: Site) -> None:
         async with site.node() as node:
@@ -426,7 +426,7 @@
             await tell(node, "/maintenance/enter", "s0")
             await tell(node, "/standby")
         async with site.node() as node:
-            assert node.client_connections.standing_by
+            assert node.client_connections.in_standby
             assert {await site.called() for _ in range(8)} == {1}
             assert (await tell(node, "/maintenance/exit", "s0"))[0] == 200
             assert (await tell(node, "/active"))[0] == 200
@@ -471,7 +471,7 @@
             at = await site.origins[0].arrived.get()
             async with site.node() as new:
                 old.stop_requested.set()
-                await until(lambda: old.client_connections.leaving)
+                await until(lambda: old.client_connections.draining)
                 # What comes now is the other's, also what lay in the backlog.
                 assert {await site.called() for _ in range(8)} == {0}
                 assert new.dispatcher.answered["served"] == 8 and old.dispatcher.answered["served"] == 1
@@ -492,7 +492,7 @@
     async def test(site: Site) -> None:
         async with site.node() as node:
             node.stop_requested.set()
-            await until(lambda: node.client_connections.stopping)
+            await until(lambda: node.client_connections.health_check_failing)
             assert await site.called() == 0
 
     with_site(test, tmp_path)
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -94,7 +94,7 @@
     client = await w.client()
     client.send("/_health")
     await client.answer()
-    assert w.node.client_connections.make_room()
+    assert w.node.client_connections.evict_one()
     await client.reader.read()
 
 
@@ -112,9 +112,9 @@
     ids=name_of,
 )
 def test_the_end_of_a_client_s_connection_has_its_reason(happens, reason, tmp_path, monkeypatch):
-    monkeypatch.setattr(connection_manager, "OWED", 500_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 500_000)
     if reason is CloseReason.IDLE:
-        monkeypatch.setattr(connection_manager, "RESTING", 100_000)
+        monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
         logged = Logged(w, tmp_path / "log")
