--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -122,8 +122,9 @@
     ),
     Mutation(
         "a stop does not wait for what is out",
-        "node/__main__.py",
-        "        while self.client_connections.has_open_requests():\n            await asyncio.sleep(0.01)\n",
+        "node/graceful_shutdown.py",
+        "        while self.parts.client_connections.has_open_requests():\n"
+        "            await asyncio.sleep(POLL_INTERVAL_S)\n",
         "",
     ),
     Mutation(
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -109,8 +109,9 @@
     """Seconds from a changed record to the box in the decision module of a real node."""
     from node_support import config_of
 
-    from harecross.node.__main__ import Node
     from harecross.node.config import config_from
+    from harecross.node.node import Node
+    from harecross.node.options import NodeOptions
     from harecross.sources.config import SourcesTable, Srv
     from harecross.sources.run import Sources
     from harecross.standins.dns import DnsServer
@@ -120,7 +121,9 @@
     server.put("box.example.org.", "A", "127.0.0.1", ttl=ttl)
     server.put(f"{name}.", "SRV", "0 1 1000 box.example.org.", ttl=ttl)
     table = SourcesTable(srv=(Srv(name),), resolvers=(server.address,), watch=False)
-    node = Node(config_from(config_of("127.0.0.1:1")), additional_sources=lambda d: Sources(table, d))
+    node = Node(
+        config_from(config_of("127.0.0.1:1")), NodeOptions(additional_sources=lambda d: Sources(table, d))
+    )
     task = asyncio.create_task(node.run())
     await node.started.wait()
     took, loop, rng = [], asyncio.get_running_loop(), Random(2)
@@ -137,7 +140,7 @@
         took.append(loop.time() - began)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    await node.additional_sources.stop()
+    await node.membership.additional_sources.stop()
     server.stop()
     return {
         "ttl_s": ttl,
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' door: a second address, one HTTP/1.1 call to a connection."""
+"""The operators' admin server: a second address that takes one HTTP/1.1 call on each connection."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from harecross.node.config import bind_socket
 from harecross.platform.system_errors import AcceptFailure
 
-ROOM = 8  # connections at once
-BACKLOG = 100  # connections that wait to be taken
-PATIENCE = 2.0  # seconds for a call to come whole
-CALL_MOST = 1 << 13  # bytes of a call
-TEXTS = {
+MAX_ADMIN_CONNECTIONS = 8
+LISTEN_BACKLOG = 100
+CALL_TIMEOUT_S = 2.0  # for a call to arrive as a whole
+MAX_CALL_BYTES = 1 << 13
+LOGGED_BODY_BYTES = 200
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -30,69 +31,74 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One call, from its connection's start to its end."""
+    """One connection, with the one call that comes on it."""
 
-    def __init__(self, door: AdminServer) -> None:
-        self.door = door
+    def __init__(self, server: AdminServer) -> None:
+        self.server = server
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.timeout: asyncio.TimerHandle | None = None
         self.url = self.body = b""
-        self.size = 0
-        self.done = False
+        self.received_bytes = 0
+        self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.timer = self.door.loop.call_later(PATIENCE, self.transport.abort)
-        self.door.joined(self)
+        self.timeout = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
+        self.server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.door.open.pop(self, None)
+        if self.timeout is not None:
+            self.timeout.cancel()
+        self.server.open.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        self.size += len(data)
-        if self.done:
+        self.received_bytes += len(data)
+        if self.answered:
             return
         try:
             self.parser.feed_data(data)
         except HttpParserError:
-            if not self.done:
+            if not self.answered:
                 self.answer((400, "not a call"))
             return
-        if not self.done and self.size > CALL_MOST:
+        if not self.answered and self.received_bytes > MAX_CALL_BYTES:
             self.answer((400, "too long"))
 
     def on_url(self, url: bytes) -> None:
+        """Called by the parser, perhaps with a part of the URL."""
         self.url += url
 
-    def on_body(self, body: bytes) -> None:
-        self.body += body
-
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Called by the parser for each header."""
         if name.lower() == b"expect" and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
+    def on_body(self, body: bytes) -> None:
+        """Called by the parser, perhaps with a part of the body."""
+        self.body += body
+
     def on_message_complete(self) -> None:
-        if not self.done:
-            self.answer(self.door.call(self.parser.get_method(), self.url, self.body))
+        """Called by the parser at the end of the call."""
+        if not self.answered:
+            self.answer(self.server.call(self.parser.get_method(), self.url, self.body))
 
     def answer(self, answer: AdminAnswer) -> None:
-        self.done = True
+        """Writes the answer. The client closes the connection; what it still sends until then is discarded."""
+        self.answered = True
         if self.transport is None:
             return
         status, text = answer
         self.transport.write(
             b"HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%s" % (status, TEXTS[status], len(text) + 1, text.encode() + b"\n")
+            b"Connection: close\r\n\r\n%s"
+            % (status, REASON_PHRASES[status], len(text) + 1, text.encode() + b"\n")
         )
-        # What the caller has still to say is read and thrown away until it closes, or its time is up.
         self.transport.write_eof()
 
 
 class AdminServer:
-    """The listener. `calls` holds what each method and path does."""
+    """The listener. `calls` maps a method and a path to what answers the call."""
 
     def __init__(self, calls: dict[tuple[bytes, bytes], AdminCall]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -102,47 +108,54 @@
         self.address: tuple[str, int] = ("", 0)
 
     async def listen(self, host: str, port: int) -> None:
-        """OSError where the address is not to be had."""
+        """Opens the listener. OSError if the address cannot be bound."""
         sock = bind_socket((host, port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         self.listener = Listener(sock, lambda waiting: AdminConnection(self), self.accept)
         self.listener.start()
         self.address = sock.getsockname()
 
     def accept(self) -> None:
+        """Accepts one connection that waits."""
         assert self.listener is not None
         connection = self.listener.take()
         if not isinstance(connection, AcceptFailure):
             self.listener.welcome(connection)
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         if self.listener is not None:
             self.listener.stop()
             self.listener.sock.close()
-        for caller in list(self.open):
-            if caller.transport is not None:
-                caller.transport.close()
-
-    def joined(self, caller: AdminConnection) -> None:
-        """Guards against: calls that never come whole hold every place, and an operator's waits for one."""
-        if len(self.open) >= ROOM:
-            oldest = next((c for c in self.open if c.done), next(iter(self.open)))
-            del self.open[oldest]
-            if oldest.transport is not None:
-                oldest.transport.abort()
-        self.open[caller] = None
+        for connection in list(self.open):
+            if connection.transport is not None:
+                connection.transport.close()
+
+    def connection_opened(self, connection: AdminConnection) -> None:
+        """Counts the connection; at the limit one that is answered, or else the oldest, is closed for it.
+
+        Calls that never arrive as a whole could take all places otherwise.
+        """
+        if len(self.open) >= MAX_ADMIN_CONNECTIONS:
+            evicted = next((c for c in self.open if c.answered), next(iter(self.open)))
+            del self.open[evicted]
+            if evicted.transport is not None:
+                evicted.transport.abort()
+        self.open[connection] = None
 
     def call(self, method: bytes, url: bytes, body: bytes) -> AdminAnswer:
+        """Carries out one call, and logs it unless it is a GET."""
         path, _, query = url.partition(b"?")
-        do = self.calls.get((method, path))
-        if do is None:
-            known = any(path == other for _, other in self.calls)
-            return (405, "another method") if known else (404, "no such call")
+        handler = self.calls.get((method, path))
+        if handler is None:
+            path_exists = any(path == known_path for _, known_path in self.calls)
+            return (405, "another method") if path_exists else (404, "no such call")
         try:
-            answer = do(query if method == b"GET" else body)
+            answer = handler(query if method == b"GET" else body)
         except Exception:
             log_exception("door")
             return 500, "failed: see the log"
         if method != b"GET":
-            log_line(f"door: {path.decode(errors='replace')} {body[:200]!r}: {answer[0]} {answer[1]}")
+            path_text, body_start = path.decode(errors="replace"), body[:LOGGED_BODY_BYTES]
+            log_line(f"door: {path_text} {body_start!r}: {answer[0]} {answer[1]}")
         return answer
--- /dev/null
+++ b/harecross/node/composition.py
@@ -0,0 +1,150 @@
+"""Builds the parts of a node from its configuration."""
+
+from __future__ import annotations
+
+import os
+from dataclasses import dataclass
+from time import monotonic
+
+from harecross.discovery.discovery_client import FORMER_MOST, DiscoveryClient
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.discovery.readiness import ListReadiness, longest_wait
+from harecross.discovery.subscription_schedule import discovery_terms
+from harecross.dispatch.dispatcher import RequestDispatcher
+from harecross.downstream.connection_manager import MAX_ACCEPTS_PER_TURN, ConnectionManager
+from harecross.http.request_parser import RequestReader
+from harecross.node.admin_operations import AdminOperations
+from harecross.node.admin_server import MAX_ADMIN_CONNECTIONS
+from harecross.node.config import Config, ConfigError
+from harecross.node.handover_store import HandoverStore
+from harecross.node.membership import Membership
+from harecross.node.options import AdditionalSources, NodeOptions
+from harecross.node.resource_shares import ResourceShares, request_body_bytes
+from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.upstream.connection_pool import ConnectionPool
+
+# Connections that are about to be closed, two watches and those of former discoveries, a file.
+RESERVED_DESCRIPTORS = MAX_ACCEPTS_PER_TURN + 8 + FORMER_MOST
+ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 4
+ADDITIONAL_SOURCES_DESCRIPTORS = 24  # DNS servers, endpoint files, stored lists
+MIN_CONNECTION_DESCRIPTORS = 16
+UNKNOWN_OPEN_DESCRIPTORS = 16  # assumed where /proc cannot be read
+BODY_MEMORY_DIVISOR = 4  # bodies may take this part of the memory limit
+
+
+@dataclass(frozen=True, slots=True)
+class NodeParts:
+    """The parts that live as long as the node."""
+
+    descriptor_budget: DescriptorBudget
+    pool: ConnectionPool
+    dispatcher: RequestDispatcher
+    registry: EndpointRegistry
+    membership: Membership
+    client_connections: ConnectionManager
+    resource_shares: ResourceShares
+    admin_operations: AdminOperations | None  # None without an admin address
+
+    def other_processes(self) -> int:
+        """How many other processes serve as this node."""
+        operations = self.admin_operations
+        return operations.store.other_processes() if operations is not None else 0
+
+    def divide_resources(self) -> None:
+        """Shares descriptors and memory with another process of this node, if one runs."""
+        self.resource_shares.divide(2 if self.other_processes() else 1)
+
+
+def build_parts(config: Config, options: NodeOptions) -> NodeParts:
+    """Builds a node's parts. ConfigError for a configuration that cannot be used."""
+    budget = DescriptorBudget(connection_descriptors(config, options))
+    pool = ConnectionPool(config.connect_timeout, config.idle_time, config.columns, budget)
+    dispatcher = RequestDispatcher(config.settings, config.seed, pool)
+    registry = EndpointRegistry(dispatcher, pool, config.zones, config.kinds)
+    if options.attempt_log:
+        open_attempt_log(config.name, options.attempt_log, dispatcher, registry)
+    membership = build_membership(config, options, dispatcher, registry)
+    client_connections, shares = build_client_connections(config, options, dispatcher, pool, budget)
+    operations = None
+    if config.admin is not None:
+        operations = build_admin_operations(config, options, registry, client_connections, membership)
+    return NodeParts(budget, pool, dispatcher, registry, membership, client_connections, shares, operations)
+
+
+def connection_descriptors(config: Config, options: NodeOptions) -> int:
+    """How many descriptors client and upstream connections may have; the others are kept for the node itself."""
+    reserved = RESERVED_DESCRIPTORS
+    if config.admin:
+        reserved += ADMIN_DESCRIPTORS
+    if options.additional_sources is not None:
+        reserved += ADDITIONAL_SOURCES_DESCRIPTORS
+    return max(MIN_CONNECTION_DESCRIPTORS, config.sockets - open_descriptors() - reserved)
+
+
+def open_descriptors() -> int:
+    """How many descriptors this process has open."""
+    try:
+        return len(os.listdir("/proc/self/fd"))
+    except OSError:
+        return UNKNOWN_OPEN_DESCRIPTORS
+
+
+def open_attempt_log(
+    node_name: str, target: str, dispatcher: RequestDispatcher, registry: EndpointRegistry
+) -> None:
+    """Has the dispatcher write its attempts to a file, or to standard error for "-"."""
+    from harecross.follow.attempts import AttemptLog
+
+    try:
+        dispatcher.trace = AttemptLog(node_name, target, registry.numbers)
+    except OSError as error:
+        raise ConfigError(f"log.attempts {target}: {error.strerror}") from None
+
+
+def build_membership(
+    config: Config, options: NodeOptions, dispatcher: RequestDispatcher, registry: EndpointRegistry
+) -> Membership:
+    """The sources of the endpoint list, connected to the dispatcher."""
+    sources: AdditionalSources | None = None
+    if options.additional_sources is not None:
+        sources = options.additional_sources(registry)
+    terms = discovery_terms(config.settings)
+    discovery = DiscoveryClient(registry, config.discovery, terms, sources, config.seed)
+    readiness = ListReadiness(monotonic(), longest_wait(discovery.terms))
+    dispatcher.readiness = readiness
+    membership = Membership(discovery, readiness, sources)
+    dispatcher.on_watch, dispatcher.on_fetch = membership.set_watch, membership.poll
+    return membership
+
+
+def build_client_connections(
+    config: Config,
+    options: NodeOptions,
+    dispatcher: RequestDispatcher,
+    pool: ConnectionPool,
+    budget: DescriptorBudget,
+) -> tuple[ConnectionManager, ResourceShares]:
+    """The client side, and what divides its budgets among processes."""
+    body_bytes = config.memory // BODY_MEMORY_DIVISOR
+    shared = options.inherited_listener is not None
+    reader = RequestReader(config.settings, config.classes, config.tenants)
+    manager = ConnectionManager(dispatcher, reader, budget, request_body_bytes(body_bytes, 1, shared=shared))
+    shares = ResourceShares(budget, pool, manager, body_bytes, listener_is_shared=shared)
+    shares.divide(1)
+    return manager, shares
+
+
+def build_admin_operations(
+    config: Config,
+    options: NodeOptions,
+    registry: EndpointRegistry,
+    client_connections: ConnectionManager,
+    membership: Membership,
+) -> AdminOperations:
+    """The operators' calls."""
+    store = HandoverStore(options.state_folder, config.name)
+    operations = AdminOperations(store, registry, client_connections, membership.has_current_list)
+    if membership.additional_sources is not None:
+        operations.add_sources_call(membership.additional_sources.explain)
+        membership.additional_sources.follow(operations.apply_maintenance)
+    return operations
--- a/harecross/node/config.py
+++ b/harecross/node/config.py
@@ -1,4 +1,4 @@
-"""The configuration: read at the start, and again on SIGHUP."""
+"""The configuration file: read at the start, and again on SIGHUP."""
 
 from __future__ import annotations
 
@@ -12,14 +12,20 @@
 from harecross.interface import Settings
 from harecross.settings import Table, address, settings_from
 
+DEFAULT_MAX_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 256
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+DEFAULT_IDLE_TIMEOUT_US = 15_000_000
+ADDRESS_VARIABLES = {"listen": "LB_LISTEN", "discovery": "LB_DISCOVERY", "admin": "LB_ADMIN"}
+
 
 class ConfigError(Exception):
-    """A configuration that the node cannot work with."""
+    """A configuration that the node cannot use; the text names the file or the key."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """What the node is told. `raw` is the object it was read from."""
+    """The node's configuration. `raw` is the JSON object it was read from."""
 
     name: str
     listen: tuple[str, int]
@@ -28,8 +34,8 @@
     seed: int
     sockets: int
     memory: int  # bytes
-    connect_timeout: int
-    idle_time: int
+    connect_timeout: int  # microseconds
+    idle_time: int  # microseconds
     columns: Sequence[str]
     classes: Sequence[str]
     tenants: Sequence[str]
@@ -41,6 +47,7 @@
 
 
 def address_in(raw: dict[str, Any], key: str) -> tuple[str, int]:
+    """The address under a key. ConfigError if there is none."""
     value = raw.get(key)
     if not isinstance(value, str):
         raise ConfigError(f"{key} is not set")
@@ -51,64 +58,64 @@
 
 
 def config_from(raw: Any) -> Config:
-    """The configuration in a parsed object; BadConfig tells what is wrong with it."""
+    """The configuration in a parsed JSON value. ConfigError if it cannot be used."""
     if not isinstance(raw, dict):
         raise ConfigError("not an object")
     try:
         settings = settings_from(raw.get("settings"))
-        env = Table(raw.get("settings"))
-        limits = env.table("policy_limits")
-        report = env.table("report", {})
+        environment = Table(raw.get("settings"))
+        policy_limits = environment.table("policy_limits")
+        report = environment.table("report", {})
         return Config(
             name=str(raw.get("name") or "node"),
             listen=address_in(raw, "listen"),
             admin=address_in(raw, "admin") if raw.get("admin") else None,
             discovery=address_in(raw, "discovery"),
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=Table(raw).table("limits", {}).whole("sockets", 1024),
-            memory=Table(raw).table("limits", {}).whole("memory_mb", 256) << 20,
-            connect_timeout=limits.whole("connect_timeout", 250_000),
-            idle_time=limits.whole("conn_idle", 15_000_000),
+            sockets=Table(raw).table("limits", {}).whole("sockets", DEFAULT_MAX_SOCKETS),
+            memory=Table(raw).table("limits", {}).whole("memory_mb", DEFAULT_MEMORY_MB) << 20,
+            connect_timeout=policy_limits.whole("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
+            idle_time=policy_limits.whole("conn_idle", DEFAULT_IDLE_TIMEOUT_US),
             columns=report.texts("columns") if report.text("how", "off") != "off" else [],
-            classes=[c.text("name") for c in env.tables("classes")],
-            tenants=[t.text("name") for t in env.tables("tenants", [])],
-            zones=env.texts("dcs"),
-            kinds=env.texts("kinds"),
+            classes=[c.text("name") for c in environment.tables("classes")],
+            tenants=[t.text("name") for t in environment.tables("tenants", [])],
+            zones=environment.texts("dcs"),
+            kinds=environment.texts("kinds"),
             settings=settings,
             known=raw.get("known"),
             raw=raw,
         )
-    except ValueError as e:
-        raise ConfigError(str(e)) from None
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
 
 
-def read_config(again: bool = False) -> Config:
-    """The file that LB_CONFIG names.
+def read_config(*, again: bool = False) -> Config:
+    """The configuration in the file that LB_CONFIG names. ConfigError if it cannot be used.
 
-    At the start the variables go before the file; when it is read again only the file counts.
-    Guards against: a file that names a new discovery is overruled by the variable the process began with.
+    At the start the variables for addresses override the file. When it is read `again` only the file counts, because
+    it may name a new discovery that the variable would override.
     """
     path = os.environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
-        with open(path, "rb") as f:
-            raw = json.load(f)
-    except OSError as e:
-        raise ConfigError(f"{path}: {e.strerror}") from None
-    except (ValueError, RecursionError) as e:
-        raise ConfigError(f"{path}: not JSON: {e}") from None
+        with open(path, "rb") as file:
+            raw = json.load(file)
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"{path}: not JSON: {error}") from None
     if isinstance(raw, dict) and not again:
-        for key, name in (("listen", "LB_LISTEN"), ("discovery", "LB_DISCOVERY"), ("admin", "LB_ADMIN")):
-            raw[key] = os.environ.get(name) or raw.get(key)
+        for key, variable in ADDRESS_VARIABLES.items():
+            raw[key] = os.environ.get(variable) or raw.get(key)
     try:
         return config_from(raw)
-    except ConfigError as e:
-        raise ConfigError(f"{path}: {e}") from None
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
 
 
 def bind_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket at the address, not listening yet. OSError where the address is not to be had."""
+    """A socket bound to the address, not listening yet. OSError if the address cannot be bound."""
     sock = socket.socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -119,15 +126,15 @@
     return sock
 
 
-def inherited_socket() -> socket.socket | None:
-    """The clients' listening socket where LB_INHERITED_FD names one that the parent holds."""
+def inherited_listener() -> socket.socket | None:
+    """The clients' listening socket, if LB_INHERITED_FD names one of the parent. ConfigError if it is none."""
     text = os.environ.get("LB_INHERITED_FD")
     if not text:
         return None
     try:
         sock = socket.socket(fileno=int(text))
-    except (ValueError, OSError) as e:
-        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not an open socket: {e}") from None
+    except (ValueError, OSError) as error:
+        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not an open socket: {error}") from None
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         raise ConfigError(f"LB_INHERITED_FD: {text!r} is a socket that does not listen")
     return sock
--- /dev/null
+++ b/harecross/node/graceful_shutdown.py
@@ -0,0 +1,102 @@
+"""The graceful shutdown of a node: it serves until others have taken over, and answers all that it received."""
+
+from __future__ import annotations
+
+import asyncio
+
+from harecross.dispatch.dispatcher import log_line
+from harecross.node.composition import NodeParts
+from harecross.node.config import Config
+from harecross.node.options import NodeOptions
+from harecross.node.shutdown_schedule import (
+    LAST_REQUESTS_S,
+    ShutdownSchedule,
+    shutdown_schedule,
+)
+from harecross.platform.clock import monotonic_us
+
+FLUSH_TIMEOUT_S = 0.3  # for answers that are still being written
+POLL_INTERVAL_S = 0.01
+
+
+class GracefulShutdown:
+    """One shutdown, by the times of a `ShutdownSchedule`.
+
+    A node that closed its connections at once would serve nobody until its restart, and where the neighbouring node
+    restarts at the same time its clients would have no node at all.
+    """
+
+    def __init__(self, config: Config, options: NodeOptions, parts: NodeParts) -> None:
+        self.config = config
+        self.options = options
+        self.parts = parts
+        self.loop = asyncio.get_running_loop()
+        self.began_at = self.loop.time()
+
+    async def run(self) -> None:
+        """Returns once everything that was received has its answer and all parts but the admin server are closed."""
+        schedule = self.start()
+        if self.options.inherited_listener is not None and self.parts.other_processes():
+            await self.leave_listener_to_other_process(schedule)
+        else:
+            await self.drain_listener(schedule)
+        await self.wait_for_open_requests()
+        self.parts.client_connections.close_all()
+        await self.close_sources_and_servers()
+        await self.flush_answers()
+
+    def start(self) -> ShutdownSchedule:
+        """Plans the shutdown and tells the dispatcher by when late requests must be answered."""
+        longest_deadline_us = max(c.deadline for c in self.config.settings.classes)
+        dispatcher = self.parts.dispatcher
+        schedule = shutdown_schedule(longest_deadline_us / 1e6, dispatcher.usual_time())
+        log_line(
+            f"stopping: no more is taken after {schedule.close_listener_s:.1f} s, "
+            f"what came late is over after {schedule.deadline_s:.1f} s"
+        )
+        now = monotonic_us()
+        self.began_at = self.loop.time()
+        dispatcher.shutdown_deadline_from = now + int(schedule.deadline_from_s * 1e6)
+        dispatcher.shutdown_deadline = now + int(schedule.deadline_s * 1e6)
+        return schedule
+
+    async def leave_listener_to_other_process(self, schedule: ShutdownSchedule) -> None:
+        """Accepts nothing more: another process has the same listening socket."""
+        log_line("another process serves on")
+        connections = self.parts.client_connections
+        await connections.close_listener_at_once()
+        while connections.open and self.loop.time() < self.began_at + schedule.close_listener_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        connections.close_idle()
+
+    async def drain_listener(self, schedule: ShutdownSchedule) -> None:
+        """Fails health checks, drains the connections, and closes the listener once no more connections come."""
+        connections = self.parts.client_connections
+        connections.health_check_failing = True
+        await asyncio.sleep(schedule.drain_connections_s)
+        connections.draining = True
+        connections.close_idle()
+        await asyncio.sleep(max(0.0, self.began_at + schedule.close_listener_s - self.loop.time()))
+        await connections.drain_listener(
+            by=self.began_at + schedule.deadline_s, shared=self.options.inherited_listener is not None
+        )
+
+    async def wait_for_open_requests(self) -> None:
+        """Returns once every request that was received has its answer."""
+        if self.parts.client_connections.open:
+            await asyncio.sleep(LAST_REQUESTS_S)
+        while self.parts.client_connections.has_open_requests():
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def close_sources_and_servers(self) -> None:
+        """Closes the watch, the additional sources, the upstream connections and the embedded service."""
+        await self.parts.membership.stop()
+        self.parts.pool.shut()
+        if self.options.embedded_service is not None:
+            await self.options.embedded_service.stop()
+
+    async def flush_answers(self) -> None:
+        """Waits a moment until clients have taken their last answers."""
+        end = self.loop.time() + FLUSH_TIMEOUT_S
+        while self.parts.client_connections.open and self.loop.time() < end:
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/harecross/node/handover_store.py
+++ b/harecross/node/handover_store.py
@@ -1,7 +1,7 @@
-"""What one process leaves to the next: a small file for what is held out, and a lock that says who lives.
+"""What one process of a node leaves to the next: maintenance state, learned state, and a lock for each live process.
 
-A file is replaced whole by a rename, under a lock, so that a kill at any moment leaves the old state or
-the new one. Locks are the kernel's: a killed process holds none.
+A file is replaced as a whole by a rename, under a lock, so that a kill at any moment leaves the old state or the new
+one. The locks are the kernel's: a killed process holds none.
 """
 
 from __future__ import annotations
@@ -16,137 +16,142 @@
 from pathlib import Path
 
 from harecross.dispatch.dispatcher import log_line
-from harecross.node.maintenance import MaintenanceState, from_json
+from harecross.node.maintenance import MaintenanceState
 from harecross.platform.durable_file import replace_file
 
-LEARNED_FRESH = 5.0  # seconds after which what was learned no longer holds
+LEARNED_STATE_MAX_AGE_S = 5.0
 
 
 class HandoverStore:
-    """What is held out, in `folder`, for the node of that name. Without a folder it lives in memory alone."""
+    """The files of one node name in `folder`. Without a folder the maintenance state is in memory alone."""
 
     def __init__(self, folder: str | None, name: str) -> None:
         self.name = name
-        self.held = MaintenanceState()
-        self.seen: tuple[int, int] | None = None  # inode and time of the file as last read
-        plain = re.sub(r"[^A-Za-z0-9._-]", "_", name)
-        self.path = Path(folder) / f"harecross-{plain}.held" if folder else None
-        self.learned = Path(folder) / f"harecross-{plain}.learned" if folder else None
-        self.start = f"harecross-{plain}.life-"
-        self.lives = Path(folder) / f"{self.start}{secrets.token_hex(6)}" if folder else None
-        self.life: int | None = None
-
-    # ---- what is held out -----------------------------------------------------------------------------
+        self.maintenance = MaintenanceState()
+        self.file_version: tuple[int, int] | None = (
+            None  # inode and modification time of the file as last read
+        )
+        stem = f"harecross-{re.sub(r'[^A-Za-z0-9._-]', '_', name)}"
+        self.process_lock_prefix = f"{stem}.life-"
+        self.maintenance_path = Path(folder) / f"{stem}.held" if folder else None
+        self.learned_state_path = Path(folder) / f"{stem}.learned" if folder else None
+        self.process_lock_path = (
+            Path(folder) / f"{self.process_lock_prefix}{secrets.token_hex(6)}" if folder else None
+        )
+        self.process_lock: int | None = None  # the descriptor of the locked file
 
-    def look(self) -> bool:
-        """Reads the file again where it is another one; whether anything changed.
+    # ---- maintenance state ----------------------------------------------------------------------------
 
-        Guards against: what one process was told while two run is not known to the other.
-        """
-        if self.path is None:
+    def refresh(self) -> bool:
+        """Reads the file if another process has replaced it; returns whether the state has changed."""
+        if self.maintenance_path is None:
             return False
         try:
-            stat = self.path.stat()
-            seen = (stat.st_ino, stat.st_mtime_ns)
-            if seen == self.seen:
+            stat = self.maintenance_path.stat()
+            version = (stat.st_ino, stat.st_mtime_ns)
+            if version == self.file_version:
                 return False
-            held = from_json(self.path.read_bytes())
+            maintenance = MaintenanceState.from_json(self.maintenance_path.read_bytes())
         except FileNotFoundError:
             return False
-        except (OSError, ValueError) as e:
-            log_line(f"{self.path}: cannot be read, what was held stays: {e}")
+        except (OSError, ValueError) as error:
+            log_line(f"{self.maintenance_path}: cannot be read, what was held stays: {error}")
             return False
-        self.seen = seen
-        changed, self.held = held != self.held, held
+        self.file_version = version
+        changed, self.maintenance = maintenance != self.maintenance, maintenance
         return changed
 
-    def change(self, make: Callable[[MaintenanceState], MaintenanceState]) -> None:
-        """Changes the state, and has written it when this returns. OSError where it cannot be written."""
-        if self.path is None:
-            self.held = make(self.held)
+    def update(self, change: Callable[[MaintenanceState], MaintenanceState]) -> None:
+        """Changes the state; it is on disk when this returns. OSError if it cannot be written."""
+        if self.maintenance_path is None:
+            self.maintenance = change(self.maintenance)
             return
-        with locked(self.path.with_suffix(".lock")):
-            # Guards against: two processes that change it at once each undo the other's change.
-            self.look()
-            held = make(self.held)
-            # Guards against: what an operator was promised is undone by a crash, or by a disk that is full.
-            replace_file(self.path, held.to_json(), self.path.with_suffix(".new"))
-            self.look()
-
-    # ---- what was learned -----------------------------------------------------------------------------
-
-    def write_learned(self, text: bytes) -> None:
-        """Leaves it to the process that takes over; what cannot be written is not missed for long."""
-        if self.learned is not None:
-            new = self.learned.with_suffix(".learning")
+        with exclusive_lock(self.maintenance_path.with_suffix(".lock")):
+            # Another process may have changed the file: its change must not be undone.
+            self.refresh()
+            maintenance = change(self.maintenance)
+            replace_file(
+                self.maintenance_path, maintenance.to_json(), self.maintenance_path.with_suffix(".new")
+            )
+            self.refresh()
+
+    # ---- learned state --------------------------------------------------------------------------------
+
+    def write_learned_state(self, snapshot: bytes) -> None:
+        """Leaves a snapshot to the process that takes over. A failure is ignored: the next snapshot follows soon."""
+        if self.learned_state_path is not None:
+            new = self.learned_state_path.with_suffix(".learning")
             with suppress(OSError):
-                new.write_bytes(b"%d\n%s" % (time.monotonic_ns(), text))
-                os.replace(new, self.learned)
+                new.write_bytes(b"%d\n%s" % (time.monotonic_ns(), snapshot))
+                os.replace(new, self.learned_state_path)
 
-    def read_learned(self) -> bytes | None:
-        """What another process has just written, if there is one.
+    def read_learned_state(self) -> bytes | None:
+        """A snapshot that another live process has written a moment ago; None if there is none.
 
-        It lives, so the machine has not started again since: both processes have one monotonic clock.
+        The other process is alive, so the machine has not restarted and both processes have one monotonic clock.
         """
-        if self.learned is None or not self.others():
+        if self.learned_state_path is None or not self.other_processes():
             return None
         try:
-            written, _, text = self.learned.read_bytes().partition(b"\n")
-            age = (time.monotonic_ns() - int(written)) / 1e9
+            written_ns, _, snapshot = self.learned_state_path.read_bytes().partition(b"\n")
+            age_s = (time.monotonic_ns() - int(written_ns)) / 1e9
         except (OSError, ValueError):
             return None
-        return text if 0 <= age < LEARNED_FRESH else None
-
-    # ---- who lives ------------------------------------------------------------------------------------
-
-    def live(self) -> None:
-        """Says that this process serves, for as long as it lives. OSError where it cannot be said."""
-        if self.lives is not None and self.life is None:
-            # Guards against: a file that is not locked yet is taken for a dead process's and cleared away.
-            new = self.lives.with_name(f".{self.lives.name}")
-            self.life = os.open(new, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.life, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            os.rename(new, self.lives)
-
-    def leave(self) -> None:
-        """Says that it serves no longer."""
-        if self.life is not None and self.lives is not None:
-            self.lives.unlink(missing_ok=True)
-            os.close(self.life)
-            self.life = None
-
-    def others(self) -> int:
+        return snapshot if 0 <= age_s < LEARNED_STATE_MAX_AGE_S else None
+
+    # ---- processes ------------------------------------------------------------------------------------
+
+    def acquire_process_lock(self) -> None:
+        """Registers this process for as long as it lives. OSError if the file cannot be made."""
+        if self.process_lock_path is None or self.process_lock is not None:
+            return
+        # Locked before it has its name, because a file without a lock is taken for a dead process's and removed.
+        new = self.process_lock_path.with_name(f".{self.process_lock_path.name}")
+        self.process_lock = os.open(new, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        fcntl.flock(self.process_lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        os.rename(new, self.process_lock_path)
+
+    def release_process_lock(self) -> None:
+        """Removes this process from those that serve."""
+        if self.process_lock is not None and self.process_lock_path is not None:
+            self.process_lock_path.unlink(missing_ok=True)
+            os.close(self.process_lock)
+            self.process_lock = None
+
+    def other_processes(self) -> int:
         """How many other processes serve under this node's name."""
-        if self.lives is None:
+        own = self.process_lock_path
+        if own is None:
             return 0
         return sum(
-            name.startswith(self.start) and name != self.lives.name and alive(self.lives.with_name(name))
-            for name in os.listdir(self.lives.parent)
+            name.startswith(self.process_lock_prefix) and name != own.name and is_locked(own.with_name(name))
+            for name in os.listdir(own.parent)
         )
 
 
-def alive(path: Path) -> bool:
-    """Whether a process holds the lock on the file; what a killed one has left is cleared away."""
+def is_locked(path: Path) -> bool:
+    """Whether a live process holds the lock on the file. The file of a dead process is removed."""
     try:
-        file = os.open(path, os.O_RDWR | os.O_CLOEXEC)
+        descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except OSError:
         return False
     try:
-        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         return True
     else:
         path.unlink(missing_ok=True)
         return False
     finally:
-        os.close(file)
+        os.close(descriptor)
 
 
 @contextmanager
-def locked(path: Path) -> Iterator[None]:
-    file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+def exclusive_lock(path: Path) -> Iterator[None]:
+    """Holds an exclusive lock on the file, which is created if it does not exist."""
+    descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
-        fcntl.flock(file, fcntl.LOCK_EX)
+        fcntl.flock(descriptor, fcntl.LOCK_EX)
         yield
     finally:
-        os.close(file)
+        os.close(descriptor)
--- a/harecross/node/maintenance.py
+++ b/harecross/node/maintenance.py
@@ -1,4 +1,4 @@
-"""What operators hold out of service by hand: servers, and the node itself. Free of I/O."""
+"""What operators have taken out of service by hand: servers, and the node itself. Free of I/O."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceState:
-    """One state of what is held out; a change makes a new one. `out` holds servers' ids."""
+    """The ids of the servers in maintenance, and whether the node is in standby. Immutable."""
 
-    out: frozenset[str] = field(default_factory=frozenset)
+    servers: frozenset[str] = field(default_factory=frozenset)
     standby: bool = False
 
-    def enter(self, server: str) -> MaintenanceState:
-        """With the server out. Taken out twice it is out once: one call puts it back."""
-        return replace(self, out=self.out | {server})
+    def with_server(self, server: str) -> MaintenanceState:
+        """With the server in maintenance. Entering twice is the same as once: one exit ends it."""
+        return replace(self, servers=self.servers | {server})
 
-    def exit(self, server: str) -> MaintenanceState:
-        """With the server back."""
-        return replace(self, out=self.out - {server})
+    def without_server(self, server: str) -> MaintenanceState:
+        """With the server in use again."""
+        return replace(self, servers=self.servers - {server})
 
-    def stand(self, by: bool) -> MaintenanceState:
-        """With the node standing by, or active."""
-        return replace(self, standby=by)
+    def with_standby(self, *, standby: bool) -> MaintenanceState:
+        """With the node in standby, or active."""
+        return replace(self, standby=standby)
 
     def to_json(self) -> bytes:
-        """What `from_json` reads."""
-        return json.dumps({"out": sorted(self.out), "standby": self.standby}).encode()
-
-
-def from_json(text: bytes) -> MaintenanceState:
-    """The state in a file. ValueError for anything else than what `to_json` writes."""
-    raw: Any = json.loads(text)
-    if not isinstance(raw, dict):
-        raise ValueError("not an object")
-    out, standby = raw.get("out"), raw.get("standby")
-    if not isinstance(out, list) or not all(isinstance(name, str) for name in out):
-        raise ValueError("`out` is no list of ids")
-    if not isinstance(standby, bool):
-        raise ValueError("`standby` is neither true nor false")
-    return MaintenanceState(frozenset(out), standby)
-
-
-def difference(old: Iterable[str], new: Iterable[str]) -> tuple[list[str], list[str]]:
-    """Ids to take out and ids to put back, each in order."""
-    before, after = set(old), set(new)
+        """The content of the stored file, which `from_json` reads."""
+        return json.dumps({"out": sorted(self.servers), "standby": self.standby}).encode()
+
+    @classmethod
+    def from_json(cls, text: bytes) -> MaintenanceState:
+        """The state in a stored file. ValueError for anything that `to_json` does not write."""
+        raw: Any = json.loads(text)
+        if not isinstance(raw, dict):
+            raise ValueError("not an object")
+        servers, standby = raw.get("out"), raw.get("standby")
+        if not isinstance(servers, list) or not all(isinstance(name, str) for name in servers):
+            raise ValueError("`out` is no list of ids")
+        if not isinstance(standby, bool):
+            raise ValueError("`standby` is neither true nor false")
+        return cls(frozenset(servers), standby)
+
+
+def maintenance_changes(current: Iterable[str], wanted: Iterable[str]) -> tuple[list[str], list[str]]:
+    """The ids that enter maintenance and the ids that leave it, each in order."""
+    before, after = set(current), set(wanted)
     return sorted(after - before), sorted(before - after)
--- /dev/null
+++ b/harecross/node/membership.py
@@ -0,0 +1,99 @@
+"""The endpoint list of one node: the platform's watch, and additional sources where there are any."""
+
+from __future__ import annotations
+
+import asyncio
+from time import monotonic
+from typing import Any
+
+from harecross.discovery.discovery_client import DiscoveryClient
+from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
+from harecross.dispatch.dispatcher import log_line
+from harecross.node.options import AdditionalSources
+
+
+class Membership:
+    """Starts and stops the sources of the endpoint list, and knows whether the list is current."""
+
+    def __init__(
+        self,
+        discovery: DiscoveryClient,
+        readiness: ListReadiness,
+        additional_sources: AdditionalSources | None,
+    ) -> None:
+        self.discovery = discovery
+        self.readiness = readiness
+        self.additional_sources = additional_sources
+        self.first_list_received = asyncio.Event()
+        discovery.on_word = self.list_received
+
+    def watches_platform(self) -> bool:
+        """Whether the platform's watch is a source."""
+        return self.additional_sources is None or self.additional_sources.watches
+
+    def has_current_list(self) -> bool:
+        """Whether any source has sent its list to this process."""
+        return self.discovery.heard or self.additional_list_is_current()
+
+    def additional_list_is_current(self) -> bool:
+        """Whether the list of the additional sources can be relied on."""
+        return self.additional_sources is not None and self.additional_sources.heard
+
+    def list_received(self) -> None:
+        """Notes that the present list was received by this process, and not kept from an earlier one."""
+        if not self.first_list_received.is_set():
+            self.readiness.told()
+            self.first_list_received.set()
+
+    def start(self, known_list: Any) -> None:
+        """Starts the additional sources; `start_watch` follows. `known_list` is the configuration's, or None."""
+        if known_list is not None:
+            self.use_known_list(known_list)
+        if self.additional_sources is not None:
+            self.additional_sources.start()
+
+    def use_known_list(self, known_list: Any) -> None:
+        """Uses the list of the configuration until a source sends its own."""
+        try:
+            self.discovery.begin(known_list)
+            self.readiness.remembered()
+        except ValueError as error:
+            log_line(f"known: {error}")
+
+    def start_watch(self, other_processes: int) -> None:
+        """Opens the watch where endpoints are pushed, and sets how long a start waits for the first list."""
+        if not self.discovery.asked:
+            self.set_watch(True)
+        if not self.watches_platform():
+            self.list_received()  # the lists kept of the additional sources are used from the start
+        elif other_processes:
+            self.readiness.until = monotonic() + longest_wait(self.discovery.terms, beside=True)
+
+    def set_watch(self, enabled: bool) -> None:
+        """Opens or closes the platform's watch."""
+        if self.watches_platform() or not enabled:
+            self.discovery.listen(enabled)
+
+    def poll(self) -> None:
+        """Queries the sources once."""
+        if self.additional_sources is None or self.additional_sources.watches:
+            self.discovery.fetch()
+        else:
+            self.additional_sources.again()
+
+    async def stop(self) -> None:
+        """Closes the watch and stops the additional sources."""
+        self.discovery.listen(False)
+        if self.additional_sources is not None:
+            await self.additional_sources.stop()
+
+    def figures(self) -> dict[str, float]:
+        """The report line's figures on the age of the list."""
+        if not self.watches_platform():
+            return {}
+        now = monotonic()
+        figures = self.discovery.schedule.figures(now)
+        freshness = self.readiness.word(now, self.discovery.schedule)
+        if freshness in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
+            figures[f"list_{freshness.value}"] = 1.0
+        return figures
--- /dev/null
+++ b/harecross/node/node.py
@@ -0,0 +1,143 @@
+"""The lifecycle of a node: start, serve, reload on SIGHUP, graceful shutdown on SIGTERM and SIGINT."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import signal
+import socket
+
+from harecross.dispatch.dispatcher import log_line
+from harecross.node.admin_operations import AdminOperations
+from harecross.node.composition import build_parts
+from harecross.node.config import Config, ConfigError, bind_socket
+from harecross.node.graceful_shutdown import GracefulShutdown
+from harecross.node.options import NodeOptions
+from harecross.node.reload import reload_configuration
+from harecross.node.sweeper import Sweeper
+
+# For the first list, so that requests that come during the start are not answered by an older list.
+FIRST_LIST_TIMEOUT_S = 0.5
+GC_THRESHOLDS = (20_000, 20, 20)
+
+
+class Node:
+    """One running load balancer."""
+
+    def __init__(self, config: Config, options: NodeOptions | None = None) -> None:
+        """Builds the parts. ConfigError for a configuration that cannot be used."""
+        self.config = config
+        self.options = options = options or NodeOptions()
+        self.loop = asyncio.get_running_loop()
+        self.parts = parts = build_parts(config, options)
+        self.descriptor_budget = parts.descriptor_budget
+        self.pool = parts.pool
+        self.dispatcher = parts.dispatcher
+        self.registry = parts.registry
+        self.membership = parts.membership
+        self.discovery = parts.membership.discovery
+        self.client_connections = parts.client_connections
+        self.admin_operations = parts.admin_operations
+        self.sweeper = Sweeper(parts, options.report_interval_s)
+        self.address: tuple[str, int] = ("", 0)  # the listener's, once it is bound
+        self.started = asyncio.Event()
+        self.stop_requested = asyncio.Event()
+
+    async def run(self) -> None:
+        """Serves until a signal, then shuts down gracefully. ConfigError if the node cannot start."""
+        self.handle_signals()
+        self.dispatcher.start()
+        await self.start_services()
+        self.start_membership()
+        self.listen()
+        await self.wait_for_first_list()
+        self.serve()
+        await self.stop_requested.wait()
+        await self.shut_down()
+
+    def handle_signals(self) -> None:
+        """Installed before anything else, because a signal without a handler ends the process."""
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self.stop_requested.set)
+
+    def reload(self) -> None:
+        """Reads the configuration again, unless the node is shutting down."""
+        if self.stop_requested.is_set():
+            log_line("configuration not read again: stopping")
+        else:
+            reload_configuration(self.config, self.membership)
+
+    async def start_services(self) -> None:
+        """Starts the embedded service and the admin server."""
+        if self.options.embedded_service is not None:
+            try:
+                await self.options.embedded_service.start(self.dispatcher, self.registry)
+            except OSError as error:
+                raise ConfigError(f"xds.listen {error}") from None
+        if self.admin_operations is not None and self.config.admin is not None:
+            await self.start_admin_server(self.admin_operations, self.config.admin)
+
+    async def start_admin_server(self, operations: AdminOperations, address: tuple[str, int]) -> None:
+        """Runs before the first list, so that this process never uses a server in maintenance."""
+        try:
+            operations.store.acquire_process_lock()
+        except OSError as error:
+            log_line(
+                f"{operations.store.process_lock_path}: what is told at the door will not outlive the process: "
+                f"{error.strerror}"
+            )
+        operations.store.refresh()
+        operations.apply_maintenance()
+        self.parts.divide_resources()
+        try:
+            await operations.listen(address)
+        except OSError as error:
+            raise ConfigError("admin {}:{}: {}".format(*address, error.strerror)) from None
+
+    def start_membership(self) -> None:
+        """Starts the sources of the endpoint list, with the learned state of the process that serves already."""
+        self.membership.start(self.config.known)
+        if self.admin_operations is not None:
+            self.admin_operations.load_learned_state()
+        self.membership.start_watch(self.parts.other_processes())
+
+    def listen(self) -> None:
+        """Opens the clients' listener; connections wait in its backlog until `serve`."""
+        listener = self.options.inherited_listener or self.bind()
+        self.client_connections.listen(listener, self.options.listen_backlog)
+        self.address = listener.getsockname()
+
+    def bind(self) -> socket.socket:
+        """A socket bound to the clients' address."""
+        try:
+            return bind_socket(self.config.listen)
+        except OSError as error:
+            raise ConfigError("listen {}:{}: {}".format(*self.config.listen, error.strerror)) from None
+
+    async def wait_for_first_list(self) -> None:
+        """Returns with the first list, a request to stop, or after a short time."""
+        events = (self.membership.first_list_received, self.stop_requested)
+        waits = [self.loop.create_task(event.wait()) for event in events]
+        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        for task in waits:
+            task.cancel()
+
+    def serve(self) -> None:
+        """Accepts connections from now on."""
+        self.client_connections.start_accepting()
+        self.sweeper.start()
+        gc.collect()
+        gc.freeze()
+        gc.set_threshold(*GC_THRESHOLDS)
+        log_line(f"listening on {self.address[0]}:{self.address[1]}")
+        if self.admin_operations is not None:
+            self.admin_operations.node_started()
+        self.started.set()
+
+    async def shut_down(self) -> None:
+        """Shuts down gracefully; the admin server answers until the end."""
+        await GracefulShutdown(self.config, self.options, self.parts).run()
+        if self.admin_operations is not None:
+            self.admin_operations.close()
+        self.sweeper.report()
--- /dev/null
+++ b/harecross/node/reload.py
@@ -0,0 +1,61 @@
+"""Reload of the configuration on SIGHUP."""
+
+from __future__ import annotations
+
+import os
+
+from harecross.dispatch.dispatcher import log_line
+from harecross.node.config import Config, ConfigError, read_config
+from harecross.node.membership import Membership
+from harecross.node.operators_file import read_operators_file
+from harecross.node.options import AdditionalSources
+
+# Keys that take effect at once, or that a running node does not use.
+RELOADABLE_KEYS = ("discovery", "known", "seed")
+
+
+def reload_configuration(running: Config, membership: Membership) -> None:
+    """Reads the configuration again and logs the result.
+
+    Only `discovery`, and `[sources]` of the operators' file, can change while the node runs; a file that cannot be
+    used changes nothing.
+    """
+    try:
+        config = read_config(again=True)
+    except ConfigError as error:
+        log_line(f"configuration not changed: {error}")
+        return
+    moves = membership.discovery.move(config.discovery)
+    text = "configuration read again: " + ("moving to another discovery" if moves else "discovery as before")
+    pending = changed_keys(running, config)
+    if pending:
+        text += f"; {', '.join(sorted(pending))} will count from the next start"
+    if membership.additional_sources is not None:
+        text += reload_sources(membership, membership.additional_sources)
+    log_line(text)
+
+
+def changed_keys(running: Config, config: Config) -> list[str]:
+    """The keys whose new value takes effect only at the next start."""
+    return [
+        key
+        for key, value in config.raw.items()
+        if key not in RELOADABLE_KEYS and value != running.raw.get(key)
+    ]
+
+
+def reload_sources(membership: Membership, additional_sources: AdditionalSources) -> str:
+    """Reads `[sources]` of the operators' file again; returns the result for the log."""
+    from harecross.sources.run import Sources
+
+    assert isinstance(additional_sources, Sources)
+    try:
+        operators_file = read_operators_file(os.environ.get("HARECROSS_CONFIG", ""))
+        additional_sources.put(operators_file.sources)
+    except (ConfigError, ValueError) as error:
+        return f"; sources not changed: {error}"
+    if additional_sources.watches and membership.discovery.current is None:
+        membership.discovery.listen(True)
+    elif not additional_sources.watches:
+        membership.discovery.listen(False)
+    return f"; {len(additional_sources.membership.ledger.sources)} sources"
--- /dev/null
+++ b/harecross/node/sweeper.py
@@ -0,0 +1,58 @@
+"""The periodic work of a node: timeouts, sharing with other processes, and the report line."""
+
+from __future__ import annotations
+
+import asyncio
+
+from harecross.dispatch.dispatcher import log_line
+from harecross.node.composition import NodeParts
+
+SWEEP_INTERVAL_S = 0.25
+LOGGED_EVENT_LOOP_LAG_S = 0.05
+
+
+class Sweeper:
+    """Calls `sweep` at a fixed interval and measures how late the event loop does it."""
+
+    def __init__(self, parts: NodeParts, report_interval_s: float) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.parts = parts
+        self.report_interval_s = report_interval_s
+        self.reported_at = self.loop.time()
+        self.event_loop_lag_s = 0.0  # the longest since the last report
+
+    def start(self) -> None:
+        """Schedules the next sweep; each sweep schedules the one after it."""
+        due = self.loop.time() + SWEEP_INTERVAL_S
+        self.loop.call_at(due, self.sweep_at, due)
+
+    def sweep_at(self, due: float) -> None:
+        """Runs the sweep that was due at that time of the loop."""
+        self.event_loop_lag_s = max(self.event_loop_lag_s, self.loop.time() - due)
+        self.sweep()
+        self.start()
+
+    def sweep(self) -> None:
+        """Ends what has taken too long, and reports when the interval is over."""
+        parts = self.parts
+        if parts.admin_operations is not None:
+            parts.divide_resources()
+            parts.admin_operations.save_learned_state()
+        if parts.membership.additional_list_is_current():
+            parts.membership.list_received()
+        parts.pool.sweep()
+        parts.client_connections.sweep()
+        now = self.loop.time()
+        if now >= self.reported_at + self.report_interval_s:
+            self.reported_at = now
+            self.report()
+            if self.event_loop_lag_s > LOGGED_EVENT_LOOP_LAG_S:
+                log_line(f"the event loop was {self.event_loop_lag_s * 1000:.0f} ms late")
+            self.event_loop_lag_s = 0.0
+
+    def report(self) -> None:
+        """Writes the report line."""
+        connections = self.parts.client_connections
+        self.parts.dispatcher.report(
+            connections.bad_requests, connections.refused_connections, self.parts.membership.figures()
+        )
--- a/harecross/operators.py
+++ b/harecross/operators.py
@@ -20,20 +20,20 @@
     """A file that cannot be used; the text names the file, the key and what is allowed."""
 
 
-class Log(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LogTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[log]`."""
 
     report_every_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 10.0
     attempts: str = ""  # a file for the attempt log, or "-" for standard error
 
 
-class Listen(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ListenTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[listen]`."""
 
     backlog: Annotated[int, msgspec.Meta(ge=1, le=65535)] = 1024
 
 
-class Xds(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class XdsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[xds]`: a control service inside the node."""
 
     listen: str = ""
@@ -44,9 +44,9 @@
 class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """The whole file. Every key is optional."""
 
-    log: Log = Log()
-    listen: Listen = Listen()
-    xds: Xds = Xds()
+    log: LogTable = LogTable()
+    listen: ListenTable = ListenTable()
+    xds: XdsTable = XdsTable()
     sources: SourcesTable = SourcesTable()
 
 
--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -10,8 +10,9 @@
 
 import uvloop
 
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.node.node import Node
+from harecross.node.options import NodeOptions
 from harecross.platform.clock import monotonic_us
 from harecross.standins.discovery import chunk, entry, line, update
 from harecross.standins.http import answer, header, listen, read_message
@@ -272,15 +273,15 @@
 @asynccontextmanager
 async def node_at(discovery: str, **more) -> AsyncIterator[Node]:
     """A node that watches a discovery of the test's own."""
-    node = Node(config_from(config_of(discovery)), **more)
+    node = Node(config_from(config_of(discovery)), NodeOptions(**more))
     task = asyncio.create_task(node.run())
     await node.started.wait()
     try:
         yield node
     finally:
         task.cancel()
-        if node.embedded_service is not None:
-            await node.embedded_service.stop()
+        if node.options.embedded_service is not None:
+            await node.options.embedded_service.stop()
 
 
 def with_node(
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -112,7 +112,9 @@
 
 def write_held(folder: Path) -> None:
     """The file of the node `n/0`; "/" may not stand in a file's name."""
-    NodeStore(str(folder), "n/0").change(lambda held: held.enter("s2").enter("s1").stand(True))
+    NodeStore(str(folder), "n/0").update(
+        lambda held: held.with_server("s2").with_server("s1").with_standby(standby=True)
+    )
 
 
 def learned_balancer() -> Balancer:
@@ -137,7 +139,7 @@
     assert text is not None
     with monkeypatch.context() as patch:
         patch.setattr(time, "monotonic_ns", lambda: MONOTONIC_NS)
-        NodeStore(str(folder), "n/0").write_learned(text)
+        NodeStore(str(folder), "n/0").write_learned_state(text)
 
 
 # ---- kept DNS sets --------------------------------------------------------------------------------------
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -24,7 +24,7 @@
 from harecross.fleet.discovery import Desk, Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, bound
 from harecross.fleet.waits import WAITS
-from harecross.node.__main__ import Node
+from harecross.node.node import Node
 from harecross.standins.discovery import chunk, entry, line, update
 
 FLEET = DiscoveryTerms(True, 40, 7, 10.0)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -24,7 +24,7 @@
 )
 from harecross.http.response_parser import ReadResult, ResponseParser
 from harecross.interface import Outcome
-from harecross.node.__main__ import bodies_part
+from harecross.node.resource_shares import request_body_bytes
 from harecross.standins.http import read_body, read_message
 from harecross.upstream import connection_pool
 
@@ -419,9 +419,8 @@
 
 def test_two_processes_hold_no_more_of_bodies_than_one_may():
     for whole in (0, 7, 20 << 20):
-        assert (
-            bodies_part(whole, 1, True) + bodies_part(whole, 2, True) <= whole == bodies_part(whole, 1, False)
-        )
+        together = request_body_bytes(whole, 1, shared=True) + request_body_bytes(whole, 2, shared=True)
+        assert together <= whole == request_body_bytes(whole, 1, shared=False)
 
 
 def taking(heads: list[bytes], bodies: list[bytes], reply: bytes = b"ok") -> Peer:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -66,13 +66,13 @@
         done = call(*args, LB_CONFIG=str(config), **env)
         assert done.returncode == 2 and done.stderr.count("\n") == 1
     # What the file names is told once the configuration can be used.
-    from harecross.node.__main__ import from_operators
     from harecross.node.config import ConfigError
+    from harecross.node.operators_file import options_from_operators_file
 
     os.environ["HARECROSS_CONFIG"] = str(path)
     try:
         with pytest.raises(ConfigError) as e:
-            from_operators()
+            options_from_operators_file()
     finally:
         del os.environ["HARECROSS_CONFIG"]
     assert says in str(e.value) and str(path) in str(e.value)
@@ -209,13 +209,13 @@
     ],
 )
 def test_a_listener_in_the_node_that_cannot_be_is_one_line(tmp_path, monkeypatch, text, says):
-    from harecross.node.__main__ import from_operators
     from harecross.node.config import ConfigError
+    from harecross.node.operators_file import options_from_operators_file
 
     pytest.importorskip("grpc")
     path = tmp_path / "h.toml"
     path.write_text(text)
     monkeypatch.setenv("HARECROSS_CONFIG", str(path))
     with pytest.raises(ConfigError) as e:
-        from_operators()
+        options_from_operators_file()
     assert says in str(e.value) and str(path) in str(e.value)
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("path", ["goes at once", "serves on"])
 def test_a_request_that_crosses_the_end_of_a_kept_connection_at_a_stop(kind, path, monkeypatch):
     if path == "goes at once":
-        monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 0.2)
+        monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
 
     async def test(w: World) -> None:
         for origin in w.origins:
@@ -142,7 +142,7 @@
         old = lambda: groups.loop.time() > began + 0.35  # noqa: E731
         began = groups.loop.time()
         before(groups, "sweep", send, old)
-        real_tick = w.node.sweep
+        real_tick = w.node.sweeper.sweep
         while not old():
             await turns(2)
             for held in (groups.silent, groups.receiving, groups.idle):
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("what", ["a connect is pending", "a repeat is due", "its server hangs"])
 def test_a_stop_with_a_request_in_the_middle_of_it_answers_in_time(kind, what, monkeypatch):
     """Late for the kill, it is answered before it; nothing is written for it after its answer."""
-    monkeypatch.setattr(shutdown_schedule, "COUNTED", 0.0)
+    monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.0)
 
     async def test(w: World) -> None:
         client = Plain(w.node.address)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,7 @@
 from test_operations import Site, tell, with_site
 
 from harecross.interface import Endpoint, Outcome
-from harecross.node.handover_store import LEARNED_FRESH, HandoverStore
+from harecross.node.handover_store import LEARNED_STATE_MAX_AGE_S, HandoverStore
 from harecross.policy.learned_state import learned, recall
 
 MS = 1000
@@ -96,23 +96,23 @@
 def test_what_was_learned_is_read_only_while_its_process_lives_and_is_fresh(tmp_path, monkeypatch):
     old, new = HandoverStore(str(tmp_path), "n0"), HandoverStore(str(tmp_path), "n0")
     old.live()
-    old.write_learned(b"x")
+    old.write_learned_state(b"x")
     # Its age is of real time: the wall clock may have been set forward or back by an hour meanwhile.
     for step in (-3600, 0, 3600):
-        stepped = os.stat(old.learned).st_mtime + step
-        os.utime(old.learned, (stepped, stepped))
-        assert new.read_learned() == b"x"
+        stepped = os.stat(old.learned_state_path).st_mtime + step
+        os.utime(old.learned_state_path, (stepped, stepped))
+        assert new.read_learned_state() == b"x"
     real = time.monotonic_ns
-    monkeypatch.setattr(time, "monotonic_ns", lambda: real() + int((LEARNED_FRESH + 1) * 1e9))
-    assert new.read_learned() is None
+    monkeypatch.setattr(time, "monotonic_ns", lambda: real() + int((LEARNED_STATE_MAX_AGE_S + 1) * 1e9))
+    assert new.read_learned_state() is None
     monkeypatch.undo()
     for spoilt in (b"", b"x", b"x\ny"):
-        old.learned.write_bytes(spoilt)
-        assert new.read_learned() is None
-    old.write_learned(b"y")
+        old.learned_state_path.write_bytes(spoilt)
+        assert new.read_learned_state() is None
+    old.write_learned_state(b"y")
     old.leave()
-    assert new.read_learned() is None
-    HandoverStore(None, "n0").write_learned(b"z")  # with nowhere to write nothing is written
+    assert new.read_learned_state() is None
+    HandoverStore(None, "n0").write_learned_state(b"z")  # with nowhere to write nothing is written
 
 
 def test_a_node_takes_over_what_the_one_beside_it_has_learned(tmp_path, capfd):
@@ -121,12 +121,12 @@
             ctl = old.dispatcher.balancer.controller
             ctl.end_pass(1)
             ctl.limit = ctl.usual = 11.0
-            old.operations.learned_at = 0.0
-            old.operations.learn()
+            old.admin_operations.learned_state_saved_at = 0.0
+            old.admin_operations.save_learned_state()
             async with site.node() as new:
                 assert new.dispatcher.balancer.controller.limit == 11.0
                 assert (await tell(new, "/status"))[0] == 200
-            old.operations.store.write_learned(b"{}")
+            old.admin_operations.store.write_learned_state(b"{}")
             async with site.node() as new:
                 assert new.dispatcher.balancer.controller.in_pass
         err = capfd.readouterr().err
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -41,8 +41,8 @@
 from harecross.http.response_parser import ResponseParser, read_report, report_places
 from harecross.interface import EndpointState, EndpointUpdateKind, Outcome
 from harecross.node import shutdown_schedule
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.node.node import Node
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.policy import balancer
@@ -1152,7 +1152,7 @@
 def test_a_planned_restart_loses_nothing(monkeypatch):
     """Where answers are quick beside the time that is left the node serves on, until others have taken over."""
     classes = [{**c, "goal_time": 12_000_000, "hard_limit": 15_000_000} for c in SETTINGS["classes"]]
-    monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 15.0)
+    monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 15.0)
 
     async def test(w: World) -> None:
         origin, address = w.origins[0], w.node.address
@@ -1186,8 +1186,8 @@
 
 def test_a_stop_keeps_to_the_kill_where_deadlines_are_longer(monkeypatch):
     """Of the longest deadline 3 s count: what came late had its time to the deadline, and was killed unanswered."""
-    monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 0.2)
-    monkeypatch.setattr(shutdown_schedule, "COUNTED", 0.1)
+    monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
+    monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.1)
 
     async def test(w: World) -> None:
         origin, address = w.origins[0], w.node.address
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -21,10 +21,11 @@
 
 from harecross.downstream import connection_manager
 from harecross.node import admin_server
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
 from harecross.node.handover_store import HandoverStore
-from harecross.node.maintenance import MaintenanceState, difference, from_json
+from harecross.node.maintenance import MaintenanceState, maintenance_changes
+from harecross.node.node import Node
+from harecross.node.options import NodeOptions
 from harecross.platform import durable_file
 from harecross.standins.http import read_message
 
@@ -35,22 +36,22 @@
 
 
 def test_taken_out_twice_and_put_back_once_is_in_use():
-    held = MaintenanceState().enter("a").enter("a").exit("a")
-    assert held == MaintenanceState() and held.exit("a") == MaintenanceState()
+    held = MaintenanceState().with_server("a").with_server("a").without_server("a")
+    assert held == MaintenanceState() and held.without_server("a") == MaintenanceState()
 
 
 @given(st.frozensets(st.text(max_size=8)), st.booleans(), st.data())
 def test_what_is_written_is_read_and_a_cut_file_is_not(out, standby, data):
     held = MaintenanceState(out, standby)
     text = held.to_json()
-    assert from_json(text) == held
+    assert MaintenanceState.from_json(text) == held
     with pytest.raises(ValueError):
-        from_json(text[: data.draw(st.integers(0, len(text) - 1))])
+        MaintenanceState.from_json(text[: data.draw(st.integers(0, len(text) - 1))])
 
 
 @given(st.sets(st.text(max_size=2)), st.sets(st.text(max_size=2)))
 def test_a_difference_leads_from_one_state_to_the_other(old, new):
-    out, back = difference(old, new)
+    out, back = maintenance_changes(old, new)
     assert (old | set(out)) - set(back) == new and not set(out) & old and set(back) <= old
 
 
@@ -59,47 +60,47 @@
 
 def test_a_store_outlives_its_process_and_two_do_not_undo_each_other(tmp_path):
     one, two = HandoverStore(str(tmp_path), "n/0"), HandoverStore(str(tmp_path), "n/0")
-    one.change(lambda held: held.enter("a"))
-    two.change(lambda held: held.enter("b").stand(True))
-    one.change(lambda held: held.exit("a"))
-    assert not one.look() and two.look()
-    assert one.held == two.held == MaintenanceState(frozenset("b"), True)
-    assert HandoverStore(str(tmp_path), "other").look() is False
+    one.update(lambda held: held.with_server("a"))
+    two.update(lambda held: held.with_server("b").with_standby(standby=True))
+    one.update(lambda held: held.without_server("a"))
+    assert not one.refresh() and two.refresh()
+    assert one.maintenance == two.maintenance == MaintenanceState(frozenset("b"), True)
+    assert HandoverStore(str(tmp_path), "other").refresh() is False
 
 
 def test_a_spoilt_file_changes_nothing(tmp_path, capfd):
     store = HandoverStore(str(tmp_path), "n0")
-    store.change(lambda held: held.enter("a"))
-    assert store.path is not None
+    store.update(lambda held: held.with_server("a"))
+    assert store.maintenance_path is not None
     for bad in (b"", b"[]", b'{"out": 1, "standby": false}', b'{"out": [], "standby": 1}'):
-        store.path.unlink()
-        store.path.write_bytes(bad)
-        assert not store.look() and store.held.out == {"a"}
+        store.maintenance_path.unlink()
+        store.maintenance_path.write_bytes(bad)
+        assert not store.refresh() and store.maintenance.servers == {"a"}
     assert capfd.readouterr().err.count("cannot be read") == 4
 
 
 def test_a_lock_tells_who_lives_and_a_killed_process_does_not(tmp_path):
     script = (
         "import sys, time; from harecross.node.handover_store import HandoverStore; "
-        "s = HandoverStore(sys.argv[1], 'n0'); s.live(); print('lives', flush=True); time.sleep(60)"
+        "s = HandoverStore(sys.argv[1], 'n0'); s.acquire_process_lock(); print('lives', flush=True); time.sleep(60)"
     )
     store = HandoverStore(str(tmp_path), "n0")
-    store.live()
-    assert store.others() == 0
+    store.acquire_process_lock()
+    assert store.other_processes() == 0
     other = subprocess.Popen(
         [sys.executable, "-c", script, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
     )
     try:
         assert other.stdout is not None and other.stdout.readline() == "lives\n"
-        assert store.others() == 1
-        assert HandoverStore(str(tmp_path), "n1").others() == 0
+        assert store.other_processes() == 1
+        assert HandoverStore(str(tmp_path), "n1").other_processes() == 0
     finally:
         other.kill()
         other.wait()
         other.stdout.close()
-    assert store.others() == 0
+    assert store.other_processes() == 0
     assert len([name for name in os.listdir(tmp_path) if "life" in name]) == 1  # and is cleared away
-    store.leave()
+    store.release_process_lock()
     assert not os.listdir(tmp_path)
 
 
@@ -109,7 +110,7 @@
     call, error, tmp_path, monkeypatch
 ):
     store = HandoverStore(str(tmp_path), "n0")
-    store.change(lambda held: held.enter("a"))
+    store.update(lambda held: held.with_server("a"))
     written = []
 
     def failing(*args):
@@ -121,14 +122,14 @@
     real = getattr(os, call)
     monkeypatch.setattr(os, call, failing)
     with pytest.raises(OSError, match=os.strerror(error)):
-        store.change(lambda held: held.enter("b"))
+        store.update(lambda held: held.with_server("b"))
     monkeypatch.undo()
-    assert written and store.held.out == {"a"} and not store.look()
+    assert written and store.maintenance.servers == {"a"} and not store.refresh()
     after = HandoverStore(str(tmp_path), "n0")
-    assert after.look() and after.held.out == {"a"}
+    assert after.refresh() and after.maintenance.servers == {"a"}
     assert not list(tmp_path.glob("*.new")), "it takes no space for the next try"
-    store.change(lambda held: held.enter("b"))
-    assert after.look() and after.held.out == {"a", "b"}
+    store.update(lambda held: held.with_server("b"))
+    assert after.refresh() and after.maintenance.servers == {"a", "b"}
 
 
 def test_a_kill_at_any_step_of_a_change_leaves_the_old_state_or_the_new_one(tmp_path):
@@ -143,16 +144,16 @@
         "    if half: real(args[0], args[1][:5])\n"
         "    os.kill(os.getpid(), signal.SIGKILL)\n"
         "setattr(os, name, kill)\n"
-        "store.change(lambda held: held.enter('b'))\n"
+        "store.update(lambda held: held.with_server('b'))\n"
     )
-    HandoverStore(str(tmp_path), "n0").change(lambda held: held.enter("a"))
+    HandoverStore(str(tmp_path), "n0").update(lambda held: held.with_server("a"))
     for call, how in (("write", "half"), ("write", ""), ("fsync", ""), ("replace", "")):
         command = [sys.executable, "-c", script, str(tmp_path), call, how]
         assert subprocess.run(command, cwd=ROOT).returncode == -signal.SIGKILL
         store = HandoverStore(str(tmp_path), "n0")
-        assert store.look() and store.held.out == {"a"}
-    store.change(lambda held: held.enter("c"))
-    assert store.held.out == {"a", "c"}
+        assert store.refresh() and store.maintenance.servers == {"a"}
+    store.update(lambda held: held.with_server("c"))
+    assert store.maintenance.servers == {"a", "c"}
 
 
 def test_what_is_written_but_not_synced_is_in_force_and_is_said_to_be_uncertain(tmp_path, monkeypatch):
@@ -165,7 +166,7 @@
             monkeypatch.setattr(durable_file, "sync_folder", failing)
             status, text = await tell(node, "/maintenance/exit", "s0")
             assert status == 500 and b"may undo it" in text
-            assert not node.registry.out and node.operations.store.held.out == frozenset()
+            assert not node.registry.out and node.admin_operations.store.maintenance.servers == frozenset()
             monkeypatch.undo()
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
 
@@ -200,7 +201,7 @@
             self.catalog.address, settings, admin="127.0.0.1:0", known=self.known, limits={"sockets": 512}
         )
         inherited = socket.socket(fileno=os.dup(self.sock.fileno()))
-        node = Node(config_from(config), inherited=inherited, folder=self.folder)
+        node = Node(config_from(config), NodeOptions(inherited_listener=inherited, state_folder=self.folder))
         task = asyncio.create_task(node.run())
         await node.started.wait()
         node.discovery.heard = True  # these tests' discovery speaks only where a test says so
@@ -208,8 +209,8 @@
             yield node
         finally:
             task.cancel()
-            assert node.operations is not None
-            node.operations.close()
+            assert node.admin_operations is not None
+            node.admin_operations.close()
 
     async def answer(self, i: int) -> None:
         while True:
@@ -248,8 +249,8 @@
 
 
 async def tell(node: Node, path: str, text: str = "", method: str = "") -> tuple[int, bytes]:
-    assert node.operations is not None
-    reader, writer = await asyncio.open_connection(*node.operations.door.address)
+    assert node.admin_operations is not None
+    reader, writer = await asyncio.open_connection(*node.admin_operations.server.address)
     method = method or ("GET" if path == "/status" else "POST")
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: d\r\nContent-Length: {len(text)}\r\n\r\n{text}".encode())
     head, body = await read_message(reader)
@@ -313,8 +314,8 @@
             assert (await tell(node, "/maintenance/enter", "s0", "GET"))[0] == 405
             assert (await tell(node, "/nothing"))[0] == 404
             assert (await tell(node, "/status"))[0] == 200
-            assert node.operations.store.held == MaintenanceState()
-            reader, writer = await asyncio.open_connection(*node.operations.door.address)
+            assert node.admin_operations.store.maintenance == MaintenanceState()
+            reader, writer = await asyncio.open_connection(*node.admin_operations.server.address)
             writer.write(b"\x16\x03\x01 noise\r\n\r\n")
             assert (await reader.read()).startswith(b"HTTP/1.1 400")
             writer.close()
@@ -339,12 +340,14 @@
 def test_half_calls_do_not_keep_an_operators_call_waiting(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            address = node.operations.door.address
-            silent = [await asyncio.open_connection(*address) for _ in range(3 * admin_server.ROOM)]
+            address = node.admin_operations.server.address
+            silent = [
+                await asyncio.open_connection(*address) for _ in range(3 * admin_server.MAX_ADMIN_CONNECTIONS)
+            ]
             for i, (_, writer) in enumerate(silent):
                 writer.write(b"POST /standby HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"[: 3 * i])
             assert (await tell(node, "/status"))[0] == 200
-            assert len(node.operations.door.open) <= admin_server.ROOM
+            assert len(node.admin_operations.server.open) <= admin_server.MAX_ADMIN_CONNECTIONS
             assert not node.client_connections.in_standby
             for _, writer in silent:
                 writer.close()
@@ -357,12 +360,12 @@
 
     async def test(site: Site) -> None:
         async with site.node() as node:
-            reader, writer = await asyncio.open_connection(*node.operations.door.address)
+            reader, writer = await asyncio.open_connection(*node.admin_operations.server.address)
             writer.write(b"POST /standby HTTP/1.1\r\n")
             with pytest.raises(ConnectionError):
                 await reader.read()
                 raise ConnectionError  # an end is as good as a reset
-            assert not node.operations.door.open
+            assert not node.admin_operations.server.open
             writer.close()
 
     with_site(test, tmp_path)
@@ -371,7 +374,7 @@
 def test_what_cannot_be_written_is_not_promised(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            node.operations.store.path.with_suffix(".lock").mkdir()
+            node.admin_operations.store.maintenance_path.with_suffix(".lock").mkdir()
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 500
             assert await site.called() == 0
 
@@ -483,7 +486,7 @@
                 status, head, _ = await busy.answer()
                 assert status == 200 and b"Connection: close" in head
                 await until(lambda: not old.client_connections.open)
-                await until(lambda: new.operations.store.others() == 0)
+                await until(lambda: new.admin_operations.store.other_processes() == 0)
 
     with_site(test, tmp_path)
 
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -84,7 +84,7 @@
 def test_the_door_takes_these_calls(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            assert sorted(node.operations.door.calls) == [
+            assert sorted(node.admin_operations.server.calls) == [
                 (b"GET", b"/servers"),
                 (b"GET", b"/status"),
                 (b"POST", b"/active"),
@@ -133,14 +133,14 @@
 def test_the_doors_status_says_why_a_node_is_not_ready(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            operations, listed = node.operations, dict(node.registry.listed)
-            operations.heard = lambda: False
-            operations.serving_since = operations.loop.time()
+            operations, listed = node.admin_operations, dict(node.registry.listed)
+            operations.has_current_list = lambda: False
+            operations.started_at = operations.loop.time()
             assert await tell(node, "/status") == (503, b"waiting for discovery\n")
             node.registry.listed.clear()
             assert await tell(node, "/status") == (503, b"no servers known\n")
             node.registry.listed.update(listed)
-            operations.serving_since = None
+            operations.started_at = None
             assert await tell(node, "/status") == (503, b"starting\n")
 
     with_site(test, tmp_path)
@@ -234,7 +234,7 @@
 
     async def test(site: Site) -> None:
         async with site.node() as node:
-            ports.append((node.operations.door.address[1], node.address[1]))
+            ports.append((node.admin_operations.server.address[1], node.address[1]))
             await tell(node, "/maintenance/enter", "s0")
 
     with_site(test, tmp_path)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -17,8 +17,8 @@
 from harecross.discovery.endpoint_status import IN_USE, OUT
 from harecross.doors.ask import Look, Row, Said
 from harecross.doors.release import Do, Limits, Phase, Release
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.node.node import Node
 
 LIMITS = Limits(empty_within=20, restart_within=20, warm_within=20)
 
@@ -242,7 +242,7 @@
             _, watch = await self.catalog.watches.get()
             self.watches.append(watch)
             self.catalog.push(watch, line(2, *entries))
-            await until(node.operations.heard)
+            await until(node.admin_operations.has_current_list)
         return self
 
     def at(self) -> list[str]:
--- a/tests/test_stopping.py
+++ b/tests/test_shutdown_schedule.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from harecross.node.shutdown_schedule import stopping
+from harecross.node.shutdown_schedule import shutdown_schedule
 
 CONNECTIONS_COME = 0.4  # seconds after SIGTERM (PROTOCOL, "Figures")
 KILL_AFTER = 0.7  # seconds after the longest deadline, of which 3 s count
@@ -14,13 +14,13 @@
 @pytest.mark.parametrize("longest", [0.01, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 3.0, 10.0])
 @pytest.mark.parametrize("usual", [0.0, 0.01, 0.1, 0.5, 2.0, 5.0])
 def test_the_times_of_a_stop_come_in_their_order_before_the_kill(longest, usual):
-    times = stopping(longest, usual)
-    assert 0 <= times.leave < times.close < times.end
-    assert times.close > CONNECTIONS_COME
-    assert times.counted <= times.end
-    assert times.end <= min(longest, 3.0) + KILL_AFTER - SCHEDULING
+    times = shutdown_schedule(longest, usual)
+    assert 0 <= times.drain_connections_s < times.close_listener_s < times.deadline_s
+    assert times.close_listener_s > CONNECTIONS_COME
+    assert times.deadline_from_s <= times.deadline_s
+    assert times.deadline_s <= min(longest, 3.0) + KILL_AFTER - SCHEDULING
 
 
 def test_clients_whose_idle_connections_are_closed_find_the_listener_open_when_they_come_back():
-    times = stopping(1.0, 0.1)
-    assert times.close - times.leave >= 0.05 - 1e-9
+    times = shutdown_schedule(1.0, 0.1)
+    assert times.close_listener_s - times.drain_connections_s >= 0.05 - 1e-9
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -15,8 +15,9 @@
 
 pytest.importorskip("dns")
 
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.node.node import Node
+from harecross.node.options import NodeOptions
 from harecross.sources import keep
 from harecross.sources.config import File, SourcesTable, Srv, check
 from harecross.sources.run import Sources
@@ -86,7 +87,7 @@
     async def serve(self, table: SourcesTable, **more) -> Node:
         check(table)
         config = config_of(self.catalog.address, admin="127.0.0.1:0", **more)
-        self.node = Node(config_from(config), additional_sources=lambda d: Sources(table, d))
+        self.node = Node(config_from(config), NodeOptions(additional_sources=lambda d: Sources(table, d)))
         self.task = asyncio.create_task(self.node.run())
         ready = asyncio.create_task(self.node.started.wait())
         await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
@@ -101,7 +102,7 @@
         return {i for i, b in enumerate(self.boxes) if b.address in where}
 
     async def door(self, call: str, body: str = "") -> tuple[int, str]:
-        reader, writer = await asyncio.open_connection(*self.node.operations.door.address)
+        reader, writer = await asyncio.open_connection(*self.node.admin_operations.server.address)
         writer.write(f"{call} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         whole = (await reader.read()).decode()
         writer.close()
@@ -111,7 +112,7 @@
         if self.node is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
-            await self.node.additional_sources.stop()
+            await self.node.membership.additional_sources.stop()
             self.node.discovery.listen(False)
         await self.catalog.stop()
         self.dns.stop()
@@ -312,16 +313,16 @@
             await until(lambda: s.up() == {0, 1})
             file.write_text(f"{s.boxes[1].address}\n{s.boxes[2].address} weight=2\n")
             s.dns.delay = 0.3
-            await until(lambda: any(a.name.asking for a in node.additional_sources.asked.values()))
+            await until(lambda: any(a.name.asking for a in node.membership.additional_sources.asked.values()))
             both = table(s, watch=False, file=(File(str(file)),))
-            node.additional_sources.put(both)
+            node.membership.additional_sources.put(both)
             await until(lambda: s.up() == {0, 1, 2})
-            await until(lambda: any(a.name.asking for a in node.additional_sources.asked.values()))
-            node.additional_sources.put(SourcesTable(file=both.file, watch=False, step_s=1.0))
+            await until(lambda: any(a.name.asking for a in node.membership.additional_sources.asked.values()))
+            node.membership.additional_sources.put(SourcesTable(file=both.file, watch=False, step_s=1.0))
             await until(lambda: s.up() == {1, 2})
             # A file that is spoilt is stale, and one that is whole again counts.
             file.write_text(f"{s.boxes[2].address} weigth=2\n")
-            await until(lambda: node.additional_sources.files[f"file:{file}"].why)
+            await until(lambda: node.membership.additional_sources.files[f"file:{file}"].why)
             assert s.up() == {1, 2}
             file.write_text(f"{s.boxes[2].address}\n")
             await until(lambda: s.up() == {2})
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -11,10 +11,10 @@
 from harecross.fleet import rehearsal
 from harecross.fleet.discovery import Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, Result
-from harecross.node import __main__ as node_main
 from harecross.node import admin_operations
-from harecross.node.__main__ import Node
+from harecross.node import node as node_module
 from harecross.node.config import config_from
+from harecross.node.node import Node
 from tests.node_support import (
     SETTINGS,
     STARTED,
@@ -76,7 +76,7 @@
 
 def test_what_comes_while_a_node_starts_waits_for_its_own_list(monkeypatch):
     """The fault of herd days: sent by `known` in the milliseconds before the agent's first line was read."""
-    monkeypatch.setattr(node_main, "FIRST_WORD", 20.0)
+    monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
     async def test(s: Starting) -> None:
         s.b.answer_all()
@@ -94,7 +94,7 @@
 
 
 def test_a_list_that_comes_late_costs_refusals_at_once_and_health_says_no(monkeypatch):
-    monkeypatch.setattr(node_main, "FIRST_WORD", 0.01)
+    monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
 
     async def test(s: Starting) -> None:
         client = await s.client()
@@ -104,7 +104,7 @@
         assert status == 503 and b"Retry-After: 0.250" in head
         assert s.node.dispatcher.unlisted == 1 and s.a.links == s.b.links == 0
         await s.tell(b"")  # nothing has changed since the version asked after
-        await until(s.node.first_list_received.is_set)
+        await until(s.node.membership.first_list_received.is_set)
         assert await health(client) == 200
         client.send()
         arrived = await first(s.a, s.b)
@@ -115,22 +115,22 @@
 
 
 def test_the_door_says_yes_no_sooner_than_the_node_may_send(monkeypatch):
-    monkeypatch.setattr(node_main, "FIRST_WORD", 0.01)
-    monkeypatch.setattr(admin_operations, "FIRST_LIST", 0.0)
+    monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(admin_operations, "FIRST_LIST_WAIT_S", 0.0)
 
     async def test(s: Starting) -> None:
         await s.node.started.wait()
-        assert s.node.operations.status(b"") == (503, "waiting for discovery")
+        assert s.node.admin_operations.status(b"") == (503, "waiting for discovery")
         await s.tell(b"")
-        await until(s.node.first_list_received.is_set)
-        assert s.node.operations.status(b"")[0] == 200
+        await until(s.node.membership.first_list_received.is_set)
+        assert s.node.admin_operations.status(b"")[0] == 200
 
     starting(test)
 
 
 def test_a_start_never_waits_for_ever(monkeypatch):
     """Discovery is down: after the longest wait the list from before will do."""
-    monkeypatch.setattr(node_main, "FIRST_WORD", 0.01)
+    monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(readiness, "PUSHED_MOST", 0.2)
 
     async def test(s: Starting) -> None:
@@ -140,13 +140,13 @@
         client.send()
         (await first(s.a, s.b)).answer()
         assert (await client.answer())[0] == 200
-        assert s.node.readiness.word(0.0, s.node.discovery.schedule) is Freshness.KNOWN
+        assert s.node.membership.readiness.word(0.0, s.node.discovery.schedule) is Freshness.KNOWN
 
     starting(test)
 
 
 def test_a_stop_during_the_wait_is_a_stop(monkeypatch):
-    monkeypatch.setattr(node_main, "FIRST_WORD", 20.0)
+    monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
     async def test(s: Starting) -> None:
         s.node.stop_requested.set()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -40,7 +40,7 @@
 )
 from harecross.node.config import config_from
 from harecross.node.handover_store import HandoverStore as NodeStore
-from harecross.node.maintenance import MaintenanceState, from_json
+from harecross.node.maintenance import MaintenanceState
 from harecross.operators import OperatorsFile, read_toml
 from harecross.policy.learned_state import recall
 from harecross.shifts.plan import place, read_plan
@@ -293,7 +293,7 @@
 
 
 def test_a_stored_held_file_is_read():
-    assert from_json((DATA / HELD_NAME).read_bytes()) == MaintenanceState(
+    assert MaintenanceState.from_json((DATA / HELD_NAME).read_bytes()) == MaintenanceState(
         frozenset({"s1", "s2"}), standby=True
     )
 
@@ -307,10 +307,10 @@
 def test_an_old_process_can_read_what_a_new_one_makes_of_its_held_file(tmp_path):
     shutil.copy(DATA / HELD_NAME, tmp_path)
     store = NodeStore(str(tmp_path), "n/0")
-    assert store.look() and store.held == MaintenanceState(frozenset({"s1", "s2"}), standby=True)
-    store.change(lambda held: held.exit("s2"))
+    assert store.refresh() and store.maintenance == MaintenanceState(frozenset({"s1", "s2"}), standby=True)
+    store.update(lambda held: held.without_server("s2"))
     assert (tmp_path / HELD_NAME).read_bytes() == b'{"out": ["s1"], "standby": true}'
-    store.change(lambda held: held.enter("s2"))
+    store.update(lambda held: held.with_server("s2"))
     assert (tmp_path / HELD_NAME).read_bytes() == (DATA / HELD_NAME).read_bytes()
 
 
@@ -324,7 +324,7 @@
     old.live()
     with monkeypatch.context() as patch:
         patch.setattr(time, "monotonic_ns", lambda: states.MONOTONIC_NS + 1_000_000_000)
-        text = NodeStore(str(folder), "n/0").read_learned()
+        text = NodeStore(str(folder), "n/0").read_learned_state()
     old.leave()
     return text
 
@@ -377,10 +377,10 @@
 
 def test_two_processes_know_each_other_by_the_same_file_names(tmp_path):
     store = NodeStore(str(tmp_path), "n/0")
-    store.live()
+    store.acquire_process_lock()
     (name,) = (p.name for p in tmp_path.iterdir())
     assert re.fullmatch(r"harecross-n_0\.life-[0-9a-f]{12}", name)
-    store.leave()
+    store.release_process_lock()
 
 
 # ---- kept DNS sets --------------------------------------------------------------------------------------
