--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -93,7 +93,8 @@
         "downstream/listener.py",
         "        with suppress(OSError):\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)",
         "        try:\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)\n"
-        "        except OSError:\n            connection.close()\n            self.dropped()\n            return",
+        "        except OSError:\n            connection.close()\n"
+        "            self.on_setup_failed()\n            return",
     ),
     Mutation(
         "the time that a request lay unread is not counted",
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -1,4 +1,4 @@
-"""All connections from callers: the listener, who is let in, who is put out, and what each owes."""
+"""All client connections: accepting, eviction where descriptors run out, and timeouts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 from harecross.dispatch.close_reasons import CloseReason, Closing
 from harecross.dispatch.dispatcher import RequestDispatcher
-from harecross.downstream.client_connection import RECEIVE_TIMEOUT_US, ClientConnection
+from harecross.downstream.client_connection import ClientConnection
+from harecross.downstream.connection_state import RECEIVE_TIMEOUT_US, ConnectionState
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat
 from harecross.http.request_parser import RequestReader
@@ -16,75 +17,73 @@
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.system_errors import AcceptFailure
 
-SLOW_READER_TIMEOUT_US = 10_000_000  # a caller that takes nothing of a large answer for so long is put out
-STANDBY_DRAIN_US = 1_200_000  # after a standby began, idle connections close; none may be held after 4 s
-IDLE_TIMEOUT_US = 5_000_000  # an idle connection is kept so long
-EVICTION_GRACE_US = 200_000  # a new connection that has said nothing yet is not put out before
-STALLED_HEAD_US = (
-    900_000  # a head without a new byte is not put out before; slow callers write a piece every 0.8 s
+IDLE_TIMEOUT_US = 5_000_000
+SLOW_READER_TIMEOUT_US = 10_000_000  # a client that reads nothing of a large response
+LINGER_TIMEOUT_US = 1_000_000  # for the close of a connection after its last response
+STANDBY_DRAIN_US = (
+    1_200_000  # after which a node in standby closes idle connections; none may be open after 4 s
 )
-DESCRIPTOR_WAIT_US = 200_000  # new connections wait so long for room before they are closed
-BACKLOG_RECHECK_S = 0.005  # seconds between two looks for room
-MAX_ACCEPTS_PER_TURN = 16  # connections taken in one go: each holds a descriptor before it can be turned away
-LINGER_TIMEOUT_US = 1_000_000  # a connection that ends may take so long over it
+EVICTION_GRACE_US = 200_000  # a connection that is silent or lingers is not evicted before
+STALLED_HEAD_US = 900_000  # nor one without new bytes of a head; slow clients send some every 0.8 s
+DESCRIPTOR_WAIT_US = 200_000  # connections wait in the backlog for a descriptor before they are refused
+BACKLOG_RECHECK_S = 0.005
+MAX_ACCEPTS_PER_TURN = 16  # each takes a descriptor before it can be refused
 
 
 class Backlog(Enum):
     """What is left of the connections that had come."""
 
-    EMPTY = "none waits"
-    MORE = "another may wait"
-    WAITS = "what waits goes on waiting: there is no room, or this machine is short of something"
+    EMPTY = "no connection waits"
+    MORE = "another connection may wait"
+    WAITS = "connections wait for a descriptor, or until a shortage of this machine is over"
 
 
-def taken(group: dict[ClientConnection, int], time: int) -> list[ClientConnection]:
-    """Takes out those that have been there since before `time`; the oldest stand first."""
+def pop_older(group: dict[ConnectionState, int], time_us: int) -> list[ConnectionState]:
+    """Removes the connections that were added by that time; the group is in order of time."""
     old = []
-    for caller, since in group.items():
-        if since > time:
+    for connection, since in group.items():
+        if since > time_us:
             break
-        old.append(caller)
-    for caller in old:
-        del group[caller]
+        old.append(connection)
+    for connection in old:
+        del group[connection]
     return old
 
 
 class ConnectionManager:
-    """The listener and its connections.
+    """The listener and its connections. A `ConnectionOwner`.
 
-    `silent`, `owing`, `resting`, `ending` and `lagging` hold connections and since when, the oldest first:
-    every wait of a kind is of the same length. A connection stands in one of them at most.
+    `silent`, `receiving`, `idle`, `lingering` and `slow_readers` map connections to the time since when they are in
+    that state, in order of time, because all timeouts of one state are equal. A connection is in one of them at most.
     """
 
     def __init__(
         self,
-        host: RequestDispatcher,
+        dispatcher: RequestDispatcher,
         reader: RequestReader,
         descriptor_budget: DescriptorBudget,
-        held_most: int,
+        max_buffered_body_bytes: int,
     ) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.dispatcher = host
+        self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
+        self.dispatcher = dispatcher
         self.reader = reader
         self.descriptor_budget = descriptor_budget
-        host.pool.on_short = self.evict_one
-        self.budget_full_since: int | None = None  # there is no room for the next connection
-        self.buffered_body_bytes = 0  # bytes of bodies, over all connections
-        self.max_buffered_body_bytes = held_most
-        self.open: set[ClientConnection] = set()
-        self.silent: dict[ClientConnection, int] = {}  # said nothing yet
+        dispatcher.pool.on_short = self.evict_one
+        self.budget_full_since: int | None = None  # no descriptor is left for the next connection
+        self.buffered_body_bytes = 0  # over all connections
+        self.max_buffered_body_bytes = max_buffered_body_bytes
+        self.open: set[ConnectionState] = set()
+        self.silent: dict[ConnectionState, int] = {}  # nothing has come yet
         self.receiving: dict[
-            ClientConnection, int
-        ] = {}  # part of a message has come, or an answer waits to be read
-        self.idle: dict[ClientConnection, int] = {}  # served, and idle
-        self.lingering: dict[ClientConnection, int] = {}  # has had its last answer
-        self.slow_readers: dict[
-            ClientConnection, int
-        ] = {}  # does not take a large answer as fast as it comes
-        self.bad_requests: dict[int, int] = {}  # what was answered here, by status; 0: closed for silence
-        self.refused_connections = 0  # connections closed at once
-        self.health_check_failing = False  # health says so
-        self.draining = False  # connections close after what is on them
+            ConnectionState, int
+        ] = {}  # part of a request has come, or a response is not read
+        self.idle: dict[ConnectionState, int] = {}  # between two requests
+        self.lingering: dict[ConnectionState, int] = {}  # had the last response
+        self.slow_readers: dict[ConnectionState, int] = {}  # read a large response more slowly than it comes
+        self.bad_requests: dict[int, int] = {}  # by status; 0 for connections closed for silence
+        self.refused_connections = 0
+        self.health_check_failing = False
+        self.draining = False  # connections are closed after their responses
         self.in_standby = False
         self.standby_since = 0
         self.listener: Listener | None = None
@@ -93,55 +92,53 @@
     # ---- the listener ---------------------------------------------------------------------------------
 
     def listen(self, sock: socket.socket, backlog: int) -> None:
-        """Connections may come; they are taken once `begin` says so."""
+        """Opens the listener; connections wait in its backlog until `start_accepting`."""
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             sock.listen(backlog)
         self.listener = Listener(
             sock, lambda waiting: ClientConnection(self, waiting), self.accept, self.heartbeat
         )
-        self.listener.dropped = self.connection_setup_failed
+        self.listener.on_setup_failed = self.connection_setup_failed
 
     def start_accepting(self) -> None:
-        """Takes connections from now on."""
+        """Accepts connections from now on."""
         assert self.listener is not None
         self.heartbeat.start()
         self.listener.start()
 
     def accept(self) -> Backlog:
-        """Takes connections that have come.
+        """Accepts connections that have come; refuses those beyond the budget.
 
-        Guards against: callers that only ever open connections take the last descriptor, and then neither a
-        server nor a usual caller can be reached. Beyond the bound a connection is closed at no further cost.
+        The budget is kept so that clients that only open connections cannot take the descriptors that servers and other
+        clients need.
         """
         assert self.listener is not None
-        for taken_now in range(MAX_ACCEPTS_PER_TURN):
+        for accepted in range(MAX_ACCEPTS_PER_TURN):
             fits = self.descriptor_budget.client_connection_fits()
-            if not fits and taken_now:
-                # The loop says whether another waits: nobody is put out for one that does not come.
+            if not fits and accepted:
+                # Whether another one waits is not known: nothing is evicted for one that does not come.
                 return Backlog.MORE
             fits = fits or self.evict_one()
             if fits:
                 self.budget_full_since = None
             elif self.leave_in_backlog():
                 return Backlog.WAITS
-            connection = self.listener.take()
+            connection = self.listener.accept()
             if connection is AcceptFailure.CONNECTION_GONE:
                 continue
             if connection is AcceptFailure.SHORTAGE:
                 return Backlog.WAITS
             if isinstance(connection, AcceptFailure):
                 return Backlog.EMPTY
-            if not fits:
-                self.refused_connections += 1
-                connection.close()
-                self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
-                continue
-            self.descriptor_budget.client_connections += 1
-            self.listener.welcome(connection)
+            if fits:
+                self.descriptor_budget.client_connections += 1
+                self.listener.set_up(connection)
+            else:
+                self.refuse(connection)
         return Backlog.MORE
 
     def leave_in_backlog(self) -> bool:
-        """Leaves what has come in the backlog for a moment; False once that has lasted."""
+        """Leaves connections in the backlog for a moment; False once they have waited long enough."""
         now = monotonic_us()
         if self.budget_full_since is None:
             self.budget_full_since = now
@@ -150,48 +147,21 @@
         self.listener.pause(BACKLOG_RECHECK_S)
         return True
 
+    def refuse(self, connection: socket.socket) -> None:
+        """Closes a connection for which there is no descriptor."""
+        self.refused_connections += 1
+        connection.close()
+        self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
+
     def connection_setup_failed(self) -> None:
-        """A connection could not be set up: its place is free."""
+        """An accepted connection could not be set up: its descriptor is free."""
         self.descriptor_budget.client_connections -= 1
 
-    def evict_one(self) -> bool:
-        """Puts out who holds a connection and nothing else: those that never spoke before those served.
+    async def drain_listener(self, by: float, *, shared: bool = False) -> None:
+        """Accepts what waits in the backlog, and closes the listener; `by` that time of the loop at the latest.
 
-        Whether anybody has been.
-        """
-        for group, age in (
-            (self.lingering, EVICTION_GRACE_US),
-            (self.silent, EVICTION_GRACE_US),
-            (self.idle, 0),
-        ):
-            for caller, since in group.items():
-                if monotonic_us() - since < age:
-                    break
-                if not caller.has_unread():
-                    return self.evict(caller)
-        if self.descriptor_budget.upstream_may_release() and self.dispatcher.pool.spare():
-            return True
-        # Guards against: callers that send half a head and stay hold every place for as long as a slow one may.
-        stuck = (
-            c
-            for c in self.receiving
-            if c.reading and not c.head_done and c.heard < monotonic_us() - STALLED_HEAD_US
-        )
-        oldest = min(stuck, key=lambda c: c.heard, default=None)
-        return oldest is not None and self.evict(oldest)
-
-    def evict(self, caller: ClientConnection) -> bool:
-        """Ends a connection at once. Its place counts as free, though the descriptor goes a moment later."""
-        self.unmark(caller)
-        self.lingering.pop(caller, None)
-        caller.abort(CloseReason.NO_ROOM)
-        return True
-
-    async def drain_listener(self, by: float, shared: bool = False) -> None:
-        """Closes the listener, once nothing waits any more; `by` that time of the loop at the latest.
-
-        `shared`: another process may have the socket too. Guards against: closing it resets what waits in its
-        backlog, and a request that a caller has written to such a connection counts as taken.
+        Closing resets the connections in the backlog, and a request that was sent on one counts as received. Where
+        another process may have the socket too (`shared`), new connections are left to it.
         """
         assert self.listener is not None
         self.listener.stop()
@@ -202,20 +172,22 @@
         await self.listener.close()
 
     async def accept_waiting(self, by: float) -> None:
-        """Takes connections until none waits, or until that time of the loop."""
+        """Accepts connections until none waits, or until that time of the loop."""
         assert self.listener is not None
         while (backlog := self.accept()) is not Backlog.EMPTY and self.loop.time() < by:
             self.listener.stop()
             await asyncio.sleep(0 if backlog is Backlog.MORE else BACKLOG_RECHECK_S)
 
     async def close_listener_at_once(self) -> None:
-        """Takes no more: what waits on the listening socket is for the process that shares it."""
+        """Accepts nothing more: what waits in the backlog is for the process that shares the socket."""
         assert self.listener is not None
         self.draining = True
         await self.listener.close()
 
+    # ---- standby --------------------------------------------------------------------------------------
+
     def enter_standby(self) -> None:
-        """Sends clients away: the health check fails and each answer ends its connection.
+        """Sends clients away: the health check fails and each response closes its connection.
 
         Idle connections are closed once clients have had time to notice.
         """
@@ -226,80 +198,137 @@
         self.set_standby(False)
 
     def set_standby(self, standby: bool) -> None:
+        """Sets all that standby changes."""
         self.in_standby = self.health_check_failing = self.draining = standby
         self.standby_since = monotonic_us()
 
-    # ---- what connections owe -------------------------------------------------------------------------
+    # ---- eviction -------------------------------------------------------------------------------------
+
+    def evict_one(self) -> bool:
+        """Closes a connection without an open request to free a descriptor; returns whether there was one.
+
+        Connections that end or were silent go first, then idle ones of clients, of servers, and stalled heads.
+        """
+        for group, grace in (
+            (self.lingering, EVICTION_GRACE_US),
+            (self.silent, EVICTION_GRACE_US),
+            (self.idle, 0),
+        ):
+            for connection, since in group.items():
+                if monotonic_us() - since < grace:
+                    break
+                if not connection.has_unread_data():
+                    self.evict(connection)
+                    return True
+        if self.descriptor_budget.upstream_may_release() and self.dispatcher.pool.spare():
+            return True
+        stalled = self.longest_stalled_head()
+        if stalled is None:
+            return False
+        self.evict(stalled)
+        return True
+
+    def longest_stalled_head(self) -> ConnectionState | None:
+        """The connection that has waited longest for the rest of a head."""
+        before = monotonic_us() - STALLED_HEAD_US
+        stalled = (
+            c for c in self.receiving if c.receiving and not c.head_complete and c.last_data_us < before
+        )
+        return min(stalled, key=lambda c: c.last_data_us, default=None)
 
-    def connection_opened(self, caller: ClientConnection) -> None:
-        self.open.add(caller)
-        self.silent[caller] = monotonic_us()
+    def evict(self, connection: ConnectionState) -> None:
+        """Closes a connection at once. It counts as closed, though its descriptor is free only a moment later."""
+        self.unmark(connection)
+        self.lingering.pop(connection, None)
+        connection.abort(CloseReason.NO_ROOM)
 
-    def connection_closed(self, caller: ClientConnection) -> None:
-        self.open.discard(caller)
+    # ---- states of connections ------------------------------------------------------------------------
+
+    def connection_opened(self, connection: ConnectionState) -> None:
+        """The connection is set up; it is silent until its first byte."""
+        self.open.add(connection)
+        self.silent[connection] = monotonic_us()
+
+    def connection_closed(self, connection: ConnectionState) -> None:
+        """The connection is closed."""
+        self.open.discard(connection)
         self.descriptor_budget.client_connections -= 1
-        self.unmark(caller)
-        self.lingering.pop(caller, None)
-        self.slow_readers.pop(caller, None)
+        self.unmark(connection)
+        self.lingering.pop(connection, None)
+        self.slow_readers.pop(connection, None)
 
     def count_bad_request(self, status: int) -> None:
-        """Counts what was wrong with a caller."""
+        """Counts an error of a client by its status; 0 for a connection closed for silence."""
         self.bad_requests[status] = self.bad_requests.get(status, 0) + 1
 
-    def mark_receiving(self, caller: ClientConnection) -> None:
-        """The caller has begun something that it must end in time."""
-        self.unmark(caller)
-        self.receiving[caller] = monotonic_us()
+    def mark_receiving(self, connection: ConnectionState) -> None:
+        """Starts the receive timeout."""
+        self.unmark(connection)
+        self.receiving[connection] = monotonic_us()
 
-    def unmark(self, caller: ClientConnection) -> None:
-        for group in (self.silent, self.receiving, self.idle):
-            group.pop(caller, None)
+    def mark_idle(self, connection: ConnectionState) -> None:
+        """Starts the idle timeout."""
+        self.unmark(connection)
+        self.idle[connection] = monotonic_us()
 
-    def mark_idle(self, caller: ClientConnection) -> None:
-        self.unmark(caller)
-        self.idle[caller] = monotonic_us()
+    def mark_slow_reader(self, connection: ConnectionState) -> None:
+        """Starts the timeout for a client that does not read its response."""
+        self.unmark(connection)
+        self.slow_readers[connection] = monotonic_us()
 
-    def mark_slow_reader(self, caller: ClientConnection) -> None:
-        self.unmark(caller)
-        self.slow_readers[caller] = monotonic_us()
+    def mark_lingering(self, connection: ConnectionState) -> None:
+        """Starts the timeout for the end of a connection that had its last response."""
+        self.unmark(connection)
+        self.lingering[connection] = monotonic_us()
 
-    def mark_lingering(self, caller: ClientConnection) -> None:
-        self.unmark(caller)
-        self.lingering[caller] = monotonic_us()
+    def unmark(self, connection: ConnectionState) -> None:
+        """Stops the timeouts of a silent, receiving or idle connection."""
+        for group in (self.silent, self.receiving, self.idle):
+            group.pop(connection, None)
 
-    def sweep(self) -> None:
-        """Ends what has gone on for too long.
+    def stopped_slow_reading(self, connection: ConnectionState) -> None:
+        """Stops the timeout for a slow reader."""
+        self.slow_readers.pop(connection, None)
 
-        Guards against: connections that say nothing, or half a request, or read nothing, are held for good.
-        """
+    # ---- timeouts -------------------------------------------------------------------------------------
+
+    def sweep(self) -> None:
+        """Ends what has taken longer than its timeout."""
         now = monotonic_us()
-        emptied = self.in_standby and now > self.standby_since + STANDBY_DRAIN_US
-        for group, most in (
-            (self.silent, STANDBY_DRAIN_US // 2 if emptied else RECEIVE_TIMEOUT_US),
-            (self.receiving, RECEIVE_TIMEOUT_US),
+        standby_drained = self.in_standby and now > self.standby_since + STANDBY_DRAIN_US
+        self.sweep_receiving(
+            self.silent, now, STANDBY_DRAIN_US // 2 if standby_drained else RECEIVE_TIMEOUT_US
+        )
+        self.sweep_receiving(self.receiving, now, RECEIVE_TIMEOUT_US)
+        reason = CloseReason.STOP if standby_drained else CloseReason.IDLE
+        for connection in pop_older(self.idle, now if standby_drained else now - IDLE_TIMEOUT_US):
+            if not connection.close_if_quiet(reason) and connection.transport is not None:
+                self.mark_idle(connection)
+        for group, timeout in (
+            (self.lingering, LINGER_TIMEOUT_US),
+            (self.slow_readers, SLOW_READER_TIMEOUT_US),
         ):
-            for caller in taken(group, now - most):
-                if caller.has_unread():
-                    group[caller] = now  # what it owes has come in this turn
-                else:
-                    caller.overdue()
-        for caller in taken(self.idle, now if emptied else now - IDLE_TIMEOUT_US):
-            reason = CloseReason.STOP if emptied else CloseReason.IDLE
-            if not caller.end_idle(reason) and caller.transport is not None:
-                self.mark_idle(caller)
-        for group, most in ((self.lingering, LINGER_TIMEOUT_US), (self.slow_readers, SLOW_READER_TIMEOUT_US)):
-            for caller in taken(group, now - most):
-                caller.abort(CloseReason.NOT_READ)
+            for connection in pop_older(group, now - timeout):
+                connection.abort(CloseReason.NOT_READ)
+
+    def sweep_receiving(self, group: dict[ConnectionState, int], now: int, timeout: int) -> None:
+        """Ends connections that have sent nothing for too long, unless something lies unread."""
+        for connection in pop_older(group, now - timeout):
+            if connection.has_unread_data():
+                group[connection] = now
+            else:
+                connection.timed_out()
 
     def close_idle(self) -> None:
-        """Closes connections that have had an answer and hold nothing; new ones may have a request coming."""
-        for caller in list(self.idle):
-            caller.end_idle(CloseReason.STOP)
+        """Closes idle connections; silent ones stay, because a request may be on its way."""
+        for connection in list(self.idle):
+            connection.close_if_quiet(CloseReason.STOP)
 
     def close_all(self) -> None:
-        for caller in list(self.open):
-            caller.close(CloseReason.STOP)
+        """Closes all connections once what was written has been sent."""
+        for connection in list(self.open):
+            connection.close(CloseReason.STOP)
 
     def has_open_requests(self) -> bool:
-        """Whether a request that came whole has no answer yet, be it that nobody has read it."""
-        return any(c.busy or c.queue or c.has_unread() for c in self.open)
+        """Whether a request that was received, or lies unread, has no response yet."""
+        return any(c.busy or c.pending or c.has_unread_data() for c in self.open)
--- a/harecross/downstream/listener.py
+++ b/harecross/downstream/listener.py
@@ -1,7 +1,7 @@
-"""A listening socket: connections are taken one by one, and no failure of a system call costs another one its place.
+"""A listening socket. No failure of a system call for one connection costs another one its place.
 
-The event loop's own server closes its listener for good where accept(2) fails with ENOBUFS, and takes connections only
-to close them where descriptors run out.
+The event loop's own server closes its listener for good where accept(2) fails with ENOBUFS, and where descriptors run
+out it accepts connections only to close them.
 """
 
 from __future__ import annotations
@@ -17,73 +17,71 @@
 from harecross.platform.clock import monotonic_us
 from harecross.platform.system_errors import AcceptFailure, accept_failure
 
-SHORTAGE_TRIES = 8  # in a row where this machine is short of something...
-SHORTAGE_PAUSE = 0.005  # ...and seconds until the next ones
-HANDSHAKE = 0.005  # seconds in which a handshake that has begun ends, between machines near one another
-WELCOME_TRIES = 200  # of setting up one connection, each `SHORTAGE_PAUSE` after the one before
+MAX_SHORTAGE_TRIES = 8  # in a row
+SHORTAGE_PAUSE_S = 0.005  # until the next tries
+HANDSHAKE_S = 0.005  # in which a handshake that has begun ends, between machines of one network
+MAX_SETUP_TRIES = 200  # for one connection, each a `SHORTAGE_PAUSE_S` after the one before
 
 
 class Listener:
-    """One listening socket. `ready` is called when connections wait, and takes them with `take`.
+    """One listening socket. `on_ready` is called when connections wait, and accepts them with `accept`.
 
-    After a shortage it is called again by itself.
+    After a shortage it is called again without another event.
     """
 
     def __init__(
         self,
         sock: socket.socket,
-        protocol: Callable[[WaitingSocket], asyncio.Protocol],
-        ready: Callable[[], object],
+        protocol_factory: Callable[[WaitingSocket], asyncio.Protocol],
+        on_ready: Callable[[], object],
         heartbeat: Heartbeat | None = None,
     ) -> None:
-        """`sock` is bound and listens; `protocol` makes one for each connection."""
+        """`sock` is bound and listens; `protocol_factory` makes the protocol of one connection."""
         sock.setblocking(False)
         self.loop = asyncio.get_running_loop()
         self.sock = sock
-        self.protocol = protocol
-        self.ready = ready
-        self.dropped: Callable[[], None] = lambda: None  # a connection that was taken came to nothing
-        self.tasks: set[asyncio.Task[None]] = set()  # connections that are being set up
-        self.resuming: asyncio.TimerHandle | None = None
-        self.short = False  # this machine is: said once in the log
+        self.protocol_factory = protocol_factory
+        self.on_ready = on_ready
+        self.on_setup_failed: Callable[[], None] = lambda: None  # for an accepted connection
+        self.setup_tasks: set[asyncio.Task[None]] = set()
+        self.resume_timer: asyncio.TimerHandle | None = None
+        self.shortage_logged = False
         self.heartbeat = heartbeat or Heartbeat()
-        # What waits may have come since then, in monotonic microseconds; None while nothing does.
+        # The earliest time at which connections in the backlog may have come, in monotonic microseconds; None if the
+        # backlog is empty.
         self.waiting_since: int | None = monotonic_us()
-        self.came_after = 0  # the connection taken last did
+        self.came_after = 0  # the same for the connection that was accepted last
 
     def start(self) -> None:
-        """Takes connections from now on."""
-        self.resuming = None
+        """Accepts connections from now on."""
+        self.resume_timer = None
         if self.sock.fileno() >= 0:
-            self.loop.add_reader(self.sock, self.ready)
-            self.loop.call_soon(self.look)
+            self.loop.add_reader(self.sock, self.on_ready)
+            self.loop.call_soon(self.accept_earlier)
 
-    def look(self) -> None:
-        """What has come while nobody watched is taken now, so that what comes later has not waited."""
-        if self.resuming is None and self.sock.fileno() >= 0:
-            self.ready()
+    def accept_earlier(self) -> None:
+        """Accepts what came while the listener was not watched, so that later connections do not count as waiting."""
+        if self.resume_timer is None and self.sock.fileno() >= 0:
+            self.on_ready()
 
     def pause(self, seconds: float) -> None:
-        """Leaves what comes in the backlog for so long."""
+        """Leaves connections in the backlog for so long."""
         self.stop()
-        self.resuming = self.loop.call_later(seconds, self.start)
+        self.resume_timer = self.loop.call_later(seconds, self.start)
 
     def stop(self) -> None:
-        """Takes no more until `start`. Connections that come wait in the backlog."""
-        if self.resuming is not None:
-            self.resuming.cancel()
-            self.resuming = None
+        """Leaves connections in the backlog until `start`."""
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
+            self.resume_timer = None
         if self.waiting_since is None:
             self.waiting_since = monotonic_us()
         if self.sock.fileno() >= 0:
             self.loop.remove_reader(self.sock)
 
-    def take(self) -> socket.socket | AcceptFailure:
-        """The next connection that waits.
-
-        Guards against: while the machine is short of something the loop calls again and again, and does nothing else.
-        """
-        for _ in range(SHORTAGE_TRIES):
+    def accept(self) -> socket.socket | AcceptFailure:
+        """The next connection that waits. After a shortage the listener pauses, or the loop would do nothing else."""
+        for _ in range(MAX_SHORTAGE_TRIES):
             try:
                 connection, _ = self.sock.accept()
             except OSError as error:
@@ -92,69 +90,69 @@
                     self.waiting_since = None
                 if failure is not AcceptFailure.SHORTAGE:
                     return failure
-                last = error
+                last_error = error
                 continue
-            self.note_shortage(None)
+            self.log_shortage(None)
             if self.waiting_since is None:
                 now = monotonic_us()
                 self.waiting_since = now - self.heartbeat.behind(now)
-            # Guards against: what stands far behind in a crowd passes for one that came when its turn did.
+            # `waiting_since` stays, because those behind this one in the backlog may have waited as long.
             self.came_after = self.waiting_since
             return connection
-        self.note_shortage(last)
-        self.pause(SHORTAGE_PAUSE)
+        self.log_shortage(last_error)
+        self.pause(SHORTAGE_PAUSE_S)
         return AcceptFailure.SHORTAGE
 
-    def note_shortage(self, error: OSError | None) -> None:
-        """Says in the log that a shortage has begun, or that it is over."""
-        if self.short != (error is not None):
-            self.short = error is not None
+    def log_shortage(self, error: OSError | None) -> None:
+        """Logs that a shortage has begun, or that it is over."""
+        if self.shortage_logged != (error is not None):
+            self.shortage_logged = error is not None
             log_line(f"connections wait: {error.strerror}" if error else "connections are taken again")
 
-    def welcome(self, connection: socket.socket) -> None:
+    def set_up(self, connection: socket.socket) -> None:
         """Hands a connection to its protocol."""
         connection.setblocking(False)
-        task = self.loop.create_task(self.set_up(connection, self.came_after))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        task = self.loop.create_task(self.connect_protocol(connection, self.came_after))
+        self.setup_tasks.add(task)
+        task.add_done_callback(self.setup_tasks.discard)
 
-    async def set_up(self, connection: socket.socket, came_after: int) -> None:
-        """Guards against: a socket option that cannot be set at this moment costs the client its connection."""
+    async def connect_protocol(self, connection: socket.socket, came_after: int) -> None:
+        """Tries again after a shortage; a socket option that cannot be set is left out."""
         with suppress(OSError):
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        for _ in range(WELCOME_TRIES):
+        for _ in range(MAX_SETUP_TRIES):
             try:
                 await self.loop.connect_accepted_socket(
-                    lambda: self.protocol(WaitingSocket(monotonic_us(), came_after)), connection
+                    lambda: self.protocol_factory(WaitingSocket(monotonic_us(), came_after)), connection
                 )
                 return
             except OSError as error:
-                failed = error
-            await asyncio.sleep(SHORTAGE_PAUSE)
-        log_line(f"a connection could not be set up: {failed.strerror}")
+                last_error = error
+            await asyncio.sleep(SHORTAGE_PAUSE_S)
+        log_line(f"a connection could not be set up: {last_error.strerror}")
         connection.close()
-        self.dropped()
+        self.on_setup_failed()
 
     async def refuse_new(self) -> None:
-        """New handshakes get no answer from now on; those that have begun end, and wait to be taken.
+        """Has new handshakes get no answer; those that have begun end, and their connections wait to be accepted.
 
-        Guards against: what the kernel takes between the last accept and the close is reset. Not for a socket that
-        another process shares, which would get no connection either.
+        Connections that the kernel completes between the last accept and the close would be reset. Not for a socket
+        that another process shares, because that process would get no connections either.
         """
-        for _ in range(SHORTAGE_TRIES):
+        for _ in range(MAX_SHORTAGE_TRIES):
             try:
                 refuse_new_connections(self.sock)
             except OSError as error:
-                failed = error
-                await asyncio.sleep(SHORTAGE_PAUSE)
+                last_error = error
+                await asyncio.sleep(SHORTAGE_PAUSE_S)
             else:
-                await asyncio.sleep(HANDSHAKE)
+                await asyncio.sleep(HANDSHAKE_S)
                 return
-        log_line(f"connections that come at the very end may be reset: {failed.strerror}")
+        log_line(f"connections that come at the very end may be reset: {last_error.strerror}")
 
     async def close(self) -> None:
         """Closes the socket, and waits for connections that are being set up."""
         self.stop()
         self.sock.close()
-        if self.tasks:
-            await asyncio.wait(self.tasks)
+        if self.setup_tasks:
+            await asyncio.wait(self.setup_tasks)
--- a/harecross/downstream/read_delay.py
+++ b/harecross/downstream/read_delay.py
@@ -1,10 +1,10 @@
 """How long a request may have lain unread before the node read it.
 
-A client's time counts from its last byte, and a node that was held up, that has just started or left its listener alone
-for a moment, reads that byte late. What it then passes on as the time left is too much by as much.
+A client's time counts from the last byte that it sent. A node whose event loop was late, or that did not watch its
+listener for a moment, reads that byte late, and would forward too much as the time left.
 
-The bound is the node's own: how late its event loop is, and how long its listener was not watched. Where that is more
-than `NOTICED` the kernel is asked when the last bytes came (TCP_INFO, tcp(7)), which can only make it less.
+The delay is bounded by how late the event loop is and by how long the listener was not watched. Where that bound is
+at least `MIN_DELAY_US` the kernel is asked when the last bytes came (TCP_INFO, tcp(7)), which can only lower it.
 """
 
 from __future__ import annotations
@@ -16,86 +16,90 @@
 
 from harecross.platform.clock import monotonic_us
 
-BEAT = 0.025  # seconds between two beats of the loop
-LATE = 10_000  # microseconds after which a beat is late
-READ_UP = 0.002  # seconds after a late beat in which the loop has read what lay there
-NOTICED = 30_000  # microseconds: less than that is covered by the slack that deadlines have
-AT_ONCE = 30_000  # microseconds after which what a new connection says was not there when it was accepted
-KERNEL_STEP = 10_000  # microseconds by which the kernel's figure may be too small
-TCP_INFO_SIZE = 56  # bytes up to and with...
-LAST_DATA_RECEIVED = 52  # ...tcpi_last_data_recv: an unsigned 32-bit number of milliseconds (linux/tcp.h)
+HEARTBEAT_INTERVAL_S = 0.025
+LATE_HEARTBEAT_US = 10_000
+CATCH_UP_S = 0.002  # after a late heartbeat, in which the loop reads what had come
+MIN_DELAY_US = 30_000  # shorter delays are covered by the slack of deadlines
+FIRST_BYTES_US = 30_000  # after which the first bytes of a connection were not there when it was accepted
+KERNEL_STEP_US = 10_000  # by which the kernel's figure may be too small
+UNKNOWN_AGE_US = 1 << 62
+NOT_DUE_US = 1 << 62
+# struct tcp_info (linux/tcp.h): tcpi_last_data_recv is an unsigned 32-bit number of milliseconds at this offset.
+LAST_DATA_RECEIVED_OFFSET = 52
+TCP_INFO_SIZE = 56
 
 
 class Heartbeat:
-    """Tells how late the event loop is, by a timer of its own. Times are monotonic microseconds."""
+    """Measures how late the event loop is, by a timer. Times are monotonic microseconds."""
 
     def __init__(self) -> None:
-        self.due = 1 << 62
+        self.due = NOT_DUE_US
 
     def start(self) -> None:
-        """Beats from now on."""
-        self.due = monotonic_us() + int(BEAT * 1e6)
-        asyncio.get_running_loop().call_later(BEAT, self.beat)
+        """Schedules the next heartbeat."""
+        self.due = monotonic_us() + int(HEARTBEAT_INTERVAL_S * 1e6)
+        asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self.beat)
 
     def beat(self) -> None:
-        """Begins the next span, unless this one ends late.
+        """Schedules the next heartbeat; after a late one only once what had come is read.
 
-        The timer may run before what has come meanwhile is read, which is still to be told how late it is.
+        The timer may run before that, and `behind` is still asked how late the loop was.
         """
-        if monotonic_us() > self.due + LATE:
-            asyncio.get_running_loop().call_later(READ_UP, self.start)
+        if monotonic_us() > self.due + LATE_HEARTBEAT_US:
+            asyncio.get_running_loop().call_later(CATCH_UP_S, self.start)
         else:
             self.start()
 
     def behind(self, now: int) -> int:
-        """For how long the loop may not have read what had come."""
+        """For how many microseconds the loop may not have read what had come."""
         return max(0, now - self.due)
 
 
 class InfoSocket(Protocol):
-    """What is asked of a socket."""
+    """The one method of a socket that is needed here."""
 
-    def getsockopt(self, level: int, name: int, size: int, /) -> bytes: ...
+    def getsockopt(self, level: int, name: int, size: int, /) -> bytes:
+        """The value of a socket option."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingSocket:
-    """A connection that was accepted at one time and came after another: it may have waited in between."""
+    """A connection that was accepted, or is read again, at one time, and whose bytes may have come since another."""
 
-    accepted_at: int
+    accepted_at: int  # monotonic microseconds
     came_after: int
 
 
 class ReadDelay:
-    """Of one connection."""
+    """The read delay of one connection."""
 
     __slots__ = ("heartbeat", "waiting")
 
     def __init__(self, heartbeat: Heartbeat, waiting: WaitingSocket | None = None) -> None:
         self.heartbeat = heartbeat
-        self.waiting = waiting  # until its first bytes have been read
+        self.waiting = waiting  # until the first bytes after it have been read
 
     def of(self, now: int, connection: InfoSocket | None) -> int:
-        """How long what is read now may have lain unread, in microseconds; 0 below `NOTICED`."""
+        """How many microseconds the bytes that are read now may have lain unread; 0 below `MIN_DELAY_US`."""
         bound = self.heartbeat.behind(now)
         if self.waiting is not None:
             waiting, self.waiting = self.waiting, None
-            if now - waiting.accepted_at < AT_ONCE + bound:
+            if now - waiting.accepted_at < FIRST_BYTES_US + bound:
                 bound = max(bound, now - waiting.came_after)
-        if bound < NOTICED:
+        if bound < MIN_DELAY_US:
             return 0
-        return min(bound, kernel_age(connection))
+        return min(bound, last_data_age(connection))
 
 
-def kernel_age(connection: InfoSocket | None) -> int:
-    """Microseconds since the last bytes came, by the kernel; a very long time where it does not say."""
+def last_data_age(connection: InfoSocket | None) -> int:
+    """Microseconds since the last bytes came, by the kernel; `UNKNOWN_AGE_US` if the kernel does not tell."""
     if connection is None:
-        return 1 << 62
+        return UNKNOWN_AGE_US
     try:
-        told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
+        info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     except (OSError, AttributeError):
-        return 1 << 62
-    if len(told) < TCP_INFO_SIZE:
-        return 1 << 62
-    milliseconds = int.from_bytes(told[LAST_DATA_RECEIVED:TCP_INFO_SIZE], "little")
-    return milliseconds * 1000 + KERNEL_STEP
+        return UNKNOWN_AGE_US
+    if len(info) < TCP_INFO_SIZE:
+        return UNKNOWN_AGE_US
+    milliseconds = int.from_bytes(info[LAST_DATA_RECEIVED_OFFSET:TCP_INFO_SIZE], "little")
+    return milliseconds * 1000 + KERNEL_STEP_US
--- /dev/null
+++ b/harecross/downstream/request_receiver.py
@@ -0,0 +1,171 @@
+"""Receives the requests of one client connection: the parser's callbacks and the limits on heads and bodies."""
+
+from __future__ import annotations
+
+from harecross.downstream.connection_state import RECEIVE_TIMEOUT_US, ConnectionState, LocalAnswer
+from harecross.http.body_buffer import BODY_LARGEST, BODY_MOST, Upload, too_many
+from harecross.http.request_parser import HEAD_MOST, HEADERS_MOST, BadRequest, ParsedRequest
+from harecross.platform.clock import monotonic_us
+
+MAX_PENDING_REQUESTS = 8  # of one connection; clients send one request at a time
+MIN_BODY_BYTES_PER_S = 32_000  # after the receive timeout
+HEALTH_CHECK_PATH = b"/_health"
+HEADER_OVERHEAD_BYTES = 4  # the colon, the space and the line's end
+
+
+class RequestReceiver(ConnectionState):
+    """The callbacks of `httptools.HttpRequestParser`. BadRequest ends the connection with a status."""
+
+    __slots__ = ()
+
+    def on_message_begin(self) -> None:
+        """The first byte of a request has come."""
+        if self.input_closed:
+            return
+        self.reset_message()
+        self.receiving = True
+        self.message_began_us = monotonic_us()
+        self.owner.mark_receiving(self)
+
+    def on_url(self, url: bytes) -> None:
+        """The URL, or a part of it."""
+        self.count_head_bytes(len(url))
+        self.url += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header, or a trailer, which is ignored."""
+        self.count_head_bytes(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
+        if self.head_complete:
+            return
+        if len(self.headers) >= HEADERS_MOST:
+            raise BadRequest(431)
+        self.headers.append((name, value.strip(b" \t")))
+
+    def count_head_bytes(self, size: int) -> None:
+        """Bounds the memory that one head can take."""
+        self.head_size += size
+        if self.head_size > HEAD_MOST:
+            raise BadRequest(431)
+
+    def on_headers_complete(self) -> None:
+        """Checks the head; a large body becomes an upload at once."""
+        assert self.parser is not None
+        self.head_complete = True
+        if self.parser.should_upgrade():
+            # After CONNECT or Upgrade the parser would take the body for another protocol's bytes.
+            raise BadRequest(400)
+        version = self.parser.get_http_version()
+        self.owner.reader.check_head(version, self.headers)
+        length = None
+        for name, value in self.headers:
+            lower_name = name.lower()
+            if lower_name == b"content-length":
+                length = int(value)
+            elif lower_name == b"expect" and value.lower() == b"100-continue" and version == "1.1":
+                self.expects_continue = True
+        self.send_continue()
+        if length is not None and length > BODY_MOST:
+            self.start_upload(length)
+
+    def start_upload(self, length: int | None) -> None:
+        """Handles the request while its body still comes, because the body is too large to be buffered."""
+        self.incoming_upload = Upload(length)
+        self.incoming_upload.changed = self.upload_progressed
+        self.pending.append(self.parsed_request(self.incoming_upload))
+
+    def upload_progressed(self) -> None:
+        """A server has taken of the body, or the rest is not wanted any more: reading goes on."""
+        upload = self.current_upload
+        if upload is None or self.transport is None:
+            return
+        self.buffer_bytes(len(upload.kept) - self.buffered_bytes)
+        if self.request is not None:
+            self.owner.dispatcher.upload_grew(self.request)
+        if self.reading_paused and not upload.full and not self.input_closed and not self.pending:
+            if self.receiving:
+                self.owner.mark_receiving(self)
+            self.resume_reading()
+
+    def on_chunk_header(self) -> None:
+        """Bounds the number of chunks of a body."""
+        self.chunk_count += 1
+        if too_many(self.chunk_count, self.body_size):
+            raise BadRequest(413)
+
+    def on_body(self, data: bytes) -> None:
+        """A part of the body: buffered, or passed to its upload."""
+        self.body_size += len(data)
+        if self.body_size > BODY_LARGEST:
+            raise BadRequest(413)
+        self.check_body_rate()
+        self.owner.mark_receiving(self)
+        if self.incoming_upload is None and len(self.body) + len(data) > BODY_MOST:
+            self.start_upload(None)
+            data, self.body = self.body + data, b""
+            self.buffer_bytes(-self.buffered_bytes)
+        if self.incoming_upload is not None:
+            self.incoming_upload.feed(data)
+            if not self.incoming_upload.dropped:
+                self.buffer_bytes(len(self.incoming_upload.kept) - self.buffered_bytes)
+        else:
+            self.body = self.body + data if self.body else data
+            self.buffer_bytes(len(data))
+        if self.owner.buffered_body_bytes > self.owner.max_buffered_body_bytes:
+            raise BadRequest(503)
+
+    def check_body_rate(self) -> None:
+        """Ends a body that comes too slowly: it would hold this connection, and a server's, without end."""
+        late_us = monotonic_us() - self.message_began_us - RECEIVE_TIMEOUT_US
+        if (
+            late_us > 0
+            and not self.waited_for_server
+            and self.body_size * 1_000_000 < MIN_BODY_BYTES_PER_S * late_us
+        ):
+            raise BadRequest(408)
+
+    def on_message_complete(self) -> None:
+        """The last byte of a request has come."""
+        if self.input_closed:
+            return
+        assert self.parser is not None
+        self.receiving = False
+        self.owner.unmark(self)
+        if self.incoming_upload is not None:
+            self.upload_complete(self.incoming_upload)
+        elif self.url == HEALTH_CHECK_PATH and self.parser.get_method() == b"GET":
+            self.pending.append(self.health_check_answer())
+        else:
+            self.pending.append(self.parsed_request())
+            if len(self.pending) > MAX_PENDING_REQUESTS:
+                # None of them has been sent to a server.
+                self.pending.clear()
+                raise BadRequest(400)
+
+    def upload_complete(self, upload: Upload) -> None:
+        """All of a large body has come."""
+        self.incoming_upload = None
+        upload.finish()
+        if self.current_upload is upload and self.request is not None:
+            self.owner.dispatcher.body_came(self.request, self.unread_for_us)
+        elif self.current_upload is not upload and upload.dropped and self.is_idle():
+            self.owner.mark_idle(self)  # answered before all of it had come
+
+    def health_check_answer(self) -> LocalAnswer:
+        """200 for a node that wants clients: it does not shut down, and may send requests by its endpoint list."""
+        healthy = not self.owner.health_check_failing and self.owner.dispatcher.may_send()
+        return LocalAnswer(200 if healthy else 503, keep_alive=True)
+
+    def parsed_request(self, upload: Upload | None = None) -> ParsedRequest:
+        """The request that was received, with its body or an upload. BadRequest if it cannot be forwarded."""
+        assert self.parser is not None
+        return self.owner.reader.read(
+            self.parser.get_method(),
+            self.url,
+            self.headers,
+            self.body,
+            self.parser.should_keep_alive(),
+            monotonic_us(),
+            upload,
+            self.parser.get_http_version() == "1.1",
+            self.unread_for_us,
+        )
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -118,9 +118,9 @@
     def accept(self) -> None:
         """Accepts one connection that waits."""
         assert self.listener is not None
-        connection = self.listener.take()
+        connection = self.listener.accept()
         if not isinstance(connection, AcceptFailure):
-            self.listener.welcome(connection)
+            self.listener.set_up(connection)
 
     def close(self) -> None:
         """Closes the listener and all connections."""
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 from node_support import entry, until, with_node
 from support import ask, balancer, end
 
-from harecross.downstream import client_connection, connection_manager
+from harecross.downstream import connection_manager, request_receiver
 from harecross.http.body_buffer import (
     BODY_LARGEST,
     BODY_MOST,
@@ -536,7 +536,7 @@
 
 def test_a_body_that_stops_half_way_ends_its_request(monkeypatch):
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
-    monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 100_000)
     heads: list[bytes] = []
 
     async def test(w) -> None:
@@ -556,7 +556,7 @@
 
 def test_a_body_by_the_byte_is_cut_off(monkeypatch):
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 60_000)
-    monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT_US", 60_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 60_000)
 
     async def test(w) -> None:
         client = await w.client()
@@ -608,7 +608,7 @@
 
 
 def test_a_body_beyond_the_largest_is_turned_away(monkeypatch):
-    monkeypatch.setattr(client_connection, "BODY_LARGEST", 200_000)
+    monkeypatch.setattr(request_receiver, "BODY_LARGEST", 200_000)
     bodies: list[bytes] = []
 
     async def test(w) -> None:
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from harecross.downstream import client_connection, connection_manager
+from harecross.downstream import connection_manager, request_receiver
 from harecross.node import shutdown_schedule
 from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns
 from tests.node_support import SETTINGS, World, with_node
@@ -118,7 +118,7 @@
 def test_a_request_that_crosses_a_sweep(kind, group, monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
-    monkeypatch.setattr(client_connection, "RECEIVE_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 300_000)
 
     async def test(w: World) -> None:
         for origin in w.origins:
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -44,7 +44,7 @@
             Node(config_from(config_of(first, asked(nodes, i), known=old.whole()))) for i in range(nodes)
         ]
         tasks = [asyncio.create_task(n.run()) for n in fleet]
-        await until(lambda: all(n.told.is_set() for n in fleet))
+        await until(lambda: all(n.membership.first_list_received.is_set() for n in fleet))
         host, port = second.split(":")
         for node in fleet:
             assert node.discovery.move((host, int(port)))
@@ -78,7 +78,7 @@
         address = await desk.start()
         fleet = [Node(config_from(config_of(address, {"classes": classes}, known=known))) for _ in range(6)]
         tasks = [asyncio.create_task(n.run()) for n in fleet]
-        await until(lambda: all(n.ready.is_set() for n in fleet))
+        await until(lambda: all(n.started.is_set() for n in fleet))
         up, lost, served, over = list(fleet), 0, 0, False
 
         async def caller(k: int) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -95,7 +95,7 @@
 
 def test_what_was_learned_is_read_only_while_its_process_lives_and_is_fresh(tmp_path, monkeypatch):
     old, new = HandoverStore(str(tmp_path), "n0"), HandoverStore(str(tmp_path), "n0")
-    old.live()
+    old.acquire_process_lock()
     old.write_learned_state(b"x")
     # Its age is of real time: the wall clock may have been set forward or back by an hour meanwhile.
     for step in (-3600, 0, 3600):
@@ -110,7 +110,7 @@
         old.learned_state_path.write_bytes(spoilt)
         assert new.read_learned_state() is None
     old.write_learned_state(b"y")
-    old.leave()
+    old.release_process_lock()
     assert new.read_learned_state() is None
     HandoverStore(None, "n0").write_learned_state(b"z")  # with nowhere to write nothing is written
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -356,7 +356,7 @@
 
 
 def test_half_a_call_is_put_out(tmp_path, monkeypatch):
-    monkeypatch.setattr(admin_server, "PATIENCE", 0.05)
+    monkeypatch.setattr(admin_server, "CALL_TIMEOUT_S", 0.05)
 
     async def test(site: Site) -> None:
         async with site.node() as node:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -246,7 +246,7 @@
         return self
 
     def at(self) -> list[str]:
-        doors = [n.operations.door.address for n in self.nodes]
+        doors = [n.admin_operations.server.address for n in self.nodes]
         return [word for host, port in doors for word in ("--at", f"{host}:{port}")]
 
     def out(self) -> list[set[str]]:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -200,7 +200,7 @@
         # What was sent in the instant of the drain has 250 ms; `s0` left before anybody started.
         assert 0 not in wrong, wrong
         assert counts[200] > 0 and counts[503] > 0, counts
-        assert all(n.told.is_set() for n in started)
+        assert all(n.membership.first_list_received.is_set() for n in started)
         for task in tasks:
             task.cancel()
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -321,11 +321,11 @@
     """What a new process reads of an old one's file, a second after it was written and while the old one lives."""
     shutil.copy(DATA / LEARNED_NAME, folder)
     old = NodeStore(str(folder), "n/0")
-    old.live()
+    old.acquire_process_lock()
     with monkeypatch.context() as patch:
         patch.setattr(time, "monotonic_ns", lambda: states.MONOTONIC_NS + 1_000_000_000)
         text = NodeStore(str(folder), "n/0").read_learned_state()
-    old.leave()
+    old.release_process_lock()
     return text
 
 
