--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -105,8 +105,9 @@
     Mutation(
         "attempts go out for clients that have left",
         "dispatch/dispatcher.py",
-        "    def left(self, r: Request) -> None:\n",
-        "    def left(self, r: Request) -> None:\n        return\n\n    def really_left(self, r: Request) -> None:\n",
+        "    def left(self, r: DispatchedRequest) -> None:\n",
+        "    def left(self, r: DispatchedRequest) -> None:\n        return\n\n"
+        "    def really_left(self, r: DispatchedRequest) -> None:\n",
         (
             (
                 "platform/peer_state.py",
@@ -118,8 +119,8 @@
     Mutation(
         "an unsafe request that may have run is sent again",
         "policy/balancer.py",
-        "r.effect == Effect.SAFE or (r.effect == Effect.KEYED and now < r.ran_at + window)",
-        "True",
+        "repeatable = r.idempotency == Idempotency.IDEMPOTENT or (",
+        "repeatable = True or (",
     ),
     Mutation(
         "a stop does not wait for what is out",
@@ -136,9 +137,9 @@
     ),
     Mutation(
         "a cold server gets what a warm one does",
-        "policy/draw.py",
-        "        rate = self.warm_rate * self.warmth(now, srv)\n",
-        "        return True\n        rate = self.warm_rate * self.warmth(now, srv)\n",
+        "policy/endpoint_picker.py",
+        "        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
+        "        return True\n        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
     ),
 ]
 
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -7,14 +7,14 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
-from harecross.dispatch.dispatcher import log_exception
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.downstream.connection_state import LocalAnswer
 from harecross.downstream.read_delay import WaitingSocket
 from harecross.downstream.request_receiver import RequestReceiver
 from harecross.downstream.response_sender import ResponseSender
-from harecross.http.request_parser import HEAD_MOST, BadRequest, ParsedRequest
+from harecross.http.request_parser import MAX_HEAD_BYTES, BadRequestError, ParsedRequest
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_exception
 from harecross.platform.peer_state import has_left, is_quiet
 
 MAX_DISCARDED_BYTES = 1 << 18  # read after the input was closed; then reading is paused
@@ -41,12 +41,12 @@
         self.incoming_upload = self.current_upload = None
         self.buffer_bytes(-self.buffered_bytes)
         request, self.request = self.request, None
-        request_id = request.message.id.decode("latin-1") if request is not None else ""
+        request_id = request.parsed.request_id.decode("latin-1") if request is not None else ""
         self.owner.dispatcher.connection_closed(
-            Closing("client", "", self.close_reason or CloseReason.PEER, request_id)
+            ClosedConnection("client", "", self.close_reason or CloseReason.PEER, request_id)
         )
         if request is not None:
-            self.owner.dispatcher.left(request)
+            self.owner.dispatcher.client_disconnected(request)
 
     def data_received(self, data: bytes) -> None:
         if self.parser is None or self.transport is None:
@@ -60,8 +60,8 @@
         except HttpParserError as error:
             # An exception of a callback is the context of the parser's own.
             inner = error.__context__
-            self.reject_input(inner.status if isinstance(inner, BadRequest) else 400)
-        except BadRequest as error:
+            self.reject_input(inner.status if isinstance(inner, BadRequestError) else 400)
+        except BadRequestError as error:
             self.reject_input(error.status)
         else:
             if self.receiving:
@@ -105,7 +105,7 @@
         self.last_data_us = monotonic_us()
         starts = self.unparsed_head_bytes < 0 or self.head_complete
         self.unparsed_head_bytes = 0 if starts else self.unparsed_head_bytes + size
-        if self.unparsed_head_bytes > HEAD_MOST:
+        if self.unparsed_head_bytes > MAX_HEAD_BYTES:
             self.reject_input(431)
 
     def pause_reading_if_behind(self) -> None:
@@ -139,7 +139,7 @@
             request, self.request = self.request, None
             self.busy = False
             if request is not None:
-                self.owner.dispatcher.left(request)
+                self.owner.dispatcher.client_disconnected(request)
             if self.pause_response is not None and self.transport is not None:
                 self.abort(CloseReason.BAD_REQUEST)
                 return
@@ -155,33 +155,33 @@
                 self.keep_alive = item.keep_alive
                 self.send_response(item.status, b"")
                 continue
-            if not self.waits():
+            if not self.is_connected():
                 self.pending.clear()
                 return
             self.dispatch(item)
 
     def dispatch(self, message: ParsedRequest) -> None:
         """Hands a request to the dispatcher, which may answer it within this call."""
-        self.keep_alive = message.keep
+        self.keep_alive = message.keep_alive
         self.busy = True
         self.current_upload = message.upload
-        self.response_chunked = message.chunks
+        self.response_chunked = message.accepts_chunked
         dispatcher = self.owner.dispatcher
-        if dispatcher.is_open(message.id):
+        if dispatcher.is_open(message.request_id):
             # Servers would take it for a second copy of the other request.
             self.reject_conflict()
             return
         try:
-            request = dispatcher.take(self, message)
+            request = dispatcher.admit(self, message)
         except Exception:
             log_exception("request")
-            self.failed()
+            self.send_failure()
             return
         if self.busy:
             self.request = request
             if message.upload is not None:
                 if message.upload.complete:
-                    dispatcher.body_came(request, self.unread_for_us)
+                    dispatcher.body_received(request, self.unread_for_us)
                 self.upload_progressed()
 
     def reject_conflict(self) -> None:
@@ -190,7 +190,7 @@
         self.owner.count_bad_request(409)
         self.send_response(409, b"")
 
-    def waits(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the client is still there.
 
         The kernel is asked, because nothing is read while a request is pending and so no end is seen.
@@ -210,9 +210,9 @@
         if self.transport is None:
             return
         if self.request is None:
-            self.close(CloseReason.CLIENT_LEFT)
+            self.close(CloseReason.CLIENT_DISCONNECTED)
         else:
-            self.abort(CloseReason.CLIENT_LEFT)  # unsent bytes must not delay `connection_lost`
+            self.abort(CloseReason.CLIENT_DISCONNECTED)  # unsent bytes must not delay `connection_lost`
 
     def close(self, reason: CloseReason) -> None:
         """Closes the connection once what was written has been sent."""
@@ -228,7 +228,7 @@
         """
         assert self.transport is not None
         if self.close_reason is None:
-            self.close_reason = CloseReason.BAD_REQUEST if self.input_closed else CloseReason.LAST_ANSWER
+            self.close_reason = CloseReason.BAD_REQUEST if self.input_closed else CloseReason.LAST_RESPONSE
         if self.write_blocked:
             self.owner.mark_slow_reader(self)
         else:
@@ -264,7 +264,7 @@
             self.reject_input(408)
             self.handle_pending()
         elif self.write_blocked:
-            self.abort(CloseReason.NOT_READ)
+            self.abort(CloseReason.RESPONSE_NOT_READ)
         else:
             self.owner.count_bad_request(0)
-            self.close(CloseReason.SILENT)
+            self.close(CloseReason.REQUEST_TIMEOUT)
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -6,13 +6,13 @@
 import socket
 from enum import Enum
 
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.client_connection import ClientConnection
 from harecross.downstream.connection_state import RECEIVE_TIMEOUT_US, ConnectionState
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat
-from harecross.http.request_parser import RequestReader
+from harecross.http.request_parser import RequestParser
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.system_errors import AcceptFailure
@@ -60,7 +60,7 @@
     def __init__(
         self,
         dispatcher: RequestDispatcher,
-        reader: RequestReader,
+        reader: RequestParser,
         descriptor_budget: DescriptorBudget,
         max_buffered_body_bytes: int,
     ) -> None:
@@ -68,7 +68,7 @@
         self.dispatcher = dispatcher
         self.reader = reader
         self.descriptor_budget = descriptor_budget
-        dispatcher.pool.on_short = self.evict_one
+        dispatcher.pool.on_descriptor_shortage = self.evict_one
         self.budget_full_since: int | None = None  # no descriptor is left for the next connection
         self.buffered_body_bytes = 0  # over all connections
         self.max_buffered_body_bytes = max_buffered_body_bytes
@@ -151,7 +151,7 @@
         """Closes a connection for which there is no descriptor."""
         self.refused_connections += 1
         connection.close()
-        self.dispatcher.connection_closed(Closing("client", "", CloseReason.NO_ROOM))
+        self.dispatcher.connection_closed(ClosedConnection("client", "", CloseReason.DESCRIPTOR_SHORTAGE))
 
     def connection_setup_failed(self) -> None:
         """An accepted connection could not be set up: its descriptor is free."""
@@ -220,7 +220,7 @@
                 if not connection.has_unread_data():
                     self.evict(connection)
                     return True
-        if self.descriptor_budget.upstream_may_release() and self.dispatcher.pool.spare():
+        if self.descriptor_budget.upstream_may_release() and self.dispatcher.pool.close_one_idle():
             return True
         stalled = self.longest_stalled_head()
         if stalled is None:
@@ -240,7 +240,7 @@
         """Closes a connection at once. It counts as closed, though its descriptor is free only a moment later."""
         self.unmark(connection)
         self.lingering.pop(connection, None)
-        connection.abort(CloseReason.NO_ROOM)
+        connection.abort(CloseReason.DESCRIPTOR_SHORTAGE)
 
     # ---- states of connections ------------------------------------------------------------------------
 
@@ -300,7 +300,7 @@
             self.silent, now, STANDBY_DRAIN_US // 2 if standby_drained else RECEIVE_TIMEOUT_US
         )
         self.sweep_receiving(self.receiving, now, RECEIVE_TIMEOUT_US)
-        reason = CloseReason.STOP if standby_drained else CloseReason.IDLE
+        reason = CloseReason.SHUTDOWN if standby_drained else CloseReason.IDLE
         for connection in pop_older(self.idle, now if standby_drained else now - IDLE_TIMEOUT_US):
             if not connection.close_if_quiet(reason) and connection.transport is not None:
                 self.mark_idle(connection)
@@ -309,7 +309,7 @@
             (self.slow_readers, SLOW_READER_TIMEOUT_US),
         ):
             for connection in pop_older(group, now - timeout):
-                connection.abort(CloseReason.NOT_READ)
+                connection.abort(CloseReason.RESPONSE_NOT_READ)
 
     def sweep_receiving(self, group: dict[ConnectionState, int], now: int, timeout: int) -> None:
         """Ends connections that have sent nothing for too long, unless something lies unread."""
@@ -322,12 +322,12 @@
     def close_idle(self) -> None:
         """Closes idle connections; silent ones stay, because a request may be on its way."""
         for connection in list(self.idle):
-            connection.close_if_quiet(CloseReason.STOP)
+            connection.close_if_quiet(CloseReason.SHUTDOWN)
 
     def close_all(self) -> None:
         """Closes all connections once what was written has been sent."""
         for connection in list(self.open):
-            connection.close(CloseReason.STOP)
+            connection.close(CloseReason.SHUTDOWN)
 
     def has_open_requests(self) -> bool:
         """Whether a request that was received, or lies unread, has no response yet."""
--- a/harecross/downstream/connection_state.py
+++ b/harecross/downstream/connection_state.py
@@ -14,7 +14,7 @@
 from harecross.dispatch.dispatcher import DispatchedRequest, RequestDispatcher
 from harecross.downstream.read_delay import Heartbeat, InfoSocket, ReadDelay, WaitingSocket
 from harecross.http.body_buffer import Upload
-from harecross.http.request_parser import ParsedRequest, RequestReader
+from harecross.http.request_parser import ParsedRequest, RequestParser
 
 # For each of: connecting to the first byte of a message, that to the end of its head, two parts of a body.
 RECEIVE_TIMEOUT_US = 2_500_000
@@ -35,7 +35,7 @@
 
     loop: asyncio.AbstractEventLoop
     dispatcher: RequestDispatcher
-    reader: RequestReader
+    reader: RequestParser
     heartbeat: Heartbeat
     buffered_body_bytes: int
     max_buffered_body_bytes: int
--- a/harecross/downstream/response_sender.py
+++ b/harecross/downstream/response_sender.py
@@ -27,11 +27,11 @@
 
 
 class ResponseSender(ConnectionState):
-    """A `dispatch.dispatcher.ResponseWriter`, but for `waits`."""
+    """A `dispatch.dispatcher.ResponseWriter`, but for `is_connected`."""
 
     __slots__ = ()
 
-    def served(self, body: bytes) -> None:
+    def finish_response(self, body: bytes) -> None:
         """The server's whole response, or the end of a large one."""
         if self.pause_response is None:
             self.send_response(200, body)
@@ -42,11 +42,11 @@
                 self.transport.write(b"0\r\n\r\n")
             self.response_sent(closes=self.response_closes)
 
-    def refused(self, retry_after: int) -> None:
+    def send_shed(self, retry_after: int) -> None:
         """The request was shed; `retry_after` in microseconds, 0 for none."""
         self.send_response(503, b"", retry_after)
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """There is no response. One that has begun ends with a reset, the only end that no client takes for whole."""
         if self.pause_response is None:
             self.send_response(502, b"")
@@ -54,9 +54,9 @@
             self.pause_response = None
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            self.abort(CloseReason.BROKEN_ANSWER)
+            self.abort(CloseReason.RESPONSE_BROKEN_OFF)
 
-    def begin(self, length: int | None, hold: Callable[[bool], None]) -> None:
+    def begin_response(self, length: int | None, hold: Callable[[bool], None]) -> None:
         """Sends the head of a large response. `hold` stops the server's side, or lets it go on."""
         self.pause_response = hold
         if self.transport is None:
@@ -75,7 +75,7 @@
         connection = b"Connection: close\r\n" if self.response_closes else b""
         self.transport.write(b"HTTP/1.1 200 OK\r\n%s%s\r\n" % (framing, connection))
 
-    def part(self, data: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         """Sends a part of a large response's body."""
         if self.transport is not None:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.response_chunked else data)
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -8,11 +8,11 @@
 
 import uvloop
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.config import Config, ConfigError, inherited_listener, read_config
 from harecross.node.node import Node
 from harecross.node.operators_file import options_from_operators_file
 from harecross.node.options import NodeOptions
+from harecross.platform.log import log_line
 
 CONFIGURATION_ERROR_STATUS = 2
 
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -10,13 +10,13 @@
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.endpoint_status import endpoint_status_rows
-from harecross.dispatch.dispatcher import log_line
 from harecross.downstream.connection_manager import ConnectionManager
 from harecross.node.admin_server import AdminAnswer, AdminServer
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, maintenance_changes
 from harecross.platform.clock import monotonic_us
 from harecross.platform.durable_file import UnsyncedReplace
+from harecross.platform.log import log_line
 from harecross.policy import learned_state
 
 REFRESH_INTERVAL_S = 0.05  # between two looks at what another process has written
@@ -99,7 +99,7 @@
             return
         balancer = self.registry.dispatcher.balancer
         try:
-            learned_state.recall(balancer, self.registry.numbers, snapshot, monotonic_us())
+            learned_state.import_learned_state(balancer, self.registry.numbers, snapshot, monotonic_us())
             log_line("what the other process has learned is taken over")
         except ValueError as error:
             log_line(f"{self.store.learned_state_path}: not taken over: {error}")
@@ -110,7 +110,9 @@
         if self.client_connections.draining or now < self.learned_state_saved_at + LEARNED_STATE_INTERVAL_S:
             return
         self.learned_state_saved_at = now
-        snapshot = learned_state.learned(self.registry.dispatcher.balancer, self.registry.numbers)
+        snapshot = learned_state.export_learned_state(
+            self.registry.dispatcher.balancer, self.registry.numbers
+        )
         if snapshot is not None:
             self.store.write_learned_state(snapshot)
 
@@ -158,7 +160,9 @@
         """The status of each server as one JSON object; each `id` in the query selects one server."""
         ids = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
         selected = {self.registry.resolve(name): name for name in ids}
-        rows = endpoint_status_rows(self.registry, self.registry.dispatcher.out_on(), monotonic_us())
+        rows = endpoint_status_rows(
+            self.registry, self.registry.dispatcher.in_flight_by_server(), monotonic_us()
+        )
         for row in rows:
             row["id"] = selected.get(row["id"], row["id"])  # by the name in the query
         answer = {
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -12,7 +12,7 @@
 from harecross.discovery.subscription_schedule import discovery_terms
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.connection_manager import MAX_ACCEPTS_PER_TURN, ConnectionManager
-from harecross.http.request_parser import RequestReader
+from harecross.http.request_parser import RequestParser
 from harecross.node.admin_operations import AdminOperations
 from harecross.node.admin_server import MAX_ADMIN_CONNECTIONS
 from harecross.node.config import Config, ConfigError
@@ -96,7 +96,7 @@
     from harecross.follow.attempts import AttemptLog
 
     try:
-        dispatcher.trace = AttemptLog(node_name, target, registry.numbers)
+        dispatcher.tracer = AttemptLog(node_name, target, registry.numbers)
     except OSError as error:
         raise ConfigError(f"log.attempts {target}: {error.strerror}") from None
 
@@ -127,7 +127,7 @@
     """The client side, and what divides its budgets among processes."""
     body_bytes = config.memory // BODY_MEMORY_DIVISOR
     shared = options.inherited_listener is not None
-    reader = RequestReader(config.settings, config.classes, config.tenants)
+    reader = RequestParser(config.settings, config.classes, config.tenants)
     manager = ConnectionManager(dispatcher, reader, budget, request_body_bytes(body_bytes, 1, shared=shared))
     shares = ResourceShares(budget, pool, manager, body_bytes, listener_is_shared=shared)
     shares.divide(1)
--- a/harecross/node/graceful_shutdown.py
+++ b/harecross/node/graceful_shutdown.py
@@ -4,7 +4,6 @@
 
 import asyncio
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.composition import NodeParts
 from harecross.node.config import Config
 from harecross.node.options import NodeOptions
@@ -14,6 +13,7 @@
     shutdown_schedule,
 )
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 
 FLUSH_TIMEOUT_S = 0.3  # for answers that are still being written
 POLL_INTERVAL_S = 0.01
@@ -49,15 +49,15 @@
         """Plans the shutdown and tells the dispatcher by when late requests must be answered."""
         longest_deadline_us = max(c.deadline for c in self.config.settings.classes)
         dispatcher = self.parts.dispatcher
-        schedule = shutdown_schedule(longest_deadline_us / 1e6, dispatcher.usual_time())
+        schedule = shutdown_schedule(longest_deadline_us / 1e6, dispatcher.typical_response_time_s())
         log_line(
             f"stopping: no more is taken after {schedule.close_listener_s:.1f} s, "
             f"what came late is over after {schedule.deadline_s:.1f} s"
         )
         now = monotonic_us()
         self.began_at = self.loop.time()
-        dispatcher.shutdown_deadline_from = now + int(schedule.deadline_from_s * 1e6)
-        dispatcher.shutdown_deadline = now + int(schedule.deadline_s * 1e6)
+        dispatcher.shutdown_late_from_us = now + int(schedule.deadline_from_s * 1e6)
+        dispatcher.shutdown_deadline_us = now + int(schedule.deadline_s * 1e6)
         return schedule
 
     async def leave_listener_to_other_process(self, schedule: ShutdownSchedule) -> None:
@@ -91,7 +91,7 @@
     async def close_sources_and_servers(self) -> None:
         """Closes the watch, the additional sources, the upstream connections and the embedded service."""
         await self.parts.membership.stop()
-        self.parts.pool.shut()
+        self.parts.pool.close_all()
         if self.options.embedded_service is not None:
             await self.options.embedded_service.stop()
 
--- a/harecross/node/handover_store.py
+++ b/harecross/node/handover_store.py
@@ -15,9 +15,9 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.maintenance import MaintenanceState
 from harecross.platform.durable_file import replace_file
+from harecross.platform.log import log_line
 
 LEARNED_STATE_MAX_AGE_S = 5.0
 
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -8,8 +8,8 @@
 
 from harecross.discovery.discovery_client import DiscoveryClient
 from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.options import AdditionalSources
+from harecross.platform.log import log_line
 
 
 class Membership:
--- a/harecross/node/node.py
+++ b/harecross/node/node.py
@@ -7,7 +7,6 @@
 import signal
 import socket
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.admin_operations import AdminOperations
 from harecross.node.composition import build_parts
 from harecross.node.config import Config, ConfigError, bind_socket
@@ -15,6 +14,7 @@
 from harecross.node.options import NodeOptions
 from harecross.node.reload import reload_configuration
 from harecross.node.sweeper import Sweeper
+from harecross.platform.log import log_line
 
 # For the first list, so that requests that come during the start are not answered by an older list.
 FIRST_LIST_TIMEOUT_S = 0.5
@@ -118,9 +118,9 @@
     async def wait_for_first_list(self) -> None:
         """Returns with the first list, a request to stop, or after a short time."""
         events = (self.membership.first_list_received, self.stop_requested)
-        waits = [self.loop.create_task(event.wait()) for event in events]
-        await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-        for task in waits:
+        is_connected = [self.loop.create_task(event.wait()) for event in events]
+        await asyncio.wait(is_connected, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        for task in is_connected:
             task.cancel()
 
     def serve(self) -> None:
--- a/harecross/node/reload.py
+++ b/harecross/node/reload.py
@@ -4,11 +4,11 @@
 
 import os
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.config import Config, ConfigError, read_config
 from harecross.node.membership import Membership
 from harecross.node.operators_file import read_operators_file
 from harecross.node.options import AdditionalSources
+from harecross.platform.log import log_line
 
 # Keys that take effect at once, or that a running node does not use.
 RELOADABLE_KEYS = ("discovery", "known", "seed")
--- a/harecross/node/resource_shares.py
+++ b/harecross/node/resource_shares.py
@@ -44,4 +44,4 @@
         self.client_connections.max_buffered_body_bytes = request_body_bytes(
             self.body_bytes, processes, shared=self.listener_is_shared
         )
-        self.pool.set_passing(self.body_bytes // 2 // processes)
+        self.pool.set_streaming_budget(self.body_bytes // 2 // processes)
--- a/harecross/node/sweeper.py
+++ b/harecross/node/sweeper.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.node.composition import NodeParts
+from harecross.platform.log import log_line
 
 SWEEP_INTERVAL_S = 0.25
 LOGGED_EVENT_LOOP_LAG_S = 0.05
--- a/harecross/operators.py
+++ b/harecross/operators.py
@@ -51,7 +51,7 @@
 
 
 def read_toml(path: str | Path, kind: type[T]) -> T:
-    """The file as a `kind`. BadFile for one that is missing, not TOML, or holds what cannot be."""
+    """The file as a `kind`. OperatorsFileError for one that is missing, not TOML, or holds what cannot be."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as e:
--- a/harecross/shifts/plan.py
+++ b/harecross/shifts/plan.py
@@ -84,7 +84,7 @@
 
 
 def read_plan(path: str | Path) -> Plan:
-    """The plan in a file. BadFile names the file, the key and what is allowed."""
+    """The plan in a file. OperatorsFileError names the file, the key and what is allowed."""
     plan = read_toml(path, Plan)
 
     def need(ok: bool, key: str, allowed: str) -> None:
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -103,7 +103,7 @@
 
 
 def read_control(path: str | Path) -> ControlFile:
-    """The file. BadFile names the file, the key and what is allowed."""
+    """The file. OperatorsFileError names the file, the key and what is allowed."""
     told = read_toml(path, ControlFile)
 
     def check(key: str, ok: bool, allowed: str) -> None:
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from harecross.dispatch.dispatcher import log_line
 from harecross.operators import OperatorsFileError
+from harecross.platform.log import log_line
 from harecross.xds.access import allowed
 from harecross.xds.config import ControlFile, read_control
 from harecross.xds.feed import OwnFeed
@@ -58,7 +58,7 @@
         return feed.loads if feed is not None else None
 
     async def run(self) -> None:
-        """Serves until a signal. BadFile if it cannot listen."""
+        """Serves until a signal. OperatorsFileError if it cannot listen."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -191,7 +191,7 @@
 
 
 def main(path: Path) -> None:
-    """Runs the service. BadFile for a file that cannot be used."""
+    """Runs the service. OperatorsFileError for a file that cannot be used."""
     import uvloop
 
     told = read_control(path)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from support import balancer
 
 from harecross.discovery.process_table import Lifecycle, ProcessState, TransitionCause
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.fleet.file import read_fleet
 from harecross.follow.attempts import AttemptLog
 from harecross.follow.leaving import late_sends
@@ -42,7 +42,7 @@
 from harecross.node.handover_store import HandoverStore as NodeStore
 from harecross.node.maintenance import MaintenanceState
 from harecross.operators import OperatorsFile, read_toml
-from harecross.policy.learned_state import recall
+from harecross.policy.learned_state import import_learned_state
 from harecross.shifts.plan import place, read_plan
 from harecross.shifts.shift import State as ShiftState
 from harecross.sources.keep import read as read_kept
@@ -335,21 +335,21 @@
     assert text is not None and text.count(b'"cut": [1]') == text.count(b"true") == 1
     node, _ = balancer(states.SERVERS, seed=2)
     whole = text.replace(b'"cut": [1]', b'"cut": []').replace(b"true", b"false")
-    recall(node, states.SERVER_NAMES, whole, 7)
+    import_learned_state(node, states.SERVER_NAMES, whole, 7)
     controller = node.controller
-    assert (controller.limit, controller.usual) == (24.5, 18.25)
+    assert (controller.limit, controller.baseline_in_flight) == (24.5, 18.25)
     assert controller.min_rtt == [900.0, 1100.5, 1300.0] and controller.target == [2500.0, 2600.0, 2700.0]
-    assert node.mean_rtt == [1500.0, 1600.0, 1700.0] and node.deviation == [125.0, 150.5, 175.0]
-    assert node.warm_rate == 7.5 and not node.cut and not node.ejected
+    assert node.mean_rtt == [1500.0, 1600.0, 1700.0] and node.rtt_deviation == [125.0, 150.5, 175.0]
+    assert node.warm_server_rate == 7.5 and not node.ejected_zones and not node.ejected
 
 
 def test_a_new_process_takes_over_the_servers_and_zones_of_an_old_ones_learned_file(tmp_path, monkeypatch):
     text = learned_from_file(tmp_path, monkeypatch)
     assert text is not None
     node, _ = balancer(states.SERVERS, seed=2)
-    recall(node, states.SERVER_NAMES, text, 7)
-    assert [zone.id for zone in node.cut] == [1] and [server.id for server in node.ejected] == [4]
-    servers = [(node.servers[n].slowness, node.servers[n].fail_rate) for n in (1, 2, 4)]
+    import_learned_state(node, states.SERVER_NAMES, text, 7)
+    assert [zone.id for zone in node.ejected_zones] == [1] and [server.id for server in node.ejected] == [4]
+    servers = [(node.servers[n].slowness, node.servers[n].failure_rate) for n in (1, 2, 4)]
     assert servers == [(1.25, 0.0), (0.75, 0.125), (2.5, 0.625)]
 
 
@@ -563,9 +563,9 @@
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     request = states.request("one")
     for outcome in Outcome:
-        log.ended(states.attempt(request, 0, 1), outcome, [])
+        log.attempt_ended(states.attempt(request, 0, 1), outcome, [])
         request.last_outcome = outcome
-        log.sent(states.attempt(request, 1, 1))
+        log.attempt_sent(states.attempt(request, 1, 1))
     log.stream.close()
     told = lines_of(tmp_path / "log")
     assert [line.get("error.type") for line in told if line["event.name"] == "ended"] == [
@@ -595,9 +595,9 @@
 def test_the_log_has_the_same_words_for_why_requests_and_connections_end(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     for reason in FinalReason:
-        log.final(states.request("one"), "refused", reason)
+        log.request_answered(states.request("one"), "refused", reason)
     for close_reason in CloseReason:
-        log.closed(Closing("client", "", close_reason))
+        log.connection_closed(ClosedConnection("client", "", close_reason))
     log.stream.close()
     told = lines_of(tmp_path / "log")
     assert " ".join(line["reason"] for line in told if line["event.name"] == "final") == (
@@ -613,11 +613,11 @@
 def test_the_log_has_the_same_words_for_lists_and_changes_of_state(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     for kind in EndpointUpdateKind:
-        log.listed(kind, 1, [], [])
+        log.endpoints_listed(kind, 1, [], [])
     for state, cause in zip(ProcessState, TransitionCause, strict=True):
-        log.changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
+        log.process_changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
     for lifecycle in Lifecycle:
-        log.changed(
+        log.process_changed(
             states.transition(ProcessState.GONE, ProcessState.GONE, TransitionCause.SAID, lifecycle), 100.0
         )
     log.stream.close()
