--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from harecross.operators import BadFile
+from harecross.operators import OperatorsFileError
 from harecross.platform.log import log_line
 from harecross.xds.access import allowed
 from harecross.xds.config import ControlFile, read_control
@@ -58,7 +58,7 @@
         return feed.loads if feed is not None else None
 
     async def run(self) -> None:
-        """Serves until a signal. BadFile if it cannot listen."""
+        """Serves until a signal. OperatorsFileError if it cannot listen."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -68,14 +68,14 @@
             try:
                 self.begin(name, memory.get(name))
             except ValueError as e:
-                raise BadFile(f"{self.path}: clusters.{name}: {e}") from None
+                raise OperatorsFileError(f"{self.path}: clusters.{name}: {e}") from None
         try:
             if isinstance(self.control, Fleet):
                 port = await self.control.start()
             else:
                 port = await listen(self.control, self.setup)
         except (OSError, ValueError) as e:
-            raise BadFile(f"{self.path}: control.listen: {e}") from None
+            raise OperatorsFileError(f"{self.path}: control.listen: {e}") from None
         self.until = loop.time() + self.told.control.wait_s
         self.press.start()
         log_line(f"control: listening on port {port}, {len(self.told.clusters)} clusters")
@@ -156,7 +156,7 @@
         """SIGHUP: clusters and clients are read again; the rest counts from the next start."""
         try:
             told = read_control(self.path)
-        except BadFile as e:
+        except OperatorsFileError as e:
             log_line(f"control: configuration not changed: {e}")
             return
         old, later = self.told, []
@@ -191,7 +191,7 @@
 
 
 def main(path: Path) -> None:
-    """Runs the service. BadFile for a file that cannot be used."""
+    """Runs the service. OperatorsFileError for a file that cannot be used."""
     import uvloop
 
     told = read_control(path)
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -51,7 +51,7 @@
                     at.answer(status)
                 await client.answer()
             client.writer.close()
-            while w.node.callers.open or w.node.pool.open_connections:
+            while w.node.client_connections.open or w.node.pool.open_connections:
                 for target in w.node.pool.processes.values():
                     w.node.pool.close_idle_of(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
@@ -79,7 +79,7 @@
 def test_a_planned_restart_loses_nothing(monkeypatch):
     """Where answers are quick beside the time that is left the node serves on, until others have taken over."""
     classes = [{**c, "goal_time": 12_000_000, "hard_limit": 15_000_000} for c in SETTINGS["classes"]]
-    monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 15.0)
+    monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 15.0)
 
     async def test(w: World) -> None:
         origin, address = w.origins[0], w.node.address
@@ -90,7 +90,7 @@
         half.writer.write(b"GET /read/1 HTTP/1.1\r\n")  # not taken, and must not hold up the exit
         old.send()
         held = await origin.arrived.get()
-        w.node.stop.set()
+        w.node.stop_requested.set()
         status = 200
         while status == 200:
             idle.send("/_health")
@@ -113,8 +113,8 @@
 
 def test_a_stop_keeps_to_the_kill_where_deadlines_are_longer(monkeypatch):
     """Of the longest deadline 3 s count: what came late had its time to the deadline, and was killed unanswered."""
-    monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 0.2)
-    monkeypatch.setattr(shutdown_schedule, "COUNTED", 0.1)
+    monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
+    monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.1)
 
     async def test(w: World) -> None:
         origin, address = w.origins[0], w.node.address
@@ -123,7 +123,7 @@
         assert (await idle.answer())[0] == 200
         early.send()
         first = await origin.arrived.get()
-        w.node.stop.set()
+        w.node.stop_requested.set()
         assert await idle.reader.read() == b""  # answers take longer than is left: it goes at once
         while monotonic_us() < w.node.dispatcher.shutdown_late_from_us:
             await asyncio.sleep(0.01)
