--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -76,6 +76,16 @@
     ) -> None: ...
 
 
+class EndpointSubscription(Protocol):
+    """The calls to discovery, which the balancer starts and ends."""
+
+    def subscribe(self, on: bool) -> None:
+        """Opens the watch on discovery, or closes it."""
+
+    def poll_endpoints(self) -> None:
+        """Asks discovery for the whole list."""
+
+
 class UpstreamAttempt(Exchange):
     """One attempt of a request."""
 
@@ -138,11 +148,18 @@
 class RequestDispatcher:
     """Runs the module's actions and tells it what happens."""
 
-    def __init__(self, settings: Settings, seed: int, servers: ConnectionPool) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        pool: ConnectionPool,
+        subscription: EndpointSubscription | None = None,
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = settings
-        self.pool = servers
-        servers.on_connection_closed = self.connection_closed
+        self.pool = pool
+        self.subscription = subscription
+        pool.on_connection_closed = self.connection_closed
         self.requests: dict[int, DispatchedRequest] = {}
         self.open_request_ids: set[bytes] = set()  # the callers' ids of these
         self.last_request_number = 0
@@ -157,8 +174,6 @@
         self.readiness: ListReadiness | None = (
             None  # of the list; None: it may be used from the first moment on
         )
-        self.on_watch: Callable[[bool], None] = lambda on: None
-        self.on_fetch: Callable[[], None] = lambda: None
         self.balancer = Balancer(settings, seed, self)
 
     def start(self) -> None:
@@ -510,10 +525,12 @@
         raise NotImplementedError
 
     def subscribe(self, on: bool) -> None:
-        self.on_watch(on)
+        if self.subscription is not None:
+            self.subscription.subscribe(on)
 
     def poll_endpoints(self) -> None:
-        self.on_fetch()
+        if self.subscription is not None:
+            self.subscription.poll_endpoints()
 
     def close_idle(self, server: int) -> None:
         self.pool.close_idle_connections(server)
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -113,7 +113,7 @@
     readiness = ListReadiness(monotonic(), longest_wait(discovery.terms))
     dispatcher.readiness = readiness
     membership = Membership(discovery, readiness, sources)
-    dispatcher.on_watch, dispatcher.on_fetch = membership.set_watch, membership.poll
+    dispatcher.subscription = membership
     return membership
 
 
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -63,19 +63,19 @@
     def start_watch(self, other_processes: int) -> None:
         """Opens the watch where endpoints are pushed, and sets how long a start waits for the first list."""
         if not self.discovery.asked:
-            self.set_watch(True)
+            self.subscribe(True)
         if not self.watches_platform():
             self.list_received()  # the lists kept of the additional sources are used from the start
         elif other_processes:
             self.readiness.until = monotonic() + longest_wait(self.discovery.terms, beside=True)
 
-    def set_watch(self, enabled: bool) -> None:
-        """Opens or closes the platform's watch."""
-        if self.watches_platform() or not enabled:
-            self.discovery.listen(enabled)
+    def subscribe(self, on: bool) -> None:
+        """Opens or closes the platform's watch (`EndpointSubscription`)."""
+        if self.watches_platform() or not on:
+            self.discovery.listen(on)
 
-    def poll(self) -> None:
-        """Queries the sources once."""
+    def poll_endpoints(self) -> None:
+        """Queries the sources once (`EndpointSubscription`)."""
         if self.additional_sources is None or self.additional_sources.watches:
             self.discovery.fetch()
         else:
