--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -105,9 +105,9 @@
     Mutation(
         "attempts go out for clients that have left",
         "dispatch/dispatcher.py",
-        "    def left(self, r: DispatchedRequest) -> None:\n",
-        "    def left(self, r: DispatchedRequest) -> None:\n        return\n\n"
-        "    def really_left(self, r: DispatchedRequest) -> None:\n",
+        "    def client_disconnected(self, request: DispatchedRequest) -> None:\n",
+        "    def client_disconnected(self, request: DispatchedRequest) -> None:\n        return\n\n"
+        "    def not_called(self, request: DispatchedRequest) -> None:\n",
         (
             (
                 "platform/peer_state.py",
--- a/harecross/downstream/connection_state.py
+++ b/harecross/downstream/connection_state.py
@@ -11,7 +11,8 @@
 from httptools import HttpRequestParser
 
 from harecross.dispatch.close_reasons import CloseReason
-from harecross.dispatch.dispatcher import DispatchedRequest, RequestDispatcher
+from harecross.dispatch.dispatcher import RequestDispatcher
+from harecross.dispatch.request import DispatchedRequest
 from harecross.downstream.read_delay import Heartbeat, InfoSocket, ReadDelay, WaitingSocket
 from harecross.http.body_buffer import Upload
 from harecross.http.request_parser import ParsedRequest, RequestParser
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -15,7 +15,7 @@
 
 from harecross.discovery.process_table import Transition
 from harecross.dispatch.close_reasons import ClosedConnection
-from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
+from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
 from harecross.interface import EndpointUpdateKind, FinalReason, Outcome
 
 MARK = "attempt "  # stands before the object: the log may hold other lines, and what reads it may put times before
@@ -100,10 +100,12 @@
             more["server.load"] = list(report)
         self.write("ended", a.request, **self.where(a), **more)
 
-    def request_answered(self, r: DispatchedRequest, how: str, reason: FinalReason | None = None) -> None:
+    def request_answered(
+        self, r: DispatchedRequest, how: FinalAnswer, reason: FinalReason | None = None
+    ) -> None:
         """The caller has its one answer, or has left. `reason`: why it was refused or failed."""
         more = {} if reason is None else {"reason": reason.value}
-        self.write("final", r, answer=how, **more)
+        self.write("final", r, answer=how.value, **more)
 
     def connection_closed(self, closing: ClosedConnection) -> None:
         """A connection has ended: whose, why, and with which request out on it."""
--- a/harecross/node/graceful_shutdown.py
+++ b/harecross/node/graceful_shutdown.py
@@ -56,8 +56,10 @@
         )
         now = monotonic_us()
         self.began_at = self.loop.time()
-        dispatcher.shutdown_late_from_us = now + int(schedule.deadline_from_s * 1e6)
-        dispatcher.shutdown_deadline_us = now + int(schedule.deadline_s * 1e6)
+        dispatcher.deadlines.limit(
+            late_from_us=now + int(schedule.deadline_from_s * 1e6),
+            deadline_us=now + int(schedule.deadline_s * 1e6),
+        )
         return schedule
 
     async def leave_listener_to_other_process(self, schedule: ShutdownSchedule) -> None:
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -23,7 +23,7 @@
     TransitionCause,
 )
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
-from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
+from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
 from harecross.dns.srv import Endpoint as SrvEndpoint
 from harecross.dns.srv import Found
 from harecross.follow.attempts import AttemptLog
@@ -225,7 +225,7 @@
         log.attempt_sent(kept)
         log.attempt_written(kept, fresh=False, whole=True)
         log.attempt_ended(kept, Outcome.OK, [0.5, 3.0])
-        log.request_answered(good, "served")
+        log.request_answered(good, FinalAnswer.SERVED)
         log.connection_closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
         log.process_changed(
             transition(
@@ -246,7 +246,7 @@
         log.attempt_written(second, fresh=True, whole=True)
         log.connection_closed(ClosedConnection("server", "10.2.0.1:8081", CloseReason.ABANDONED, "late-1"))
         log.attempt_ended(second, Outcome.TIMEOUT, [])
-        log.request_answered(late, "failed", FinalReason.MAY_HAVE_RUN)
+        log.request_answered(late, FinalAnswer.FAILED, FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
         unknown.process = None
         unknown.dispatcher = NoServers()  # type: ignore[assignment]
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -230,7 +230,7 @@
             status, head, body = await client.answer()
             assert (status, body) == (200, BIG[:size])
             assert b"close" not in head
-        assert w.node.dispatcher.final_answers["served"] == 2
+        assert w.node.dispatcher.statistics.final_answers["served"] == 2
 
     with_peers(test, answers(FORMS[form](BIG[:size]), close=form == "close"))
 
@@ -279,7 +279,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
         await until(lambda: not (w.node.dispatcher.requests))
-        assert len(asked) == 1 and w.node.dispatcher.final_answers["failed"] == 1
+        assert len(asked) == 1 and w.node.dispatcher.statistics.final_answers["failed"] == 1
         assert max(s.fail_rate for s in w.node.dispatcher.balancer.servers.values()) > 0
 
     with_peers(test, breaks, breaks)
@@ -547,7 +547,7 @@
         status, head, _ = await client.answer()
         assert status == 408 and b"Connection: close" in head
         await until(lambda: not (w.node.pool.open_connections))
-        assert not w.node.dispatcher.requests and w.node.dispatcher.final_answers["served"] == 0
+        assert not w.node.dispatcher.requests and w.node.dispatcher.statistics.final_answers["served"] == 0
         assert (
             w.node.dispatcher.balancer.controller.in_flight == 0
             and w.node.client_connections.buffered_body_bytes == 0
@@ -631,6 +631,6 @@
         client.writer.transport.abort()
         await until(lambda: not (w.node.dispatcher.requests or w.node.pool.open_connections))
         assert w.node.dispatcher.balancer.controller.in_flight == 0
-        assert w.node.dispatcher.outcomes[Outcome.OK] == 0
+        assert w.node.dispatcher.statistics.outcomes[Outcome.OK] == 0
 
     with_peers(test, taking([], []))
--- a/tests/test_crossings_left.py
+++ b/tests/test_crossings_left.py
@@ -34,7 +34,7 @@
         await held.begun.get()
         if order == "before it is up":
             client.writer.close()
-            await until(lambda: w.node.dispatcher.final_answers["left"])
+            await until(lambda: w.node.dispatcher.statistics.final_answers["left"])
             held.release()
             await until(lambda: not w.node.pool.connect_tasks)
             await turns()
@@ -44,7 +44,7 @@
             held.release()
             at = await w.origins[0].arrived.get()
             client.writer.close()
-            await until(lambda: w.node.dispatcher.final_answers["left"])
+            await until(lambda: w.node.dispatcher.statistics.final_answers["left"])
             await turns()
             assert (
                 at.gone.is_set() == cancel
@@ -69,7 +69,7 @@
         await held.begun.get()
         w.node.loop.call_soon(client.leave)  # in the turn that lets the connection up
         held.release()
-        await until(lambda: w.node.dispatcher.final_answers["left"])
+        await until(lambda: w.node.dispatcher.statistics.final_answers["left"])
         await turns()
         assert at_servers(w) == 0
         nothing_is_counted(w)
@@ -146,9 +146,9 @@
         at = [o.arrived.get_nowait() for o in w.origins for _ in range(o.arrived.qsize())]
         clients.pop().leave()
         if seen:
-            await until(lambda: w.node.dispatcher.final_answers["left"] == 1)
+            await until(lambda: w.node.dispatcher.statistics.final_answers["left"] == 1)
         at[0].answer()
-        await until(lambda: w.node.dispatcher.final_answers["left"] == 1)
+        await until(lambda: w.node.dispatcher.statistics.final_answers["left"] == 1)
         await turns()
         # Behind the answered one the same caller's second request comes; of who has left nothing does.
         assert at_servers(w) == (0 if seen else 1)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -96,7 +96,7 @@
         await server.request(again)
         again.sendall(answer(b"two"))
         assert (await client.answer())[2] == b"two"
-        assert w.node.dispatcher.outcomes[Outcome.RESET] == 0
+        assert w.node.dispatcher.statistics.outcomes[Outcome.RESET] == 0
 
     with_direct(test)
 
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -212,7 +212,7 @@
                 at.answer(500)
             assert (await client.answer())[0] == 502
             assert (controller.lost_fraction > 0) == (how == "error")
-        assert w.node.dispatcher.outcomes[Outcome.RESET] == 1
+        assert w.node.dispatcher.statistics.outcomes[Outcome.RESET] == 1
 
     with_node(test)
 
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -26,7 +26,7 @@
 )
 
 from harecross.dispatch.close_reasons import CloseReason
-from harecross.dispatch.dispatcher import DispatchedRequest
+from harecross.dispatch.request import DispatchedRequest
 from harecross.downstream import connection_manager
 from harecross.http.response_parser import ResponseParser
 from harecross.node import shutdown_schedule
@@ -125,13 +125,13 @@
         first = await origin.arrived.get()
         w.node.stop_requested.set()
         assert await idle.reader.read() == b""  # answers take longer than is left: it goes at once
-        while monotonic_us() < w.node.dispatcher.shutdown_late_from_us:
+        while monotonic_us() < w.node.dispatcher.deadlines.shutdown_late_from_us:
             await asyncio.sleep(0.01)
         late.send()
         second = await origin.arrived.get()
         status, head, _ = await late.answer()  # its server has said nothing
         assert status in (502, 503) and b"Connection: close" in head
-        assert monotonic_us() < w.node.dispatcher.shutdown_deadline_us + 200_000
+        assert monotonic_us() < w.node.dispatcher.deadlines.shutdown_deadline_us + 200_000
         await second.gone.wait()
         first.answer(body=b"came early")  # what came before does not count as lost, and is still served
         assert (await early.answer())[2] == b"came early"
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -193,7 +193,7 @@
         await at.gone.wait()
         while w.node.dispatcher.requests:
             await asyncio.sleep(0)
-        assert w.node.dispatcher.final_answers["left"] == 1
+        assert w.node.dispatcher.statistics.final_answers["left"] == 1
 
     with_node(test)
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -478,8 +478,8 @@
                 # What comes now is the other's, also what lay in the backlog.
                 assert {await site.called() for _ in range(8)} == {0}
                 assert (
-                    new.dispatcher.final_answers["served"] == 8
-                    and old.dispatcher.final_answers["served"] == 1
+                    new.dispatcher.statistics.final_answers["served"] == 8
+                    and old.dispatcher.statistics.final_answers["served"] == 1
                 )
                 # Health on a kept connection does not say no: the node serves on.
                 kept.send("/_health")
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -190,10 +190,12 @@
     async def test(site: Site) -> None:
         async with site.node() as node:
             host, asking = node.dispatcher, node.discovery.schedule
-            host.outcomes = [1] * len(Outcome)
-            host.final_reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
-            host.close_reasons.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
-            host.shed_without_list = 1
+            host.statistics.outcomes = [1] * len(Outcome)
+            host.statistics.final_reasons.update(
+                [("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)]
+            )
+            host.statistics.close_reasons.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
+            host.statistics.shed_without_list = 1
             asking.heard_at, asking.failures = 0.0, 1
             capfd.readouterr()
             host.report({0: 1, 400: 2}, 3, asking.figures(1e9))
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -32,7 +32,7 @@
 
     async def closing(self, side: str) -> Event:
         """The first connection of a side that ends."""
-        closings = self.world.node.dispatcher.close_reasons
+        closings = self.world.node.dispatcher.statistics.close_reasons
         while True:
             await until(lambda: closings)
             for event in self.events("closed"):
@@ -121,7 +121,7 @@
         await happens(w)
         event = await logged.closing("client")
         assert event.fields["reason"] == reason.value
-        assert w.node.dispatcher.close_reasons[reason] >= 1
+        assert w.node.dispatcher.statistics.close_reasons[reason] >= 1
 
     with_node(test)
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -102,7 +102,7 @@
         client.send()
         status, head, _ = await client.answer()
         assert status == 503 and b"Retry-After: 0.250" in head
-        assert s.node.dispatcher.shed_without_list == 1 and s.a.links == s.b.links == 0
+        assert s.node.dispatcher.statistics.shed_without_list == 1 and s.a.links == s.b.links == 0
         await s.tell(b"")  # nothing has changed since the version asked after
         await until(s.node.membership.first_list_received.is_set)
         assert await health(client) == 200
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -24,6 +24,7 @@
 
 from harecross.discovery.process_table import Lifecycle, ProcessState, TransitionCause
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
+from harecross.dispatch.request import FinalAnswer
 from harecross.fleet.file import read_fleet
 from harecross.follow.attempts import AttemptLog
 from harecross.follow.leaving import late_sends
@@ -595,7 +596,7 @@
 def test_the_log_has_the_same_words_for_why_requests_and_connections_end(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     for reason in FinalReason:
-        log.request_answered(states.request("one"), "refused", reason)
+        log.request_answered(states.request("one"), FinalAnswer.SHED, reason)
     for close_reason in CloseReason:
         log.connection_closed(ClosedConnection("client", "", close_reason))
     log.stream.close()
