--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -1,6 +1,6 @@
-"""Connections to servers: the pool of them, connects, probes, and the end of what takes too long.
+"""All connections to servers: connects, idle connections, health checks and time limits.
 
-A connection carries one exchange at a time. Nothing here ever sends an exchange twice.
+A connection carries one exchange at a time. Nothing here sends an exchange twice. Times in microseconds.
 """
 
 from __future__ import annotations
@@ -12,23 +12,19 @@
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.http.body_buffer import MAX_STREAM_BUFFER_BYTES, stream_buffer_bytes
 from harecross.http.request_parser import UPSTREAM_HOST
-from harecross.http.response_parser import report_positions
+from harecross.http.response_parser import parse_load_report, report_positions
 from harecross.interface import Outcome
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.peer_state import is_quiet
 from harecross.platform.system_errors import is_local_shortage
-from harecross.upstream.connection import ServerConnection
-from harecross.upstream.exchange import NO_DEADLINE_US, Exchange, HealthCheck, ServerProcess
+from harecross.upstream.connection import ServerConnection, ServerProcess
+from harecross.upstream.exchange import NO_DEADLINE_US, Exchange, HealthCheck
 
-IDLE_MARGIN_US = 1_500_000  # an idle connection is dropped so long before the server would close it
-DEFAULT_STREAMING_BUDGET_BYTES = (
-    1 << 25
-)  # bytes of large answers that may stand here, where nothing else is told
-STREAM_START_DIVISOR = 4  # one in so many descriptors may be a large answer that begins
-STALL_TIMEOUT_US = (
-    6_000_000  # a large body that its server neither takes nor gives on for so long is given up
-)
+IDLE_MARGIN_US = 1_500_000  # an idle connection is closed this long before its server would close it
+DEFAULT_STREAMING_BUDGET_BYTES = 1 << 25  # for all streamed responses together
+STREAM_START_DIVISOR = 4  # one in so many descriptors may carry a streamed response that begins
+STALL_TIMEOUT_US = 6_000_000  # a streamed body that its server neither reads nor sends on
 
 
 class ConnectionPool:
@@ -38,203 +34,243 @@
         self,
         connect_timeout: int,
         idle_time: int,
-        columns: Sequence[str],
-        descriptor_budget: DescriptorBudget,
+        report_fields: Sequence[str],
+        descriptors: DescriptorBudget,
     ) -> None:
+        """`idle_time`: after which servers close an idle connection. `report_fields`: of load reports, in order."""
         self.loop = asyncio.get_running_loop()
-        self.connect_timeout = connect_timeout / 1e6
+        self.connect_timeout_s = connect_timeout / 1e6
         self.idle_time = max(idle_time - IDLE_MARGIN_US, idle_time // 2)
-        self.report_positions = report_positions(columns)
-        self.report_size = len(columns)
-        self.descriptors = descriptor_budget
-        self.on_connection_closed: Callable[[ClosedConnection], None] = lambda closing: None
-        # Asks callers for a place: True if one of theirs has been put out.
+        self.report_positions = report_positions(report_fields)
+        self.report_size = len(report_fields)
+        self.descriptors = descriptors
+        self.on_connection_closed: Callable[[ClosedConnection], None] = lambda closed: None
+        # Closes a client connection for the sake of a new one to a server; returns whether it has.
         self.on_descriptor_shortage: Callable[[], bool] = lambda: False
-        self.load_reports = 0  # load reports read
-        self.malformed_responses = 0  # answers that could not be read
-        self.processes: dict[int, ServerProcess] = {}
+        self.load_reports = 0  # valid ones received
+        self.malformed_responses = 0
+        self.processes: dict[int, ServerProcess] = {}  # by server
         self.connect_tasks: set[asyncio.Task[None]] = set()
-        self.streaming: set[ServerConnection] = set()  # those that carry a large body
-        self.streaming_budget_bytes = 0  # bytes of large answers that may stand here, all together
-        self.stream_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's for each of them, as last set
-        self.first_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # and for any answer, until it is known to be large
+        self.streaming: set[ServerConnection] = set()  # those that carry a streamed body
+        self.streaming_budget_bytes = 0  # for all streamed responses together
+        self.stream_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's, for each streamed response
+        self.first_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's, for a response that may become one
         self.set_streaming_budget(DEFAULT_STREAMING_BUDGET_BYTES)
 
+    # ---- server processes -----------------------------------------------------------------------------
+
     @property
     def open_connections(self) -> int:
-        """Connections to servers, and attempts at one."""
+        """Connections to servers, those that are being opened among them."""
         return self.descriptors.upstream_connections
 
-    def update(self, server: int, address: str, started: int) -> None:
-        """A server in service. Old connections never lead to a new process or address."""
+    def update(self, server: int, address: str, started_at: int) -> None:
+        """A server is in service at `address`. A connection to an earlier process or address is not used for it."""
         host, _, port = address.rpartition(":")
         old = self.processes.get(server)
         if old is not None:
-            if (old.host, old.port, old.started_at) == (host, int(port), started):
+            if (old.host, old.port, old.started_at) == (host, int(port), started_at):
                 old.in_service = True
                 return
             self.take_out_of_service(server)
-        self.processes[server] = ServerProcess(server, host, int(port), started)
+        self.processes[server] = ServerProcess(server, host, int(port), started_at)
 
     def take_out_of_service(self, server: int) -> None:
-        """Nothing new goes to the server from now on; what is out on its connections is waited for."""
-        target = self.processes.get(server)
-        if target is not None:
-            target.in_service = False
-            self.close_idle_of(target, CloseReason.SERVER_OUT_OF_SERVICE)
+        """Sends nothing new to the server; responses that are waited for still count."""
+        process = self.processes.get(server)
+        if process is not None:
+            process.in_service = False
+            self.close_idle_of(process, CloseReason.SERVER_OUT_OF_SERVICE)
 
     def remove_if_unused(self, server: int) -> bool:
-        """Lets go of a server that is not in service, once nothing is out on it."""
-        target = self.processes.get(server)
-        if target is None:
+        """Removes a server that is out of service and has no connection; returns whether it is gone."""
+        process = self.processes.get(server)
+        if process is None:
             return True
-        if target.in_service or target.connection_count:
+        if process.in_service or process.connection_count:
             return False
         del self.processes[server]
         return True
 
-    def close_idle_of(self, target: ServerProcess, reason: CloseReason) -> None:
-        for conn in list(target.idle):
-            conn.discard(reason)
-        target.idle.clear()
-
     def close_idle_connections(self, server: int) -> None:
-        target = self.processes.get(server)
-        if target is not None:
-            self.close_idle_of(target, CloseReason.EJECTED)
+        """Closes the idle connections to an ejected server."""
+        process = self.processes.get(server)
+        if process is not None:
+            self.close_idle_of(process, CloseReason.EJECTED)
+
+    def close_idle_of(self, process: ServerProcess, reason: CloseReason) -> None:
+        """Closes the idle connections to one process."""
+        for connection in list(process.idle):
+            connection.discard(reason)
+        process.idle.clear()
+
+    # ---- sending --------------------------------------------------------------------------------------
 
     def send(self, exchange: Exchange) -> None:
-        """Sends on the connection used last, or on a new one. The outcome never comes within this call."""
+        """Sends on the idle connection used last, or on a new one. The outcome never comes within this call."""
         now = monotonic_us()
         exchange.started_us = now
-        target = exchange.process = self.processes.get(exchange.server)
-        if target is None or not target.in_service or min(exchange.deadline_us, exchange.start_by_us) <= now:
+        process = self.processes.get(exchange.server)
+        exchange.process = process
+        if (
+            process is None
+            or not process.in_service
+            or min(exchange.deadline_us, exchange.start_by_us) <= now
+        ):
             self.loop.call_soon(self.finish, exchange, Outcome.NOT_SENT)
             return
         if exchange.deadline_us < NO_DEADLINE_US:
             self.start_deadline_timer(exchange)
         fits = self.descriptors.upstream_connection_fits()
-        # Where no other one fits, the one that has not rested is better than the work of another handshake.
-        conn = self.acquire_idle(target, now) or (
-            None if fits else self.acquire_idle(target, now, rested=False)
-        )
-        if conn is not None:
-            conn.start(exchange, now)
+        connection = self.acquire_idle(process, now)
+        if connection is None and not fits:
+            # One that has not rested yet is better than to close a connection for another handshake.
+            connection = self.acquire_idle(process, now, rested=False)
+        if connection is not None:
+            connection.start(exchange, now)
             return
+        # Beyond its descriptors the node could not even accept connections to shed their requests.
         if not (fits or self.close_one_idle() or self.on_descriptor_shortage()):
-            # Guards against: at the descriptor limit the node could not even accept and refuse.
             self.loop.call_soon(self.finish, exchange, Outcome.NOT_SENT)
             return
         self.descriptors.upstream_connections += 1
-        target.connection_count += 1
-        task = self.loop.create_task(self.connect(exchange, target))
+        process.connection_count += 1
+        task = self.loop.create_task(self.connect(exchange, process))
         self.connect_tasks.add(task)
         task.add_done_callback(self.connect_tasks.discard)
 
-    def acquire_idle(self, target: ServerProcess, now: int, rested: bool = True) -> ServerConnection | None:
-        """The idle connection used last that has rested and on which nothing has come; None if there is none.
+    def acquire_idle(
+        self, process: ServerProcess, now: int, *, rested: bool = True
+    ) -> ServerConnection | None:
+        """Takes the idle connection used last on which nothing was received; None if there is none.
 
-        Guards against: a request written as the server closes its idle end is a reset, which may have run; and on one
-        whose server has said something more, that is taken for the answer. Both may be in the kernel, not yet read.
+        `rested`: only one that has rested. The kernel may know of a close or of bytes that were not read yet: a
+        request written then could get a reset though it may have run, or the bytes as its response.
         """
-        idle = target.idle
+        idle = process.idle
         at = len(idle) - 1
         while at >= 0:
-            conn = idle[at]
-            if now - conn.idle_since_us >= self.idle_time:
-                for old in idle[: at + 1]:  # it, and all that stand before it
+            connection = idle[at]
+            if now - connection.idle_since_us >= self.idle_time:
+                for old in idle[: at + 1]:  # it, and all that were used before it
                     old.discard(CloseReason.IDLE)
                 del idle[: at + 1]
                 return None
-            if conn.reusable_from_us <= now or not rested:
+            if connection.reusable_from_us <= now or not rested:
                 del idle[at]
                 if (
-                    conn.transport is not None
-                    and not conn.transport.is_closing()
-                    and is_quiet(conn.descriptor)
+                    connection.transport is not None
+                    and not connection.transport.is_closing()
+                    and is_quiet(connection.descriptor)
                 ):
-                    return conn
-                conn.discard(CloseReason.PEER)
+                    return connection
+                connection.discard(CloseReason.PEER)
             at -= 1
         return None
 
     def start_deadline_timer(self, exchange: Exchange) -> None:
-        """Gives it up at its time."""
-        exchange.deadline_timer = self.loop.call_later(
-            (exchange.deadline_us - monotonic_us()) / 1e6, self.deadline_passed, exchange
-        )
+        """Abandons the exchange at its deadline."""
+        delay_us = exchange.deadline_us - monotonic_us()
+        exchange.deadline_timer = self.loop.call_later(delay_us / 1e6, self.deadline_passed, exchange)
 
     def make_health_check(
-        self, server: int, ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None]
+        self, server: int, on_ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None]
     ) -> Exchange:
-        """A probe of a server, which waits as long as a connection may take to come up."""
-        head = b"GET %s HTTP/1.1\r\nHost: %s\r\n" % (
-            b"/_load" if self.report_size else b"/ping",
-            UPSTREAM_HOST,
-        )
-        return HealthCheck(server, head, b"", monotonic_us() + int(self.connect_timeout * 1e6), ended)
+        """Returns a health check, to be sent; its timeout is that of a connect."""
+        path = b"/_load" if self.report_size else b"/ping"
+        head = b"GET %s HTTP/1.1\r\nHost: %s\r\n" % (path, UPSTREAM_HOST)
+        deadline_us = monotonic_us() + int(self.connect_timeout_s * 1e6)
+        return HealthCheck(server, head, b"", deadline_us, on_ended)
 
     def close_one_idle(self) -> bool:
-        """Closes an idle connection to make room for a new one."""
-        for target in self.processes.values():
-            if target.idle:
-                target.idle.pop(0).discard(CloseReason.DESCRIPTOR_SHORTAGE)
+        """Closes an idle connection, so that a new one can be opened; returns whether there was one."""
+        for process in self.processes.values():
+            if process.idle:
+                process.idle.pop(0).discard(CloseReason.DESCRIPTOR_SHORTAGE)
                 return True
         return False
 
-    async def connect(self, exchange: Exchange, target: ServerProcess) -> None:
-        conn = ServerConnection(self, target)
-        limit = self.loop.call_later(
-            self.connect_timeout, cast(asyncio.Task[None], asyncio.current_task()).cancel
-        )
+    async def connect(self, exchange: Exchange, process: ServerProcess) -> None:
+        """Opens a connection for an exchange and starts it there, if that is still wanted."""
+        connection = ServerConnection(self, process)
+        task = cast(asyncio.Task[None], asyncio.current_task())
+        timer = self.loop.call_later(self.connect_timeout_s, task.cancel)
         try:
-            await self.loop.create_connection(lambda: conn, target.host, target.port)
+            await self.loop.create_connection(lambda: connection, process.host, process.port)
         except (OSError, asyncio.CancelledError) as error:
-            if conn.transport is not None:
-                conn.discard(CloseReason.CONNECT_TIMEOUT)
-            else:
-                self.descriptors.upstream_connections -= 1
-                target.connection_count -= 1
-            # Guards against: a server is blamed, and put out, for a shortage of this machine's own.
-            blameless = isinstance(error, OSError) and is_local_shortage(error)
-            self.finish(exchange, Outcome.NOT_SENT if blameless else Outcome.CONNECT_FAILED)
-            return
+            self.connect_failed(connection, exchange, error)
+        else:
+            self.start_on_new(connection, exchange)
         finally:
-            limit.cancel()
+            timer.cancel()
+
+    def connect_failed(
+        self, connection: ServerConnection, exchange: Exchange, error: OSError | asyncio.CancelledError
+    ) -> None:
+        """A connection could not be opened, or not in time; a shortage of this machine is no fault of the server."""
+        if connection.transport is not None:
+            connection.discard(CloseReason.CONNECT_TIMEOUT)
+        else:
+            self.descriptors.upstream_connections -= 1
+            connection.process.connection_count -= 1
+        is_local = isinstance(error, OSError) and is_local_shortage(error)
+        self.finish(exchange, Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED)
+
+    def start_on_new(self, connection: ServerConnection, exchange: Exchange) -> None:
+        """Starts an exchange on the connection that was opened for it.
+
+        While it was opened, the server may have gone out of service, the time may have run out or the client may
+        have disconnected. Not a byte was sent.
+        """
         if exchange.finished:
-            self.release(conn)
+            self.release(connection)
             return
-        # Guards against: while the connection came up the list may have said that the server drains, is
-        # gone or is another process, the time may have run out, or the caller may have left. Not a byte has gone out.
         now = monotonic_us()
-        if (
-            not target.in_service
-            or min(exchange.deadline_us, exchange.start_by_us) <= now
-            or not exchange.is_wanted()
-        ):
-            self.release(conn)
+        too_late = min(exchange.deadline_us, exchange.start_by_us) <= now
+        if not connection.process.in_service or too_late or not exchange.is_wanted():
+            self.release(connection)
             self.finish(exchange, Outcome.NOT_SENT)
-        elif conn.transport is None or conn.transport.is_closing():
+        elif connection.transport is None or connection.transport.is_closing():
             self.finish(exchange, Outcome.CONNECT_FAILED)
         else:
-            conn.start(exchange, now)
+            connection.start(exchange, now)
+
+    # ---- what connections report ----------------------------------------------------------------------
+
+    def record_load_report(self, text: bytes) -> Sequence[float]:
+        """Returns the load report in a header or body; () if it is none."""
+        report = parse_load_report(text, self.report_positions, self.report_size) if text else ()
+        self.load_reports += bool(report)
+        return report
 
-    def release(self, conn: ServerConnection) -> None:
+    def release(self, connection: ServerConnection) -> None:
         """Keeps an idle connection for the next exchange."""
         if (
-            conn.process.in_service
-            and conn.usable
-            and conn.transport is not None
-            and not conn.transport.is_closing()
+            connection.process.in_service
+            and connection.usable
+            and connection.transport is not None
+            and not connection.transport.is_closing()
         ):
-            conn.idle_since_us = monotonic_us()
-            conn.process.idle.append(conn)
+            connection.idle_since_us = monotonic_us()
+            connection.process.idle.append(connection)
         else:
-            conn.discard(CloseReason.PEER if conn.process.in_service else CloseReason.SERVER_OUT_OF_SERVICE)
+            in_service = connection.process.in_service
+            connection.discard(CloseReason.PEER if in_service else CloseReason.SERVER_OUT_OF_SERVICE)
+
+    def remove(self, connection: ServerConnection) -> None:
+        """The connection is closed."""
+        self.descriptors.upstream_connections -= 1
+        connection.process.connection_count -= 1
+        self.streaming.discard(connection)
+        if connection in connection.process.idle:
+            connection.process.idle.remove(connection)
+
+    # ---- the end of exchanges -------------------------------------------------------------------------
 
     def finish(
         self, exchange: Exchange, outcome: Outcome, body: bytes = b"", report: Sequence[float] = ()
     ) -> None:
+        """Gives an exchange its outcome; a second one is dropped."""
         if exchange.finished:
             return
         exchange.finished = True
@@ -244,71 +280,68 @@
         exchange.on_ended(exchange, outcome, body, report)
 
     def deadline_passed(self, exchange: Exchange) -> None:
+        """The exchange's deadline has passed."""
         self.abandon(exchange, Outcome.TIMEOUT)
 
     def abandon(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Stops waiting: the connection is closed, for the answer could still come on it.
+        """Ends an exchange with this outcome, or as not sent if its last byte has not left this process.
 
-        Before the last byte has left nothing has run. A connection still coming up is kept for others.
+        Its connection is closed; one that is still being opened is kept for others.
         """
         if exchange.finished:
             return
-        conn = exchange.connection
-        if conn is None:
+        connection = exchange.connection
+        if connection is None:
             outcome = Outcome.NOT_SENT
         else:
-            if not conn.sent:
+            if not connection.sent:
                 outcome = Outcome.NOT_SENT
-            conn.detach(exchange)
-            conn.exchange = None
-            conn.discard(CloseReason.ABANDONED, exchange)
+            connection.abandon_exchange(exchange)
         self.finish(exchange, outcome)
 
-    def set_streaming_budget(self, most: int) -> None:
-        """Bounds what large answers may hold here, in bytes; what has begun keeps to it after the next sweep.
+    # ---- streamed bodies ------------------------------------------------------------------------------
+
+    def set_streaming_budget(self, budget_bytes: int) -> None:
+        """Limits what all streamed responses together may keep in memory; those under way follow with the next sweep.
 
-        Guards against: a crowd of answers begins at once, each with the buffer of a single one.
+        A response that begins gets its part of a full house: many may begin at once.
         """
-        if most != self.streaming_budget_bytes:
-            self.streaming_budget_bytes = most
+        if budget_bytes != self.streaming_budget_bytes:
+            self.streaming_budget_bytes = budget_bytes
             self.first_buffer_bytes = stream_buffer_bytes(
-                most, self.descriptors.total // STREAM_START_DIVISOR
+                budget_bytes, self.descriptors.total // STREAM_START_DIVISOR
             )
 
     def resize_stream_buffers(self) -> None:
-        """Makes the kernel's buffers smaller where many large bodies pass, and larger again where few do.
-
-        Guards against: hundreds of slow callers, each with an answer's buffer of the time when there were few.
-        """
-        buffer = stream_buffer_bytes(self.streaming_budget_bytes, len(self.streaming))
-        if self.stream_buffer_bytes // 2 < buffer < 2 * self.stream_buffer_bytes:
+        """Fits the kernel's buffers to the number of streamed bodies, once it has doubled or halved."""
+        buffer_bytes = stream_buffer_bytes(self.streaming_budget_bytes, len(self.streaming))
+        if self.stream_buffer_bytes // 2 < buffer_bytes < 2 * self.stream_buffer_bytes:
             return
-        self.stream_buffer_bytes = buffer
-        for conn in self.streaming:
-            conn.set_receive_buffer(buffer)
+        self.stream_buffer_bytes = buffer_bytes
+        for connection in self.streaming:
+            connection.set_receive_buffer(buffer_bytes)
+
+    # ---- time -----------------------------------------------------------------------------------------
 
     def sweep(self) -> None:
-        """Drops connections that have stood idle almost as long as the server allows.
+        """Closes connections that were idle for too long, and those whose streamed body has stalled at the server.
 
-        Guards against: a large body that its server has left half way holds its caller for good. What waits
-        for the caller is not the server's doing.
+        A body that waits for its client is not closed here.
         """
         now = monotonic_us()
         self.resize_stream_buffers()
-        for conn in [c for c in self.streaming if now - c.progress_us > STALL_TIMEOUT_US]:
-            if (
-                conn.exchange is not None
-                and not conn.read_paused
-                and (conn.write_blocked or not conn.upload_unfinished)
-            ):
-                conn.fail_exchange(CloseReason.STALLED)
+        for connection in [c for c in self.streaming if now - c.progress_us > STALL_TIMEOUT_US]:
+            waits_for_server = connection.write_blocked or not connection.upload_unfinished
+            if connection.exchange is not None and not connection.read_paused and waits_for_server:
+                connection.fail_exchange(CloseReason.STALLED)
         oldest = now - self.idle_time
-        for target in self.processes.values():
-            while target.idle and target.idle[0].idle_since_us <= oldest:
-                target.idle.pop(0).discard(CloseReason.IDLE)
+        for process in self.processes.values():
+            while process.idle and process.idle[0].idle_since_us <= oldest:
+                process.idle.pop(0).discard(CloseReason.IDLE)
 
     def close_all(self) -> None:
+        """Closes idle connections and stops opening new ones; exchanges in flight are left alone."""
         for task in self.connect_tasks:
             task.cancel()
-        for target in self.processes.values():
-            self.close_idle_of(target, CloseReason.SHUTDOWN)
+        for process in self.processes.values():
+            self.close_idle_of(process, CloseReason.SHUTDOWN)
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -1,41 +1,46 @@
-"""One message to a server and what becomes of it, and the server's process that it goes to."""
+"""One message to a server and its outcome. Times in monotonic microseconds."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from harecross.http.body_buffer import Upload
 from harecross.interface import Outcome
 
-if TYPE_CHECKING:
-    from harecross.upstream.connection import ServerConnection
+NO_DEADLINE_US = 1 << 62
 
-NO_DEADLINE_US = 1 << 62  # no time at all
 
+class ServerAddress(Protocol):
+    """Where a server listens."""
 
-class ServerProcess:
-    """One process of a server, as discovery lists it. A restart makes a new one."""
+    @property
+    def host(self) -> str:
+        """An IP address or a host name."""
 
-    __slots__ = ("server", "host", "port", "started_at", "in_service", "idle", "connection_count")
+    @property
+    def port(self) -> int:
+        """A TCP port."""
 
-    def __init__(self, server: int, host: str, port: int, started: int) -> None:
-        self.server = server
-        self.host = host
-        self.port = port
-        self.started_at = started
-        self.in_service = True  # in service
-        self.connection_count = 0  # connections to it, and attempts at one
-        self.idle: list[ServerConnection] = []  # the one used last stands last
 
-    @property
-    def address(self) -> str:
-        return f"{self.host}:{self.port}"
+class ExchangeCarrier(Protocol):
+    """The connection that carries an exchange."""
+
+    sent: bool  # the last byte of the message has left this process
+
+    def set_read_paused(self, paused: bool) -> None:
+        """Stops reading the response, or goes on."""
+
+    def abandon_exchange(self, exchange: Exchange) -> None:
+        """Closes the connection, for the response could still come on it. The exchange gets no outcome here."""
 
 
 class Exchange:
-    """One message to a server and what becomes of it; `on_ended` is called exactly once."""
+    """One message to a server and its outcome; `on_ended` is called exactly once, with a body and a load report.
+
+    Subclasses get the parts of a streamed response and learn how far the message has come.
+    """
 
     __slots__ = (
         "server",
@@ -59,51 +64,52 @@
         server: int,
         head: bytes,
         body: bytes,
-        until: int,
-        ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None],
+        deadline_us: int,
+        on_ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None],
     ) -> None:
+        """`head`: all but the X-Timeout header, which says how much time is left when the first byte is sent."""
         self.server = server
-        self.head = head  # up to the X-Timeout header, which tells what is left when the first byte goes out
+        self.head = head
         self.body = body
-        self.deadline_us = until
-        self.on_ended = ended
+        self.deadline_us = deadline_us
+        self.on_ended = on_ended
         self.started_us = 0
-        self.process: ServerProcess | None = None
+        self.process: ServerAddress | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
-        self.connection: ServerConnection | None = None
+        self.connection: ExchangeCarrier | None = None
         self.finished = False
-        self.upload: Upload | None = None  # in place of `body`; `deadline_us` is set once all of it has left
-        self.upload_timeout_us = 0  # and is then so much later
-        self.response_begun = False  # its answer is being passed on
-        self.start_by_us = NO_DEADLINE_US  # its first byte goes out before then or not at all
+        self.upload: Upload | None = None  # in place of `body`
+        self.upload_timeout_us = 0  # time for the response once the last byte of the upload has left
+        self.response_begun = False  # its response is being streamed
+        self.start_by_us = NO_DEADLINE_US  # its first byte is sent before then or not at all
 
     def response_begins(self, length: int | None, report: Sequence[float]) -> bool:
-        """A large answer begins, of that many bytes if it says so. Whether anybody wants it."""
+        """A streamed response of `length` bytes begins (None: not known); returns whether anybody wants it."""
         return False
 
     def response_part(self, data: bytes) -> None:
-        """More of that answer."""
+        """The next part of a streamed response was received."""
 
     def is_wanted(self) -> bool:
-        """Whether anybody waits for what comes of it: asked again before its first byte goes out late."""
+        """Whether anybody waits for its outcome; asked before the first byte if the connection took time."""
         return True
 
     def is_sent(self) -> bool:
-        """Whether its last byte has left, so that it may run."""
+        """Whether its last byte has left this process, so that a server may run it."""
         return self.connection is not None and self.connection.sent
 
     def upload_sent(self) -> None:
-        """The last byte of the upload has left."""
+        """The last byte of the upload has left this process."""
 
     def request_written(self, fresh: bool, whole: bool) -> None:
-        """It was written to a connection, `fresh` or kept; not `whole` while bytes of it stand here."""
+        """It was written to a new connection (`fresh`) or a kept one; `whole`: all of it has left this process."""
 
     def request_id(self) -> str:
-        """Of the request that it is an attempt of; "" if it is none."""
+        """The id of the request that it is an attempt of; "" for none."""
         return ""
 
 
 class HealthCheck(Exchange):
-    """A test of a server."""
+    """A health check of a server."""
 
     __slots__ = ()
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -52,7 +52,7 @@
 from harecross.sources.keep import Kept
 from harecross.sources.keep import write as write_kept
 from harecross.store.store import Store
-from harecross.upstream.exchange import ServerProcess
+from harecross.upstream.connection import ServerProcess
 from harecross.xds.config import ClusterTable, ControlFile, ControlTable
 from harecross.xds.service import Service
 
