--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -47,18 +47,12 @@
     An exception in the balancer is logged and ends one request at most.
     """
 
-    def __init__(
-        self,
-        settings: Settings,
-        seed: int,
-        pool: ConnectionPool,
-        subscription: EndpointSubscription | None = None,
-    ) -> None:
+    def __init__(self, settings: Settings, seed: int, pool: ConnectionPool) -> None:
         super().__init__(retry_after_allowed=settings.retry_after)
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.pool = pool
-        self.subscription = subscription
+        self.subscription: EndpointSubscription | None = None  # set once there is a registry to subscribe for
         pool.on_connection_closed = self.connection_closed
         self.deadlines = ResponseDeadlines()
         self.readiness: ListReadiness | None = None  # None: the endpoint list may be used from the start
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -148,7 +148,7 @@
     node.uploading(9_000_000, request, False)
     assert (srv.in_flight, ctl.in_flight) == (1, 1)
     r = node.requests[request]
-    assert r.sent_at == 9_000_000 and r.useful_until > 9_000_000
+    assert r.sent_at == 9_000_000 and r.deadline > 9_000_000
     end(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
     assert (srv.in_flight, ctl.in_flight) == (0, 0) and not node.requests
     node.uploading(9_200_000, request, True)  # nothing to park
@@ -280,7 +280,7 @@
             await client.answer()
         await until(lambda: not (w.node.dispatcher.requests))
         assert len(asked) == 1 and w.node.dispatcher.statistics.final_answers["failed"] == 1
-        assert max(s.fail_rate for s in w.node.dispatcher.balancer.servers.values()) > 0
+        assert max(s.failure_rate for s in w.node.dispatcher.balancer.servers.values()) > 0
 
     with_peers(test, breaks, breaks)
 
@@ -461,9 +461,9 @@
             while len(heads) <= i:
                 await asyncio.sleep(0.005)
             (open_request,) = w.node.dispatcher.requests.values()
-            while not (held := w.node.dispatcher.balancer.requests[open_request.id]).parked:
+            while not (held := w.node.dispatcher.balancer.requests[open_request.id]).upload_parked:
                 await asyncio.sleep(0.005)
-            assert held.out.in_flight == 0 and len(bodies) == i  # a slow caller takes no slot
+            assert held.server.in_flight == 0 and len(bodies) == i  # a slow caller takes no slot
             client.writer.write(text[150_000:])
             assert (await client.answer())[0] == 200
         assert bodies == [BIG, BIG]
--- a/tests/test_crossings_left.py
+++ b/tests/test_crossings_left.py
@@ -138,7 +138,7 @@
 def test_a_client_that_leaves_while_its_call_waits_for_a_slot(seen):
     async def test(w: World) -> None:
         clients = []
-        while not w.node.dispatcher.balancer.waiting:
+        while not w.node.dispatcher.balancer.queue:
             clients.append(Plain(w.node.address))
             await taken(w, len(clients))
             clients[-1].send("/put/1", key=f"k{len(clients)}", times=1 if seen else 2)
@@ -152,7 +152,7 @@
         await turns()
         # Behind the answered one the same caller's second request comes; of who has left nothing does.
         assert at_servers(w) == (0 if seen else 1)
-        assert not w.node.dispatcher.balancer.waiting
+        assert not w.node.dispatcher.balancer.queue
 
     with_node(test, servers=2, settings=BEHIND)
 
