--- a/harecross/downstream/request_receiver.py
+++ b/harecross/downstream/request_receiver.py
@@ -69,8 +69,7 @@
 
     def start_upload(self, length: int | None) -> None:
         """Handles the request while its body still comes, because the body is too large to be buffered."""
-        self.incoming_upload = Upload(length)
-        self.incoming_upload.on_consumed = self.upload_progressed
+        self.incoming_upload = Upload(length, self.upload_progressed)
         self.pending.append(self.parsed_request(self.incoming_upload))
 
     def upload_progressed(self) -> None:
@@ -163,9 +162,9 @@
             self.url,
             self.headers,
             self.body,
-            self.parser.should_keep_alive(),
-            monotonic_us(),
-            upload,
-            self.parser.get_http_version() == "1.1",
-            self.unread_for_us,
+            keep_alive=self.parser.should_keep_alive(),
+            received_us=monotonic_us(),
+            upload=upload,
+            accepts_chunked=self.parser.get_http_version() == "1.1",
+            unread_us=self.unread_for_us,
         )
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -160,7 +160,7 @@
         self.usable = False
         self.transport = None
         if self.parser is not None:
-            self.parser.release_parser()
+            self.parser.close()
         if self.exchange is not None:
             self.fail_exchange(CloseReason.PEER)
         closed = self.closed_record or ClosedConnection("server", self.process.address, CloseReason.PEER)
