--- a/harecross/dispatch/tracer.py
+++ b/harecross/dispatch/tracer.py
@@ -1,4 +1,4 @@
-"""What is reported on each request, for a log of its way (`follow.attempts.AttemptLog`)."""
+"""What is reported on each request, for a log of its way (`follow.attempt_log.AttemptLog`)."""
 
 from __future__ import annotations
 
--- a/harecross/follow/cli.py
+++ b/harecross/follow/cli.py
@@ -8,12 +8,19 @@
 import typer
 
 from harecross.exits import stop
+from harecross.interface import Idempotency
 
 if TYPE_CHECKING:
-    from harecross.follow.reader import Logs, Request
+    from harecross.follow.late_sends import LateSend
+    from harecross.follow.logs import AttemptLogs
+    from harecross.follow.requests import LoggedRequest
 
-DEPTH = 8  # tiers
-EFFECTS = ("safe", "keyed", "unsafe")
+MAX_TIERS = 8
+IDEMPOTENCY_BY_WORD = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.IDEMPOTENCY_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
 
 
 def follow(
@@ -31,90 +38,126 @@
     ] = None,
 ) -> None:
     """A request's way through all nodes and tiers, in order. 1 where some have ended badly, 2 for bad input."""
-    from harecross.follow.reader import BadLog, read
-
-    effects = dict(effect_of(text) for text in effect or [])
+    idempotency = dict(class_idempotency(text) for text in effect or [])
     if ended_badly and leaving:
         stop("follow: one of --ended-badly and --leaving")
     listing = ended_badly or leaving
-    paths = [Path(w) for w in (words if listing else words[1:])]
+    paths = [Path(word) for word in (words if listing else words[1:])]
     if not paths:
         stop("follow: no log is named" if listing else "follow: an id and at least one log")
-    try:
-        logs = read(paths)
-    except BadLog as e:
-        stop(str(e))
-    for text in logs.torn:
-        typer.echo(f"{text}: torn, passed over", err=True)
+    logs = read_or_stop(paths)
     if leaving:
-        show_leaving(logs)
-        return
-    if ended_badly:
-        bad = [(r, wrong) for r in logs.requests.values() if (wrong := r.wrong(logs.end, effects))]
-        for r, wrong in sorted(bad, key=lambda pair: pair[0].taken):
-            typer.echo(f"{r.id} node={r.node} class={r.klass}: {'; '.join(wrong)}")
-        typer.echo(f"{len(bad)} of {len(logs.requests)} requests ended badly")
-        if bad:
-            raise typer.Exit(1)
-        return
+        list_late_sends(logs)
+    elif ended_badly:
+        list_ended_badly(logs, idempotency)
+    else:
+        show_request(logs, words[0], len(paths))
+
+
+def class_idempotency(text: str) -> tuple[str, Idempotency]:
+    """Parses CLASS=WORD; ends the command for another text."""
+    name, sign, word = text.partition("=")
+    if not sign or word not in IDEMPOTENCY_BY_WORD:
+        stop(f"--effect {text}: CLASS=one of {', '.join(IDEMPOTENCY_BY_WORD)}")
+    return name, IDEMPOTENCY_BY_WORD[word]
+
+
+def read_or_stop(paths: list[Path]) -> AttemptLogs:
+    """Reads the logs and names their torn lines; ends the command if one cannot be read."""
+    from harecross.follow.events import BadLogError
+    from harecross.follow.logs import read_logs
+
     try:
-        first = logs.find(words[0])
-    except KeyError:
-        stop(f"follow: no request {words[0]} in {len(paths)} logs")
-    show(logs, first, first.events[0].at, 0)
+        logs = read_logs(paths)
+    except BadLogError as error:
+        stop(str(error))
+    for line in logs.torn_lines:
+        typer.echo(f"{line}: torn, passed over", err=True)
+    return logs
+
+
+def list_ended_badly(logs: AttemptLogs, idempotency: dict[str, Idempotency]) -> None:
+    """Prints the requests that broke a rule or their deadline; exits with 1 if there are any."""
+    bad = []
+    for request in logs.requests.values():
+        class_idempotency = idempotency.get(request.request_class, Idempotency.NON_IDEMPOTENT)
+        if problems := request.problems(logs.end_ns, class_idempotency):
+            bad.append((request, problems))
+    for request, problems in sorted(bad, key=lambda pair: pair[0].admitted_ns):
+        typer.echo(f"{request.id} node={request.node} class={request.request_class}: {'; '.join(problems)}")
+    typer.echo(f"{len(bad)} of {len(logs.requests)} requests ended badly")
+    if bad:
+        raise typer.Exit(1)
 
 
-def show_leaving(logs: Logs) -> None:
-    """Each send that came too late, with the times that made it so."""
-    from harecross.follow.leaving import late_sends
+def list_late_sends(logs: AttemptLogs) -> None:
+    """Prints each send that came too late, with the times that made it so; exits with 1 if there are any."""
+    from harecross.follow.late_sends import late_sends
 
-    if not any(logs.told.values()):
+    if not any(logs.node_events.values()):
         stop("follow: no list was read in these logs: they are older than that line, or begin after it")
-    found, begin = late_sends(logs), min(e.at for events in logs.told.values() for e in events)
-    for late in found:
-        seconds = {
-            "listed": late.listed, "started": late.started or None, "read": late.read, "sent": late.sent,
-            "written": late.written,
-        }  # fmt: skip
-        times = " ".join(
-            f"{name}={'never' if at is None else format((at - begin) / 1e9, '.3f')}"
-            for name, at in seconds.items()
-        )
-        typer.echo(
-            f"{late.request} node={late.node} server={late.server}: {late.after:.3f} s after it was told; {times} "
-            f"(listed: first read by {late.by})"
-        )
-        if late.state is not None:
-            told = late.state.fields
-            typer.echo(
-                f"  at {(late.state.at - begin) / 1e9:.3f} "
-                f"{told['before']} -> {told['server.state']}, {told['cause']}: "
-                f"{told['said_by']} v{told['generation']} said {told['said']}, {told['age']} s before"
-            )
+    begin_ns = min(event.time_ns for events in logs.node_events.values() for event in events)
+    found = late_sends(logs)
+    for send in found:
+        show_late_send(send, begin_ns)
     typer.echo(f"{len(found)} sends to servers announced as leaving")
     if found:
         raise typer.Exit(1)
 
 
-def effect_of(text: str) -> tuple[str, str]:
-    name, sign, value = text.partition("=")
-    if not sign or value not in EFFECTS:
-        stop(f"--effect {text}: CLASS=one of {', '.join(EFFECTS)}")
-    return name, value
-
-
-def show(logs: Logs, r: Request, start: int, depth: int) -> None:
-    """Its events with seconds since the first, and below each attempt what it caused."""
-    pad = "    " * depth
-    for e in r.events:
-        more = " ".join(f"{k}={v}" for k, v in e.fields.items())
-        typer.echo(f"{(e.at - start) / 1e9:9.4f} {pad}{r.node} {r.id} {e.what} {more}".rstrip())
-        if e.what == "written" and depth < DEPTH:
-            attempt = r.attempt(e.attempt)
-            calls, sure = logs.below(r, attempt) if attempt is not None else ([], True)
-            for call in calls:
-                if not sure:
-                    typer.echo(f"          {pad}    (of this attempt or of another one there at the time:)")
-                show(logs, call, start, depth + 1)
-    if not r.answer:
-        typer.echo(f"          {pad}{r.node} {r.id} no final answer in these logs")
+def show_late_send(send: LateSend, begin_ns: int) -> None:
+    """Prints one send with its times, in seconds since `begin_ns`."""
+
+    def seconds(time_ns: int | None) -> str:
+        return "never" if time_ns is None else f"{(time_ns - begin_ns) / 1e9:.3f}"
+
+    typer.echo(
+        f"{send.request_id} node={send.node} server={send.server}: {send.delay_s:.3f} s after it was told; "
+        f"listed={seconds(send.listed_ns)} started={seconds(send.process_started_ns or None)} "
+        f"read={seconds(send.read_ns)} sent={seconds(send.sent_ns)} written={seconds(send.written_ns)} "
+        f"(listed: first read by {send.listed_by})"
+    )
+    change = send.state_change
+    if change is not None:
+        fields = change.fields
+        typer.echo(
+            f"  at {seconds(change.time_ns)} "
+            f"{fields['before']} -> {fields['server.state']}, {fields['cause']}: "
+            f"{fields['said_by']} v{fields['generation']} said {fields['said']}, {fields['age']} s before"
+        )
+
+
+def show_request(logs: AttemptLogs, request_id: str, log_count: int) -> None:
+    """Prints a request's way; ends the command if no log has it."""
+    try:
+        request = logs.first_of(request_id)
+    except KeyError:
+        stop(f"follow: no request {request_id} in {log_count} logs")
+    show_events(logs, request, request.events[0].time_ns, 0)
+
+
+def show_events(logs: AttemptLogs, request: LoggedRequest, start_ns: int, tier: int) -> None:
+    """Prints its events with seconds since the first, and below each attempt the calls that it caused."""
+    indent = "    " * tier
+    for event in request.events:
+        fields = " ".join(f"{name}={value}" for name, value in event.fields.items())
+        seconds = (event.time_ns - start_ns) / 1e9
+        typer.echo(f"{seconds:9.4f} {indent}{request.node} {request.id} {event.name} {fields}".rstrip())
+        if event.name == "written" and tier < MAX_TIERS:
+            show_calls_below(logs, request, event.attempt_number, start_ns, tier)
+    if not request.answer:
+        typer.echo(f"          {indent}{request.node} {request.id} no final answer in these logs")
+
+
+def show_calls_below(
+    logs: AttemptLogs, request: LoggedRequest, attempt_number: int, start_ns: int, tier: int
+) -> None:
+    """Prints the calls that an attempt caused in the tier below."""
+    attempt = request.attempt(attempt_number)
+    if attempt is None:
+        return
+    below = logs.calls_below(request, attempt)
+    for call in below.requests:
+        if not below.certain:
+            typer.echo(f"          {'    ' * tier}    (of this attempt or of another one there at the time:)")
+        show_events(logs, call, start_ns, tier + 1)
--- /dev/null
+++ b/harecross/follow/events.py
@@ -0,0 +1,97 @@
+"""Reads the lines of attempt logs."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from harecross.follow.attempt_log import EVENT_MARK
+
+COMMON_FIELDS = ("timeUnixNano", "service.instance.id", "event.name", "request.id")
+INTEGER_FIELDS = ("time_left", "http.request.resend_count")
+LIST_FIELDS = ("came", "left")
+
+
+class BadLogError(Exception):
+    """A file that cannot be read as an attempt log: the text names the file, the line and the problem."""
+
+
+@dataclass(slots=True)
+class Event:
+    """One line."""
+
+    time_ns: int  # Unix
+    node: str
+    name: str
+    request_id: str  # "" for what is no request's event
+    fields: dict[str, Any]  # all others
+
+    @property
+    def attempt_number(self) -> int:
+        """0 for the first attempt."""
+        return int(self.fields.get("http.request.resend_count", 0))
+
+    @property
+    def server(self) -> str:
+        """Discovery's name for it."""
+        return str(self.fields["server.id"])
+
+
+class LogFile(NamedTuple):
+    """What one file holds."""
+
+    events: list[Event]
+    torn_line: str  # file and number of a last line that is not complete; "" if there is none
+
+
+def read_log_file(path: Path) -> LogFile:
+    """Reads one file. Raises BadLogError if it holds no event, or a bad one before its last line."""
+    text = read_text(path)
+    lines = text.splitlines()
+    events: list[Event] = []
+    torn_line = ""
+    any_found = False
+    for number, line in enumerate(lines, 1):
+        last_and_unfinished = number == len(lines) and not text.endswith("\n")
+        start = line.find(EVENT_MARK + "{")
+        if start < 0:
+            if last_and_unfinished and any_found:
+                torn_line = f"{path}: line {number}"
+            continue
+        any_found = True
+        try:
+            events.append(parse_event(line[start + len(EVENT_MARK) :]))
+        except (ValueError, KeyError, TypeError):
+            if not last_and_unfinished:
+                raise BadLogError(f"{path}: line {number}: not an event of an attempt log") from None
+            torn_line = f"{path}: line {number}"
+    if not any_found:
+        raise BadLogError(f"{path}: no attempt log ([log] attempts in the operators' file writes one)")
+    return LogFile(events, torn_line)
+
+
+def read_text(path: Path) -> str:
+    """Reads a file as UTF-8. Raises BadLogError."""
+    try:
+        return path.read_text(encoding="utf-8", errors="strict")
+    except OSError as error:
+        raise BadLogError(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise BadLogError(f"{path}: not UTF-8 at byte {error.start}") from None
+
+
+def parse_event(text: str) -> Event:
+    """Parses the object of one line. Raises ValueError, KeyError or TypeError for one that is no event."""
+    fields = json.loads(text)
+    time_ns, node, name, request_id = (fields.pop(field) for field in COMMON_FIELDS)
+    if name == "sent":
+        fields["server.id"]
+    for field in INTEGER_FIELDS:
+        int(fields.get(field, 0))
+    float(fields.get("process.uptime", 0))
+    for field in LIST_FIELDS:
+        if not isinstance(fields.get(field, []), list):
+            raise TypeError(f"{field}: not a list of servers: {fields[field]!r}")
+    return Event(int(time_ns), str(node), str(name), str(request_id), fields)
--- /dev/null
+++ b/harecross/follow/logs.py
@@ -0,0 +1,102 @@
+"""Several nodes' attempt logs as one: requests, the nodes' own events, and the way of a request down the tiers."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import NamedTuple
+
+from harecross.follow.events import Event, read_log_file
+from harecross.follow.neighbours import learn_neighbours
+from harecross.follow.requests import LoggedAttempt, LoggedRequest
+
+
+class CallsBelow(NamedTuple):
+    """The calls that an attempt may have caused in the tier below."""
+
+    requests: list[LoggedRequest]
+    certain: bool  # no other attempt of that class was at the server at the time
+
+
+@dataclass(slots=True)
+class AttemptLogs:
+    """All that was read. Times in Unix nanoseconds."""
+
+    requests: dict[tuple[str, str], LoggedRequest] = field(default_factory=dict)  # by node and id
+    by_id: dict[str, list[LoggedRequest]] = field(default_factory=lambda: defaultdict(list))
+    node_events: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))  # no request's
+    torn_lines: list[str] = field(
+        default_factory=list
+    )  # last lines that are not complete, by file and number
+    end_ns: int = 0  # of the last event of a request
+    neighbours: dict[str, str] = field(default_factory=dict)  # the node beside a server
+    by_node: dict[str, list[LoggedRequest]] = field(default_factory=dict)  # as they were admitted
+
+    def add(self, event: Event) -> None:
+        """Adds the next event in time."""
+        if not event.request_id:
+            self.node_events[event.node].append(event)
+            return
+        key = (event.node, event.request_id)
+        request = self.requests.get(key)
+        if request is None:
+            request = self.requests[key] = LoggedRequest(event.request_id, event.node)
+            self.by_id[event.request_id].append(request)
+        request.add(event)
+        self.end_ns = max(self.end_ns, event.time_ns)
+
+    def finish(self) -> None:
+        """Prepares `calls_below` once all events have been added."""
+        by_node: dict[str, list[LoggedRequest]] = defaultdict(list)
+        for request in self.requests.values():
+            by_node[request.node].append(request)
+        for requests in by_node.values():
+            requests.sort(key=lambda request: request.admitted_ns)
+        self.by_node = dict(by_node)
+        self.neighbours = learn_neighbours(self.requests.values(), self.end_ns)
+
+    def first_of(self, request_id: str) -> LoggedRequest:
+        """Returns the first request of that id. Raises KeyError if no log has one."""
+        if request_id not in self.by_id:
+            raise KeyError(request_id)
+        return min(self.by_id[request_id], key=lambda request: request.admitted_ns)
+
+    def calls_below(self, request: LoggedRequest, attempt: LoggedAttempt) -> CallsBelow:
+        """Returns the calls of the node beside the server, of the same class, while the server had the attempt."""
+        node = self.neighbours.get(attempt.server)
+        if node is None or attempt.written_ns is None:
+            return CallsBelow([], certain=True)
+        begin, end = attempt.written_ns, self.end_ns if attempt.ended_ns is None else attempt.ended_ns
+        calls = [
+            call
+            for call in self.by_node[node]
+            if begin <= call.admitted_ns <= end and call.request_class == request.request_class
+        ]
+        overlapping = sum(
+            other.written_ns is not None
+            and other.written_ns < end
+            and (other.ended_ns or self.end_ns) > begin
+            for other_request in self.requests.values()
+            if other_request.request_class == request.request_class
+            for other in other_request.attempts
+            if other.server == attempt.server
+        )
+        return CallsBelow(calls, certain=overlapping <= 1)
+
+
+def read_logs(paths: Sequence[Path]) -> AttemptLogs:
+    """Reads several nodes' logs as one. Raises BadLogError."""
+    logs = AttemptLogs()
+    events: list[Event] = []
+    for path in paths:
+        file = read_log_file(path)
+        events += file.events
+        if file.torn_line:
+            logs.torn_lines.append(file.torn_line)
+    events.sort(key=lambda event: event.time_ns)
+    for event in events:
+        logs.add(event)
+    logs.finish()
+    return logs
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -93,7 +93,7 @@
     node_name: str, target: str, dispatcher: RequestDispatcher, registry: EndpointRegistry
 ) -> None:
     """Has the dispatcher write its attempts to a file, or to standard error for "-"."""
-    from harecross.follow.attempts import AttemptLog
+    from harecross.follow.attempt_log import AttemptLog
 
     try:
         dispatcher.tracer = AttemptLog(node_name, target, registry.numbers)
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -26,7 +26,7 @@
 from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
 from harecross.dns.srv import Endpoint as SrvEndpoint
 from harecross.dns.srv import Found
-from harecross.follow.attempts import AttemptLog
+from harecross.follow.attempt_log import AttemptLog
 from harecross.http.request_parser import ParsedRequest
 from harecross.interface import Endpoint, EndpointUpdateKind, FinalReason, Outcome
 from harecross.node.handover_store import HandoverStore as NodeStore
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -11,8 +11,8 @@
 from typer.testing import CliRunner
 
 from harecross.cli import app
-from harecross.follow.attempts import AttemptLog
-from harecross.follow.reader import read
+from harecross.follow.attempt_log import AttemptLog
+from harecross.follow.logs import read_logs
 from harecross.upstream import connection
 
 S = 1_000_000_000
@@ -75,14 +75,14 @@
         assert (await client.answer())[0] == 200
 
     with_node(test)
-    (r,) = read([path]).requests.values()
-    assert [e.what for e in r.events] == ["taken", *["sent", "written", "ended"] * 2, "final"]
-    assert (r.id, r.answer, [(a.server, a.cause) for a in r.attempts]) == (
+    (r,) = read_logs([path]).requests.values()
+    assert [e.name for e in r.events] == ["taken", *["sent", "written", "ended"] * 2, "final"]
+    assert (r.id, r.answer, [(a.server, a.error_type) for a in r.attempts]) == (
         "one",
         "served",
         [("s0", "error"), ("s0", "")],
     )
-    assert [e.fields["fresh"] for e in r.events if e.what == "written"] == [True, False]
+    assert [e.fields["fresh"] for e in r.events if e.name == "written"] == [True, False]
     shown = run("one", path)
     assert shown.exit_code == 0 and shown.output.count("n0 one") == 8
 
@@ -95,7 +95,7 @@
         beside += served("n1", f"c{i}", 10.0 * i + 0.3, 0.4, "t1")
         other += served("n2", f"d{i}", 10.0 * i + 5.3, 0.4, "t1")
     paths = logs(tmp_path, a=front, b=beside, c=other)
-    assert read(paths).beside == {"s1": "n1", "s2": "n2"}
+    assert read_logs(paths).neighbours == {"s1": "n1", "s2": "n2"}
     out = run("f3", *paths).output
     assert "n1 c3 taken" in out and "d3" not in out and "c2" not in out and "another one" not in out
     assert out.index("f3 written") < out.index("c3 taken") < out.index("f3 ended")
@@ -219,7 +219,7 @@
         await until(lambda: not w.node.registry.listed)
 
     with_node(test)
-    changes = [e for events in read([path]).told.values() for e in events if e.what == "process"]
+    changes = [e for events in read_logs([path]).node_events.values() for e in events if e.name == "process"]
     (change,) = changes
     assert change.server == "s0" and change.fields["generation"] == 42
     assert [change.fields[k] for k in ("before", "server.state", "cause", "said")] == [
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -9,8 +9,9 @@
 
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.downstream import connection_manager
-from harecross.follow.attempts import AttemptLog
-from harecross.follow.reader import Event, read
+from harecross.follow.attempt_log import AttemptLog
+from harecross.follow.events import Event
+from harecross.follow.logs import read_logs
 from harecross.interface import FinalReason
 from harecross.upstream import connection
 from tests.node_support import Catalog, World, entry, line, until, with_node
@@ -25,10 +26,10 @@
 
     def events(self, what: str) -> list[Event]:
         self.world.node.dispatcher.tracer.flush()
-        logs = read([self.path])
+        logs = read_logs([self.path])
         found = [e for r in logs.requests.values() for e in r.events]
-        found += [e for events in logs.told.values() for e in events]
-        return [e for e in found if e.what == what]
+        found += [e for events in logs.node_events.values() for e in events]
+        return [e for e in found if e.name == what]
 
     async def closing(self, side: str) -> Event:
         """The first connection of a side that ends."""
@@ -191,7 +192,7 @@
         event = await logged.closing("server")
         assert event.fields["reason"] == reason.value
         assert event.fields["server.address"] == w.origins[0].address
-        assert event.request == request_id
+        assert event.request_id == request_id
 
     with_node(test)
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -26,9 +26,9 @@
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.request import FinalAnswer
 from harecross.fleet.file import read_fleet
-from harecross.follow.attempts import AttemptLog
-from harecross.follow.leaving import late_sends
-from harecross.follow.reader import read as read_logs
+from harecross.follow.attempt_log import AttemptLog
+from harecross.follow.late_sends import late_sends
+from harecross.follow.logs import read_logs
 from harecross.interface import (
     ClassSettings,
     DeduplicationScope,
@@ -490,22 +490,22 @@
 def test_the_requests_in_a_stored_attempt_log_are_read():
     logs = read_logs([DATA / "attempts.log"])
     good, late = logs.requests.values()
-    assert (good.id, good.node, good.klass, good.answer) == ("good-1", "n3", "0", "served")
-    assert (late.id, late.node, late.klass, late.answer) == ("late-1", "n3", "2", "failed")
+    assert (good.id, good.node, good.request_class, good.answer) == ("good-1", "n3", "0", "served")
+    assert (late.id, late.node, late.request_class, late.answer) == ("late-1", "n3", "2", "failed")
     second = 1_000_000_000
     start = 1_700_000_000 * second
-    assert (good.taken, good.until, good.answered) == (
+    assert (good.admitted_ns, good.deadline_ns, good.answered_ns) == (
         start + 2 * second,
         start + 4 * second,
         start + 6 * second,
     )
-    assert (late.taken, late.until) == (start + 10 * second, start + 10 * second + 1_500_000_000)
-    assert [(a.number, a.server, a.cause) for a in late.attempts] == [
+    assert (late.admitted_ns, late.deadline_ns) == (start + 10 * second, start + 10 * second + 1_500_000_000)
+    assert [(a.number, a.server, a.error_type) for a in late.attempts] == [
         (0, "s2", "rejected"),
         (1, "s1", "timeout"),
     ]
     (only,) = good.attempts
-    assert (only.sent, only.written, only.ended, only.cause) == (
+    assert (only.sent_ns, only.written_ns, only.ended_ns, only.error_type) == (
         start + 3 * second,
         start + 4 * second,
         start + 5 * second,
@@ -514,8 +514,8 @@
 
 
 def test_what_is_no_requests_in_a_stored_attempt_log_is_read():
-    told = read_logs([DATA / "attempts.log"]).told["n3"]
-    assert [(event.what, event.fields) for event in told] == [
+    told = read_logs([DATA / "attempts.log"]).node_events["n3"]
+    assert [(event.name, event.fields) for event in told] == [
         ("start", {"process.uptime": 0.25}),
         ("list", {"kind": "cached", "generation": 41, "came": ["s1", "s2"], "left": []}),
         ("closed", {"side": "client", "reason": "last_answer"}),
@@ -538,15 +538,20 @@
 
 def test_a_late_send_in_a_stored_attempt_log_is_found():
     (late,) = late_sends(read_logs([DATA / "attempts.log"]))
-    assert (late.request, late.node, late.server, late.by) == ("late-1", "n3", "s1", "n3")
+    assert (late.request_id, late.node, late.server, late.listed_by) == ("late-1", "n3", "s1", "n3")
     start = 1_700_000_000_000_000_000
-    assert (late.listed - start, late.sent - start, late.written - start, start - late.started) == (
+    assert (
+        late.listed_ns - start,
+        late.sent_ns - start,
+        late.written_ns - start,
+        start - late.process_started_ns,
+    ) == (
         9_000_000_000,
         14_000_000_000,
         15_000_000_000,
         250_000_000,
     )
-    assert late.state is not None and late.state.fields["server.state"] == "draining"
+    assert late.state_change is not None and late.state_change.fields["server.state"] == "draining"
 
 
 def test_an_attempt_log_is_written_with_the_same_bytes(tmp_path, monkeypatch):
