--- a/harecross/shifts/controller.py
+++ b/harecross/shifts/controller.py
@@ -11,7 +11,9 @@
 from harecross.shifts.judge import Try
 from harecross.shifts.plan import Plan
 from harecross.shifts.shift import Decision, Refused, Shift
-from harecross.store.store import Fenced, Lease, Store, StoreError
+from harecross.store.errors import FencedError, StoreError
+from harecross.store.leases import Lease
+from harecross.store.store import Store
 
 KIND = "shift"
 LEASE_S = 10.0  # seconds without renewal after which another controller may lead
@@ -53,7 +55,7 @@
             self.shift.restore(now, before)
             decision = None
         if self.lease is not None:
-            self.tell(self.lease.token, self.shift.share)
+            self.tell(self.lease.fencing_token, self.shift.share)
         return decision
 
     def undoes(self, decision: Decision) -> bool:
@@ -74,15 +76,15 @@
             self.shift.restore(now, before)
             raise Refused(f"{what}: {self.trouble}")
         if self.lease is not None:
-            self.tell(self.lease.token, self.shift.share)
+            self.tell(self.lease.fencing_token, self.shift.share)
         return decision
 
     def lead(self, now: float, wall: float) -> bool:
         """Takes or renews the lease; on taking it, begins from what is written."""
         had = self.lease
         try:
-            self.lease = self.store.lease(f"{KIND}/{self.plan.name}", self.holder, wall, LEASE_S)
-            if self.lease is not None and (had is None or had.token != self.lease.token):
+            self.lease = self.store.acquire_lease(f"{KIND}/{self.plan.name}", self.holder, wall, LEASE_S)
+            if self.lease is not None and (had is None or had.fencing_token != self.lease.fencing_token):
                 found = self.store.get(KIND, self.plan.name)
                 self.shift = Shift(self.plan, self.classes, now)
                 if found is not None:
@@ -103,7 +105,7 @@
             )
         except StoreError as e:
             self.trouble = str(e)
-            if isinstance(e, Fenced):
+            if isinstance(e, FencedError):
                 self.lease = None
             elif decision is not None and self.undoes(decision):
                 self.unwritten = decision
--- a/harecross/store/__init__.py
+++ b/harecross/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives kills, torn writes, a full disk and wrong bytes: kept by what it is, not by table."""
+"""A small durable store on SQLite: documents with their records, and leases with fencing tokens."""
--- a/harecross/store/cli.py
+++ b/harecross/store/cli.py
@@ -1,4 +1,4 @@
-"""`harecross store`: what is kept, whether it is whole. Status 0, 1 for damage, 2 for wrong use."""
+"""`harecross store`: what is stored, and whether it is whole. Status 0, 1 for damage, 2 for wrong use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 import typer
 
 from harecross.exits import stop
-from harecross.store.store import Damaged, Store, StoreError
+from harecross.store.errors import DamagedError, StoreError
+from harecross.store.store import Store
 
 store_app = typer.Typer(no_args_is_help=True, help="State that survives crashes.")
 File = Annotated[Path, typer.Argument(help="The store's file.")]
@@ -20,41 +21,36 @@
     """State that survives crashes."""
 
 
-def opened(path: Path) -> Store:
+def open_store(path: Path) -> Store:
+    """Opens a store that exists; ends the command with its status where that fails."""
     if not path.is_file():
         stop(f"{path}: no such file")
     try:
         return Store(str(path))
-    except Damaged as e:
-        stop(str(e), 1)
-    except StoreError as e:
-        stop(str(e))
+    except DamagedError as error:
+        stop(str(error), 1)
+    except StoreError as error:
+        stop(str(error))
 
 
 @store_app.command("check")
 def check(path: File) -> None:
     """Look the whole file through: pages and the checksum of each row."""
-    store = opened(path)
-    kinds = [
-        k
-        for (k,) in store.db.execute(
-            "SELECT DISTINCT kind FROM documents WHERE kind <> '_reserve' ORDER BY kind"
-        )
-    ]
-    counts = ", ".join(f"{len(store.keys(k))} {k}" for k in kinds) or "nothing in it"
-    print(f"{path}: whole; {counts}; {store.size()} bytes")
+    store = open_store(path)
+    counts = [f"{len(store.keys(collection))} {collection}" for collection in store.collections()]
+    print(f"{path}: whole; {', '.join(counts) or 'nothing in it'}; {store.size()} bytes")
     store.close()
 
 
 @store_app.command("dump")
 def dump(path: File) -> None:
     """Everything in it, one JSON object a line."""
-    store = opened(path)
+    store = open_store(path)
     try:
         for item in store.dump():
             print(json.dumps(item))
-    except StoreError as e:
-        stop(str(e), 1)
+    except StoreError as error:
+        stop(str(error), 1)
     finally:
         store.close()
 
@@ -64,11 +60,11 @@
     path: File, keep: Annotated[int, typer.Option(min=0, help="Records of each document that stay.")] = 1000
 ) -> None:
     """Drop old records and give their room back."""
-    store = opened(path)
+    store = open_store(path)
     try:
         before, after = store.compact(keep)
-    except StoreError as e:
-        stop(str(e), 1)
+    except StoreError as error:
+        stop(str(error), 1)
     finally:
         store.close()
     print(f"{path}: {before} bytes before, {after} after")
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -69,15 +69,15 @@
 def write_store(path: Path, keep: int | None = None) -> None:
     """Documents of two kinds with their records, and leases; compacted to `keep` records where that is given."""
     store = Store(str(path))
-    first = store.lease("shift/orders", "controller-a", WALL, 10.0)
+    first = store.acquire_lease("shift/orders", "controller-a", WALL, 10.0)
     assert first is not None
     store.put("shift", "orders", {"state": "running", "step": 0}, WALL + 1, [{"why": "started"}], first)
     store.put(
         "shift", "orders", {"state": "running", "step": 1}, WALL + 2, [{"why": "one"}, {"why": "two"}], first
     )
     store.put("note", "café", {"text": "naïve", "figures": [1, 2.5, None, True]}, WALL + 3.25)
-    store.lease("shift/orders", "controller-b", WALL + 20, 10.0)
-    store.lease("shift/meters", "controller-a", WALL + 21, 30.5)
+    store.acquire_lease("shift/orders", "controller-b", WALL + 20, 10.0)
+    store.acquire_lease("shift/meters", "controller-a", WALL + 21, 30.5)
     if keep is not None:
         store.compact(keep)
     store.close()
--- a/tests/test_shifts.py
+++ b/tests/test_shifts.py
@@ -13,7 +13,8 @@
 from harecross.shifts.model import Weather, play
 from harecross.shifts.plan import Judging, Plan, Pool, Step, chosen, read_plan
 from harecross.shifts.shift import BACK_S, Cause, NodeShare, Refused, Shift, State
-from harecross.store.store import Store, StoreError
+from harecross.store.errors import StoreError
+from harecross.store.store import Store
 
 PLAN = Plan(
     "readings-2",
@@ -191,7 +192,7 @@
         def begin(name, now, kills, path=path, tell=tell):
             store = Store(path)
             if kills:
-                store.put, store.lease = counted(store.put), counted(store.lease)
+                store.put, store.acquire_lease = counted(store.put), counted(store.acquire_lease)
             return Controller(PLAN, ("read",), store, name, counted(tell) if kills else tell, now)
 
         controller = begin("one", 0.0, True)
@@ -248,7 +249,7 @@
     assert one.lease is not None
     with pytest.raises(StoreError):
         one.store.put(KIND, PLAN.name, one.shift.to_doc(), 12.0, lease=one.lease)
-    assert not node.tell(12.0, one.lease.token, 0.9)
+    assert not node.tell(12.0, one.lease.fencing_token, 0.9)
     one.step(12.0, 12.0, [], UP, 0)
     assert not one.leads and told[-1] == "two"
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: kills, wrong bytes, full disks, two writers."""
+"""The store: killed writers, wrong bytes, full disks, two writers."""
 
 import json
 import os
@@ -10,139 +10,202 @@
 
 import pytest
 
-from harecross.store.store import MIGRATIONS, Damaged, Fenced, Full, Store, StoreError
+from harecross.store import documents
+from harecross.store.database import MIGRATIONS
+from harecross.store.errors import DamagedError, FencedError, FullError, StoreError
+from harecross.store.store import Store
 
 ROOT = Path(__file__).parent.parent
 
-
-def filled(path: Path, count: int = 12) -> None:
+ENDLESS_WRITER = """
+import sys
+from harecross.store.store import Store
+store = Store(sys.argv[1])
+document = store.get("k", "x")
+number = document.body["n"] if document else 0
+while True:
+    number += 1
+    store.put("k", "x", {"n": number}, 0.0, [{"n": number}])
+    print(number, flush=True)
+"""
+
+
+def fill(path: Path, count: int = 12) -> None:
+    """Three documents with their records, and a lease."""
     store = Store(str(path))
-    for n in range(count):
-        store.put("shift", f"s{n % 3}", {"n": n, "text": "x" * 300}, float(n), [{"n": n}, {"why": "y" * 200}])
-    store.lease("leader", "one", 0.0, 10.0)
-    store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    for number in range(count):
+        body = {"n": number, "text": "x" * 300}
+        store.put("shift", f"s{number % 3}", body, float(number), [{"n": number}, {"why": "y" * 200}])
+    store.acquire_lease("leader", "one", 0.0, 10.0)
+    store.database.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
 
 
-def test_a_writer_killed_at_any_moment_leaves_the_state_and_its_record_together(tmp_path):
-    """A process writes as fast as it can and is killed; what it said was written is there, with all that led to it."""
-    code = (
-        "import sys\nfrom harecross.store.store import Store\n"
-        "s = Store(sys.argv[1])\nd = s.get('k', 'x')\nn = d.body['n'] if d else 0\n"
-        "while True:\n    n += 1\n    s.put('k', 'x', {'n': n}, 0.0, [{'n': n}])\n    print(n, flush=True)\n"
-    )
-    path, before = tmp_path / "store", 0
-    for round_ in range(6):
+def run_command(*words: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "harecross", "store", *words]
+    return subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+
+
+def test_a_writer_killed_at_any_moment_leaves_the_document_and_its_records_together(tmp_path):
+    """A process writes as fast as it can and is killed; all that it reported as written is there."""
+    path, previous = tmp_path / "store", 0
+    for round_number in range(6):
         child = subprocess.Popen(
-            [sys.executable, "-c", code, str(path)], stdout=subprocess.PIPE, text=True, cwd=ROOT,
+            [sys.executable, "-c", ENDLESS_WRITER, str(path)], stdout=subprocess.PIPE, text=True, cwd=ROOT,
         )  # fmt: skip
-        said = 0
-        for _ in range(3 + 7 * round_):
-            said = int(child.stdout.readline())
+        reported = 0
+        for _ in range(3 + 7 * round_number):
+            reported = int(child.stdout.readline())
         child.send_signal(signal.SIGKILL)
-        said = max([said, *(int(x) for x in child.stdout.read().split())])
+        reported = max([reported, *(int(line) for line in child.stdout.read().split())])
         child.wait()
         store = Store(str(path))
         document, records = store.get("k", "x"), store.records("k", "x")
-        assert said <= document.body["n"] <= said + 1 and said > before
-        assert [r.body["n"] for r in records] == list(range(1, document.body["n"] + 1))
+        assert reported <= document.body["n"] <= reported + 1 and reported > previous
+        assert [record.body["n"] for record in records] == list(range(1, document.body["n"] + 1))
         store.close()
-        before = said
+        previous = reported
 
 
-def test_a_wrong_byte_anywhere_is_found_by_name_or_changes_nothing(tmp_path):
+def test_a_wrong_byte_anywhere_is_named_or_changes_nothing(tmp_path):
     """Every page has some byte of it changed in turn, and the file is cut there: never another content."""
     path, copy = tmp_path / "store", tmp_path / "copy"
-    filled(path)
-    whole = path.read_bytes()
+    fill(path)
+    sound = path.read_bytes()
     store = Store(str(path))
-    wanted = list(store.dump())
+    expected = list(store.dump())
     store.close()
-    found = same = 0
-    for at in range(0, len(whole), 61):
-        for bad in (whole[:at] + bytes([whole[at] ^ 0x15]) + whole[at + 1 :], whole[:at]):
+    named = unchanged = 0
+    for offset in range(0, len(sound), 61):
+        flipped = sound[:offset] + bytes([sound[offset] ^ 0x15]) + sound[offset + 1 :]
+        for damaged in (flipped, sound[:offset]):
             for old in tmp_path.glob("copy*"):
                 old.unlink()
-            copy.write_bytes(bad)
+            copy.write_bytes(damaged)
             try:
                 store = Store(str(copy))
-                got = list(store.dump())
+                content = list(store.dump())
                 store.close()
-            except StoreError as e:
-                assert str(copy) in str(e)
-                found += 1
+            except StoreError as error:
+                assert str(copy) in str(error)
+                named += 1
                 continue
-            same += 1
-            assert got == wanted or (at < 100 and got == []), at
-    assert found > 100 and same > 20, (found, same)
+            unchanged += 1
+            assert content == expected or (offset < 100 and content == []), offset
+    assert named > 100 and unchanged > 20, (named, unchanged)
 
 
-def test_a_row_that_says_another_thing_is_named(tmp_path):
+@pytest.fixture
+def file_with_a_changed_row(tmp_path):
     path = tmp_path / "store"
-    filled(path)
+    fill(path)
     db = sqlite3.connect(path)
     db.execute("UPDATE documents SET body = replace(body, 'x', 'z') WHERE key = 's1'")
     db.commit()
     db.close()
-    with pytest.raises(Damaged, match="document shift s1"):
-        Store(str(path))
-    done = subprocess.run(
-        [sys.executable, "-m", "harecross", "store", "check", str(path)],
-        capture_output=True,
-        text=True,
-        cwd=ROOT,
-    )
+    return path
+
+
+def test_a_row_with_a_wrong_checksum_is_named(file_with_a_changed_row):
+    with pytest.raises(DamagedError, match="document shift s1"):
+        Store(str(file_with_a_changed_row))
+
+
+def test_the_check_command_names_a_row_with_a_wrong_checksum(file_with_a_changed_row):
+    done = run_command("check", str(file_with_a_changed_row))
     assert done.returncode == 1 and "document shift s1" in done.stderr and len(done.stderr.splitlines()) == 1
 
 
-def test_a_full_store_says_so_and_has_changed_nothing(tmp_path):
-    store = Store(str(tmp_path / "store"), pages_most=48)
-    wrote = 0
-    with pytest.raises(Full):
-        for n in range(1000):
-            store.put("k", f"x{n}", {"n": n, "text": "x" * 2000}, 0.0, [{"n": n}])
-            wrote += 1
-    assert wrote > 3 and len(store.keys("k")) == wrote and store.check() == []
-    assert len(store.records("k", f"x{wrote - 1}")) == 1 and store.records("k", f"x{wrote}") == []
-    store.put("k", "x0", {"n": -1}, 1.0, [{"why": "undone"}], urgent=True)
-    assert store.get("k", "x0").body == {"n": -1}, "there is room for what must be written"
+@pytest.fixture
+def full_store(tmp_path):
+    """A store of few pages, and how many documents it took before it was full."""
+    store = Store(str(tmp_path / "store"), max_pages=48)
+    written = 0
+    with pytest.raises(FullError):
+        for number in range(1000):
+            store.put("k", f"x{number}", {"n": number, "text": "x" * 2000}, 0.0, [{"n": number}])
+            written += 1
+    yield store, written
     store.close()
 
 
-def test_records_have_a_bound_and_compacting_gives_room_back(tmp_path, monkeypatch):
-    from harecross.store import store as module
+def test_a_write_to_a_full_store_changes_nothing(full_store):
+    store, written = full_store
+    assert written > 3 and len(store.keys("k")) == written and store.check() == []
+    assert len(store.records("k", f"x{written - 1}")) == 1 and store.records("k", f"x{written}") == []
 
-    monkeypatch.setattr(module, "RECORDS_MOST", 50)
+
+def test_an_urgent_write_takes_the_reserved_space_of_a_full_store(full_store):
+    store, _ = full_store
+    store.put("k", "x0", {"n": -1}, 1.0, [{"why": "undone"}], urgent=True)
+    assert store.get("k", "x0").body == {"n": -1}
+
+
+@pytest.fixture
+def store_with_many_records(tmp_path, monkeypatch):
+    """A document with 120 changes, where 50 records are the limit."""
+    monkeypatch.setattr(documents, "MAX_RECORDS", 50)
     store = Store(str(tmp_path / "store"))
-    for n in range(120):
-        store.put("k", "x", {"n": n}, 0.0, [{"n": n, "text": "x" * 1000}])
-    assert [r.body["n"] for r in store.records("k", "x", 500)] == list(range(70, 120))
-    before, after = store.compact(5)
-    assert after < before and [r.body["n"] for r in store.records("k", "x")] == list(range(115, 120))
+    for number in range(120):
+        store.put("k", "x", {"n": number}, 0.0, [{"n": number, "text": "x" * 1000}])
+    yield store
     store.close()
 
 
-def test_one_leads_and_a_leader_paused_past_its_lease_changes_nothing(tmp_path):
+def test_a_document_keeps_a_limited_number_of_records(store_with_many_records):
+    records = store_with_many_records.records("k", "x", 500)
+    assert [record.body["n"] for record in records] == list(range(70, 120))
+
+
+def test_compaction_deletes_old_records_and_returns_their_space(store_with_many_records):
+    before, after = store_with_many_records.compact(5)
+    records = store_with_many_records.records("k", "x")
+    assert after < before and [record.body["n"] for record in records] == list(range(115, 120))
+
+
+@pytest.fixture
+def two_stores(tmp_path):
+    """One file, opened by two processes' worth of writers."""
     path = str(tmp_path / "store")
     one, two = Store(path), Store(path)
-    first = one.lease("leader", "one", 0.0, 10.0)
-    assert two.lease("leader", "two", 5.0, 10.0) is None
-    assert one.lease("leader", "one", 6.0, 10.0).token == first.token, "renewed, not taken anew"
-    second = two.lease("leader", "two", 17.0, 10.0)
-    assert second.token > first.token
-    with pytest.raises(Fenced):
+    yield one, two
+    one.close()
+    two.close()
+
+
+def test_a_lease_has_one_holder_until_it_expires(two_stores):
+    one, two = two_stores
+    first = one.acquire_lease("leader", "one", 0.0, 10.0)
+    assert two.acquire_lease("leader", "two", 5.0, 10.0) is None
+    renewed = one.acquire_lease("leader", "one", 6.0, 10.0)
+    assert renewed.fencing_token == first.fencing_token
+    assert two.acquire_lease("leader", "two", 17.0, 10.0).fencing_token > first.fencing_token
+
+
+def test_a_holder_paused_past_its_lease_is_fenced(two_stores):
+    one, two = two_stores
+    first = one.acquire_lease("leader", "one", 0.0, 10.0)
+    second = two.acquire_lease("leader", "two", 17.0, 10.0)
+    with pytest.raises(FencedError):
         one.put("k", "x", {"by": "one"}, 18.0, lease=first)
     two.put("k", "x", {"by": "two"}, 18.0, lease=second)
     assert one.get("k", "x").body == {"by": "two"}
+
+
+def test_a_holder_that_returns_after_its_lease_expired_gets_a_new_token(two_stores):
+    _, two = two_stores
+    first = two.acquire_lease("leader", "two", 17.0, 10.0)
+    assert two.acquire_lease("leader", "two", 40.0, 10.0).fencing_token > first.fencing_token
+
+
+def test_a_write_that_expects_another_version_is_refused(two_stores):
+    one, two = two_stores
+    two.put("k", "x", {"by": "two"}, 18.0)
     with pytest.raises(StoreError, match="has changed"):
-        one.put("k", "x", {}, 19.0, expect=0)
-    # One that comes back after its own lease ran out gets a new token, though its name is the same.
-    assert two.lease("leader", "two", 40.0, 10.0).token > second.token
-    one.close()
-    two.close()
+        one.put("k", "x", {}, 19.0, expected_version=0)
 
 
-def test_an_old_file_is_migrated_and_a_newer_one_refused(tmp_path):
+def test_an_old_file_is_migrated(tmp_path):
     path = tmp_path / "store"
     db = sqlite3.connect(path)
     for statement in filter(str.strip, MIGRATIONS[0].split(";")):
@@ -151,30 +214,37 @@
     db.commit()
     db.close()
     store = Store(str(path))
-    assert store.lease("leader", "one", 0.0, 1.0) is not None
-    store.db.execute("PRAGMA user_version=99")
+    assert store.acquire_lease("leader", "one", 0.0, 1.0) is not None
+    store.close()
+
+
+def test_a_file_of_a_newer_version_is_refused(tmp_path):
+    path = tmp_path / "store"
+    store = Store(str(path))
+    store.database.connection.execute("PRAGMA user_version=99")
     store.close()
     with pytest.raises(StoreError, match="of version 99"):
         Store(str(path))
 
 
-def test_the_command_checks_dumps_and_compacts(tmp_path):
+def test_the_commands_check_dump_and_compact_a_file(tmp_path):
     path = tmp_path / "store"
-    filled(path)
-
-    def run(*words: str) -> tuple[int, str, str]:
-        command = [sys.executable, "-m", "harecross", "store", *words]
-        done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
-        return done.returncode, done.stdout, done.stderr
-
-    code, out, _ = run("check", str(path))
-    assert code == 0 and "3 shift" in out
-    code, out, _ = run("dump", str(path))
-    assert code == 0 and len([json.loads(x) for x in out.splitlines()]) == 3 + 24
-    assert run("compact", str(path), "--keep", "1")[0] == 0
-    assert len(run("dump", str(path))[1].splitlines()) == 6
-    code, _, err = run("check", str(tmp_path / "none"))
-    assert code == 2 and len(err.splitlines()) == 1
+    fill(path)
+    checked = run_command("check", str(path))
+    assert checked.returncode == 0 and "3 shift" in checked.stdout
+    dumped = run_command("dump", str(path))
+    assert dumped.returncode == 0
+    assert len([json.loads(line) for line in dumped.stdout.splitlines()]) == 3 + 24
+    assert run_command("compact", str(path), "--keep", "1").returncode == 0
+    assert len(run_command("dump", str(path)).stdout.splitlines()) == 6
+
+
+def test_the_check_command_refuses_a_file_that_does_not_exist(tmp_path):
+    done = run_command("check", str(tmp_path / "none"))
+    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+
+
+def test_the_check_command_reports_a_file_that_is_no_store(tmp_path):
     (tmp_path / "text").write_text("no store, but a text of some length\n" * 100)
-    code, _, err = run("check", str(tmp_path / "text"))
-    assert code == 1 and "not a database" in err and os.linesep * 2 not in err
+    done = run_command("check", str(tmp_path / "text"))
+    assert done.returncode == 1 and "not a database" in done.stderr and os.linesep * 2 not in done.stderr
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -46,7 +46,8 @@
 from harecross.shifts.plan import place, read_plan
 from harecross.shifts.shift import State as ShiftState
 from harecross.sources.keep import read as read_kept
-from harecross.store.store import Lease, Store
+from harecross.store.leases import Lease
+from harecross.store.store import Store
 from harecross.xds.config import TlsTable, read_control
 
 ROOT = Path(__file__).parent.parent
@@ -126,10 +127,10 @@
 @pytest.mark.parametrize("name", STORE_FILES)
 def test_leases_of_a_stored_file_are_read_and_fence_as_they_did(tmp_path, name):
     store = Store(str(stored(name, tmp_path)))
-    assert store.held("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
-    assert store.held("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
-    assert store.lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
-    assert store.lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).token == 3
+    assert store.current_lease("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
+    assert store.current_lease("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
+    assert store.acquire_lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
+    assert store.acquire_lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).fencing_token == 3
     store.close()
 
 
@@ -247,9 +248,11 @@
 def test_a_stored_shift_and_its_records_hold_these_keys_and_values(tmp_path):
     store = Store(str(stored("shift", tmp_path)))
     document = store.get("shift", "readings-2")
-    assert (document.version, document.at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
+    assert (document.version, document.changed_at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
     assert [record.body for record in store.records("shift", "readings-2")] == SHIFT_RECORDS
-    assert store.held("shift/readings-2") == Lease("shift/readings-2", "controller-a", 1, 1_700_000_016.0)
+    assert store.current_lease("shift/readings-2") == Lease(
+        "shift/readings-2", "controller-a", 1, 1_700_000_016.0
+    )
     store.close()
 
 
@@ -266,7 +269,7 @@
     assert (errors.windows, errors.at_risk, errors.harmed) == (4, [80, 34], [0, 4])
     assert errors.starts == [[0.7002, 1.5616, 2.6791, 3.7041]]
     assert (late.windows, late.at_risk, late.harmed) == (4, [74, 40], [4, 0])
-    assert controller.lease is not None and controller.lease.token == 2
+    assert controller.lease is not None and controller.lease.fencing_token == 2
     store.close()
 
 
