--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -13,6 +13,7 @@
 import sys
 import time
 from collections import Counter
+from hashlib import sha256
 from pathlib import Path
 from random import Random
 
@@ -23,9 +24,9 @@
 
 from harecross.dns.frames import Frames, framed  # noqa: E402
 from harecross.dns.message import BadMessage, Question, decode  # noqa: E402
-from harecross.dns.srv import Resolution  # noqa: E402
-from harecross.sources import files, keep  # noqa: E402
-from harecross.sources.membership import stated_by_dns  # noqa: E402
+from harecross.dns.srv import Resolution, SrvAnswer, SrvEndpoint  # noqa: E402
+from harecross.sources import address_file, cache_file  # noqa: E402
+from harecross.sources.statements import srv_statements  # noqa: E402
 
 NAME = "_a._tcp.example.org."
 TARGETS = ["t.example.org.", "u.example.org.", "v.other.example.", ".", NAME, "x" * 60 + ".example.org."]
@@ -101,23 +102,23 @@
                 resolution.could_not(question, str(e))
     assert resolution.over, "a resolution without end"
     if not resolution.failed:
-        stated = stated_by_dns(resolution.result().endpoints)
+        stated = srv_statements(resolution.result().endpoints)
         assert all(0 < s.weight <= 20 for s in stated)
 
 
 def read_file(rng: Random) -> None:
     good = "10.0.0.1:80 weight=2 priority=1 zone=x name=b # c\n[::1]:81 drain\n" * rng.randrange(3)
-    files.parse(spoilt(rng, good.encode()).decode(errors="replace"))
+    address_file.parse(spoilt(rng, good.encode()).decode(errors="replace"))
 
 
 def read_kept(rng: Random) -> None:
-    found = keep.Found((keep.Endpoint(0, "t.", "10.0.0.1", 80, 5),), 30.0)
-    body = spoilt(rng, keep.to_bytes({NAME: keep.Kept(found, 1.0, 2.0)}).partition(b"\n")[2])
+    answer = SrvAnswer((SrvEndpoint(0, "t.", "10.0.0.1", 80, 5),), 30.0)
+    body = spoilt(rng, cache_file.encode({NAME: cache_file.CachedSet(answer, 1.0, 2.0)}).partition(b"\n")[2])
     # With a checksum that holds: only then is what stands behind it read.
-    keep.from_bytes(keep.VERSION + keep.sha256(body).hexdigest().encode() + b"\n" + body)
+    cache_file.decode(cache_file.VERSION + sha256(body).hexdigest().encode() + b"\n" + body)
 
 
-OWN = (BadMessage, files.BadFile, keep.BadKept)
+OWN = (BadMessage, address_file.AddressFileError, cache_file.CacheFileError)
 
 
 def main() -> int:
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -25,9 +25,10 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests")]
 
-from harecross.dns.lifetime import Lifetimes, Name  # noqa: E402
-from harecross.dns.srv import Endpoint, Found  # noqa: E402
-from harecross.sources.membership import Membership, stated_by_dns  # noqa: E402
+from harecross.dns.lifetime import CachedName, CacheLimits  # noqa: E402
+from harecross.dns.srv import SrvAnswer, SrvEndpoint  # noqa: E402
+from harecross.sources.publisher import MembershipPublisher  # noqa: E402
+from harecross.sources.statements import srv_statements  # noqa: E402
 
 
 def memory_mb() -> float:
@@ -35,22 +36,35 @@
         return int(f.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def ledger(names: int, boxes: int) -> dict[str, float]:
-    """CPU seconds and megabytes; the host is told, and does nothing with it."""
+class CountingHost:
+    """A host that counts the lines it gets."""
+
     lines = 0
 
-    def tell(update: dict, cached: bool = False, full: bool = False) -> None:
-        nonlocal lines
-        lines += len(update["instances"])
+    def apply(self, update: dict, cached: bool = False, full: bool = False) -> None:
+        self.lines += len(update["instances"])
+
+    def unhealthy(self) -> set[str]:
+        return set()
+
+    def maintenance(self) -> tuple[str, ...]:
+        return ()
 
+    def names_changed(self) -> None:
+        pass
+
+
+def ledger(names: int, boxes: int) -> dict[str, float]:
+    """CPU seconds and megabytes; the host is told, and does nothing with it."""
+    host = CountingHost()
     base = memory_mb()
-    m = Membership(tell)
+    publisher = MembershipPublisher(host)
     sets = []
     for n in range(names):
-        m.ledger.add(f"srv:{n}", 1)
+        publisher.reconciler.add_source(f"srv:{n}", 1)
         sets.append(
             [
-                Endpoint(0, f"b{b}.n{n}.", f"10.{n >> 8}.{n & 255}.{b & 255}", 1000 + (b >> 8), 1)
+                SrvEndpoint(0, f"b{b}.n{n}.", f"10.{n >> 8}.{n & 255}.{b & 255}", 1000 + (b >> 8), 1)
                 for b in range(boxes)
             ]
         )
@@ -60,10 +74,10 @@
         for b, e in enumerate(found)
     ]
     began = time.process_time()
-    m.watched(0.0, 0.0, {"reset": True, "instances": watch}, False, True)
+    publisher.update_watch(0.0, 0.0, {"reset": True, "instances": watch}, False, True)
     for n, found in enumerate(sets):
-        m.told(0.0, f"srv:{n}", stated_by_dns(found))
-    m.settle(0.0, 0.0)
+        publisher.update_source(0.0, f"srv:{n}", srv_statements(found))
+    publisher.publish_changes(0.0, 0.0)
     first = time.process_time() - began
     held = memory_mb() - base
     changes = []
@@ -71,29 +85,29 @@
         found = sets[i % names]
         kept = found[boxes // 10 :] if i % 2 else found
         began = time.process_time()
-        m.told(100.0 + i, f"srv:{i % names}", stated_by_dns(kept))
-        m.settle(100.0 + i, 100.0)
+        publisher.update_source(100.0 + i, f"srv:{i % names}", srv_statements(kept))
+        publisher.publish_changes(100.0 + i, 100.0)
         changes.append(time.process_time() - began)
     began = time.process_time()
     for i in range(100):
-        m.settle(200.0 + i / 100, 200.0)
+        publisher.publish_changes(200.0 + i / 100, 200.0)
     idle = (time.process_time() - began) / 100
     return {
         "boxes": names * boxes, "first_s": round(first, 3), "one_name_ms": round(1000 * median(changes), 2),
-        "nothing_ms": round(1000 * idle, 3), "memory_mb": round(held, 1), "lines_told": lines,
+        "nothing_ms": round(1000 * idle, 3), "memory_mb": round(held, 1), "lines_told": host.lines,
     }  # fmt: skip
 
 
 def evenness(instances: int, ttl: float = 60.0) -> dict[str, float]:
     """Questions a second over an hour, all instances started in one second; the first ten minutes left out."""
     rng, asked = Random(1), Counter[int]()
-    names = [Name(Lifetimes(), rng, 0.0) for _ in range(instances)]
-    found = Found((Endpoint(0, "a.", "10.0.0.1", 80, 1),), ttl)
+    names = [CachedName(CacheLimits(), rng, 0.0) for _ in range(instances)]
+    found = SrvAnswer((SrvEndpoint(0, "a.", "10.0.0.1", 80, 1),), ttl)
     for now in range(3600):
         for name in names:
             if name.due(now):
-                name.asked()
-                name.answered(float(now), found)
+                name.refresh_started()
+                name.receive_answer(float(now), found)
                 asked[now] += 1
     counts = [asked[t] for t in range(600, 3600)]
     mean = sum(counts) / len(counts)
@@ -111,16 +125,16 @@
 
     from harecross.node.__main__ import Node
     from harecross.node.config import config_from
-    from harecross.sources.config import SourcesTable, Srv
-    from harecross.sources.run import Sources
+    from harecross.sources.config import SourcesTable, SrvConfig
+    from harecross.sources.manager import SourceManager
     from harecross.standins.dns import DnsServer
 
     server = await DnsServer().start()
     name = "_r._tcp.example.org"
     server.put("box.example.org.", "A", "127.0.0.1", ttl=ttl)
     server.put(f"{name}.", "SRV", "0 1 1000 box.example.org.", ttl=ttl)
-    table = SourcesTable(srv=(Srv(name),), resolvers=(server.address,), watch=False)
-    node = Node(config_from(config_of("127.0.0.1:1")), more_sources=lambda d: Sources(table, d))
+    table = SourcesTable(srv=(SrvConfig(name),), resolvers=(server.address,), watch=False)
+    node = Node(config_from(config_of("127.0.0.1:1")), more_sources=lambda d: SourceManager(table, d))
     task = asyncio.create_task(node.run())
     await node.ready.wait()
     took, loop, rng = [], asyncio.get_running_loop(), Random(2)
--- a/harecross/dns/client.py
+++ b/harecross/dns/client.py
@@ -13,7 +13,7 @@
 from harecross.dns.lookup import Lookup, Send
 from harecross.dns.message import Question, Reply, plain
 from harecross.dns.servers import TLS, Servers
-from harecross.dns.srv import Found, Resolution
+from harecross.dns.srv import Resolution, SrvAnswer
 from harecross.settings import address
 
 IDLE = 5.0  # seconds after which a connection without a question is closed (RFC 7766, 6.2.3)
@@ -108,7 +108,7 @@
             task.add_done_callback(lambda done: self.open.pop(question, None))
         return await asyncio.shield(task)
 
-    async def resolve(self, name: str) -> Found:
+    async def resolve(self, name: str) -> SrvAnswer:
         """What an SRV name holds. LookupFailed where the name itself has no answer; ValueError for no name."""
         resolution = Resolution(plain(name))
         room = asyncio.Semaphore(ASK_MOST)
--- a/harecross/dns/lifetime.py
+++ b/harecross/dns/lifetime.py
@@ -1,6 +1,6 @@
-"""How long a name's endpoints hold, when they are asked for again, and what is believed. Free of I/O.
+"""One SRV name's cached endpoints: how long they hold, when they are refreshed, and what is believed. Free of I/O.
 
-Times are seconds of a clock that never goes back, so a step of the system's clock changes nothing. RFC 2308, 8767.
+Times are seconds of a monotonic clock, so that a step of the system's clock changes nothing. RFC 2308, 8767.
 """
 
 from __future__ import annotations
@@ -9,146 +9,155 @@
 from enum import StrEnum
 from random import Random
 
-from harecross.dns.srv import Endpoint, Found
+from harecross.dns.srv import SrvAnswer, SrvEndpoint
 
-REFRESH = (0.75, 0.95)  # of its life after which a set is asked for again, drawn evenly
-BACK_OFF, BACK_OFF_MOST = 1.0, 30.0  # after a failure, doubling, drawn from the half to the whole
-DOUBT_LOOKS = 4  # times an empty answer is asked again before it is believed
+REFRESH_FRACTION = (0.75, 0.95)  # of its life after which a set is refreshed, drawn evenly
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 1.0, 30.0  # after a failure, doubling, drawn from the half to the whole
+EMPTY_CONFIRMATIONS = 4  # how often an empty answer is asked for again before it is believed
 
 
 @dataclass(frozen=True, slots=True)
-class Lifetimes:
-    """Bounds, in seconds."""
+class CacheLimits:
+    """Bounds on how long answers hold, in seconds."""
 
-    floor: float = 1.0  # a TTL of 0 would hammer the server
-    ceiling: float = 3600.0
-    negative_floor: float = 1.0
-    negative_ceiling: float = 300.0
-    stale_max: float = 86_400.0  # the last good set stays so long after its end while nobody answers
-    doubt: float = 30.0  # an empty answer after a good one is believed after so long
+    min_ttl: float = 1.0  # a TTL of 0 would make a query a request
+    max_ttl: float = 3600.0
+    negative_min_ttl: float = 1.0
+    negative_max_ttl: float = 300.0
+    max_stale: float = 86_400.0  # how long the last good set holds after its end while nobody answers
+    empty_confirmation: float = 30.0  # an empty answer after a good one is believed after so long
 
 
-class Standing(StrEnum):
-    """What a name's set is worth. The values are what operators read."""
+class CacheStatus(StrEnum):
+    """What a cached set may be used for. The values are what operators read."""
 
     UNKNOWN = "unknown"  # no answer yet
     FRESH = "fresh"
-    DOUBTED = "doubted"  # an empty answer has come and is not believed yet: the set before it holds
+    UNCONFIRMED_EMPTY = "doubted"  # an empty answer is not believed yet: the set before it holds
     STALE = "stale"  # past its end, and nobody answers
-    EXPIRED = "expired"  # stale for longer than is allowed: it vouches for nothing
-    EMPTY = "empty"  # believed to hold nothing
+    EXPIRED = "expired"  # stale for longer than is allowed: not used
+    EMPTY = "empty"  # believed to hold no endpoints
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """A name at one moment. `age` since the last good answer; `left` until its set's end, below 0 once past."""
-
-    standing: Standing
-    endpoints: tuple[Endpoint, ...]
-    age: float
-    left: float
-    why: str  # what is wrong, if anything
+class CacheView:
+    """A name at one moment."""
+
+    status: CacheStatus
+    endpoints: tuple[SrvEndpoint, ...]
+    age_s: float  # since the last good answer
+    remaining_s: float  # until the set's end, negative after it
+    problem: str  # empty where there is none
     notes: tuple[str, ...]
 
 
-class Name:
-    """One SRV name's set over time. Ask when `due`; tell what came of it."""
+class CachedName:
+    """The cached set of one SRV name over time. The caller resolves the name when it is due, and reports the result."""
 
-    def __init__(self, limits: Lifetimes, rng: Random, now: float) -> None:
+    def __init__(self, limits: CacheLimits, rng: Random, now: float) -> None:
         self.limits = limits
         self.rng = rng
-        self.held: Found | None = None  # the last that was believed
-        self.at = now  # when it came
-        self.until = now  # its end
-        self.ask_at = now
-        self.asking = False
+        self.answer: SrvAnswer | None = None  # the last that was believed
+        self.answered_at = now
+        self.expires_at = now
+        self.refresh_at = now
+        self.refreshing = False
         self.failures = 0  # in a row
-        self.why = ""
-        self.doubt_since: float | None = None
+        self.problem = ""
+        self.empty_since: float | None = None  # when the first unconfirmed empty answer came
 
     def due(self, now: float) -> bool:
-        """Whether it is to be asked for now. At most one question is out."""
-        return not self.asking and now >= self.ask_at
-
-    def asked(self) -> None:
-        self.asking = True
-
-    def answered(self, now: float, found: Found) -> None:
-        """An answer, with endpoints or without."""
-        self.asking = False
-        failures, self.failures = self.failures, 0
-        if found.unknown or found.endpoints:
-            filled = self.filled(found)
-            if filled.endpoints:
-                self.take(now, filled)
-            else:
-                # Guards against: a set of which no address could be looked up passes for an empty one.
-                self.failures = failures
-                self.could_not(now, "; ".join(found.notes))
+        """Whether to refresh the name now. At most one refresh is in progress."""
+        return not self.refreshing and now >= self.refresh_at
+
+    def refresh_started(self) -> None:
+        """The name is being resolved."""
+        self.refreshing = True
+
+    def receive_answer(self, now: float, answer: SrvAnswer) -> None:
+        """The result of a refresh, with endpoints or without."""
+        self.refreshing = False
+        if not answer.unknown and not answer.endpoints:
+            self.failures = 0
+            self._receive_empty(now, answer)
             return
+        completed = self._with_known_addresses(answer)
+        if completed.endpoints:
+            self.failures = 0
+            ttl = max(self.limits.min_ttl, min(completed.ttl, self.limits.max_ttl))
+            self._store(now, completed, ttl, "")
+        else:
+            # A set none of whose addresses could be looked up is no empty one.
+            self.receive_failure(now, "; ".join(answer.notes))
+
+    def _receive_empty(self, now: float, answer: SrvAnswer) -> None:
+        limits = self.limits
+        ttl = max(limits.negative_min_ttl, min(answer.ttl, limits.negative_max_ttl))
+        usable = (
+            self.answer is not None and self.answer.endpoints and now < self.expires_at + limits.max_stale
+        )
+        if usable and not self._confirm_empty(now, ttl, answer.empty):
+            return
+        self._store(now, answer, ttl, answer.empty)
+
+    def _confirm_empty(self, now: float, ttl: float, reason: str) -> bool:
+        """Whether an empty answer has been repeated for long enough: a DNS server that has just been restarted
+        may answer NXDOMAIN for names that it does not have yet."""
         limits = self.limits
-        life = max(limits.negative_floor, min(found.ttl, limits.negative_ceiling))
-        if self.held is not None and self.held.endpoints and now < self.until + limits.stale_max:
-            # Guards against: NXDOMAIN from a server that has just been restarted empties a cluster.
-            if self.doubt_since is None:
-                self.doubt_since = now
-            believed_at = self.doubt_since + limits.doubt
-            if now < believed_at:
-                self.why = f"{found.empty}, not believed before {limits.doubt:g} s"
-                step = min(life, limits.doubt / DOUBT_LOOKS) * self.rng.uniform(0.5, 1)
-                # The last look falls on the end of the doubt, not after it.
-                self.ask_at = min(now + step, believed_at)
-                return
-        self.held, self.at, self.until = found, now, now + life
-        self.doubt_since, self.why = None, found.empty
-        self.ask_at = now + life * self.rng.uniform(*REFRESH)
-
-    def take(self, now: float, found: Found) -> None:
-        life = max(self.limits.floor, min(found.ttl, self.limits.ceiling))
-        self.held, self.at, self.until = found, now, now + life
-        self.doubt_since, self.why = None, ""
-        self.ask_at = now + life * self.rng.uniform(*REFRESH)
-
-    def filled(self, found: Found) -> Found:
-        """With the addresses known before for targets whose lookup failed.
-
-        Guards against: one failed lookup of an address takes a server out.
-        """
-        if not found.unknown:
-            return found
-        before = self.held.endpoints if self.held is not None else ()
-        kept = [e for e in before if e.target in found.unknown]
-        endpoints = tuple(sorted({*found.endpoints, *kept}))
-        life = min(found.ttl, self.limits.floor * 2)
-        return Found(endpoints, life, found.empty, found.unknown, found.notes)
-
-    def could_not(self, now: float, why: str) -> None:
-        """No answer was to be had."""
-        self.asking = False
+        if self.empty_since is None:
+            self.empty_since = now
+        confirmed_at = self.empty_since + limits.empty_confirmation
+        if now >= confirmed_at:
+            return True
+        self.problem = f"{reason}, not believed before {limits.empty_confirmation:g} s"
+        step = min(ttl, limits.empty_confirmation / EMPTY_CONFIRMATIONS) * self.rng.uniform(0.5, 1)
+        self.refresh_at = min(now + step, confirmed_at)  # the last query falls on the end, not after it
+        return False
+
+    def _store(self, now: float, answer: SrvAnswer, ttl: float, problem: str) -> None:
+        self.answer, self.answered_at, self.expires_at = answer, now, now + ttl
+        self.empty_since, self.problem = None, problem
+        self.refresh_at = now + ttl * self.rng.uniform(*REFRESH_FRACTION)
+
+    def _with_known_addresses(self, answer: SrvAnswer) -> SrvAnswer:
+        """The answer with the earlier addresses of targets whose lookup failed, so that one failed lookup of an
+        address removes no server."""
+        if not answer.unknown:
+            return answer
+        earlier = self.answer.endpoints if self.answer is not None else ()
+        retained = [endpoint for endpoint in earlier if endpoint.target in answer.unknown]
+        endpoints = tuple(sorted({*answer.endpoints, *retained}))
+        ttl = min(answer.ttl, self.limits.min_ttl * 2)
+        return SrvAnswer(endpoints, ttl, answer.empty, answer.unknown, answer.notes)
+
+    def receive_failure(self, now: float, problem: str) -> None:
+        """A refresh that brought no answer; it is repeated with a backoff."""
+        self.refreshing = False
         self.failures += 1
-        self.why = why
-        wait = min(BACK_OFF_MOST, BACK_OFF * 2 ** (self.failures - 1)) * self.rng.uniform(0.5, 1)
-        # A set that still holds is not asked for more often than its life asks.
-        self.ask_at = now + wait
-
-    def restore(self, now: float, found: Found, age: float, left: float) -> None:
-        """Begins with a set that was kept on disk, so old and with so much left; asked for at once."""
-        self.held, self.at, self.until = found, now - age, now + left
-        self.ask_at, self.why = now, "kept from before the start"
-
-    def view(self, now: float) -> View:
-        """How it stands."""
-        held = self.held
-        if held is None:
-            return View(Standing.UNKNOWN, (), 0.0, 0.0, self.why, ())
-        left = self.until - now
-        if not held.endpoints:
-            standing = Standing.EMPTY
-        elif self.doubt_since is not None:
-            standing = Standing.DOUBTED
-        elif left >= 0:
-            standing = Standing.FRESH
-        else:
-            standing = Standing.STALE if -left <= self.limits.stale_max else Standing.EXPIRED
-        endpoints = () if standing == Standing.EXPIRED else held.endpoints
-        return View(standing, endpoints, now - self.at, left, self.why, held.notes)
+        self.problem = problem
+        backoff = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (self.failures - 1)) * self.rng.uniform(0.5, 1)
+        self.refresh_at = now + backoff
+
+    def restore(self, now: float, answer: SrvAnswer, age_s: float, remaining_s: float) -> None:
+        """Begins with a set from the cache file, of that age and with so much left; refreshed at once."""
+        self.answer, self.answered_at, self.expires_at = answer, now - age_s, now + remaining_s
+        self.refresh_at, self.problem = now, "kept from before the start"
+
+    def view(self, now: float) -> CacheView:
+        """The name as it is now."""
+        answer = self.answer
+        if answer is None:
+            return CacheView(CacheStatus.UNKNOWN, (), 0.0, 0.0, self.problem, ())
+        remaining_s = self.expires_at - now
+        status = self._status(answer, remaining_s)
+        endpoints = () if status == CacheStatus.EXPIRED else answer.endpoints
+        return CacheView(status, endpoints, now - self.answered_at, remaining_s, self.problem, answer.notes)
+
+    def _status(self, answer: SrvAnswer, remaining_s: float) -> CacheStatus:
+        if not answer.endpoints:
+            return CacheStatus.EMPTY
+        if self.empty_since is not None:
+            return CacheStatus.UNCONFIRMED_EMPTY
+        if remaining_s >= 0:
+            return CacheStatus.FRESH
+        return CacheStatus.STALE if -remaining_s <= self.limits.max_stale else CacheStatus.EXPIRED
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Endpoint:
+class SrvEndpoint:
     """One address of one SRV record; `weight` is the record's own, 0 to 65535."""
 
     priority: int
@@ -25,11 +25,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SrvAnswer:
     """What a name holds. `ttl` in seconds; `empty` says why there is nothing; `unknown` are targets whose address
     could not be looked up; `notes` are for operators."""
 
-    endpoints: tuple[Endpoint, ...]
+    endpoints: tuple[SrvEndpoint, ...]
     ttl: float
     empty: str = ""
     unknown: tuple[str, ...] = ()
@@ -172,17 +172,17 @@
                 for family in FAMILIES:
                     self.chains[name, family] = Chain(name, family)
 
-    def result(self) -> Found:
+    def result(self) -> SrvAnswer:
         """What the name holds. ValueError while something is open or where the name itself has no answer."""
         if not self.over or self.failed:
             raise ValueError(self.failed or "not over")
         srv = self.srv
         if not srv.records:
-            return Found((), srv.ttl, empty=srv.why)
+            return SrvAnswer((), srv.ttl, empty=srv.why)
         if all(r.data[3] == "." for r in srv.records):
-            return Found((), srv.ttl, empty="no service (target .)")
+            return SrvAnswer((), srv.ttl, empty="no service (target .)")
         notes, unknown, ttl = list(dict.fromkeys(self.notes)), [], srv.ttl
-        endpoints: set[Endpoint] = set()
+        endpoints: set[SrvEndpoint] = set()
         for r in srv.records:
             priority, weight, port, target = int(r.data[0]), int(r.data[1]), int(r.data[2]), str(r.data[3])
             if target == "." or port == 0:
@@ -198,9 +198,9 @@
             chain = self.chains.get((target, "A"))
             if chain is not None and len(chain.names) > 1:
                 notes.append(f"{target}: is an alias of {chain.names[-1]}, which RFC 2782 forbids; followed")
-            endpoints.update(Endpoint(priority, target, a, port, weight) for a in addresses)
+            endpoints.update(SrvEndpoint(priority, target, a, port, weight) for a in addresses)
         empty = "" if endpoints or unknown else "no target has an address"
-        return Found(
+        return SrvAnswer(
             tuple(sorted(endpoints)), ttl, empty, tuple(dict.fromkeys(unknown)), tuple(dict.fromkeys(notes))
         )
 
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -74,7 +74,7 @@
 
 
 class MoreSources(EndpointListConsumer, Protocol):
-    """Several sources of membership; the watch is one of them (`sources.run.Sources`)."""
+    """Several sources of membership; the watch is one of them (`sources.manager.SourceManager`)."""
 
     @property
     def watches(self) -> bool:
@@ -304,19 +304,19 @@
 
     def reload_sources(self) -> str:
         """`[sources]` of the operators' file is read again; a bad file changes nothing."""
-        from harecross.sources.run import Sources
+        from harecross.sources.manager import SourceManager
 
-        assert isinstance(self.more_sources, Sources)
+        assert isinstance(self.more_sources, SourceManager)
         try:
             told = read_operators(os.environ.get("HARECROSS_CONFIG", ""))
-            self.more_sources.put(told.sources)
+            self.more_sources.configure(told.sources)
         except (BadConfig, ValueError) as e:
             return f"; sources not changed: {e}"
         if self.more_sources.watches and self.discovery.current is None:
             self.discovery.listen(True)
         elif not self.more_sources.watches:
             self.discovery.listen(False)
-        return f"; {len(self.more_sources.membership.ledger.sources)} sources"
+        return f"; {len(self.more_sources.membership.reconciler.sources)} sources"
 
     async def drain(self) -> None:
         """Serves on while others take over, then answers all that was taken, before it is killed.
@@ -439,11 +439,11 @@
             raise BadConfig(f"{path}: xds.listen: {e}") from None
         found["beside"] = Inside(told.xds.listen, told.xds.cluster)
     if told.sources.on:
-        from harecross.sources.run import Sources
+        from harecross.sources.manager import SourceManager
 
         def make(directory: EndpointRegistry) -> MoreSources:
             try:
-                return Sources(told.sources, directory)
+                return SourceManager(told.sources, directory)
             except ValueError as e:
                 raise BadConfig(f"{path}: {e}") from None
 
--- a/harecross/sources/__init__.py
+++ b/harecross/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Membership from several sources: who says what of each box, and one rule where they disagree. Free of I/O."""
+"""Membership from several sources: the platform's watch, SRV names and address files, merged into one endpoint list."""
--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -33,67 +33,73 @@
     from harecross.doors.ask import call
     from harecross.doors.cli import checked
 
-    good = True
-    for door in checked(at):
-        said = call(door, "GET", f"/sources?{urlencode({'box': box})}" if box else "/sources")
-        if not said.ok:
-            why = "it has no sources beside the watch" if said.text == "no such call" else said.text
-            print(f"{door}: no: {why}", file=sys.stderr)
-            good = False
+    path = f"/sources?{urlencode({'box': box})}" if box else "/sources"
+    succeeded = True
+    for address in checked(at):
+        answer = call(address, "GET", path)
+        if not answer.ok:
+            problem = "it has no sources beside the watch" if answer.text == "no such call" else answer.text
+            print(f"{address}: no: {problem}", file=sys.stderr)
+            succeeded = False
             continue
         if as_json:
-            print(said.text)
-        else:
-            try:
-                show(door, json.loads(said.text), bool(box))
-            except (ValueError, KeyError, TypeError):
-                print(f"{door}: no: what answers there is no door of this version", file=sys.stderr)
-                good = False
-    raise typer.Exit(0 if good else 1)
-
-
-def seconds(value: float | None) -> str:
-    return "" if value is None else f"{value:,.1f} s"
+            print(answer.text)
+            continue
+        try:
+            show(address, json.loads(answer.text), with_details=bool(box))
+        except (ValueError, KeyError, TypeError):
+            print(f"{address}: no: what answers there is no door of this version", file=sys.stderr)
+            succeeded = False
+    raise typer.Exit(0 if succeeded else 1)
 
 
-def show(door: str, told: dict[str, Any], one: bool) -> None:
+def show(address: str, explanation: dict[str, Any], *, with_details: bool) -> None:
+    """Prints an answer to `GET /sources`: the sources, and the endpoints as a table or in detail."""
     from harecross.console import out, table
 
-    t = table(f"sources at {door}", "source", "rank", "is", "lists", "drains", "age", "left", "why")
-    for s in told["sources"]:
-        t.add_row(
-            s["source"], str(s["rank"]), s["credit"], str(s["lists"]), str(s["drains"]),
-            seconds(s["age_s"]), seconds(s["left_s"]), s["why"],
+    sources = table(f"sources at {address}", "source", "rank", "is", "lists", "drains", "age", "left", "why")
+    for row in explanation["sources"]:
+        sources.add_row(
+            row["source"], str(row["rank"]), row["credit"], str(row["lists"]), str(row["drains"]),
+            seconds(row["age_s"]), seconds(row["left_s"]), row["why"],
         )  # fmt: skip
-    out.print(t)
-    if not one:
-        t = table("boxes", "address", "names", "", "line of the rule", "priority", "weight")
-        for b in told["boxes"]:
-            t.add_row(
-                b["address"],
-                ", ".join(b["names"]),
-                state(b),
-                b["line"],
-                str(b["priority"]),
-                f"{b['weight']:g}",
-            )
-        out.print(t)
+    out.print(sources)
+    if with_details:
+        for row in explanation["boxes"]:
+            show_endpoint(row)
         return
-    for b in told["boxes"]:
-        out.print(f"{b['address']} ({', '.join(b['names']) or 'no name'}): {state(b)}", highlight=False)
-        out.print(f"  line {b['line']}", highlight=False)
-        for source, word in b["words"].items():
-            out.print(f"  {source}: {word}", highlight=False)
-        for c in b["changes"]:
-            out.print(f"  {c['ago_s']:,.1f} s ago: {c['outcome']}, line {c['line']}", highlight=False)
+    endpoints = table("boxes", "address", "names", "", "line of the rule", "priority", "weight")
+    for row in explanation["boxes"]:
+        names, weight = ", ".join(row["names"]), f"{row['weight']:g}"
+        endpoints.add_row(row["address"], names, state(row), row["line"], str(row["priority"]), weight)
+    out.print(endpoints)
+
+
+def show_endpoint(row: dict[str, Any]) -> None:
+    """Prints one endpoint: its state, what each source says of it, and its last changes."""
+    from harecross.console import out
+
+    out.print(f"{row['address']} ({', '.join(row['names']) or 'no name'}): {state(row)}", highlight=False)
+    out.print(f"  line {row['line']}", highlight=False)
+    for source, status in row["words"].items():
+        out.print(f"  {source}: {status}", highlight=False)
+    for change in row["changes"]:
+        ago = seconds(change["ago_s"])
+        out.print(f"  {ago} ago: {change['outcome']}, line {change['line']}", highlight=False)
+
+
+def seconds(value: float | None) -> str:
+    """A time for a table; nothing where it is not known."""
+    return "" if value is None else f"{value:,.1f} s"
 
 
-def state(b: dict[str, Any]) -> str:
-    if b["held_out"]:
+def state(row: dict[str, Any]) -> str:
+    """Whether an endpoint is in service, and if not, why."""
+    if row["held_out"]:
         return "out, held by operators"
-    if b["spare"]:
-        return f"spare: priority {b['priority']} is not in use"
-    return "in" if b["in"] else f"out: {b['outcome']}"
+    if row["spare"]:
+        return f"spare: priority {row['priority']} is not in use"
+    return "in" if row["in"] else f"out: {row['outcome']}"
 
 
 @sources_app.command("check")
@@ -103,17 +109,17 @@
     """Whether a file can be used: its keys, its names, the files it names. Asks no server."""
     try:
         from harecross.operators import BadFile, Operators, read_toml
-    except ImportError as e:
-        stop(f"sources check needs the extra `operators`: {e}")
+    except ImportError as error:
+        stop(f"sources check needs the extra `operators`: {error}")
+    from harecross.sources.address_file import read_address_file
     from harecross.sources.config import check
-    from harecross.sources.files import read_file
 
     try:
-        told = read_toml(config, Operators).sources
-        check(told)
-        boxes = sum(len(read_file(f.path)) for f in told.file)
-    except BadFile as e:
-        stop(str(e))
-    except ValueError as e:
-        stop(f"{config}: {e}")
-    print(f"{config}: {len(told.srv)} SRV names, {len(told.file)} files with {boxes} boxes")
+        table = read_toml(config, Operators).sources
+        check(table)
+        endpoints = sum(len(read_address_file(file.path)) for file in table.file)
+    except BadFile as error:
+        stop(str(error))
+    except ValueError as error:
+        stop(f"{config}: {error}")
+    print(f"{config}: {len(table.srv)} SRV names, {len(table.file)} files with {endpoints} boxes")
--- a/harecross/sources/config.py
+++ b/harecross/sources/config.py
@@ -9,21 +9,23 @@
 import msgspec
 
 from harecross.dns.servers import server_address
-from harecross.sources.files import BadFile, read_file
-from harecross.sources.ledger import Limits
+from harecross.sources.address_file import AddressFileError, read_address_file
+from harecross.sources.source import Limits
 
 Rank = Annotated[int, msgspec.Meta(ge=0, le=1000)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.05, le=7 * 86_400)]
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
 
 
-class Srv(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class SrvConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """One SRV name (`[[sources.srv]]`)."""
 
     name: str
-    rank: Rank = 1  # the lower, the more it is believed
-    zone: str = ""  # of its boxes: DNS tells none
-    priority: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0  # added to the name's own, which count from 0
+    rank: Rank = 1  # the source with the lower one is believed
+    zone: str = ""  # of its endpoints: DNS has none
+    priority: Annotated[int, msgspec.Meta(ge=0, le=1000)] = (
+        0  # added to those of the name's records, which count from 0
+    )
     resolvers: tuple[str, ...] = ()  # in place of the table's
     floor_s: Seconds = 1.0
     ceiling_s: Seconds = 3600.0
@@ -31,7 +33,7 @@
     doubt_s: Seconds = 30.0
 
 
-class File(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class AddressFileConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """One file of addresses (`[[sources.file]]`)."""
 
     path: str
@@ -43,8 +45,8 @@
 class SourcesTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[sources]`. Without `srv` and `file` the watch is all there is, and none of this is in use."""
 
-    srv: tuple[Srv, ...] = ()
-    file: tuple[File, ...] = ()
+    srv: tuple[SrvConfig, ...] = ()
+    file: tuple[AddressFileConfig, ...] = ()
     resolvers: tuple[str, ...] = ()  # IP-ADDRESS:PORT, or tls://IP-ADDRESS:PORT
     tls_ca: str = ""  # a file; without it the system's
     tls_name: str = ""  # the name the resolvers' certificate must bear; without it their address
@@ -63,15 +65,16 @@
         return bool(self.srv or self.file)
 
     def limits(self) -> Limits:
+        """How far sources may disagree."""
         return Limits(self.step_s, self.mass)
 
-    def servers(self, srv: Srv) -> tuple[str, ...]:
-        """The DNS servers that a name is asked of."""
+    def servers(self, srv: SrvConfig) -> tuple[str, ...]:
+        """The DNS servers that a name is queried from."""
         return srv.resolvers or self.resolvers
 
 
 def check(table: SourcesTable, where: str = "sources") -> None:
-    """ValueError, naming the key and what is allowed, for what a schema cannot say. Reads the files of addresses."""
+    """Checks what a schema cannot, and reads the files of addresses. ValueError names the key and what is allowed."""
     if not 0 < table.overflow_enter < table.overflow_leave <= 1:
         raise ValueError(f"{where}.overflow_enter: below overflow_leave")
     if not table.watch and not table.on:
@@ -80,39 +83,47 @@
         raise ValueError(f"{where}.tls_ca: {table.tls_ca!r} is not a file")
     if table.keep and not Path(table.keep).absolute().parent.is_dir():
         raise ValueError(f"{where}.keep: {str(Path(table.keep).parent)!r} is no folder")
-    once(f"{where}.srv", "name", [s.name for s in table.srv])
-    once(f"{where}.file", "path", [f.path for f in table.file])
-    for i, file in enumerate(table.file):
-        try:
-            read_file(file.path)
-        except OSError as e:
-            raise ValueError(f"{where}.file[{i}].path: {file.path}: {e.strerror}") from None
-        except BadFile as e:
-            raise ValueError(f"{where}.file[{i}].path: {file.path}: {e}") from None
-    for i, srv in enumerate(table.srv):
-        here = f"{where}.srv[{i}]"
-        name_of(srv.name, f"{here}.name")
-        if srv.floor_s > srv.ceiling_s:
-            raise ValueError(f"{here}.floor_s: at most ceiling_s")
-        if not table.servers(srv):
-            raise ValueError(f"{here}: no DNS server: set {where}.resolvers, or resolvers here")
-        for server in table.servers(srv):
-            server_address(server, f"{where}.resolvers")
-
-
-def once(where: str, key: str, values: Sequence[str]) -> None:
-    twice = sorted({v for v in values if values.count(v) > 1})
-    if twice:
-        raise ValueError(f"{where}: {key} {twice[0]!r} is there twice")
-
-
-def name_of(text: str, where: str) -> str:
-    """An SRV name as it is asked for."""
+    _check_unique(f"{where}.srv", "name", [srv.name for srv in table.srv])
+    _check_unique(f"{where}.file", "path", [file.path for file in table.file])
+    for index, file in enumerate(table.file):
+        _check_file(file, f"{where}.file[{index}]")
+    for index, srv in enumerate(table.srv):
+        _check_srv(table, srv, where, f"{where}.srv[{index}]")
+
+
+def _check_unique(where: str, key: str, values: Sequence[str]) -> None:
+    repeated = sorted({value for value in values if values.count(value) > 1})
+    if repeated:
+        raise ValueError(f"{where}: {key} {repeated[0]!r} is there twice")
+
+
+def _check_file(file: AddressFileConfig, where: str) -> None:
+    try:
+        read_address_file(file.path)
+    except OSError as error:
+        raise ValueError(f"{where}.path: {file.path}: {error.strerror}") from None
+    except AddressFileError as error:
+        raise ValueError(f"{where}.path: {file.path}: {error}") from None
+
+
+def _check_srv(table: SourcesTable, srv: SrvConfig, table_name: str, where: str) -> None:
+    srv_query_name(srv.name, f"{where}.name")
+    if srv.floor_s > srv.ceiling_s:
+        raise ValueError(f"{where}.floor_s: at most ceiling_s")
+    servers = table.servers(srv)
+    if not servers:
+        raise ValueError(f"{where}: no DNS server: set {table_name}.resolvers, or resolvers here")
+    for server in servers:
+        server_address(server, f"{table_name}.resolvers")
+
+
+def srv_query_name(text: str, where: str) -> str:
+    """An SRV name in the form in which it is queried. ValueError, with `where`, for one that cannot be."""
     try:
         from harecross.dns.message import plain
-    except ImportError as e:
-        raise ValueError(f"{where}: needs the extra `dns`: {e}") from None
+    except ImportError as error:
+        raise ValueError(f"{where}: needs the extra `dns`: {error}") from None
     try:
         return plain(text)
-    except ValueError as e:
-        raise ValueError(f"{where}: {e}") from None
+    except ValueError as error:
+        raise ValueError(f"{where}: {error}") from None
--- /dev/null
+++ b/harecross/sources/manager.py
@@ -0,0 +1,348 @@
+"""The sources of one cluster at work: DNS names are resolved, files are read, good sets are cached on disk, and the
+merged list goes from the platform's watch and the other sources to the endpoint registry."""
+
+from __future__ import annotations
+
+import asyncio
+import ssl
+import threading
+import time
+from collections.abc import Callable, Coroutine, Sequence
+from random import Random, SystemRandom
+from typing import TYPE_CHECKING, Any
+
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.platform.log import log_exception, log_line
+from harecross.sources.address_file import AddressFileError
+from harecross.sources.config import AddressFileConfig, SourcesTable, SrvConfig
+from harecross.sources.explanation import SourcesView, explain
+from harecross.sources.file_source import POLL_INTERVAL_S, FileSource
+from harecross.sources.priorities import PriorityOverflow
+from harecross.sources.publisher import FIRST_STATEMENTS_S, WATCH, MembershipPublisher
+from harecross.sources.registry_host import RegistryHost
+from harecross.sources.source import Confidence
+
+if TYPE_CHECKING:
+    # The extra `dns` is needed only where SRV names are configured.
+    from harecross.dns.client import Client
+    from harecross.sources.cache_file import CachedSet
+    from harecross.sources.dns_source import DnsSource
+
+MIN_STEP_S, MAX_STEP_S = 0.02, 0.5  # between two steps
+MIN_SAVE_INTERVAL_S = 1.0  # between two writes of the cache file
+
+
+class SourceManager:
+    """Consumes the watch's endpoint lists, and stands between it and the registry.
+
+    Every decision is that of the publisher, the reconciler or a cached name.
+    """
+
+    def __init__(
+        self, table: SourcesTable, registry: EndpointRegistry, label: str = "", rng: Random | None = None
+    ) -> None:
+        """Reads the cache file and the files of addresses. ValueError for a file of addresses that is bad."""
+        self.loop = asyncio.get_running_loop()
+        self.table = table
+        self.registry = registry
+        self.rng = rng or SystemRandom()
+        self.now = self.loop.time
+        self.wall = time.time
+        self._log_prefix = f"{label}: " if label else ""
+        self._host = RegistryHost(registry)
+        self.membership = MembershipPublisher(
+            self._host,
+            table.limits(),
+            PriorityOverflow(table.overflow_enter, table.overflow_leave),
+            table.watch_rank if table.watch else None,
+            self.now() + FIRST_STATEMENTS_S,
+        )
+        registry.resolve, registry.weighted = self.membership.resolve, True
+        self._watch_heard_at = self.now()
+        self._clients: dict[tuple[object, ...], Client] = {}
+        self.dns_sources: dict[str, DnsSource] = {}
+        self.file_sources: dict[str, FileSource] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._main_task: asyncio.Task[None] | None = None
+        self._wake = asyncio.Event()
+        self._unsaved, self._saved_at = False, 0.0
+        self._save_lock = threading.Lock()  # one thread at a time writes the cache file
+        self.configure(table, first=True)
+
+    # ---- configuration ------------------------------------------------------------------------------------
+
+    def configure(self, table: SourcesTable, *, first: bool = False) -> None:
+        """Adds, changes and removes sources; no endpoint that another source lists is lost."""
+        self.table = table
+        reconciler, overflow = self.membership.reconciler, self.membership.overflow
+        reconciler.limits = table.limits()
+        overflow.enter, overflow.leave = table.overflow_enter, table.overflow_leave
+        if table.watch:
+            reconciler.add_source(WATCH, table.watch_rank)
+        cached_sets = self._load_cache_file() if first and table.keep and table.srv else {}
+        self._remove_unconfigured()
+        for srv in table.srv:
+            self._configure_dns(srv, cached_sets)
+        for file in table.file:
+            self._configure_file(file, first=first)
+        self._wake.set()
+
+    def _remove_unconfigured(self) -> None:
+        configured = {dns_source_name(srv) for srv in self.table.srv}
+        configured |= {file_source_name(file) for file in self.table.file}
+        present = {*self.dns_sources, *self.file_sources} | (set() if self.table.watch else {WATCH})
+        for name in present - configured:
+            self.dns_sources.pop(name, None)
+            self.file_sources.pop(name, None)
+            self.membership.reconciler.remove_source(name)
+
+    def _configure_dns(self, config: SrvConfig, cached_sets: dict[str, CachedSet]) -> None:
+        from harecross.dns.lifetime import CachedName
+        from harecross.sources.dns_source import DnsSource, cache_limits
+
+        name = dns_source_name(config)
+        self.membership.reconciler.add_source(name, config.rank)
+        client = self._client(self.table.servers(config))
+        if name in self.dns_sources:
+            self.dns_sources[name].configure(config, client)
+            return
+        cached_name = CachedName(cache_limits(config), self.rng, self.now())
+        if config.name in cached_sets:
+            cached = cached_sets[config.name]
+            age_s, expired_s = cached.age(self.wall())
+            # A set from before the start counts as stale, whatever its TTL, until DNS has answered.
+            cached_name.restore(self.now(), cached.answer, age_s, -max(expired_s, 0.001))
+        self.dns_sources[name] = DnsSource(
+            name, config, cached_name, client, self.membership, self.now, self._log_prefix
+        )
+
+    def _configure_file(self, config: AddressFileConfig, *, first: bool) -> None:
+        name = file_source_name(config)
+        self.membership.reconciler.add_source(name, config.rank)
+        source = self.file_sources.get(name)
+        if source is None:
+            source = self.file_sources[name] = FileSource(name, config)
+        else:
+            source.configure(config)
+        if first:
+            statements = source.load()
+            source.due = self.now() + POLL_INTERVAL_S
+            self.membership.update_source(self.now(), name, statements)
+
+    def _client(self, servers: Sequence[str]) -> Client:
+        """The DNS client of these servers; names with the same servers share one."""
+        from harecross.dns.client import Client
+        from harecross.dns.servers import TLS
+
+        key = (tuple(servers), self.table.tls_ca, self.table.tls_name)
+        if key not in self._clients:
+            context = None
+            if any(server.startswith(TLS) for server in servers):
+                context = ssl.create_default_context(cafile=self.table.tls_ca or None)
+            self._clients[key] = Client(servers, self.rng, context, self.table.tls_name)
+        return self._clients[key]
+
+    # ---- the watch ----------------------------------------------------------------------------------------
+
+    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
+        """Takes a list or change of the watch. ValueError if it is none."""
+        if not self.table.watch:
+            return
+        self.membership.update_watch(self.now(), self.wall(), update, cached, full)
+        for item in update["instances"]:
+            # What cannot be used is logged; but a bad line of a server that is removed does no harm.
+            if not isinstance(item, dict) or (
+                item.get("lifecycle") == "in_service"
+                and item.get("hostPort") not in self.membership.watch_lines
+            ):
+                log_line(f"discovery: bad entry {item!r:.200}")
+        self._publish_changes()
+
+    def reached(self, good: bool) -> None:
+        """The watch has spoken, or its connection has ended."""
+        if not good or not self.table.watch:
+            return
+        self._watch_heard_at = self.now()
+        stale = self.membership.reconciler.sources[WATCH].confidence == Confidence.STALE
+        if stale and self.membership.full_list_published:
+            self.membership.restore_watch(self.now())
+            self._wake.set()
+
+    @property
+    def heard(self) -> bool:
+        """Whether the registry has a whole list, from sources that are fresh."""
+        return self.membership.full_list_published
+
+    @property
+    def watches(self) -> bool:
+        """Whether the platform's watch is a source."""
+        return self.table.watch
+
+    def follow(self, moved: Callable[[], None]) -> None:
+        """`moved` is called before endpoints with new names are published."""
+        self._host.on_names_changed(moved)
+
+    def again(self) -> None:
+        """Publishes the whole list once more, soon."""
+        published = self.membership.published
+        self.loop.call_soon(
+            lambda: self.registry.apply({"reset": True, "instances": list(published.values())}, full=True)
+        )
+
+    def explain(self, box: str = "") -> dict[str, Any]:
+        """What each source says, and how each endpoint came to be in service or not."""
+        view = SourcesView(
+            self.now(),
+            self.membership,
+            self.dns_sources,
+            self.file_sources,
+            set(self._host.maintenance()),
+            self._watch_heard_at,
+        )
+        return explain(view, box)
+
+    # ---- the main task ------------------------------------------------------------------------------------
+
+    def start(self) -> None:
+        """Begins to resolve names and to check files."""
+        self._main_task = self.loop.create_task(self._run())
+
+    async def stop(self) -> None:
+        """Ends what is in progress, and writes the cache file."""
+        tasks = [*self._tasks, *([self._main_task] if self._main_task is not None else [])]
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+        for client in self._clients.values():
+            await client.close()
+        if self.table.keep and self.dns_sources:
+            # A write that was cancelled above may not have begun.
+            self._save_cache_file(self._cached_sets())
+
+    async def _run(self) -> None:
+        while True:
+            try:
+                self._step()
+            except Exception:
+                log_exception("sources")
+            due = max(self._next_due(), self.now() + MIN_STEP_S)
+            try:
+                async with asyncio.timeout_at(min(due, self.now() + MAX_STEP_S)):
+                    await self._wake.wait()
+                    await asyncio.sleep(MIN_STEP_S)
+            except TimeoutError:
+                pass
+            self._wake.clear()
+
+    def _next_due(self) -> float:
+        names = [source.cached_name for source in self.dns_sources.values()]
+        times = [name.refresh_at for name in names if not name.refreshing]
+        times += [source.due for source in self.file_sources.values()]
+        reconcile_at = self.membership.reconciler.next_due()
+        if reconcile_at is not None:
+            times.append(reconcile_at)
+        return min(times, default=self.now() + MAX_STEP_S)
+
+    def _step(self) -> None:
+        """Does everything that is due now."""
+        now = self.now()
+        for dns_source in list(self.dns_sources.values()):
+            if dns_source.cached_name.due(now):
+                dns_source.cached_name.refresh_started()
+                self._start_task(self._refresh(dns_source))
+            self._publish_dns(dns_source)
+        for file_source in self.file_sources.values():
+            if now >= file_source.due:
+                file_source.due = now + POLL_INTERVAL_S
+                self._start_task(self._poll_file(file_source))
+        self._check_watch(now)
+        self._publish_changes()
+        if self._unsaved and now >= self._saved_at + MIN_SAVE_INTERVAL_S:
+            self._unsaved, self._saved_at = False, now
+            self._start_task(asyncio.to_thread(self._save_cache_file, self._cached_sets()))
+
+    def _check_watch(self, now: float) -> None:
+        """Marks the watch's list stale once it has been silent for too long."""
+        if not self.table.watch or now - self._watch_heard_at <= self.table.watch_stale_s:
+            return
+        confidence = self.membership.reconciler.sources[WATCH].confidence
+        if confidence == Confidence.FRESH:
+            silent_s = self.table.watch_stale_s
+            log_line(f"sources: {self._log_prefix}watch: silent for {silent_s:g} s, its list is stale")
+        if confidence != Confidence.NONE:
+            self.membership.set_confidence(WATCH, Confidence.STALE)
+
+    def _publish_changes(self) -> None:
+        try:
+            self.membership.publish_changes(self.now(), self.wall())
+        except ValueError as error:
+            log_line(f"sources: {self._log_prefix}{error}")
+
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    # ---- DNS and files ------------------------------------------------------------------------------------
+
+    async def _refresh(self, source: DnsSource) -> None:
+        await source.refresh()
+        if self.dns_sources.get(source.name) is source:  # not removed meanwhile
+            self._publish_dns(source)
+            self._wake.set()
+
+    def _publish_dns(self, source: DnsSource) -> None:
+        has_good_set = source.publish()
+        self._unsaved = self._unsaved or (has_good_set and bool(self.table.keep))
+
+    async def _poll_file(self, source: FileSource) -> None:
+        try:
+            loaded = await source.load_if_changed()
+        except (OSError, AddressFileError) as error:
+            source.fail(error)
+            if self.file_sources.get(source.name) is source:  # not removed meanwhile
+                self.membership.set_confidence(source.name, Confidence.STALE)
+        else:
+            if loaded is None:
+                return
+            if self.file_sources.get(source.name) is source:
+                source.accept(loaded)
+                self.membership.update_source(self.now(), source.name, loaded.statements)
+        self._wake.set()
+
+    # ---- the cache file -----------------------------------------------------------------------------------
+
+    def _load_cache_file(self) -> dict[str, CachedSet]:
+        """The cached sets; a file that is no good is logged, and nothing of it used."""
+        from harecross.sources.cache_file import CacheFileError, read_cache_file, remove_leftovers
+
+        try:
+            remove_leftovers(self.table.keep)
+            return read_cache_file(self.table.keep)
+        except (CacheFileError, OSError) as error:
+            log_line(f"sources: {self.table.keep}: kept sets not used: {error}")
+            return {}
+
+    def _cached_sets(self) -> dict[str, CachedSet]:
+        wall = self.wall()
+        sets = {s.config.name: s.cached_set(wall) for s in self.dns_sources.values()}
+        return {name: cached for name, cached in sets.items() if cached is not None}
+
+    def _save_cache_file(self, sets: dict[str, CachedSet]) -> None:
+        from harecross.sources.cache_file import write_cache_file
+
+        try:
+            with self._save_lock:
+                write_cache_file(self.table.keep, sets)
+        except OSError as error:
+            log_line(f"sources: {self.table.keep}: sets not kept: {error.strerror}")
+
+
+def dns_source_name(config: SrvConfig) -> str:
+    """The source of an SRV name, as operators read it."""
+    return f"srv:{config.name}"
+
+
+def file_source_name(config: AddressFileConfig) -> str:
+    """The source of a file of addresses, as operators read it."""
+    return f"file:{config.path}"
--- /dev/null
+++ b/harecross/sources/publisher.py
@@ -0,0 +1,264 @@
+"""From the merged endpoints to the one endpoint list that a host gets. Free of I/O: time is handed in.
+
+Endpoints go by their addresses, also to the host: whoever lists them, and under whichever name, they are one. What the
+host gets has the form of discovery's updates.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable, Mapping
+from typing import Any, Protocol
+
+from harecross.discovery.listed_endpoints import ListedEndpoints
+from harecross.sources.priorities import Health, PriorityOverflow
+from harecross.sources.reconciler import MembershipReconciler, MergedEndpoint
+from harecross.sources.source import Confidence, Limits, Statement
+from harecross.sources.statements import watch_lines_by_address, watch_started_at_ms, watch_statement
+
+WATCH = "watch"  # the source that is the platform's watch
+FIRST_STATEMENTS_S = 3.0  # how long a start waits for sources that have said nothing yet
+
+
+class MembershipHost(Protocol):
+    """Who gets the endpoint list."""
+
+    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
+        """Takes a list or change in the form of discovery's updates."""
+
+    def unhealthy(self) -> set[str]:
+        """Addresses of endpoints that cost much more than the others, or are ejected."""
+
+    def maintenance(self) -> Iterable[str]:
+        """Names or addresses that operators hold out of service."""
+
+    def names_changed(self) -> None:
+        """Called before endpoints with new names are published."""
+
+
+class NameIndex:
+    """The addresses of endpoints by the names that sources use for them."""
+
+    def __init__(self) -> None:
+        self._addresses: dict[str, set[str]] = {}
+        self._names: dict[str, frozenset[str]] = {}
+
+    def set_names(self, address: str, names: frozenset[str]) -> None:
+        """Replaces the names of the endpoint at an address."""
+        for name in self._names.pop(address, frozenset()) - names:
+            addresses = self._addresses[name]
+            addresses.discard(address)
+            if not addresses:
+                del self._addresses[name]
+        for name in names:
+            self._addresses.setdefault(name, set()).add(address)
+        if names:
+            self._names[address] = names
+
+    def resolve(self, name: str) -> str:
+        """The address of the endpoint of that name; the name itself where it is none, or that of several."""
+        addresses = self._addresses.get(name, ())
+        return next(iter(addresses)) if len(addresses) == 1 else name
+
+
+class PriorityIndex:
+    """The priority of each endpoint, and how many endpoints each priority has."""
+
+    def __init__(self) -> None:
+        self._priorities: dict[str, int] = {}
+        self._counts: Counter[int] = Counter()
+
+    def set_priority(self, address: str, priority: int | None) -> None:
+        """Replaces the priority of the endpoint at an address; None where it is removed."""
+        old = self._priorities.pop(address, None)
+        if old is not None:
+            self._counts[old] -= 1
+            if not self._counts[old]:
+                del self._counts[old]
+        if priority is not None:
+            self._priorities[address] = priority
+            self._counts[priority] += 1
+
+    def priorities(self) -> list[int]:
+        """All priorities that have endpoints, the first one first."""
+        return sorted(self._counts)
+
+
+class MembershipPublisher:
+    """The reconciler with a host on its other side."""
+
+    def __init__(
+        self,
+        host: MembershipHost,
+        limits: Limits | None = None,
+        overflow: PriorityOverflow | None = None,
+        watch_rank: int | None = 0,
+        wait_until: float = 0.0,
+    ) -> None:
+        """`watch_rank` is None where the platform's watch is no source. Up to `wait_until` sources that have said
+        nothing yet are waited for: until then no endpoint is published as not listed."""
+        self.host = host
+        self.reconciler = MembershipReconciler(limits)
+        self.overflow = overflow or PriorityOverflow()
+        self.watch_endpoints = ListedEndpoints()
+        self.watch_lines: dict[str, Mapping[str, Any]] = {}  # by address
+        self.published: dict[str, dict[str, Any]] = {}  # the lines that the host has, by address
+        self.names = NameIndex()
+        self.priorities = PriorityIndex()
+        self.priorities_in_use: list[int] = []
+        self.derived_starts: dict[
+            str, tuple[float, int]
+        ] = {}  # by address: when it appeared, and that in Unix ms
+        self.full_list_published = False  # a whole list, from sources that are fresh
+        self.wait_until = wait_until
+        self.remembered: dict[str, dict[str, Any]] = {}  # lines of before the start, used until then
+        if watch_rank is not None:
+            self.reconciler.add_source(WATCH, watch_rank)
+
+    # ---- the watch ----------------------------------------------------------------------------------------
+
+    def update_watch(self, now: float, wall: float, update: Any, cached: bool, full: bool) -> None:
+        """Takes a list or change of the watch. ValueError if it is none."""
+        if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
+            raise ValueError("no list of servers")
+        self.watch_endpoints.apply(update, full or cached or bool(update.get("reset")), cached)
+        before, self.watch_lines = (
+            self.watch_lines,
+            watch_lines_by_address(self.watch_endpoints.lines.values()),
+        )
+        for where, line in self.watch_lines.items():
+            old = before.get(where)
+            replaced = old is not None and old.get("instanceId") != line.get("instanceId")
+            if replaced and not watch_started_at_ms(line):
+                # Another server at the address has just started, and must not count as warmed up.
+                self.watch_lines[where] = {**line, "startedAtMs": int(wall * 1000)}
+        self._update_from_watch(now)
+        if cached:
+            self.reconciler.set_confidence(WATCH, Confidence.STALE)
+
+    def restore_watch(self, now: float) -> None:
+        """The watch is connected again: its last list holds, as it has sent no change since."""
+        watch = self.reconciler.sources.get(WATCH)
+        if watch is not None and watch.confidence in (Confidence.STALE, Confidence.LOST):
+            self._update_from_watch(now)
+
+    def _update_from_watch(self, now: float) -> None:
+        statements = (watch_statement(where, line) for where, line in self.watch_lines.items())
+        self.reconciler.update_source(now, WATCH, statements)
+
+    # ---- any source ---------------------------------------------------------------------------------------
+
+    def update_source(self, now: float, source: str, statements: Iterable[Statement]) -> None:
+        """Takes a source's whole list."""
+        self.reconciler.update_source(now, source, statements)
+
+    def set_confidence(self, source: str, confidence: Confidence) -> None:
+        """Sets how far a source's last list can be relied on from now on."""
+        self.reconciler.set_confidence(source, confidence)
+
+    def remember(self, lines: Iterable[dict[str, Any]]) -> None:
+        """Lines that this program published before its start: used until the sources have spoken."""
+        self.remembered = {str(line["hostPort"]): {**line, "instanceId": line["hostPort"]} for line in lines}
+
+    def resolve(self, name: str) -> str:
+        """The address of the endpoint of that name; the name itself where it is none, or that of several."""
+        return self.names.resolve(name)
+
+    # ---- publishing ---------------------------------------------------------------------------------------
+
+    def publish_changes(self, now: float, wall: float) -> int:
+        """Applies the merge rule and publishes what has changed; returns the number of lines."""
+        self.reconciler.set_maintenance(self.host.maintenance())
+        self.reconciler.reconcile(now)
+        changed = self.reconciler.take_changed()
+        for where in changed:
+            self._index(where, self.reconciler.endpoints.get(where))
+        in_use = self._choose_priorities()
+        if in_use != self.priorities_in_use:
+            self.priorities_in_use = in_use
+            changed.update(self.reconciler.endpoints)
+        lines = self._changed_lines(now, wall, changed)
+        if lines:
+            self.host.names_changed()
+        self._publish(now, lines)
+        return len(lines)
+
+    def _index(self, where: str, endpoint: MergedEndpoint | None) -> None:
+        self.priorities.set_priority(where, endpoint.statement.priority if endpoint is not None else None)
+        self.names.set_names(where, endpoint.names if endpoint is not None else frozenset())
+
+    def _choose_priorities(self) -> list[int]:
+        """The priorities whose endpoints get new work. What drains or is in maintenance is missing to its priority."""
+        priorities = self.priorities.priorities()
+        if len(priorities) < 2:
+            return priorities
+        unhealthy = self.host.unhealthy()
+        health = dict.fromkeys(priorities, Health(0, 0))
+        for endpoint in self.reconciler.endpoints.values():
+            healthy, total = health[endpoint.statement.priority]
+            healthy += endpoint.in_service and endpoint.address not in unhealthy
+            health[endpoint.statement.priority] = Health(healthy, total + 1)
+        return self.overflow.in_use(health)
+
+    def _changed_lines(self, now: float, wall: float, changed: set[str]) -> list[dict[str, Any]]:
+        lines: list[dict[str, Any]] = []
+        for where in sorted(changed):
+            endpoint = self.reconciler.endpoints.get(where)
+            if endpoint is None:
+                if self.published.pop(where, None) is not None:
+                    lines.append({"instanceId": where, "hostPort": where, "lifecycle": "terminated"})
+                self.derived_starts.pop(where, None)
+                continue
+            line = self._line(now, wall, endpoint)
+            if line != self.published.get(where):
+                self.published[where] = line
+                lines.append(line)
+        return lines
+
+    def _publish(self, now: float, lines: list[dict[str, Any]]) -> None:
+        if self.full_list_published:
+            if lines:
+                self.host.apply({"instances": lines})
+        elif self._sources_complete(now):
+            self.full_list_published, self.remembered = True, {}
+            self.host.apply({"reset": True, "instances": list(self.published.values())}, full=True)
+        elif lines or self.remembered:
+            # The first source to answer after a restart must not remove what only the others list.
+            known = {**self.remembered, **self.published}
+            self.host.apply({"reset": True, "instances": list(known.values())}, cached=True)
+
+    def _sources_complete(self, now: float) -> bool:
+        """Whether a source is fresh, and every source has spoken or has had its time."""
+        confidences = [source.confidence for source in self.reconciler.sources.values()]
+        return Confidence.FRESH in confidences and (
+            Confidence.NONE not in confidences or now >= self.wait_until
+        )
+
+    def _line(self, now: float, wall: float, endpoint: MergedEndpoint) -> dict[str, Any]:
+        """An endpoint as discovery would list it. One in a priority that is not in use drains."""
+        watch_line, statement = self.watch_lines.get(endpoint.address), endpoint.statement
+        in_service = endpoint.eligible and statement.priority in self.priorities_in_use
+        watch_zone = str(watch_line.get("zone", "")) if watch_line else ""
+        return {
+            **(watch_line or {}),
+            "instanceId": endpoint.address,
+            "hostPort": endpoint.address,
+            "lifecycle": "in_service" if in_service else "terminating",
+            "zone": statement.zone or watch_zone,
+            "weight": statement.weight,
+            "startedAtMs": self._started_at_ms(now, wall, endpoint, watch_line),
+        }
+
+    def _started_at_ms(
+        self, now: float, wall: float, endpoint: MergedEndpoint, watch_line: Mapping[str, Any] | None
+    ) -> int:
+        if watch_line is not None:
+            return watch_started_at_ms(watch_line)
+        if endpoint.statement.started_at_ms or endpoint.appeared_at is None:
+            return endpoint.statement.started_at_ms
+        # No source says when it started. It was not in its source's first list, so it has just started.
+        derived = self.derived_starts.get(endpoint.address)
+        if derived is None or derived[0] != endpoint.appeared_at:
+            derived = endpoint.appeared_at, int((wall - (now - endpoint.appeared_at)) * 1000)
+            self.derived_starts[endpoint.address] = derived
+        return derived[1]
--- a/harecross/sources/rule.py
+++ b/harecross/sources/rule.py
@@ -1,39 +1,39 @@
-"""The one rule: from what each source says of a box to whether it is used. Free of I/O.
+"""The merge rule: from what each source says of an endpoint to whether it is used. Free of I/O.
 
-docs/design-sources.md holds the same as a table; a test goes through every combination against it.
+docs/design-sources.md holds the same as a table; a test compares every combination with it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 from enum import StrEnum
+from typing import NamedTuple
 
 
-class Word(StrEnum):
-    """What one source says of one box."""
+class ListingStatus(StrEnum):
+    """What one source says of one endpoint. The values are what operators read."""
 
-    YES = "yes"  # fresh, and lists it in service
-    DRAIN = "drain"  # said that it drains, and has not taken that back
-    NEVER = "never"  # fresh, and has never listed it: it speaks of other boxes
-    NEW_NO = "new no"  # fresh, and dropped it a short while ago
-    FLAP_NO = "flap no"  # fresh, and dropped it a short while ago, as it has done again and again
-    NO = "no"  # fresh, and dropped it longer ago
-    MASS_NO = "mass no"  # fresh, and dropped it together with a large part of what it listed
-    OLD_YES = "old yes"  # stale, and listed it
-    SILENT = "silent"  # no word yet, or none that still counts
+    LISTED = "yes"  # the source is fresh, and lists it in service
+    DRAINING = "drain"  # the source said that it drains, and has not taken that back
+    NEVER_LISTED = "never"  # the source is fresh, and has never listed it
+    RECENTLY_DROPPED = "new no"  # the source is fresh, and dropped it a short while ago
+    FLAPPING = "flap no"  # as before, and the source has dropped it repeatedly
+    DROPPED = "no"  # the source is fresh, and dropped it longer ago
+    MASS_DROPPED = "mass no"  # the source is fresh, and dropped it together with a large part of its list
+    STALE_LISTED = "old yes"  # the source is stale, and listed it
+    UNKNOWN = "silent"  # the source has said nothing yet, or nothing that still counts
 
 
-class Outcome(StrEnum):
-    """What becomes of a box."""
+class MergeDecision(StrEnum):
+    """What becomes of an endpoint. The values are what operators read."""
 
     USE = "use"
-    KEEP = "keep"  # as it was: used if it was, and not begun with
+    KEEP = "keep"  # as it was: used if it was, and not added
     DRAIN = "drain"
-    GONE = "gone"
+    REMOVE = "gone"
 
 
-class Line(StrEnum):
+class RuleLine(StrEnum):
     """The line of the rule that decided, as operators read it."""
 
     DRAINED = "1 a source drains it"
@@ -50,51 +50,79 @@
     UNSAID = "12 no source says anything of it that counts"
 
 
-DROPS = frozenset({Word.NEW_NO, Word.FLAP_NO, Word.NO, Word.MASS_NO})
+DROP_STATUSES = frozenset(
+    {
+        ListingStatus.RECENTLY_DROPPED,
+        ListingStatus.FLAPPING,
+        ListingStatus.DROPPED,
+        ListingStatus.MASS_DROPPED,
+    }
+)
 
 
-@dataclass(frozen=True, slots=True)
-class Evidence:
-    """One source's word on a box. `rank`: the lower, the more it is believed."""
+class Evidence(NamedTuple):
+    """What one source says of an endpoint. The source with the lower rank is believed."""
 
     rank: int
-    word: Word
+    status: ListingStatus
 
 
-def decide(evidence: Sequence[Evidence]) -> tuple[Outcome, Line]:
-    """The outcome for a box, and the line that made it. What operators hold out stands above this rule.
+class Verdict(NamedTuple):
+    """What becomes of an endpoint, and by which line of the rule."""
 
-    Failures alone (`SILENT`, `OLD_YES`) never lead to GONE, and DRAIN wins over all.
+    decision: MergeDecision
+    line: RuleLine
+
+
+def decide(evidence: Sequence[Evidence]) -> Verdict:
+    """Applies the rule to one endpoint. Operators' maintenance stands above it.
+
+    Failures of sources alone (`UNKNOWN`, `STALE_LISTED`) never remove an endpoint, and a drain overrides the rest.
     """
-    words = {e.word for e in evidence}
-    if Word.DRAIN in words:
-        return Outcome.DRAIN, Line.DRAINED
-    drops = words & DROPS
-    if Word.YES in words:
-        if not drops:
-            return Outcome.USE, Line.AGREED
-        # Guards against: a release in which two sources are out of step takes boxes out and in again.
-        if Word.NEW_NO in words or Word.FLAP_NO in words:
-            return Outcome.USE, Line.FRESH_DROP
-        # Guards against: one source that lists half empties half the fleet while another knows better.
-        if drops == {Word.MASS_NO}:
-            return Outcome.USE, Line.MASS_DROP
-        best_yes = min(e.rank for e in evidence if e.word == Word.YES)
-        best_no = min(e.rank for e in evidence if e.word == Word.NO)
-        if best_yes < best_no:
-            return Outcome.USE, Line.RANK_KEEPS
-        return Outcome.GONE, Line.RANK_DROPS
-    if Word.OLD_YES in words:
-        if not drops:
-            return Outcome.USE, Line.STALE_LISTS
-        if Word.NO not in drops:
-            return Outcome.KEEP, Line.STALE_DOUBT
-        return Outcome.GONE, Line.STALE_LOSES
-    if Word.FLAP_NO in drops:
-        # Guards against: a set that flaps takes its boxes out and in, each time cold and with no connection.
-        best_flap = min(e.rank for e in evidence if e.word == Word.FLAP_NO)
-        if best_flap < min((e.rank for e in evidence if e.word == Word.NO), default=best_flap + 1):
-            return Outcome.KEEP, Line.FLAPS
-    if drops:
-        return Outcome.GONE, Line.DROPPED
-    return Outcome.KEEP, Line.UNSAID
+    statuses = {item.status for item in evidence}
+    if ListingStatus.DRAINING in statuses:
+        return Verdict(MergeDecision.DRAIN, RuleLine.DRAINED)
+    drops = statuses & DROP_STATUSES
+    if ListingStatus.LISTED in statuses:
+        return _decide_listed(evidence, drops)
+    if ListingStatus.STALE_LISTED in statuses:
+        return _decide_stale(drops)
+    return _decide_unlisted(evidence, drops)
+
+
+def _decide_listed(evidence: Sequence[Evidence], drops: set[ListingStatus]) -> Verdict:
+    if not drops:
+        return Verdict(MergeDecision.USE, RuleLine.AGREED)
+    # Sources may be out of step for a while, as in a release; nothing is removed and added again meanwhile.
+    if ListingStatus.RECENTLY_DROPPED in drops or ListingStatus.FLAPPING in drops:
+        return Verdict(MergeDecision.USE, RuleLine.FRESH_DROP)
+    # A source that suddenly lists a part only is not believed against one that lists all.
+    if drops == {ListingStatus.MASS_DROPPED}:
+        return Verdict(MergeDecision.USE, RuleLine.MASS_DROP)
+    if _best_rank(evidence, ListingStatus.LISTED) < _best_rank(evidence, ListingStatus.DROPPED):
+        return Verdict(MergeDecision.USE, RuleLine.RANK_KEEPS)
+    return Verdict(MergeDecision.REMOVE, RuleLine.RANK_DROPS)
+
+
+def _decide_stale(drops: set[ListingStatus]) -> Verdict:
+    if not drops:
+        return Verdict(MergeDecision.USE, RuleLine.STALE_LISTS)
+    if ListingStatus.DROPPED not in drops:
+        return Verdict(MergeDecision.KEEP, RuleLine.STALE_DOUBT)
+    return Verdict(MergeDecision.REMOVE, RuleLine.STALE_LOSES)
+
+
+def _decide_unlisted(evidence: Sequence[Evidence], drops: set[ListingStatus]) -> Verdict:
+    if not drops:
+        return Verdict(MergeDecision.KEEP, RuleLine.UNSAID)
+    # An endpoint that flaps stays as it is: each return would find it warming up and without connections.
+    if ListingStatus.FLAPPING in drops and (
+        ListingStatus.DROPPED not in drops
+        or _best_rank(evidence, ListingStatus.FLAPPING) < _best_rank(evidence, ListingStatus.DROPPED)
+    ):
+        return Verdict(MergeDecision.KEEP, RuleLine.FLAPS)
+    return Verdict(MergeDecision.REMOVE, RuleLine.DROPPED)
+
+
+def _best_rank(evidence: Sequence[Evidence], status: ListingStatus) -> int:
+    return min(item.rank for item in evidence if item.status == status)
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -9,7 +9,7 @@
 
 from harecross.operators import BadFile, read_toml
 from harecross.settings import address
-from harecross.sources.config import SourcesTable, Srv
+from harecross.sources.config import SourcesTable, SrvConfig
 from harecross.sources.config import check as check_sources
 from harecross.xds.access import loopback
 
@@ -80,7 +80,7 @@
             return msgspec.structs.replace(self.sources, watch=watch and self.sources.watch)
         names = (self.srv,) if isinstance(self.srv, str) else self.srv
         return SourcesTable(
-            srv=tuple(Srv(name) for name in names if name), resolvers=self.resolvers, watch=watch
+            srv=tuple(SrvConfig(name) for name in names if name), resolvers=self.resolvers, watch=watch
         )
 
 
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -16,7 +16,7 @@
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.log import log_exception, log_line
 from harecross.settings import COLUMNS, address
-from harecross.sources.run import Sources
+from harecross.sources.manager import SourceManager
 from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import Exchange
 from harecross.xds.config import ClusterTable
@@ -128,7 +128,7 @@
         self.pool = servers
         table = told.table()
         # ValueError for a file of addresses that cannot be used.
-        self.sources = Sources(table, self.registry, name) if table.on else None
+        self.sources = SourceManager(table, self.registry, name) if table.on else None
         where = address(told.discovery) if told.discovery else NOWHERE
         self.discovery = DiscoveryClient(self.registry, where, lists=self.sources, seed=seed)
         self.schedule = Schedule(int(told.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -24,8 +24,7 @@
 )
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
-from harecross.dns.srv import Endpoint as SrvEndpoint
-from harecross.dns.srv import Found
+from harecross.dns.srv import SrvAnswer, SrvEndpoint
 from harecross.follow.attempts import AttemptLog
 from harecross.http.request_parser import ParsedRequest
 from harecross.interface import Endpoint, EndpointUpdateKind, FinalReason, Outcome
@@ -49,8 +48,7 @@
     SignalRecord,
     ToldRecord,
 )
-from harecross.sources.keep import Kept
-from harecross.sources.keep import write as write_kept
+from harecross.sources.cache_file import CachedSet, write_cache_file
 from harecross.store.store import Store
 from harecross.upstream.exchange import ServerProcess
 from harecross.xds.config import ClusterTable, ControlFile, ControlTable
@@ -143,8 +141,8 @@
 # ---- kept DNS sets --------------------------------------------------------------------------------------
 
 KEPT_SETS = {
-    "_readings._tcp.site3.example.org": Kept(
-        Found(
+    "_readings._tcp.site3.example.org": CachedSet(
+        SrvAnswer(
             (
                 SrvEndpoint(0, "a.site3.example.org", "10.3.0.1", 8081, 10),
                 SrvEndpoint(1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
@@ -154,12 +152,12 @@
         WALL,
         WALL + 30.5,
     ),
-    "_empty._tcp.example.org": Kept(Found((), 60.0), WALL + 1, WALL + 61),
+    "_empty._tcp.example.org": CachedSet(SrvAnswer((), 60.0), WALL + 1, WALL + 61),
 }
 
 
 def write_kept_sets(path: Path) -> None:
-    write_kept(str(path), KEPT_SETS)
+    write_cache_file(str(path), KEPT_SETS)
 
 
 # ---- an attempt log -------------------------------------------------------------------------------------
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -32,11 +32,11 @@
 
 from harecross.dns.client import Client, LookupFailed  # noqa: E402
 from harecross.dns.frames import Frames, framed  # noqa: E402
-from harecross.dns.lifetime import Lifetimes, Name, Standing  # noqa: E402
+from harecross.dns.lifetime import CachedName, CacheLimits, CacheStatus  # noqa: E402
 from harecross.dns.lookup import WHOLE, Lookup  # noqa: E402
 from harecross.dns.message import BadMessage, Question, decode, plain  # noqa: E402
 from harecross.dns.servers import Servers  # noqa: E402
-from harecross.dns.srv import Endpoint, Found, Resolution  # noqa: E402
+from harecross.dns.srv import Resolution, SrvAnswer, SrvEndpoint  # noqa: E402
 from harecross.standins import dns as standin  # noqa: E402
 from harecross.standins.dns import DnsServer  # noqa: E402
 
@@ -199,7 +199,7 @@
 # ---- from records to endpoints --------------------------------------------------------------------------------
 
 
-def resolved(server: DnsServer, name: str = NAME, fail: frozenset[str] = frozenset()) -> Found:
+def resolved(server: DnsServer, name: str = NAME, fail: frozenset[str] = frozenset()) -> SrvAnswer:
     """The set that a server's records make, without sockets."""
     resolution = Resolution(plain(name))
     for _ in range(100):
@@ -277,16 +277,16 @@
 def test_a_target_that_cannot_be_looked_up_keeps_the_address_it_had():
     server = site("a", "b")
     server.additional = False
-    name = Name(Lifetimes(), Random(1), 0.0)
-    name.answered(0.0, resolved(server))
+    name = CachedName(CacheLimits(), Random(1), 0.0)
+    name.receive_answer(0.0, resolved(server))
     whole = name.view(0.0).endpoints
     found = resolved(server, fail=frozenset({f"b.{ZONE}"}))
     assert len(found.endpoints) == 1 and found.unknown == (f"b.{ZONE}",) and not found.empty
-    name.answered(1.0, found)
-    assert name.view(1.0).endpoints == whole and name.view(1.0).left <= 2
-    fresh = Name(Lifetimes(), Random(1), 0.0)
-    fresh.answered(0.0, resolved(server, fail=frozenset({f"a.{ZONE}", f"b.{ZONE}"})))
-    assert fresh.view(0.0).standing == Standing.UNKNOWN and fresh.failures == 1
+    name.receive_answer(1.0, found)
+    assert name.view(1.0).endpoints == whole and name.view(1.0).remaining_s <= 2
+    fresh = CachedName(CacheLimits(), Random(1), 0.0)
+    fresh.receive_answer(0.0, resolved(server, fail=frozenset({f"a.{ZONE}", f"b.{ZONE}"})))
+    assert fresh.view(0.0).status == CacheStatus.UNKNOWN and fresh.failures == 1
 
 
 # ---- lifetimes, over virtual days -------------------------------------------------------------------------------
@@ -294,62 +294,69 @@
 
 def test_over_virtual_days_a_set_is_never_emptied_by_failure_nor_before_the_doubt_is_over():
     """Each step: a good answer, an empty one or none, in runs; the model beside it is a few lines."""
-    limits = Lifetimes(stale_max=3600, doubt=30)
-    seen: Counter[Standing] = Counter()
+    limits = CacheLimits(max_stale=3600, empty_confirmation=30)
+    seen: Counter[CacheStatus] = Counter()
     for seed in range(150):
         rng = Random(seed)
-        name, now = Name(limits, rng, 0.0), 0.0
+        name, now = CachedName(limits, rng, 0.0), 0.0
         good_at, empty_since, mode, until, had = None, None, "good", 0.0, False
         while now < 6 * 3600:
             if now >= until:
                 mode = rng.choice(["good", "good", "fail", "empty"])
                 until = now + rng.choice([5, 40, 600, 7200])
-            now = max(now, name.ask_at)
+            now = max(now, name.refresh_at)
             assert name.due(now)
-            name.asked()
+            name.refresh_started()
             assert not name.due(now)
             before = name.view(now)
             if mode == "good":
-                name.answered(
-                    now, Found((Endpoint(0, "a", "10.0.0.1", 80, 1),), rng.choice([0, 5, 2**31 - 1]))
+                name.receive_answer(
+                    now, SrvAnswer((SrvEndpoint(0, "a", "10.0.0.1", 80, 1),), rng.choice([0, 5, 2**31 - 1]))
                 )
                 good_at, empty_since, had = now, None, True
-                assert limits.floor - 1e-6 <= name.view(now).left <= limits.ceiling + 1e-6
+                assert limits.min_ttl - 1e-6 <= name.view(now).remaining_s <= limits.max_ttl + 1e-6
             elif mode == "empty":
-                name.answered(now, Found((), 5.0, "NXDOMAIN"))
+                name.receive_answer(now, SrvAnswer((), 5.0, "NXDOMAIN"))
                 empty_since = now if empty_since is None else empty_since
             else:
-                name.could_not(now, "no answer")
+                name.receive_failure(now, "no answer")
             view = name.view(now)
-            seen[view.standing] += 1
-            assert now < name.ask_at <= now + limits.ceiling, "it is asked again, and not at once"
+            seen[view.status] += 1
+            assert now < name.refresh_at <= now + limits.max_ttl, "it is asked again, and not at once"
             if before.endpoints and not view.endpoints:
-                expired = good_at is not None and before.left < -limits.stale_max + 31
-                doubted = empty_since is not None and now - empty_since >= limits.doubt
+                expired = good_at is not None and before.remaining_s < -limits.max_stale + 31
+                doubted = empty_since is not None and now - empty_since >= limits.empty_confirmation
                 assert (mode == "empty" and doubted) or expired, (seed, now, mode, before, view)
-            if mode == "empty" and had and empty_since is not None and now - empty_since > limits.doubt:
+            if (
+                mode == "empty"
+                and had
+                and empty_since is not None
+                and now - empty_since > limits.empty_confirmation
+            ):
                 assert not view.endpoints, "it is believed in the end"
-            if mode == "empty" and view.standing == Standing.DOUBTED:
-                assert name.ask_at <= empty_since + limits.doubt + 1e-6, "it is asked at the end of the doubt"
-            if view.standing == Standing.EMPTY:
+            if mode == "empty" and view.status == CacheStatus.UNCONFIRMED_EMPTY:
+                assert name.refresh_at <= empty_since + limits.empty_confirmation + 1e-6, (
+                    "it is asked at the end of the doubt"
+                )
+            if view.status == CacheStatus.EMPTY:
                 had = False
     assert set(seen) >= {
-        Standing.FRESH,
-        Standing.DOUBTED,
-        Standing.STALE,
-        Standing.EMPTY,
-        Standing.EXPIRED,
+        CacheStatus.FRESH,
+        CacheStatus.UNCONFIRMED_EMPTY,
+        CacheStatus.STALE,
+        CacheStatus.EMPTY,
+        CacheStatus.EXPIRED,
     }, seen
 
 
 def test_a_thousand_instances_ask_evenly():
-    names = [Name(Lifetimes(), Random(i), 0.0) for i in range(1000)]
+    names = [CachedName(CacheLimits(), Random(i), 0.0) for i in range(1000)]
     asked: Counter[int] = Counter()
     for now in range(0, 1200):
         for n in names:
             if n.due(now):
-                n.asked()
-                n.answered(float(now), Found((Endpoint(0, "a", "10.0.0.1", 80, 1),), 60.0))
+                n.refresh_started()
+                n.receive_answer(float(now), SrvAnswer((SrvEndpoint(0, "a", "10.0.0.1", 80, 1),), 60.0))
                 asked[now] += 1
     later = [asked[t] for t in range(600, 1200)]
     assert max(later) < 2.5 * sum(later) / len(later)
@@ -379,7 +386,7 @@
     return {(f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}", 1000 + i) for i in range(count)}
 
 
-def pairs(found: Found) -> set[tuple[str, int]]:
+def pairs(found: SrvAnswer) -> set[tuple[str, int]]:
     return {(e.address, e.port) for e in found.endpoints}
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,46 +1,56 @@
-"""From several sources to one list: what is kept on disk, files, priorities, and many virtual days of failures."""
+"""From several sources to one list: the cache file, address files, priorities, and many virtual days of failures."""
 
 import os
 from collections import Counter
+from collections.abc import Iterable
 from random import Random
 
 import pytest
 
 pytest.importorskip("dns")
 
-from harecross.dns.lifetime import Lifetimes, Name, Standing
-from harecross.dns.srv import Endpoint, Found
-from harecross.sources import keep
-from harecross.sources.files import BadFile, parse
-from harecross.sources.ledger import Credit, Ledger, Limits, Priorities
-from harecross.sources.membership import WATCH, Membership, stated_by_dns
+from harecross.dns.lifetime import CachedName, CacheLimits, CacheStatus, CacheView
+from harecross.dns.srv import SrvAnswer, SrvEndpoint
+from harecross.sources import cache_file
+from harecross.sources.address_file import AddressFileError, parse
+from harecross.sources.cache_file import CachedSet, CacheFileError, read_cache_file, write_cache_file
+from harecross.sources.priorities import PriorityOverflow
+from harecross.sources.publisher import WATCH, MembershipPublisher
+from harecross.sources.reconciler import MembershipReconciler
+from harecross.sources.source import Confidence, Limits
+from harecross.sources.statements import srv_statements
 
 SETS = {
-    "_a._tcp.example.org": keep.Kept(Found((Endpoint(0, "t.", "10.0.0.1", 80, 5),), 30.0), 1000.0, 1030.0),
-    "_b._tcp.example.org": keep.Kept(Found((Endpoint(1, "u.", "::1", 81, 0),), 5.0), 1001.0, 1006.0),
+    "_a._tcp.example.org": CachedSet(
+        SrvAnswer((SrvEndpoint(0, "t.", "10.0.0.1", 80, 5),), 30.0), 1000.0, 1030.0
+    ),
+    "_b._tcp.example.org": CachedSet(SrvAnswer((SrvEndpoint(1, "u.", "::1", 81, 0),), 5.0), 1001.0, 1006.0),
 }
 
 
-# ---- kept sets ----------------------------------------------------------------------------------------------
+# ---- the cache file -----------------------------------------------------------------------------------------
 
 
-def test_a_kept_file_cut_or_spoilt_at_any_byte_is_refused_whole():
-    data = keep.to_bytes(SETS)
-    assert keep.from_bytes(data) == SETS
+def test_a_cache_file_is_read_as_it_was_written():
+    assert cache_file.decode(cache_file.encode(SETS)) == SETS
+
+
+def test_a_cache_file_cut_or_changed_at_any_byte_is_refused_whole():
+    data = cache_file.encode(SETS)
     for at in range(len(data)):
         for bad in (data[:at], data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]):
-            with pytest.raises(keep.BadKept):
-                keep.from_bytes(bad)
+            with pytest.raises(CacheFileError):
+                cache_file.decode(bad)
 
 
 def test_a_kill_at_any_step_of_writing_leaves_the_old_file_or_the_new_one(tmp_path, monkeypatch):
     """The writer dies before its n-th call to the system, whatever that is, a write of half the bytes among them."""
-    path = str(tmp_path / "kept")
+    path = str(tmp_path / "cache")
     new = {"_a._tcp.example.org": SETS["_b._tcp.example.org"]}
     real = {name: getattr(os, name) for name in ("open", "write", "fsync", "close", "replace")}
     ends = Counter()
     for dies_at in range(40):
-        keep.write(path, SETS)
+        write_cache_file(path, SETS)
         calls = 0
 
         def step(name, dies_at=dies_at):
@@ -58,31 +68,34 @@
         for name in real:
             monkeypatch.setattr(os, name, step(name))
         try:
-            keep.write(path, new)
+            write_cache_file(path, new)
             ends["done"] += 1
         except KeyboardInterrupt:
             pass
         monkeypatch.undo()
-        found = keep.read(path)
+        found = read_cache_file(path)
         assert found in (SETS, new), dies_at
         ends["new" if found == new else "old"] += 1
     assert ends["old"] > 5 and ends["new"] > 5 and ends["done"], ends
 
 
-def test_a_clock_set_back_makes_no_kept_set_young():
-    kept = SETS["_a._tcp.example.org"]
-    assert kept.age(1040.0) == (40.0, 10.0)
-    assert kept.age(0.0) == (0.0, 0.0)
-    name = Name(Lifetimes(), Random(1), 0.0)
-    name.restore(0.0, kept.found, 0.0, -0.001)
-    assert name.view(0.0).standing == Standing.STALE and name.due(0.0)
+def test_a_clock_set_back_makes_no_cached_set_young():
+    cached = SETS["_a._tcp.example.org"]
+    assert cached.age(1040.0) == (40.0, 10.0)
+    assert cached.age(0.0) == (0.0, 0.0)
+
+
+def test_a_restored_set_is_stale_and_refreshed_at_once():
+    name = CachedName(CacheLimits(), Random(1), 0.0)
+    name.restore(0.0, SETS["_a._tcp.example.org"].answer, 0.0, -0.001)
+    assert name.view(0.0).status == CacheStatus.STALE and name.due(0.0)
 
 
 # ---- files of addresses -------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "problem"),
     [
         ("10.0.0.1:80\n10.0.0.2\n", "line 2"),
         ("10.0.0.1:80\n10.0.0.2:8", "line 2: does not end"),
@@ -94,12 +107,12 @@
         ("10.0.0.1:80 zone=\n", "zone="),
     ],
 )
-def test_a_bad_line_spoils_the_whole_file_and_is_named(text, why):
-    with pytest.raises(BadFile, match=why):
+def test_a_bad_line_makes_the_whole_file_bad_and_is_named(text, problem):
+    with pytest.raises(AddressFileError, match=problem):
         parse(text)
 
 
-def test_a_file_says_weight_priority_zone_name_and_drain():
+def test_a_file_states_weight_priority_zone_name_and_drain():
     one, two = parse(
         "# boxes\n10.0.0.1:80 weight=2.5 priority=1 name=b-1 zone=x # fast\n\n[::1]:81 drain\n", "z", 3
     )
@@ -113,42 +126,50 @@
 
 
 def test_weights_compare_within_a_priority_and_priorities_within_a_name():
-    found = stated_by_dns(
+    statements = srv_statements(
         [
-            Endpoint(20, "a.", "10.0.0.1", 80, 30),
-            Endpoint(20, "b.", "10.0.0.2", 80, 10),
-            Endpoint(20, "c.", "10.0.0.3", 80, 0),
-            Endpoint(30, "d.", "::1", 80, 0),
-            Endpoint(30, "e.", "10.0.0.5", 80, 0),
+            SrvEndpoint(20, "a.", "10.0.0.1", 80, 30),
+            SrvEndpoint(20, "b.", "10.0.0.2", 80, 10),
+            SrvEndpoint(20, "c.", "10.0.0.3", 80, 0),
+            SrvEndpoint(30, "d.", "::1", 80, 0),
+            SrvEndpoint(30, "e.", "10.0.0.5", 80, 0),
         ],
-        offset=2,
+        priority_offset=2,
     )
-    got = {s.address: (s.priority, round(s.weight, 3)) for s in found}
-    assert got == {
+    assert {s.address: (s.priority, round(s.weight, 3)) for s in statements} == {
         "10.0.0.1:80": (2, 2.25), "10.0.0.2:80": (2, 0.75), "10.0.0.3:80": (2, 0.05), "[::1]:80": (3, 1.0),
         "10.0.0.5:80": (3, 1.0),
     }  # fmt: skip
 
 
-class Told:
-    """A host's directory, as far as a list goes: who is in service."""
+class RecordingHost:
+    """A host that records who is in service; tests set what it says of health and maintenance."""
 
     def __init__(self) -> None:
-        self.up: dict[str, dict] = {}
-        self.tells = 0
+        self.in_service: dict[str, dict] = {}
+        self.unhealthy_addresses: set[str] = set()
+        self.maintenance_names: list[str] = []
 
-    def __call__(self, update, cached=False, full=False) -> None:
-        self.tells += 1
+    def apply(self, update, cached=False, full=False) -> None:
         if full or cached or update.get("reset"):
-            self.up = {}
+            self.in_service = {}
         for line in update["instances"]:
             if line["lifecycle"] == "in_service":
-                self.up[line["instanceId"]] = line
+                self.in_service[line["instanceId"]] = line
             else:
-                self.up.pop(line["instanceId"], None)
+                self.in_service.pop(line["instanceId"], None)
+
+    def unhealthy(self) -> set[str]:
+        return self.unhealthy_addresses
 
+    def maintenance(self) -> Iterable[str]:
+        return self.maintenance_names
 
-def listed(*names: str, draining: str = "", started: int = 0) -> dict:
+    def names_changed(self) -> None:
+        pass
+
+
+def watch_list(*numbers: str, draining: str = "", started: int = 0) -> dict:
     lines = [
         {
             "instanceId": f"id-{n}",
@@ -156,249 +177,320 @@
             "lifecycle": "terminating" if n in draining.split() else "in_service",
             "startedAtMs": started,
         }
-        for n in names
+        for n in numbers
     ]
     return {"generation": 1, "reset": True, "instances": lines}
 
 
-def at(*names: str, priority: int = 0) -> tuple[Endpoint, ...]:
-    return tuple(Endpoint(priority, f"box{n}.", f"10.0.0.{n}", 80, 1) for n in names)
-
-
-def test_the_next_priority_comes_in_while_the_first_is_short_of_healthy_boxes():
-    told = Told()
-    m = Membership(told, priorities=Priorities(0.5, 0.7), watch_rank=None)
-    m.ledger.add("srv:x", 1)
-    sick: set[str] = set()
-    m.sick = lambda: sick
-    m.told(0, "srv:x", stated_by_dns([*at("1", "2", "3", "4"), *at("5", "6", priority=9)]))
-    m.settle(0, 0)
-    first, spare = {f"10.0.0.{i}:80" for i in range(1, 5)}, {"10.0.0.5:80", "10.0.0.6:80"}
-    assert set(told.up) == first
-    for count, wanted in ((2, first), (3, first | spare), (2, first | spare), (1, first)):
-        sick.clear()
-        sick.update(sorted(first)[:count])
-        m.settle(1, 1)
-        assert set(told.up) == wanted, "in under a half, out at seven tenths"
-    m.held = lambda: sorted(first)[:3]
-    m.settle(2, 2)
-    assert spare <= set(told.up), "what operators hold out is missing too"
-
-
-def test_a_box_in_two_names_has_the_weight_of_the_one_that_ranks_higher():
-    told = Told()
-    m = Membership(told, watch_rank=None)
-    for name, rank in (("srv:a", 2), ("srv:b", 1)):
-        m.ledger.add(name, rank)
-    m.told(
-        0,
-        "srv:a",
-        stated_by_dns([Endpoint(0, "x.", "10.0.0.1", 80, 30), Endpoint(0, "y.", "10.0.0.2", 80, 10)]),
-    )
-    m.told(
-        0,
-        "srv:b",
-        stated_by_dns([Endpoint(0, "z.", "10.0.0.1", 80, 10), Endpoint(0, "y.", "10.0.0.3", 80, 30)]),
+def endpoints(*numbers: str, priority: int = 0) -> tuple[SrvEndpoint, ...]:
+    return tuple(SrvEndpoint(priority, f"box{n}.", f"10.0.0.{n}", 80, 1) for n in numbers)
+
+
+FIRST, SPARE = {f"10.0.0.{i}:80" for i in range(1, 5)}, {"10.0.0.5:80", "10.0.0.6:80"}
+
+
+@pytest.fixture
+def two_priorities():
+    """A host and its publisher, with four endpoints of the first priority and two of the second."""
+    host = RecordingHost()
+    publisher = MembershipPublisher(host, overflow=PriorityOverflow(0.5, 0.7), watch_rank=None)
+    publisher.reconciler.add_source("srv:x", 1)
+    publisher.update_source(
+        0, "srv:x", srv_statements([*endpoints("1", "2", "3", "4"), *endpoints("5", "6", priority=9)])
     )
-    m.settle(0, 0)
-    assert told.up["10.0.0.1:80"]["weight"] == 0.5 and len(told.up) == 3
-    assert m.resolve("x:80") == m.resolve("z:80") == "10.0.0.1:80", "one box, by both its names"
-    m.ledger.add("srv:a", 0)  # a reload gives it the better rank
-    m.settle(1, 1)
-    assert told.up["10.0.0.1:80"]["weight"] == 1.5
+    publisher.publish_changes(0, 0)
+    assert set(host.in_service) == FIRST
+    return host, publisher
+
+
+def test_the_next_priority_is_used_while_the_first_is_short_of_healthy_endpoints(two_priorities):
+    host, publisher = two_priorities
+    for count, expected in ((2, FIRST), (3, FIRST | SPARE), (2, FIRST | SPARE), (1, FIRST)):
+        host.unhealthy_addresses = set(sorted(FIRST)[:count])
+        publisher.publish_changes(1, 1)
+        assert set(host.in_service) == expected, "in under a half, out at seven tenths"
+
+
+def test_the_next_priority_is_used_while_the_first_is_in_maintenance(two_priorities):
+    host, publisher = two_priorities
+    host.maintenance_names = sorted(FIRST)[:3]
+    publisher.publish_changes(2, 2)
+    assert set(host.in_service) >= SPARE
+
+
+@pytest.fixture
+def endpoint_in_two_names():
+    """A host and its publisher; two SRV names list 10.0.0.1, with weights of their own."""
+    host = RecordingHost()
+    publisher = MembershipPublisher(host, watch_rank=None)
+    for name, rank in (("srv:a", 2), ("srv:b", 1)):
+        publisher.reconciler.add_source(name, rank)
+    lists = {
+        "srv:a": [SrvEndpoint(0, "x.", "10.0.0.1", 80, 30), SrvEndpoint(0, "y.", "10.0.0.2", 80, 10)],
+        "srv:b": [SrvEndpoint(0, "z.", "10.0.0.1", 80, 10), SrvEndpoint(0, "y.", "10.0.0.3", 80, 30)],
+    }
+    for name, listed in lists.items():
+        publisher.update_source(0, name, srv_statements(listed))
+    publisher.publish_changes(0, 0)
+    return host, publisher
+
+
+def test_an_endpoint_in_two_names_has_the_weight_of_the_one_that_ranks_higher(endpoint_in_two_names):
+    host, publisher = endpoint_in_two_names
+    assert host.in_service["10.0.0.1:80"]["weight"] == 0.5
+    publisher.reconciler.add_source("srv:a", 0)  # a reload gives it the better rank
+    publisher.publish_changes(1, 1)
+    assert host.in_service["10.0.0.1:80"]["weight"] == 1.5
+
+
+def test_an_endpoint_in_two_names_is_one_and_is_found_by_both(endpoint_in_two_names):
+    host, publisher = endpoint_in_two_names
+    assert len(host.in_service) == 3
+    assert publisher.resolve("x:80") == publisher.resolve("z:80") == "10.0.0.1:80"
 
 
 def test_a_resolver_dead_for_an_hour_is_asked_seldom_and_takes_nothing_out():
-    name, now, asked = Name(Lifetimes(), Random(4), 0.0), 0.0, 0
-    name.answered(0.0, Found(at("1", "2"), 5.0))
-    told = Told()
-    m = Membership(told, watch_rank=None)
-    m.ledger.add("srv:x", 1)
-    m.told(0, "srv:x", stated_by_dns(name.view(0.0).endpoints))
+    name, now, queries = CachedName(CacheLimits(), Random(4), 0.0), 0.0, 0
+    name.receive_answer(0.0, SrvAnswer(endpoints("1", "2"), 5.0))
+    host = RecordingHost()
+    publisher = MembershipPublisher(host, watch_rank=None)
+    publisher.reconciler.add_source("srv:x", 1)
+    publisher.update_source(0, "srv:x", srv_statements(name.view(0.0).endpoints))
     while now < 3600:
         now += 0.5
         if name.due(now):
-            asked += 1
-            name.could_not(now, "no answer in time")
-        if name.view(now).standing == Standing.STALE:
-            m.worth("srv:x", Credit.STALE)
-        m.settle(now, now)
-        assert len(told.up) == 2
-    assert 100 < asked < 300, "each half minute, drawn"
-    name.answered(now, Found(at("2", "3"), 5.0))
-    m.told(now, "srv:x", stated_by_dns(name.view(now).endpoints))
-    m.settle(now, now)
-    assert set(told.up) == {"10.0.0.2:80", "10.0.0.3:80"}
+            queries += 1
+            name.receive_failure(now, "no answer in time")
+        if name.view(now).status == CacheStatus.STALE:
+            publisher.set_confidence("srv:x", Confidence.STALE)
+        publisher.publish_changes(now, now)
+        assert len(host.in_service) == 2
+    assert 100 < queries < 300, "each half minute, drawn"
+    name.receive_answer(now, SrvAnswer(endpoints("2", "3"), 5.0))
+    publisher.update_source(now, "srv:x", srv_statements(name.view(now).endpoints))
+    publisher.publish_changes(now, now)
+    assert set(host.in_service) == {"10.0.0.2:80", "10.0.0.3:80"}
 
 
 def test_a_start_takes_nothing_out_before_every_source_has_spoken_or_had_its_time():
-    told = Told()
-    m = Membership(told, until=3.0)
-    m.ledger.add("srv:x", 1)
-    m.remember([{"hostPort": "10.0.0.9:80", "lifecycle": "in_service"}])
-    m.watched(0, 0, listed("1"), False, True)
-    m.settle(0, 0)
-    assert set(told.up) == {"10.0.0.1:80", "10.0.0.9:80"}, "what was known before the start stays in use"
-    m.settle(3.0, 3.0)
-    assert set(told.up) == {"10.0.0.1:80"}
-
-
-def test_names_lead_to_a_box_unless_they_stand_for_several_and_a_box_keeps_its_address_as_its_id():
-    told = Told()
-    m = Membership(told)
-    m.ledger.add("srv:x", 1)
-    m.watched(0, 0, listed("1", "2"), False, True)
-    ten = [Endpoint(0, "many.", f"10.0.1.{i}", 80, 1) for i in range(10)]
-    m.told(0, "srv:x", stated_by_dns([*at("1"), *ten]))
-    m.settle(0, 0)
-    assert m.resolve("id-1") == m.resolve("box1:80") == "10.0.0.1:80"
-    assert m.resolve("many:80") == "many:80", "ten boxes: an operator names one by its address"
-    assert len(told.up) == 12 and all(k == v["hostPort"] for k, v in told.up.items())
-
-
-def test_a_box_that_comes_later_is_cold_and_another_server_at_an_address_too():
-    told = Told()
-    m = Membership(told)
-    m.ledger.add("srv:x", 1)
-    m.watched(0, 1000, listed("1"), False, True)
-    m.told(0, "srv:x", stated_by_dns(at("2")))
-    m.settle(0, 1000)
-    assert [told.up[a]["startedAtMs"] for a in ("10.0.0.1:80", "10.0.0.2:80")] == [0, 0], "there before us"
-    m.told(50, "srv:x", stated_by_dns(at("2", "3")))
-    other = listed("1")
+    host = RecordingHost()
+    publisher = MembershipPublisher(host, wait_until=3.0)
+    publisher.reconciler.add_source("srv:x", 1)
+    publisher.remember([{"hostPort": "10.0.0.9:80", "lifecycle": "in_service"}])
+    publisher.update_watch(0, 0, watch_list("1"), False, True)
+    publisher.publish_changes(0, 0)
+    assert set(host.in_service) == {"10.0.0.1:80", "10.0.0.9:80"}, "what was known before the start stays"
+    publisher.publish_changes(3.0, 3.0)
+    assert set(host.in_service) == {"10.0.0.1:80"}
+
+
+@pytest.fixture
+def ten_endpoints_of_one_name():
+    """A host and its publisher; the watch lists two endpoints, an SRV name one of them and ten of a target."""
+    host = RecordingHost()
+    publisher = MembershipPublisher(host)
+    publisher.reconciler.add_source("srv:x", 1)
+    publisher.update_watch(0, 0, watch_list("1", "2"), False, True)
+    ten = [SrvEndpoint(0, "many.", f"10.0.1.{i}", 80, 1) for i in range(10)]
+    publisher.update_source(0, "srv:x", srv_statements([*endpoints("1"), *ten]))
+    publisher.publish_changes(0, 0)
+    return host, publisher
+
+
+def test_a_name_leads_to_its_endpoint_unless_it_stands_for_several(ten_endpoints_of_one_name):
+    _, publisher = ten_endpoints_of_one_name
+    assert publisher.resolve("id-1") == publisher.resolve("box1:80") == "10.0.0.1:80"
+    assert publisher.resolve("many:80") == "many:80", "an operator names one of the ten by its address"
+
+
+def test_an_endpoint_has_its_address_as_its_id(ten_endpoints_of_one_name):
+    host, _ = ten_endpoints_of_one_name
+    assert len(host.in_service) == 12
+    assert all(key == line["hostPort"] for key, line in host.in_service.items())
+
+
+def started_at_ms(host: RecordingHost, *numbers: str) -> list[int]:
+    return [host.in_service[f"10.0.0.{n}:80"]["startedAtMs"] for n in numbers]
+
+
+@pytest.fixture
+def later_endpoints():
+    """A host and its publisher: at 50 s an SRV name lists another endpoint, and the watch another server."""
+    host = RecordingHost()
+    publisher = MembershipPublisher(host)
+    publisher.reconciler.add_source("srv:x", 1)
+    publisher.update_watch(0, 1000, watch_list("1"), False, True)
+    publisher.update_source(0, "srv:x", srv_statements(endpoints("2")))
+    publisher.publish_changes(0, 1000)
+    assert started_at_ms(host, "1", "2") == [0, 0], "there before us"
+    publisher.update_source(50, "srv:x", srv_statements(endpoints("2", "3")))
+    other = watch_list("1")
     other["instances"][0]["instanceId"] = "id-new"
-    m.watched(50, 1050, other, False, True)
-    m.settle(50, 1050)
-    assert told.up["10.0.0.3:80"]["startedAtMs"] == 1_050_000
-    assert told.up["10.0.0.1:80"]["startedAtMs"] == 1_050_000
-    m.settle(90, 5)  # the clock is set back
-    m.told(90, "srv:x", stated_by_dns([*at("2", "3"), Endpoint(0, "c.", "10.0.0.3", 81, 1)]))
-    m.settle(90, 5)
-    assert told.up["10.0.0.3:80"]["startedAtMs"] == 1_050_000, "and takes nothing back"
+    publisher.update_watch(50, 1050, other, False, True)
+    publisher.publish_changes(50, 1050)
+    return host, publisher
+
+
+def test_an_endpoint_that_comes_later_has_just_started(later_endpoints):
+    host, _ = later_endpoints
+    assert started_at_ms(host, "3") == [1_050_000]
+
 
+def test_another_server_at_an_address_has_just_started(later_endpoints):
+    host, _ = later_endpoints
+    assert started_at_ms(host, "1") == [1_050_000]
 
-# ---- the ledger -----------------------------------------------------------------------------------------------
 
+def test_a_clock_set_back_changes_no_start(later_endpoints):
+    host, publisher = later_endpoints
+    publisher.publish_changes(90, 5)
+    more = [*endpoints("2", "3"), SrvEndpoint(0, "c.", "10.0.0.3", 81, 1)]
+    publisher.update_source(90, "srv:x", srv_statements(more))
+    publisher.publish_changes(90, 5)
+    assert started_at_ms(host, "3") == [1_050_000]
 
-def test_what_changes_is_enough_to_look_at():
-    """A ledger that looks at everything at each step has the same boxes, lines and uses."""
+
+# ---- the reconciler -----------------------------------------------------------------------------------------
+
+
+def test_reconciling_only_what_has_changed_gives_the_same_endpoints():
+    """Beside a reconciler that looks at every endpoint at each step."""
     for seed in range(150):
         rng = Random(seed)
-        quick, whole = Ledger(Limits(step_s=20)), Ledger(Limits(step_s=20))
+        quick, thorough = MembershipReconciler(Limits(step_s=20)), MembershipReconciler(Limits(step_s=20))
         names = ["a", "b", "c"]
-        for ledger in (quick, whole):
+        for reconciler in (quick, thorough):
             for rank, name in enumerate(names):
-                ledger.add(name, rank % 2)
+                reconciler.add_source(name, rank % 2)
         for step in range(60):
-            now, kind, name = step * 7.0, rng.random(), rng.choice(names)
+            now, draw, name = step * 7.0, rng.random(), rng.choice(names)
             some = [str(n) for n in range(9) if rng.random() < 0.7]
-            for ledger in (quick, whole):
-                if kind < 0.6:
-                    stated = stated_by_dns(at(*some))
-                    ledger.told(now, name, stated if kind < 0.5 else stated[:3])
-                elif kind < 0.8:
-                    ledger.worth(name, Credit.STALE if kind < 0.75 else Credit.LOST)
-                elif kind < 0.9:
-                    ledger.hold(["10.0.0.1:80", "box2:80"] if kind < 0.85 else [])
+            for reconciler in (quick, thorough):
+                if draw < 0.6:
+                    statements = srv_statements(endpoints(*some))
+                    reconciler.update_source(now, name, statements if draw < 0.5 else statements[:3])
+                elif draw < 0.8:
+                    reconciler.set_confidence(name, Confidence.STALE if draw < 0.75 else Confidence.LOST)
+                elif draw < 0.9:
+                    reconciler.set_maintenance(["10.0.0.1:80", "box2:80"] if draw < 0.85 else [])
                 else:
-                    ledger.remove(name)
-                    ledger.add(name, int(kind * 100) % 3)
-            whole.touched.update(f"10.0.0.{n}:80" for n in range(9))
-            quick.settle(now)
-            whole.settle(now)
-            mine, theirs = (
-                {a: (b.outcome, b.line, b.used, b.stated, b.names) for a, b in x.boxes.items()}
-                for x in (quick, whole)
+                    reconciler.remove_source(name)
+                    reconciler.add_source(name, int(draw * 100) % 3)
+            thorough.unsettled.update(f"10.0.0.{n}:80" for n in range(9))
+            quick.reconcile(now)
+            thorough.reconcile(now)
+            found, expected = (
+                {a: (e.verdict, e.in_service, e.statement, e.names) for a, e in r.endpoints.items()}
+                for r in (quick, thorough)
             )
-            assert mine == theirs, (seed, step)
+            assert found == expected, (seed, step)
 
 
-def test_a_box_that_went_says_why_and_what_is_remembered_has_bounds():
-    ledger = Ledger(Limits(step_s=1))
-    ledger.add("a", 0)
+@pytest.fixture
+def reconciler_of_many_removed():
+    """One source, which lists another endpoint at each of 3000 steps."""
+    reconciler = MembershipReconciler(Limits(step_s=1))
+    reconciler.add_source("a", 0)
     for step in range(3000):
-        ledger.told(step * 2.0, "a", stated_by_dns(at(str(step))))
-        ledger.settle(step * 2.0)
-    assert str(ledger.gone["10.0.0.2998:80"].line).startswith("11 ")
-    assert len(ledger.gone) <= 1000 and len(ledger.knowing) < 20 and len(ledger.sources["a"].dropped) < 20
-    assert len(ledger.fading) < 20 and len(ledger.ripening) < 20 and len(ledger.sources["a"].flaps) < 20
+        reconciler.update_source(step * 2.0, "a", srv_statements(endpoints(str(step))))
+        reconciler.reconcile(step * 2.0)
+    return reconciler
+
+
+def test_a_tombstone_says_why_an_endpoint_was_removed(reconciler_of_many_removed):
+    verdict = reconciler_of_many_removed.tombstones["10.0.0.2998:80"].verdict
+    assert str(verdict.line).startswith("11 ")
+
+
+def test_what_is_remembered_of_removed_endpoints_is_bounded(reconciler_of_many_removed):
+    reconciler = reconciler_of_many_removed
+    assert len(reconciler.tombstones) <= 1000 and len(reconciler.sources_by_address) < 20
+    assert len(reconciler.remembered_drops) < 20 and len(reconciler.recent_drops) < 20
+    assert len(reconciler.sources["a"].dropped) < 20 and len(reconciler.sources["a"].drop_times) < 20
+
+
+# ---- many days of failures ----------------------------------------------------------------------------------
 
 
-# ---- many days of failures -------------------------------------------------------------------------------------
+def publish_view(publisher: MembershipPublisher, now: float, source: str, view: CacheView) -> None:
+    """As a DNS source does."""
+    if view.status in (CacheStatus.FRESH, CacheStatus.EMPTY):
+        publisher.update_source(now, source, srv_statements(view.endpoints))
+    elif view.status in (CacheStatus.STALE, CacheStatus.UNCONFIRMED_EMPTY):
+        publisher.set_confidence(source, Confidence.STALE)
+    elif view.status == CacheStatus.EXPIRED:
+        publisher.set_confidence(source, Confidence.LOST)
 
 
 def test_two_thousand_days_of_sources_and_servers_failing_together():
-    """A watch and two SRV names on a virtual clock; DNS dies, lies by half, flaps and answers nothing; the watch too.
+    """A watch and two SRV names on a virtual clock; DNS dies, lists half, flaps and answers nothing; the watch too.
 
-    After every step: no drained box is in service; with every source failing nothing goes; a true box that the best
-    fresh source lists is in service; and a box does not go in and out with a source that flaps.
+    After every step: no drained endpoint is in service; with every source failing nothing goes; a true endpoint that
+    the best fresh source lists is in service; and none goes in and out with a source that flaps.
     """
     seen: Counter[str] = Counter()
     for day in range(2000):
         rng = Random(day)
-        told = Told()
-        m = Membership(told, Limits(step_s=60))
-        life = Lifetimes(doubt=30, stale_max=20_000 if day % 2 else 600)
-        dns_names = {f"srv:{i}": Name(life, rng, 0.0) for i in range(rng.choice([1, 2]))}
+        host = RecordingHost()
+        publisher = MembershipPublisher(host, Limits(step_s=60))
+        limits = CacheLimits(empty_confirmation=30, max_stale=20_000 if day % 2 else 600)
+        dns_names = {f"srv:{i}": CachedName(limits, rng, 0.0) for i in range(rng.choice([1, 2]))}
         for i, source in enumerate(dns_names):
-            m.ledger.add(source, 1 + i)
+            publisher.reconciler.add_source(source, 1 + i)
         true, count, drained = [str(i) for i in range(8)], 8, set()
-        state = dict.fromkeys([WATCH, *dns_names], "good")
-        seen_by: dict[str, tuple] = {}
+        states = dict.fromkeys([WATCH, *dns_names], "good")
+        published: dict[str, tuple] = {}
         swings: Counter[str] = Counter()
         now = 0.0
         for step in range(40):
             now += rng.uniform(1, 45)
-            for s in state:
+            for source in states:
                 if rng.random() < 0.12:
-                    state[s] = rng.choice(["good", "good", "dead", "half", "flap", "empty"])
-            if rng.random() < 0.1 and state[WATCH] == "good":
+                    states[source] = rng.choice(["good", "good", "dead", "half", "flap", "empty"])
+            if rng.random() < 0.1 and states[WATCH] == "good":
                 true[rng.randrange(len(true))] = str(count)
                 count += 1
             if rng.random() < 0.1:
                 drained ^= {rng.choice(true)}
             drained &= set(true)
-            before = set(told.up)
-            failing = step > 0 and all(v in ("dead", "empty") for v in state.values())
-            for s, how in state.items():
-                seen[how] += 1
-                some = {"half": true[:4], "flap": true[: 4 if step % 2 else 8], "empty": []}.get(how, true)
-                if s == WATCH:
-                    if how in ("dead", "empty"):
-                        m.worth(WATCH, Credit.STALE)
+            before = set(host.in_service)
+            failing = step > 0 and all(state in ("dead", "empty") for state in states.values())
+            for source, state in states.items():
+                seen[state] += 1
+                some = {"half": true[:4], "flap": true[: 4 if step % 2 else 8], "empty": []}.get(state, true)
+                if source == WATCH:
+                    if state in ("dead", "empty"):
+                        publisher.set_confidence(WATCH, Confidence.STALE)
                     else:
-                        m.watched(now, now, listed(*some, draining=" ".join(drained)), False, True)
+                        update = watch_list(*some, draining=" ".join(drained))
+                        publisher.update_watch(now, now, update, False, True)
                     continue
-                name = dns_names[s]
-                if how == "dead":
-                    name.could_not(now, "SERVFAIL")
+                name = dns_names[source]
+                if state == "dead":
+                    name.receive_failure(now, "SERVFAIL")
                 else:
-                    name.answered(now, Found(at(*some), 20.0, empty="" if some else "NXDOMAIN"))
+                    empty = "" if some else "NXDOMAIN"
+                    name.receive_answer(now, SrvAnswer(endpoints(*some), 20.0, empty=empty))
                 view = name.view(now)
-                key = (view.standing, name.at)
-                if seen_by.get(s) != key:
-                    seen_by[s] = key
-                    if view.standing in (Standing.FRESH, Standing.EMPTY):
-                        m.told(now, s, stated_by_dns(view.endpoints))
-                    elif view.standing in (Standing.STALE, Standing.DOUBTED):
-                        m.worth(s, Credit.STALE)
-                    elif view.standing == Standing.EXPIRED:
-                        m.worth(s, Credit.LOST)
-            m.settle(now, now)
-            after = set(told.up)
+                key = (view.status, name.answered_at)
+                if published.get(source) != key:
+                    published[source] = key
+                    publish_view(publisher, now, source, view)
+            publisher.publish_changes(now, now)
+            after = set(host.in_service)
             where = {f"10.0.0.{n}:80" for n in true}
             out = {f"10.0.0.{n}:80" for n in drained}
-            if state[WATCH] not in ("dead", "empty"):
+            if states[WATCH] not in ("dead", "empty"):
                 assert not after & {f"10.0.0.{n}:80" for n in drained if n in true[:4]}, (day, step)
-            if state[WATCH] == "good":
+            if states[WATCH] == "good":
                 assert after >= where - out, (day, step, "the source that ranks first is right")
-            believed_empty = any(n.view(now).standing == Standing.EMPTY for n in dns_names.values())
+            believed_empty = any(name.view(now).status == CacheStatus.EMPTY for name in dns_names.values())
             if failing and not believed_empty:
                 seen["failing"] += 1
                 assert after >= before, (day, step, "failures alone took something out")
             if failing and before:
                 assert after or believed_empty, (day, step, "failures alone emptied the list")
-            for a in (before ^ after) & where - out:
-                swings[a] += 1
+            for address in (before ^ after) & where - out:
+                swings[address] += 1
         assert max(swings.values(), default=0) <= 14, (day, swings)
     assert min(seen[k] for k in ("good", "dead", "half", "flap", "empty", "failing")) > 500, seen
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,17 +1,20 @@
-"""Several sources: the rule against its table in the docs, and the ledger through seeded days of failing sources."""
+"""Several sources: the merge rule against its table in the docs, and the reconciler through days of failing sources."""
 
 from __future__ import annotations
 
 import re
 from collections import Counter
+from collections.abc import Iterator
 from itertools import combinations_with_replacement, product
 from pathlib import Path
 from random import Random
 
 import pytest
 
-from harecross.sources.ledger import Credit, Ledger, Limits, Priorities, Stated
-from harecross.sources.rule import Evidence, Line, Outcome, Word, decide
+from harecross.sources.priorities import Health, PriorityOverflow
+from harecross.sources.reconciler import MembershipReconciler
+from harecross.sources.rule import Evidence, ListingStatus, MergeDecision, RuleLine, decide
+from harecross.sources.source import Confidence, Limits, Statement
 
 TABLE = Path(__file__).parent.parent / "docs" / "design-sources.md"
 DROPS = {"new no", "flap no", "no", "mass no"}
@@ -31,52 +34,83 @@
     "no drop is a no": lambda e: not any(w == "no" for _, w in e),
 }
 
+# ---- the rule -----------------------------------------------------------------------------------------------
+
 
 def table() -> list[tuple[str, str, str, str]]:
     rows = re.findall(r"^\| (\d+) \| ?(.*?) ?\| ?(.*?) ?\| (\w+) \|$", TABLE.read_text(), re.M)
-    assert len(rows) == len(Line)
+    assert len(rows) == len(RuleLine)
     return rows
 
 
 def by_the_table(rows, evidence) -> tuple[str, str]:
-    for number, some, and_, outcome in rows:
-        there = not some or any(w == some or (some == "drop" and w in DROPS) for _, w in evidence)
-        if there and CONDITIONS[and_](evidence):
-            return outcome, number
+    for number, some, and_, decision in rows:
+        applies = not some or any(w == some or (some == "drop" and w in DROPS) for _, w in evidence)
+        if applies and CONDITIONS[and_](evidence):
+            return decision, number
     raise AssertionError("no line of the table holds")
 
 
-def test_every_combination_of_three_sources_has_the_outcome_of_the_table():
-    rows, lines = table(), Counter()
+def combinations() -> Iterator[list[Evidence]]:
+    """What one, two or three sources may say of an endpoint, with every order of their ranks."""
     for count in (1, 2, 3):
-        for words in product(Word, repeat=count):
+        for statuses in product(ListingStatus, repeat=count):
             for ranks in combinations_with_replacement(range(count), count):
-                evidence = [Evidence(r, w) for r, w in zip(ranks, words, strict=True)]
-                outcome, line = decide(evidence)
-                told = [(e.rank, str(e.word)) for e in evidence]
-                assert by_the_table(rows, told) == (str(outcome), line.split(" ")[0]), evidence
-                lines[line] += 1
-                assert decide(evidence[::-1]) == (outcome, line), "the order of sources is nothing"
-                if set(words) <= {Word.SILENT, Word.OLD_YES}:
-                    assert outcome != Outcome.GONE, "failures alone take nothing out"
-                if Word.DRAIN in words:
-                    assert outcome == Outcome.DRAIN
-    assert set(lines) == set(Line)
+                yield [Evidence(rank, status) for rank, status in zip(ranks, statuses, strict=True)]
+
+
+def test_every_combination_of_three_sources_is_decided_as_in_the_table():
+    rows, lines = table(), Counter()
+    for evidence in combinations():
+        verdict = decide(evidence)
+        stated = [(item.rank, str(item.status)) for item in evidence]
+        assert by_the_table(rows, stated) == (str(verdict.decision), verdict.line.split(" ")[0]), evidence
+        lines[verdict.line] += 1
+    assert set(lines) == set(RuleLine)
+
+
+def test_the_order_of_sources_does_not_matter():
+    for evidence in combinations():
+        assert decide(evidence[::-1]) == decide(evidence)
+
+
+def test_failures_of_sources_alone_remove_no_endpoint():
+    failures = {ListingStatus.UNKNOWN, ListingStatus.STALE_LISTED}
+    for evidence in combinations():
+        if {item.status for item in evidence} <= failures:
+            assert decide(evidence).decision != MergeDecision.REMOVE
+
+
+def test_a_drain_overrides_all_other_statements():
+    for evidence in combinations():
+        if any(item.status == ListingStatus.DRAINING for item in evidence):
+            assert decide(evidence).decision == MergeDecision.DRAIN
+
+
+# ---- the reconciler -----------------------------------------------------------------------------------------
+
+
+def in_service(reconciler: MembershipReconciler, now: float) -> set[str]:
+    return {a for a, endpoint in reconciler.reconcile(now).items() if endpoint.in_service}
 
 
-def used(ledger: Ledger, now: float) -> set[str]:
-    return {a for a, box in ledger.settle(now).items() if box.used}
+def statements(*addresses: str, draining: str = "") -> list[Statement]:
+    return [Statement(a, f"n-{a}", draining=a in draining.split()) for a in addresses]
 
 
-def of(*addresses: str, draining: str = "") -> list[Stated]:
-    return [Stated(a, f"n-{a}", draining=a in draining.split()) for a in addresses]
+def watch_and_srv(limits: Limits | None = None) -> MembershipReconciler:
+    reconciler = MembershipReconciler(limits)
+    reconciler.add_source("watch", 0)
+    reconciler.add_source("srv", 1)
+    return reconciler
 
 
-def both(limits: Limits | None = None) -> Ledger:
-    ledger = Ledger(limits)
-    ledger.add("watch", 0)
-    ledger.add("srv", 1)
-    return ledger
+def watch_and_srv_with(*addresses: str) -> MembershipReconciler:
+    """Both sources list these at time 0."""
+    reconciler = watch_and_srv()
+    for name in ("watch", "srv"):
+        reconciler.update_source(0, name, statements(*addresses))
+    return reconciler
 
 
 ALL = [f"10.0.0.{i}:80" for i in range(10)]
@@ -84,147 +118,185 @@
 
 @pytest.mark.parametrize("first", ["watch", "srv"])
 def test_a_release_out_of_step_by_half_a_minute_takes_nothing_out_and_in_again(first):
-    ledger, second = both(), "srv" if first == "watch" else "watch"
-    for name in (first, second):
-        ledger.told(0, name, of(*ALL))
+    reconciler, second = watch_and_srv_with(*ALL), "srv" if first == "watch" else "watch"
     lists, seen = {first: list(ALL), second: list(ALL)}, []
-    for i in range(3):  # each old box goes, and a new one comes, in one source 30 s before the other
+    for i in range(3):  # each old endpoint goes, and a new one comes, in one source 30 s before the other
         for at, name in ((100 * i, first), (100 * i + 30, second)):
             lists[name] = [a for a in lists[name] if a != ALL[i]] + [f"10.1.0.{i}:80"]
-            ledger.told(at, name, of(*lists[name]))
-            seen.append(used(ledger, at))
+            reconciler.update_source(at, name, statements(*lists[name]))
+            seen.append(in_service(reconciler, at))
             assert len(seen[-1]) >= 10 and f"10.1.0.{i}:80" in seen[-1]
         assert ALL[i] not in seen[-1], "gone once both have dropped it"
 
 
-@pytest.mark.parametrize("liar", ["watch", "srv"])
-def test_a_source_that_lists_half_is_not_believed_while_the_other_lists_all(liar):
-    ledger = both()
-    for name in ("watch", "srv"):
-        ledger.told(0, name, of(*ALL))
-    ledger.told(10, liar, of(*ALL[:5]))
+@pytest.mark.parametrize("partial", ["watch", "srv"])
+def test_a_source_that_lists_half_is_not_believed_while_the_other_lists_all(partial):
+    reconciler = watch_and_srv_with(*ALL)
+    reconciler.update_source(10, partial, statements(*ALL[:5]))
+    for now in (10, 60, 100, 4000):
+        assert in_service(reconciler, now) == set(ALL), now
+        reconciler.update_source(now + 1, partial, statements(*ALL[:5]))
+
+
+@pytest.mark.parametrize("partial", ["watch", "srv"])
+def test_a_source_that_lists_half_is_believed_once_it_is_the_only_one(partial):
+    reconciler = watch_and_srv_with(*ALL)
+    reconciler.update_source(10, partial, statements(*ALL[:5]))
     for now in (10, 60, 100, 4000):
-        assert used(ledger, now) == set(ALL), now
-        ledger.told(now + 1, liar, of(*ALL[:5]))
-    # Alone it is believed: nobody says otherwise.
-    other = "srv" if liar == "watch" else "watch"
-    ledger.remove(other)
-    assert used(ledger, 4001) == set(ALL[:5])
-
-
-def test_one_box_dropped_goes_by_rank_once_the_time_to_disagree_is_over():
-    for dropping, stays in (("watch", False), ("srv", True)):
-        ledger = both()
-        for name in ("watch", "srv"):
-            ledger.told(0, name, of(*ALL))
-        ledger.told(10, dropping, of(*ALL[1:]))
-        assert ALL[0] in used(ledger, 69) and (ALL[0] in used(ledger, 71)) == stays
-        line = ledger.evidence(ALL[0], 71)
-        assert {e.word for e in line.values()} == {Word.YES, Word.NO}
-
-
-def test_a_drain_from_any_source_wins_until_that_source_takes_it_back():
-    ledger = both()
-    ledger.told(0, "watch", of(*ALL))
-    ledger.told(0, "srv", of(*ALL, draining=ALL[0]))
-    assert ALL[0] not in used(ledger, 0)
-    ledger.worth("srv", Credit.STALE)
-    ledger.told(5, "watch", of(*ALL))
-    assert ALL[0] not in used(ledger, 5) and ledger.boxes[ALL[0]].outcome == Outcome.DRAIN
-    ledger.told(6, "srv", of(*ALL))
-    assert ALL[0] in used(ledger, 6)
-    # What operators hold out is out by its name, whatever sources say.
-    ledger.hold({f"n-{ALL[0]}"})
-    assert ALL[0] not in used(ledger, 7)
-    ledger.hold(())
-    assert ALL[0] in used(ledger, 8) and len(ledger.boxes[ALL[0]].changes) <= 5
-
-
-def test_sources_added_and_removed_lose_no_box_that_another_names():
-    ledger = both()
-    ledger.told(0, "watch", of(*ALL[:6]))
-    ledger.told(0, "srv", of(*ALL[4:]))
-    assert used(ledger, 0) == set(ALL), "each speaks of boxes of its own"
-    ledger.add("file", 2)
-    assert used(ledger, 1) == set(ALL)
-    ledger.remove("srv")
-    assert used(ledger, 2) == set(ALL[:6])
-    two = [
-        Stated(ALL[0], "a", weight=2.0),
-        Stated(ALL[0], "b", weight=5.0),
-        Stated(ALL[0], "c", priority=1, weight=9),
+        in_service(reconciler, now)
+        reconciler.update_source(now + 1, partial, statements(*ALL[:5]))
+    reconciler.remove_source("srv" if partial == "watch" else "watch")
+    assert in_service(reconciler, 4001) == set(ALL[:5])
+
+
+@pytest.mark.parametrize(("dropping", "stays"), [("watch", False), ("srv", True)])
+def test_one_dropped_endpoint_goes_by_rank_once_the_time_to_disagree_is_over(dropping, stays):
+    reconciler = watch_and_srv_with(*ALL)
+    reconciler.update_source(10, dropping, statements(*ALL[1:]))
+    assert ALL[0] in in_service(reconciler, 69) and (ALL[0] in in_service(reconciler, 71)) == stays
+    evidence = reconciler.evidence(ALL[0], 71)
+    assert {item.status for item in evidence.values()} == {ListingStatus.LISTED, ListingStatus.DROPPED}
+
+
+def test_a_drain_from_any_source_holds_until_that_source_takes_it_back():
+    reconciler = watch_and_srv()
+    reconciler.update_source(0, "watch", statements(*ALL))
+    reconciler.update_source(0, "srv", statements(*ALL, draining=ALL[0]))
+    assert ALL[0] not in in_service(reconciler, 0)
+    reconciler.set_confidence("srv", Confidence.STALE)
+    reconciler.update_source(5, "watch", statements(*ALL))
+    assert ALL[0] not in in_service(reconciler, 5)
+    assert reconciler.endpoints[ALL[0]].verdict.decision == MergeDecision.DRAIN
+    reconciler.update_source(6, "srv", statements(*ALL))
+    assert ALL[0] in in_service(reconciler, 6)
+
+
+def test_maintenance_by_name_stands_above_every_source():
+    reconciler = watch_and_srv_with(*ALL)
+    assert ALL[0] in in_service(reconciler, 6)
+    reconciler.set_maintenance({f"n-{ALL[0]}"})
+    assert ALL[0] not in in_service(reconciler, 7)
+    reconciler.set_maintenance(())
+    assert ALL[0] in in_service(reconciler, 8)
+
+
+def test_an_endpoint_remembers_its_last_five_changes():
+    reconciler = watch_and_srv_with(*ALL)
+    for now in range(1, 21):
+        drained = ALL[0] if now % 2 else ""
+        reconciler.update_source(now, "srv", statements(*ALL, draining=drained))
+        reconciler.reconcile(now)
+    changes = reconciler.endpoints[ALL[0]].changes
+    assert [change.at for change in changes] == [16, 17, 18, 19, 20]
+
+
+def test_an_added_source_takes_nothing_out():
+    reconciler = watch_and_srv()
+    reconciler.update_source(0, "watch", statements(*ALL[:6]))
+    reconciler.update_source(0, "srv", statements(*ALL[4:]))
+    assert in_service(reconciler, 0) == set(ALL), "each speaks of endpoints of its own"
+    reconciler.add_source("file", 2)
+    assert in_service(reconciler, 1) == set(ALL)
+
+
+def test_a_removed_source_takes_out_only_what_no_other_lists():
+    reconciler = watch_and_srv()
+    reconciler.update_source(0, "watch", statements(*ALL[:6]))
+    reconciler.update_source(0, "srv", statements(*ALL[4:]))
+    assert in_service(reconciler, 0) == set(ALL)
+    reconciler.remove_source("srv")
+    assert in_service(reconciler, 2) == set(ALL[:6])
+
+
+def test_of_several_statements_at_an_address_the_lowest_priority_and_largest_weight_count():
+    reconciler = watch_and_srv()
+    alike = [
+        Statement(ALL[0], "a", weight=2.0),
+        Statement(ALL[0], "b", weight=5.0),
+        Statement(ALL[0], "c", priority=1, weight=9),
     ]
-    ledger.told(3, "file", two)
-    assert ledger.sources["file"].listed[ALL[0]].name == "b"
+    reconciler.update_source(3, "srv", alike)
+    assert reconciler.sources["srv"].listed[ALL[0]].name == "b"
 
 
-def test_through_seeded_days_failures_never_empty_the_list_and_drained_boxes_get_nothing():
-    """Three sources fail, lie, lag and flap; the true set changes slowly. Checked after every step."""
+def test_through_seeded_days_failures_never_empty_the_list_and_drained_endpoints_get_nothing():
+    """Three sources fail, list a part, lag and flap; the true set changes slowly. Checked after every step."""
     seen: Counter[str] = Counter()
     for seed in range(250):
         rng = Random(seed)
-        ledger = Ledger(Limits(step_s=60))
+        reconciler = MembershipReconciler(Limits(step_s=60))
         names = ["watch", "srv", "file"][: rng.choice([1, 2, 3])]
         for rank, name in enumerate(names):
-            ledger.add(name, rank)
+            reconciler.add_source(name, rank)
         true, drained, count = [f"b{i}:1" for i in range(12)], set(), 12
-        state = dict.fromkeys(names, "good")
-        lag: dict[str, list[str]] = {n: list(true) for n in names}
-        for n in names:
-            ledger.told(0, n, of(*true))
-        before = used(ledger, 0)
+        states = dict.fromkeys(names, "good")
+        lagging: dict[str, list[str]] = {name: list(true) for name in names}
+        for name in names:
+            reconciler.update_source(0, name, statements(*true))
+        before = in_service(reconciler, 0)
         for step in range(1, 120):
             now = step * 10.0
-            for n in names:
+            for name in names:
                 if rng.random() < 0.05:
-                    state[n] = rng.choice(["good", "good", "stale", "lost", "half", "flap", "lag"])
+                    states[name] = rng.choice(["good", "good", "stale", "lost", "half", "flap", "lag"])
             if rng.random() < 0.1:
                 true[rng.randrange(len(true))] = f"b{count}:1"
                 count += 1
             if rng.random() < 0.1:
                 drained ^= {rng.choice(true)}
             drained &= set(true)
-            for n in names:
-                seen[state[n]] += 1
-                if state[n] in ("stale", "lost"):
-                    ledger.worth(n, Credit.STALE if state[n] == "stale" else Credit.LOST)
+            for name in names:
+                state = states[name]
+                seen[state] += 1
+                if state in ("stale", "lost"):
+                    reconciler.set_confidence(name, Confidence.STALE if state == "stale" else Confidence.LOST)
                     continue
-                if state[n] != "lag":
-                    lag[n] = list(true)
-                told = lag[n][:6] if state[n] == "half" or (state[n] == "flap" and step % 2) else lag[n]
-                ledger.told(now, n, of(*told, draining=" ".join(drained)))
-            after = used(ledger, now)
-            speaking = [n for n in names if ledger.sources[n].credit == Credit.FRESH]
+                if state != "lag":
+                    lagging[name] = list(true)
+                half = state == "half" or (state == "flap" and step % 2)
+                listed = lagging[name][:6] if half else lagging[name]
+                reconciler.update_source(now, name, statements(*listed, draining=" ".join(drained)))
+            after = in_service(reconciler, now)
+            sources = reconciler.sources.values()
             for address in after:
-                assert not any(
-                    address in s.drains and s.credit != Credit.LOST for s in ledger.sources.values()
-                )
-            if not speaking:
+                assert not any(address in s.draining and s.confidence != Confidence.LOST for s in sources)
+            if not any(source.confidence == Confidence.FRESH for source in sources):
                 # Only what a drain that has lost its source held out may come in.
                 assert before <= after, (seed, step, "failures alone took something out")
-            good = [n for n in names if state[n] == "good"]
-            if good and len(names) > 1:
+            good = [name for name in names if states[name] == "good"]
+            if good and len(names) > 1 and min(reconciler.sources[name].rank for name in good) == 0:
                 missing = {a for a in true if a not in drained} - after
-                hidden = {a for s in ledger.sources.values() for a in s.drains}
-                rank = min(ledger.sources[n].rank for n in good)
-                if rank == 0:
-                    assert not missing - hidden, (
-                        seed,
-                        step,
-                        "the source that ranks first is right, and lists them",
-                    )
+                hidden = {a for source in sources for a in source.draining}
+                assert not missing - hidden, (seed, step, "the source that ranks first lists them")
             before = after
     assert min(seen.values()) > 500, seen
 
 
-def test_next_priorities_come_in_under_one_share_and_go_above_another():
-    priorities = Priorities()
-    assert priorities.used({0: (10, 10), 1: (5, 5)}) == [0]
-    assert priorities.used({0: (4, 10), 1: (5, 5), 2: (1, 1)}) == [0, 1]
-    for good in (5, 6, 5, 6):  # near a bound nothing swings
-        assert priorities.used({0: (good, 10), 1: (5, 5)}) == [0, 1]
-    assert priorities.used({0: (7, 10), 1: (5, 5)}) == [0]
-    assert priorities.used({0: (5, 10), 1: (5, 5)}) == [0]
-    assert priorities.used({0: (0, 0), 1: (0, 3), 2: (1, 1)}) == [0, 1, 2]
+# ---- priorities ---------------------------------------------------------------------------------------------
+
+
+def health(*counts: tuple[int, int]) -> dict[int, Health]:
+    """By priority, from 0: how many endpoints are healthy, and of how many."""
+    return {priority: Health(*count) for priority, count in enumerate(counts)}
+
+
+def test_a_healthy_first_priority_is_used_alone():
+    assert PriorityOverflow().in_use(health((10, 10), (5, 5))) == [0]
+
+
+def test_the_next_priority_is_used_below_one_share_until_another():
+    overflow = PriorityOverflow()
+    assert overflow.in_use(health((4, 10), (5, 5), (1, 1))) == [0, 1]
+    for healthy in (5, 6, 5, 6):  # between the bounds nothing changes
+        assert overflow.in_use(health((healthy, 10), (5, 5))) == [0, 1]
+    assert overflow.in_use(health((7, 10), (5, 5))) == [0]
+    assert overflow.in_use(health((5, 10), (5, 5))) == [0]
+
+
+def test_every_priority_is_used_while_those_before_it_are_down():
+    assert PriorityOverflow().in_use(health((0, 0), (0, 3), (1, 1))) == [0, 1, 2]
+
+
+def test_an_overflow_without_hysteresis_is_refused():
     with pytest.raises(ValueError):
-        Priorities(0.7, 0.7)
+        PriorityOverflow(0.7, 0.7)
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -17,9 +17,9 @@
 
 from harecross.node.__main__ import Node
 from harecross.node.config import config_from
-from harecross.sources import keep
-from harecross.sources.config import File, SourcesTable, Srv, check
-from harecross.sources.run import Sources
+from harecross.sources.cache_file import CachedSet, read_cache_file, write_cache_file
+from harecross.sources.config import AddressFileConfig, SourcesTable, SrvConfig, check
+from harecross.sources.manager import SourceManager
 from harecross.standins import dns as standin
 from harecross.standins.cluster import with_parent
 from harecross.standins.discovery import Catalog
@@ -86,7 +86,7 @@
     async def serve(self, table: SourcesTable, **more) -> Node:
         check(table)
         config = config_of(self.catalog.address, admin="127.0.0.1:0", **more)
-        self.node = Node(config_from(config), more_sources=lambda d: Sources(table, d))
+        self.node = Node(config_from(config), more_sources=lambda d: SourceManager(table, d))
         self.task = asyncio.create_task(self.node.run())
         ready = asyncio.create_task(self.node.ready.wait())
         await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
@@ -130,7 +130,7 @@
 def table(s: Site, **more) -> SourcesTable:
     srv = more.pop("srv", {})
     told = {"resolvers": (s.dns.address,), "step_s": 1.0, "watch_stale_s": 1.0, **more}
-    return SourcesTable(srv=(Srv(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **told)
+    return SourcesTable(srv=(SrvConfig(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **told)
 
 
 class Load:
@@ -277,13 +277,14 @@
             s.srv(0, 1)
             await s.serve(table(s, keep=path, watch=False))
             await until(lambda: s.up() == {0, 1})
-        assert len(keep.read(path)[NAME].found.endpoints) == 2
+        assert len(read_cache_file(path)[NAME].answer.endpoints) == 2
         async with site(2) as s:
-            sets = keep.read(path)
+            sets = read_cache_file(path)
             moved = [e.__class__(e.priority, e.target, e.address, int(s.boxes[i].port), e.weight)
-                     for i, e in enumerate(sets[NAME].found.endpoints)]  # fmt: skip
-            kept = keep.Kept(sets[NAME].found.__class__(tuple(moved), 1.0), sets[NAME].at, sets[NAME].until)
-            keep.write(path, {NAME: kept})
+                     for i, e in enumerate(sets[NAME].answer.endpoints)]  # fmt: skip
+            answer = sets[NAME].answer.__class__(tuple(moved), 1.0)
+            cached = CachedSet(answer, sets[NAME].answered_at, sets[NAME].expires_at)
+            write_cache_file(path, {NAME: cached})
             s.dns.faults = [standin.silent]
             node = await s.serve(table(s, keep=path, watch=False))
             await until(lambda: s.up() == {0, 1})
@@ -312,16 +313,16 @@
             await until(lambda: s.up() == {0, 1})
             file.write_text(f"{s.boxes[1].address}\n{s.boxes[2].address} weight=2\n")
             s.dns.delay = 0.3
-            await until(lambda: any(a.name.asking for a in node.more_sources.asked.values()))
-            both = table(s, watch=False, file=(File(str(file)),))
-            node.more_sources.put(both)
+            await until(lambda: any(s.cached_name.refreshing for s in node.more_sources.dns_sources.values()))
+            both = table(s, watch=False, file=(AddressFileConfig(str(file)),))
+            node.more_sources.configure(both)
             await until(lambda: s.up() == {0, 1, 2})
-            await until(lambda: any(a.name.asking for a in node.more_sources.asked.values()))
-            node.more_sources.put(SourcesTable(file=both.file, watch=False, step_s=1.0))
+            await until(lambda: any(s.cached_name.refreshing for s in node.more_sources.dns_sources.values()))
+            node.more_sources.configure(SourcesTable(file=both.file, watch=False, step_s=1.0))
             await until(lambda: s.up() == {1, 2})
             # A file that is spoilt is stale, and one that is whole again counts.
             file.write_text(f"{s.boxes[2].address} weigth=2\n")
-            await until(lambda: node.more_sources.files[f"file:{file}"].why)
+            await until(lambda: node.more_sources.file_sources[f"file:{file}"].problem)
             assert s.up() == {1, 2}
             file.write_text(f"{s.boxes[2].address}\n")
             await until(lambda: s.up() == {2})
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -45,7 +45,7 @@
 from harecross.policy.learned_state import recall
 from harecross.shifts.plan import place, read_plan
 from harecross.shifts.shift import State as ShiftState
-from harecross.sources.keep import read as read_kept
+from harecross.sources.cache_file import read_cache_file
 from harecross.store.leases import Lease
 from harecross.store.store import Store
 from harecross.xds.config import TlsTable, read_control
@@ -390,16 +390,16 @@
 
 
 def test_stored_dns_sets_are_read():
-    sets = read_kept(str(DATA / "kept-dns-sets"))
+    sets = read_cache_file(str(DATA / "kept-dns-sets"))
     assert list(sets) == ["_readings._tcp.site3.example.org", "_empty._tcp.example.org"]
     first, empty = sets.values()
-    assert (first.at, first.until, first.found.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
-    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.found.endpoints] == [
+    assert (first.answered_at, first.expires_at, first.answer.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
+    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.answer.endpoints] == [
         (0, "a.site3.example.org", "10.3.0.1", 8081, 10),
         (1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
     ]
-    assert (empty.at, empty.until, empty.found.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
-    assert empty.found.endpoints == ()
+    assert (empty.answered_at, empty.expires_at, empty.answer.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
+    assert empty.answer.endpoints == ()
 
 
 def test_dns_sets_are_written_with_the_same_bytes(tmp_path):
