--- a/harecross/shifts/__init__.py
+++ b/harecross/shifts/__init__.py
@@ -1,1 +1,1 @@
-"""Step-by-step traffic shifts between two pools, undone by measured harm. Free of I/O but for `cli`."""
+"""Traffic shifted step by step from a control pool to a candidate pool, and back where the candidate does harm."""
--- a/harecross/shifts/cli.py
+++ b/harecross/shifts/cli.py
@@ -1,4 +1,4 @@
-"""`harecross shift`: plans checked, and rehearsed on a model. Status 0, 2 for wrong use."""
+"""`harecross shift`: plans checked, and rehearsed in a simulation. Status 0, 2 for wrong use."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 if TYPE_CHECKING:
     from harecross.shifts.plan import Plan
+    from harecross.shifts.simulation import Fault, SimulationResult
 
 shift_app = typer.Typer(no_args_is_help=True, help="Traffic moved step by step between two pools.")
 plan_app = typer.Typer(no_args_is_help=True, help="Plans.")
@@ -19,27 +20,29 @@
 
 File = Annotated[Path, typer.Argument(help="The plan (TOML).")]
 FAULTS = ("none", "slow", "errors", "late", "vanished", "both-slow")
+LATE_FACTOR = 20.0  # latencies of the faults `late` and `both-slow`
 
 
 @plan_app.command("check")
 def check(path: File) -> None:
     """Whether a plan can be used, and what it says."""
-    plan = read(path)
-    least = sum(s.least_s for s in plan.steps)
-    shares = ", ".join(f"{s.share:.0%}" for s in plan.steps)
+    plan = load_plan(path)
+    least = sum(step.least_s for step in plan.steps)
+    shares = ", ".join(f"{step.share:.0%}" for step in plan.steps)
     print(f"{path}: {plan.name}: {shares}; {least:g} s at least; false alarms {plan.judge.false_alarms:.1%}")
 
 
-def read(path: Path) -> Plan:
+def load_plan(path: Path) -> Plan:
+    """The plan in a file; ends the command where it cannot be used."""
     try:
         from harecross.operators import BadFile
         from harecross.shifts.plan import read_plan
-    except ImportError as e:
-        stop(f"shift needs the extra `operators`: {e}")
+    except ImportError as error:
+        stop(f"shift needs the extra `operators`: {error}")
     try:
         return read_plan(path)
-    except BadFile as e:
-        stop(str(e))
+    except BadFile as error:
+        stop(str(error))
 
 
 @shift_app.command("rehearse")
@@ -53,43 +56,63 @@
     as_json: Annotated[bool, typer.Option("--json", help="To standard output.")] = False,
 ) -> None:
     """Play the plan on a model of two pools: what would be decided when, and why. No node is asked."""
-    from harecross.shifts.model import Weather, play
+    from harecross.shifts.simulation import simulate
 
     if fault not in FAULTS:
         stop(f"--fault {fault}: one of {', '.join(FAULTS)}")
     if fault == "errors" and size > 1:
         stop(f"--size {size:g}: a share of errors is at most 1")
-    weather = {
-        "slow": Weather(slow=size), "errors": Weather(errors=size), "late": Weather(slow=20.0),
-        "vanished": Weather(lost=1.0), "both-slow": Weather(slow=20.0), "none": Weather(),
-    }[fault]  # fmt: skip
-    plan = read(path)
-    out = play(
+    plan = load_plan(path)
+    result = simulate(
         plan,
         seed,
-        None
-        if fault == "none"
-        else lambda since, now, candidate: weather if candidate or fault == "both-slow" else None,
+        make_fault(fault, size),
         rate,
-        lambda now, present: present >= share,
-        seconds=4 * sum(s.least_s for s in plan.steps) + 600,
+        lambda now, present_share: present_share >= share,
+        seconds=4 * sum(step.least_s for step in plan.steps) + 600,
     )
     if as_json:
-        print(
-            json.dumps(
-                {
-                    "state": str(out.state),
-                    "seconds": out.seconds,
-                    "decisions": [d.to_doc() for d in out.decisions],
-                }
-            )
+        print_json(result)
+    else:
+        print_table(plan, result)
+
+
+def make_fault(name: str, size: float) -> Fault | None:
+    """The fault of that name; None for `none`."""
+    from harecross.shifts.simulation import LoadScenario
+
+    if name == "none":
+        return None
+    scenario = {
+        "slow": LoadScenario(slow=size),
+        "errors": LoadScenario(errors=size),
+        "late": LoadScenario(slow=LATE_FACTOR),
+        "vanished": LoadScenario(lost=1.0),
+        "both-slow": LoadScenario(slow=LATE_FACTOR),
+    }[name]
+    both = name == "both-slow"
+    return lambda since_s, share, candidate: scenario if candidate or both else None
+
+
+def print_json(result: SimulationResult) -> None:
+    """Prints a rehearsal for programs."""
+    decisions = [decision.to_json() for decision in result.decisions]
+    print(json.dumps({"state": str(result.state), "seconds": result.seconds, "decisions": decisions}))
+
+
+def print_table(plan: Plan, result: SimulationResult) -> None:
+    """Prints a rehearsal for people."""
+    from harecross.console import out, table
+
+    title = f"{plan.name}: {result.state} after {result.seconds:g} s"
+    decisions = table(title, "at", "state", "share", "why", "evidence")
+    for decision in result.decisions:
+        decisions.add_row(
+            f"{decision.at:,.0f} s",
+            str(decision.state),
+            f"{decision.share:.0%}",
+            decision.reason,
+            f"{decision.figures['evidence']:g}",
         )
-        return
-    from harecross.console import out as console
-    from harecross.console import table
-
-    t = table(f"{plan.name}: {out.state} after {out.seconds:g} s", "at", "state", "share", "why", "evidence")
-    for d in out.decisions:
-        t.add_row(f"{d.at:,.0f} s", str(d.state), f"{d.share:.0%}", d.why, f"{d.figures['evidence']:g}")
-    console.print(t)
-    console.print(f"an undo needs evidence of {1 / plan.judge.false_alarms:g}", highlight=False)
+    out.print(decisions)
+    out.print(f"an undo needs evidence of {1 / plan.judge.false_alarms:g}", highlight=False)
--- a/harecross/shifts/controller.py
+++ b/harecross/shifts/controller.py
@@ -1,114 +1,134 @@
-"""One controller of a shift: leads by a lease, writes each decision down before it tells anybody. Free of sockets.
+"""One controller of a shift: it leads by a lease, and stores each decision before it publishes it. Free of sockets.
 
-The order is: decide, write the state and its record in one transaction under the lease's token, tell. Killed between
-any two, nodes hold the old share or the new one, and the next leader goes on from what is written.
+The order is: decide, store the state and its record in one transaction under the lease's fencing token, publish. Killed
+between any two, nodes have the old share or the new one, and the next leader goes on from what is stored.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-from harecross.shifts.judge import Try
+from harecross.shifts.eprocess import PoolCounts
+from harecross.shifts.judge import FirstAttempt
 from harecross.shifts.plan import Plan
-from harecross.shifts.shift import Decision, Refused, Shift
+from harecross.shifts.shift import Decision, Order, OrderRefusedError, Shift
 from harecross.store.errors import FencedError, StoreError
 from harecross.store.leases import Lease
 from harecross.store.store import Store
 
-KIND = "shift"
-LEASE_S = 10.0  # seconds without renewal after which another controller may lead
-KEEP_S = 10.0  # seconds between two writings of what was learned, where nothing is decided
+COLLECTION = "shift"  # of the store
+LEASE_S = 10.0  # without renewal for so long, another controller may lead
+MAX_UNSTORED_S = 10.0  # between two writes of the tests' state, where nothing is decided
+
+PublishShare = Callable[[int, float], None]  # the fencing token, the candidate's share
 
 
 class Controller:
-    """`tell(token, share)` reaches the nodes; it is called each step, also where nothing changes: that is the
-    contact."""
+    """Leads a shift while it holds the lease, and follows otherwise."""
 
     def __init__(
-        self, plan: Plan, classes: tuple[str, ...], store: Store, holder: str, tell: Callable[[int, float], None],
+        self, plan: Plan, classes: tuple[str, ...], store: Store, holder: str, publish_share: PublishShare,
         now: float,
     ) -> None:  # fmt: skip
-        self.plan, self.classes, self.store, self.holder, self.tell = plan, classes, store, holder, tell
+        """`holder` names this controller in the lease. `publish_share` sends the share to the nodes; it is called at
+        every window, also where nothing changes, as nodes without contact go back to the control pool."""
+        self.plan, self.classes, self.store, self.holder = plan, classes, store, holder
         self.shift = Shift(plan, classes, now)
         self.lease: Lease | None = None
-        self.kept_at = now
-        self.trouble = ""  # why nothing could be written, if so
-        self.unwritten: Decision | None = None  # an undo that was done and is not written yet
+        self.store_problem = ""  # why the store could not be written, if so
+        self._publish_share = publish_share
+        self._stored_at = now
+        self._unstored_undo: Decision | None = None  # done, and not stored yet
 
     @property
     def leads(self) -> bool:
+        """Whether it holds the lease."""
         return self.lease is not None
 
-    def step(
-        self, now: float, wall: float, tries: Iterable[Try], listed: tuple[int, int], open_on_candidate: int
+    def close_window(
+        self,
+        now: float,
+        wall: float,
+        attempts: Iterable[FirstAttempt],
+        listed: PoolCounts,
+        candidate_in_flight: int,
     ) -> Decision | None:
-        """One window. Without the lease it follows: it reads no traffic and tells nothing."""
-        if not self.lead(now, wall):
+        """Closes one window. Without the lease it only follows: it judges no traffic and publishes nothing."""
+        if not self.renew_lease(now, wall):
             return None
-        self.shift.judge.add(tries)
-        before = self.shift.to_doc()
-        decision = self.shift.window(now, wall, listed, open_on_candidate)
-        due = decision is not None or self.unwritten is not None or now - self.kept_at >= KEEP_S
-        written = not due or self.write(now, wall, decision)
-        if decision is not None and not written and not self.undoes(decision):
-            # Guards against: a share that nobody wrote down is on the wire when this process is killed.
+        self.shift.judge.add(attempts)
+        before = self.shift.to_json()
+        decision = self.shift.close_window(now, wall, listed, candidate_in_flight)
+        due = decision is not None or self._unstored_undo is not None
+        due = due or now - self._stored_at >= MAX_UNSTORED_S
+        stored = not due or self._store(now, wall, decision)
+        if decision is not None and not stored and not self._must_apply(decision):
+            # A share that is not stored must not reach the nodes.
             self.shift.restore(now, before)
             decision = None
-        if self.lease is not None:
-            self.tell(self.lease.fencing_token, self.shift.share)
+        self._publish()
         return decision
 
-    def undoes(self, decision: Decision) -> bool:
-        """Whether it takes the candidate's traffic away: done also where it cannot be written, and written later.
+    def order(self, now: float, wall: float, order: Order) -> Decision:
+        """Carries out an operator's order. OrderRefusedError where it does not fit, this controller does not lead, or
+        it cannot be stored; an undo is carried out all the same."""
+        if not self.renew_lease(now, wall):
+            raise OrderRefusedError(f"{order}: another controller leads")
+        before = self.shift.to_json()
+        decision = self.shift.order(now, wall, order)
+        if not self._store(now, wall, decision) and not self._must_apply(decision):
+            self.shift.restore(now, before)
+            raise OrderRefusedError(f"{order}: {self.store_problem}")
+        self._publish()
+        return decision
 
-        Guards against: the disk is full, and the candidate goes on doing harm for as long as it is.
-        """
+    def _must_apply(self, decision: Decision) -> bool:
+        """Whether a decision applies though it cannot be stored: one that takes the candidate's traffic away, or a
+        full disk would let it go on doing harm. It is stored later."""
         return self.lease is not None and decision.share == 0.0
 
-    def order(self, now: float, wall: float, what: str) -> Decision:
-        """An operator's word. Refused where it does not fit, this controller does not lead, or it cannot be
-        written; an undo is done all the same."""
-        if not self.lead(now, wall):
-            raise Refused(f"{what}: another controller leads")
-        before = self.shift.to_doc()
-        decision = self.shift.order(now, wall, what)
-        if not self.write(now, wall, decision) and not self.undoes(decision):
-            self.shift.restore(now, before)
-            raise Refused(f"{what}: {self.trouble}")
+    def _publish(self) -> None:
         if self.lease is not None:
-            self.tell(self.lease.fencing_token, self.shift.share)
-        return decision
+            self._publish_share(self.lease.fencing_token, self.shift.share)
 
-    def lead(self, now: float, wall: float) -> bool:
-        """Takes or renews the lease; on taking it, begins from what is written."""
-        had = self.lease
+    def renew_lease(self, now: float, wall: float) -> bool:
+        """Acquires or renews the lease, and returns whether it has it. A new one begins from what is stored."""
+        previous = self.lease
         try:
-            self.lease = self.store.acquire_lease(f"{KIND}/{self.plan.name}", self.holder, wall, LEASE_S)
-            if self.lease is not None and (had is None or had.fencing_token != self.lease.fencing_token):
-                found = self.store.get(KIND, self.plan.name)
-                self.shift = Shift(self.plan, self.classes, now)
-                if found is not None:
-                    self.shift.restore(now, found.body)
-            self.trouble = ""
-        except StoreError as e:
-            # Without the store nothing new is decided; who cannot renew is followed in time.
-            self.lease, self.trouble = None, str(e)
+            self.lease = self.store.acquire_lease(
+                f"{COLLECTION}/{self.plan.name}", self.holder, wall, LEASE_S
+            )
+            if self.lease is not None and (
+                previous is None or previous.fencing_token != self.lease.fencing_token
+            ):
+                self._load(now)
+            self.store_problem = ""
+        except StoreError as error:
+            # Without the store nothing new is decided, and another controller leads once the lease expires.
+            self.lease, self.store_problem = None, str(error)
         return self.lease is not None
 
-    def write(self, now: float, wall: float, decision: Decision | None) -> bool:
-        last = [self.unwritten] if self.unwritten is not None else []
-        records = [d.to_doc() for d in (*last, *([decision] if decision is not None else []))]
+    def _load(self, now: float) -> None:
+        stored = self.store.get(COLLECTION, self.plan.name)
+        self.shift = Shift(self.plan, self.classes, now)
+        if stored is not None:
+            self.shift.restore(now, stored.body)
+
+    def _store(self, now: float, wall: float, decision: Decision | None) -> bool:
+        """Stores the shift and its decisions; returns whether that succeeded."""
+        decisions = [d for d in (self._unstored_undo, decision) if d is not None]
+        records = [d.to_json() for d in decisions]
+        urgent = self.shift.share == 0.0
         try:
-            urgent = self.shift.share == 0.0
             self.store.put(
-                KIND, self.plan.name, self.shift.to_doc(), wall, records, self.lease, urgent=urgent
+                COLLECTION, self.plan.name, self.shift.to_json(), wall, records, self.lease, urgent=urgent
             )
-        except StoreError as e:
-            self.trouble = str(e)
-            if isinstance(e, FencedError):
+        except StoreError as error:
+            self.store_problem = str(error)
+            if isinstance(error, FencedError):
                 self.lease = None
-            elif decision is not None and self.undoes(decision):
-                self.unwritten = decision
+            elif decision is not None and self._must_apply(decision):
+                self._unstored_undo = decision
             return False
-        self.kept_at, self.trouble, self.unwritten = now, "", None
+        self._stored_at, self.store_problem, self._unstored_undo = now, "", None
         return True
--- a/harecross/shifts/shift.py
+++ b/harecross/shifts/shift.py
@@ -2,14 +2,14 @@
 
 | state | the candidate's share | entered | left |
 | --- | --- | --- | --- |
-| running | the step's | by an operator; when the cause of a pause has been gone for `BACK_S` | by any of the below |
-| paused | the step's | by a `Cause` | as above |
-| undoing | 0 | by harm, an operator, a candidate that stays empty | when nothing is out on it, or after `EMPTY_S` |
+| running | the step's | by an operator; `RESUME_AFTER_S` after the cause of a pause is gone | by any of the below |
+| paused | the step's | by a `PauseCause` | as above |
+| undoing | 0 | by harm, an operator, an empty candidate | with no request in flight, or after `DRAIN_TIMEOUT_S` |
 | undone | 0 | after undoing | by an operator's new start only |
 | held | the last | after the last step, where `at_end` says so | by an operator |
 | done | 1 | after the last step | |
 
-Time in a step counts while running. Nothing leads back up from `undoing`: a shift does not swing.
+Time in a step counts while running. Nothing leads back up from `undoing`: a shift does not oscillate.
 """
 
 from __future__ import annotations
@@ -20,16 +20,19 @@
 from math import sqrt
 from typing import Any
 
+from harecross.shifts.eprocess import PoolCounts
 from harecross.shifts.judge import Judge, Verdict
 from harecross.shifts.plan import Plan
 
-BACK_S = 10.0  # seconds for which the cause of a pause must be gone
-EMPTY_S = 60.0  # seconds after which an undone candidate's open work is no longer waited for
-STARVED_S = 30.0  # seconds after which an empty candidate is undone
+RESUME_AFTER_S = 10.0  # for which the cause of a pause must be gone
+DRAIN_TIMEOUT_S = 60.0  # after which requests in flight on an undone candidate are no longer waited for
+EMPTY_TIMEOUT_S = 30.0  # after which an empty candidate is undone
+MAX_REPORTED_EVIDENCE = 1e12
+NOT_STARTED = "not started"  # the reason of a shift that has not been started
 
 
-class State(StrEnum):
-    """The values are what operators read."""
+class ShiftState(StrEnum):
+    """The values are stored, and what operators read."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -39,255 +42,280 @@
     DONE = "done"
 
 
-class Cause(StrEnum):
-    """Why a shift is paused."""
+class PauseCause(StrEnum):
+    """Why a shift is paused. The values are stored, and what operators read."""
 
     OPERATOR = "an operator"
-    QUIET = "too little traffic in the candidate"
-    BLIND = "no data of either pool"
-    SHARED = "both pools are slow or failing"
-    EMPTY = "the candidate lists no servers"
-    NO_CONTROL = "the control lists no servers"
-    CHANGED = "the plan has changed since it was started"
+    LOW_TRAFFIC = "too little traffic in the candidate"
+    NO_DATA = "no data of either pool"
+    SHARED_TROUBLE = "both pools are slow or failing"
+    EMPTY_CANDIDATE = "the candidate lists no servers"
+    EMPTY_CONTROL = "the control lists no servers"
+    PLAN_CHANGED = "the plan has changed since it was started"
 
 
-ORDERS_NEEDED = frozenset({Cause.OPERATOR, Cause.CHANGED})  # only an operator ends these
+class Order(StrEnum):
+    """What operators may order."""
 
+    START = "start"
+    PAUSE = "pause"
+    RESUME = "resume"
+    UNDO = "undo"
+    DONE = "done"
+
+
+ENDED_BY_OPERATORS = frozenset({PauseCause.OPERATOR, PauseCause.PLAN_CHANGED})
 
-class Refused(ValueError):
-    """An order that does not fit the state; the text says what would."""
+
+class OrderRefusedError(ValueError):
+    """An order that does not fit the state, or cannot be carried out; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One change and what led to it: a record of the store. `at` is Unix time."""
+    """One change of a shift and what led to it: a record of the store."""
 
-    at: float
-    state: State
+    at: float  # Unix time
+    state: ShiftState
     share: float
-    why: str
+    reason: str
     figures: Mapping[str, Any] = field(default_factory=dict)
 
-    def to_doc(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
+        """The stored form."""
         return {
             "at": self.at,
             "state": str(self.state),
             "share": self.share,
-            "why": self.why,
+            "why": self.reason,
             "figures": dict(self.figures),
         }
 
 
 class Shift:
-    """One shift. `now` is a clock that never goes back, `wall` the Unix time, for people alone."""
+    """One shift. `now` is monotonic seconds; `wall`, the Unix time, is for records only."""
 
     def __init__(self, plan: Plan, classes: tuple[str, ...], now: float) -> None:
-        """`classes`: those the plan is about, by name."""
+        """`classes`: the names of the request classes that the plan is about."""
         self.plan = plan
         self.judge = Judge(plan.judge, classes)
-        self.state = State.PAUSED
-        self.cause: Cause | None = Cause.OPERATOR
+        self.state = ShiftState.PAUSED
+        self.cause: PauseCause | None = PauseCause.OPERATOR
+        self.reason = NOT_STARTED
         self.step = 0
-        self.in_step = 0.0  # seconds of running
-        self.units = 0  # candidate units seen in this step, window by window
-        self.why = "not started"
-        self.last = now  # when the last window was closed
-        self.since = now  # of the state
-        self.seen = [now, now]  # when the control and the candidate were last seen to serve
-        self.clear_since = now  # since when the cause of a pause is gone
-        self.empty_since: float | None = None
+        self.step_running_s = 0.0
+        self.step_units = 0  # candidate units seen in this step, window by window
         self.evidence = 1.0
-
-    # ---- what it means for traffic ------------------------------------------------------------------------
+        self._window_closed_at = now
+        self._entered_at = now  # the state
+        self._control_seen_at = self._candidate_seen_at = now  # when each pool was last seen to serve
+        self._cause_seen_at = now  # when the cause of a pause was last there
+        self._candidate_empty_since: float | None = None
 
     @property
     def share(self) -> float:
         """The candidate's share of units."""
-        if self.state in (State.UNDOING, State.UNDONE):
+        if self.state in (ShiftState.UNDOING, ShiftState.UNDONE):
             return 0.0
-        if self.state == State.DONE:
+        if self.state == ShiftState.DONE:
             return 1.0
         return self.plan.steps[self.step].share if self.started else 0.0
 
     @property
     def started(self) -> bool:
-        return self.why != "not started"
+        """Whether an operator has started it."""
+        return self.reason != NOT_STARTED
 
-    # ---- operators ----------------------------------------------------------------------------------------
+    # ---- operators ------------------------------------------------------------------------------------------
 
-    def order(self, now: float, wall: float, what: str) -> Decision:
-        """start, pause, resume, undo or done. Refused where that does not fit."""
-        state = self.state
-        if what == "start" and not self.started:
-            self.step, self.seen = 0, [now, now]
-            return self.go(now, wall, State.RUNNING, "started by an operator")
+    def order(self, now: float, wall: float, order: Order) -> Decision:
+        """Carries out an operator's order. OrderRefusedError where it does not fit the state."""
+        if order == Order.START and not self.started:
+            self.step = 0
+            self._pools_seen(now)
+            return self.enter(now, wall, ShiftState.RUNNING, "started by an operator")
         if not self.started:
-            raise Refused(f"{what}: it has not been started")
-        if what == "pause" and state in (State.RUNNING, State.PAUSED) and self.cause not in ORDERS_NEEDED:
-            return self.go(now, wall, State.PAUSED, f"paused: {Cause.OPERATOR}", Cause.OPERATOR)
-        if what == "resume" and state == State.PAUSED:
-            self.seen = [now, now]
-            return self.go(now, wall, State.RUNNING, "resumed by an operator")
-        if what == "undo" and state not in (State.UNDOING, State.UNDONE):
-            return self.go(now, wall, State.UNDOING, "undone by an operator")
-        if what == "done" and state == State.HELD:
-            return self.go(now, wall, State.DONE, "confirmed by an operator")
-        raise Refused(f"{what}: it is {state}{f', by {self.cause}' if self.cause else ''}")
-
-    def go(self, now: float, wall: float, state: State, why: str, cause: Cause | None = None) -> Decision:
-        self.state, self.cause, self.why, self.since = state, cause, why, now
-        self.clear_since = now
-        return Decision(wall, state, self.share, why, self.figures())
+            raise OrderRefusedError(f"{order}: it has not been started")
+        if order == Order.PAUSE and self._can_pause():
+            reason = f"paused: {PauseCause.OPERATOR}"
+            return self.enter(now, wall, ShiftState.PAUSED, reason, PauseCause.OPERATOR)
+        if order == Order.RESUME and self.state == ShiftState.PAUSED:
+            self._pools_seen(now)
+            return self.enter(now, wall, ShiftState.RUNNING, "resumed by an operator")
+        if order == Order.UNDO and self.state not in (ShiftState.UNDOING, ShiftState.UNDONE):
+            return self.enter(now, wall, ShiftState.UNDOING, "undone by an operator")
+        if order == Order.DONE and self.state == ShiftState.HELD:
+            return self.enter(now, wall, ShiftState.DONE, "confirmed by an operator")
+        by = f", by {self.cause}" if self.cause else ""
+        raise OrderRefusedError(f"{order}: it is {self.state}{by}")
+
+    def _can_pause(self) -> bool:
+        pausable = self.state in (ShiftState.RUNNING, ShiftState.PAUSED)
+        return pausable and self.cause not in ENDED_BY_OPERATORS
+
+    def _pools_seen(self, now: float) -> None:
+        self._control_seen_at = self._candidate_seen_at = now
+
+    def enter(
+        self, now: float, wall: float, state: ShiftState, reason: str, cause: PauseCause | None = None
+    ) -> Decision:
+        """Enters a state, and returns the record of it."""
+        self.state, self.cause, self.reason = state, cause, reason
+        self._entered_at = self._cause_seen_at = now
+        return Decision(wall, state, self.share, reason, self.figures())
 
     def figures(self) -> dict[str, Any]:
-        """What a decision rests on."""
+        """What a decision is based on."""
         return {
             "step": self.step,
-            "in_step_s": round(self.in_step, 1),
-            "units": self.units,
-            "evidence": round(min(self.evidence, 1e12), 3),
+            "in_step_s": round(self.step_running_s, 1),
+            "units": self.step_units,
+            "evidence": round(min(self.evidence, MAX_REPORTED_EVIDENCE), 3),
             "alarm_at": round(1 / self.plan.judge.false_alarms, 1),
             "harmed": {
-                f"{c}: {k}": [bet.harmed, bet.at_risk]
-                for (c, k), bet in self.judge.bets.items()
-                if any(bet.harmed)
+                f"{key.request_class}: {key.harm}": [list(test.events), list(test.at_risk)]
+                for key, test in self.judge.tests.items()
+                if any(test.events)
             },
         }
 
-    # ---- windows ------------------------------------------------------------------------------------------
+    # ---- windows --------------------------------------------------------------------------------------------
 
-    def window(
-        self, now: float, wall: float, listed: tuple[int, int], open_on_candidate: int
+    def close_window(
+        self, now: float, wall: float, listed: PoolCounts, candidate_in_flight: int
     ) -> Decision | None:
-        """Closes a window; the change that follows, if any. `listed`: servers of the control and of the candidate."""
-        span, self.last = max(0.0, now - self.last), now
-        verdict = self.judge.close(now)
+        """Closes a window; returns the change that follows, if any. `listed` are the servers of each pool."""
+        window_s, self._window_closed_at = max(0.0, now - self._window_closed_at), now
+        verdict = self.judge.close_window(now)
         self.evidence = verdict.evidence
-        for pool in (0, 1):
-            if verdict.units[pool]:
-                self.seen[pool] = now
-        if self.state == State.UNDOING:
-            if not open_on_candidate:
-                return self.go(now, wall, State.UNDONE, f"{self.why}; nothing is out on the candidate")
-            if now - self.since >= EMPTY_S:
-                return self.go(
-                    now, wall, State.UNDONE, f"{self.why}; {open_on_candidate} still out after {EMPTY_S:g} s"
-                )
+        if verdict.units.control:
+            self._control_seen_at = now
+        if verdict.units.candidate:
+            self._candidate_seen_at = now
+        if self.state == ShiftState.UNDOING:
+            return self._finish_undoing(now, wall, candidate_in_flight)
+        if not self.started or self.state in (ShiftState.UNDONE, ShiftState.DONE):
             return None
-        if not self.started or self.state in (State.UNDONE, State.DONE):
-            return None
-        harmed = self.harmed(now, wall, verdict)
-        if harmed is not None:
-            return harmed
-        if self.state == State.HELD:
-            return None
-        return self.pausing(now, wall, verdict, listed) or self.progress(now, wall, span, verdict)
+        undo = self._undo_harm(now, wall, verdict)
+        if undo is not None or self.state == ShiftState.HELD:
+            return undo
+        return self._pause_or_resume(now, wall, verdict, listed) or self._advance(
+            now, wall, window_s, verdict
+        )
+
+    def _finish_undoing(self, now: float, wall: float, candidate_in_flight: int) -> Decision | None:
+        if not candidate_in_flight:
+            reason = f"{self.reason}; nothing is out on the candidate"
+            return self.enter(now, wall, ShiftState.UNDONE, reason)
+        if now - self._entered_at >= DRAIN_TIMEOUT_S:
+            reason = f"{self.reason}; {candidate_in_flight} still out after {DRAIN_TIMEOUT_S:g} s"
+            return self.enter(now, wall, ShiftState.UNDONE, reason)
+        return None
 
-    def harmed(self, now: float, wall: float, verdict: Verdict) -> Decision | None:
+    def _undo_harm(self, now: float, wall: float, verdict: Verdict) -> Decision | None:
         if verdict.gross:
-            return self.go(
-                now, wall, State.UNDOING, f"gross harm: half of the candidate's units; {verdict.why}"
-            )
-        # Guards against: both pools slow down, the weaker one a little more, and a good release is undone.
+            reason = f"gross harm: half of the candidate's units; {verdict.strongest}"
+            return self.enter(now, wall, ShiftState.UNDOING, reason)
+        # Where both pools are in trouble, a candidate that is a little slower is no bad release.
         if verdict.harm and not verdict.shared:
-            return self.go(now, wall, State.UNDOING, f"harm: {verdict.why}")
+            return self.enter(now, wall, ShiftState.UNDOING, f"harm: {verdict.strongest}")
         return None
 
-    def causes(self, now: float, verdict: Verdict, listed: tuple[int, int]) -> Cause | None:
+    def _pause_cause(self, now: float, verdict: Verdict, listed: PoolCounts) -> PauseCause | None:
         """What would pause a running shift now."""
-        quiet = self.plan.judge.quiet_s
-        if not listed[1]:
-            return Cause.EMPTY
-        if not listed[0]:
-            return Cause.NO_CONTROL
+        quiet_s = self.plan.judge.quiet_s
+        if not listed.candidate:
+            return PauseCause.EMPTY_CANDIDATE
+        if not listed.control:
+            return PauseCause.EMPTY_CONTROL
         if verdict.shared:
-            return Cause.SHARED
-        if now - max(self.seen) >= quiet:
-            return Cause.BLIND
-        if now - self.seen[1] >= quiet:
-            return Cause.QUIET
+            return PauseCause.SHARED_TROUBLE
+        if now - max(self._control_seen_at, self._candidate_seen_at) >= quiet_s:
+            return PauseCause.NO_DATA
+        if now - self._candidate_seen_at >= quiet_s:
+            return PauseCause.LOW_TRAFFIC
         return None
 
-    def pausing(self, now: float, wall: float, verdict: Verdict, listed: tuple[int, int]) -> Decision | None:
-        cause = self.causes(now, verdict, listed)
-        if listed[1]:
-            self.empty_since = None
-        elif self.empty_since is None:
-            self.empty_since = now
-        elif now - self.empty_since >= STARVED_S:
-            return self.go(now, wall, State.UNDOING, f"{Cause.EMPTY}, for {STARVED_S:g} s")
-        if self.state == State.RUNNING:
-            return self.go(now, wall, State.PAUSED, f"paused: {cause}", cause) if cause is not None else None
-        if self.cause in ORDERS_NEEDED:
+    def _pause_or_resume(
+        self, now: float, wall: float, verdict: Verdict, listed: PoolCounts
+    ) -> Decision | None:
+        cause = self._pause_cause(now, verdict, listed)
+        if self._candidate_stays_empty(now, listed):
+            reason = f"{PauseCause.EMPTY_CANDIDATE}, for {EMPTY_TIMEOUT_S:g} s"
+            return self.enter(now, wall, ShiftState.UNDOING, reason)
+        if self.state == ShiftState.RUNNING:
+            if cause is None:
+                return None
+            return self.enter(now, wall, ShiftState.PAUSED, f"paused: {cause}", cause)
+        if self.cause in ENDED_BY_OPERATORS:
             return None
         if cause is not None:
-            self.clear_since, self.cause = now, cause
+            self._cause_seen_at, self.cause = now, cause
             return None
-        # Guards against: a trickle at the bound pauses and resumes at each call. One that was quiet has to be seen.
-        if now - self.clear_since >= BACK_S:
-            return self.go(now, wall, State.RUNNING, f"resumed: {self.cause} no longer, for {BACK_S:g} s")
+        # The cause must be gone for a while, or traffic near a bound would pause and resume all the time.
+        if now - self._cause_seen_at >= RESUME_AFTER_S:
+            reason = f"resumed: {self.cause} no longer, for {RESUME_AFTER_S:g} s"
+            return self.enter(now, wall, ShiftState.RUNNING, reason)
         return None
 
-    def progress(self, now: float, wall: float, span: float, verdict: Verdict) -> Decision | None:
-        if self.state != State.RUNNING:
+    def _candidate_stays_empty(self, now: float, listed: PoolCounts) -> bool:
+        if listed.candidate:
+            self._candidate_empty_since = None
+        elif self._candidate_empty_since is None:
+            self._candidate_empty_since = now
+        return (
+            self._candidate_empty_since is not None and now - self._candidate_empty_since >= EMPTY_TIMEOUT_S
+        )
+
+    def _advance(self, now: float, wall: float, window_s: float, verdict: Verdict) -> Decision | None:
+        if self.state != ShiftState.RUNNING:
             return None
-        self.in_step += span
-        self.units += verdict.units[1]
+        self.step_running_s += window_s
+        self.step_units += verdict.units.candidate
         step = self.plan.steps[self.step]
-        # Evidence half way to an alarm, on its own scale, is no ground for a larger share.
+        # Evidence half way to an alarm, on its logarithmic scale, holds a larger share back.
         doubtful = verdict.evidence >= sqrt(1 / self.plan.judge.false_alarms)
-        if self.in_step < step.least_s or self.units < step.least_units or doubtful:
+        if self.step_running_s < step.least_s or self.step_units < step.least_units or doubtful:
             return None
-        decided = (
-            f"step {self.step + 1} of {len(self.plan.steps)} held: {self.in_step:.0f} s, {self.units} units"
+        reason = (
+            f"step {self.step + 1} of {len(self.plan.steps)} held:"
+            f" {self.step_running_s:.0f} s, {self.step_units} units"
         )
-        self.in_step, self.units = 0.0, 0
+        self.step_running_s, self.step_units = 0.0, 0
         if self.step + 1 < len(self.plan.steps):
             self.step += 1
-            return self.go(now, wall, State.RUNNING, decided)
-        return self.go(now, wall, State.HELD if self.plan.at_end == "hold" else State.DONE, decided)
+            return self.enter(now, wall, ShiftState.RUNNING, reason)
+        end = ShiftState.HELD if self.plan.at_end == "hold" else ShiftState.DONE
+        return self.enter(now, wall, end, reason)
 
-    # ---- kept over a restart ------------------------------------------------------------------------------
+    # ---- stored over a restart --------------------------------------------------------------------------------
 
-    def to_doc(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
+        """The stored form."""
         return {
-            "plan": self.plan.digest(), "state": str(self.state), "cause": str(self.cause) if self.cause else None,
-            "step": self.step, "in_step": round(self.in_step, 3), "units": self.units, "why": self.why,
-            "share": self.share, "judge": self.judge.to_doc(),
-        }  # fmt: skip
-
-    def restore(self, now: float, doc: Mapping[str, Any]) -> None:
-        """From `to_doc`. A running shift whose plan has changed since is paused, at the step where it stood, or at
-        the last."""
-        self.state = State(doc["state"])
-        self.cause = Cause(doc["cause"]) if doc["cause"] else None
-        self.step = min(int(doc["step"]), len(self.plan.steps) - 1)
-        self.in_step, self.units, self.why = float(doc["in_step"]), int(doc["units"]), str(doc["why"])
-        self.last = self.since = self.clear_since = now
-        self.seen = [now, now]
-        self.judge.restore(doc["judge"])
-        if doc["plan"] != self.plan.digest() and self.state in (State.RUNNING, State.PAUSED):
-            self.state, self.cause, self.why = State.PAUSED, Cause.CHANGED, f"paused: {Cause.CHANGED}"
-
-
-class NodeShare:
-    """What one node does with what controllers tell it. A larger token is a later leader's (fencing)."""
-
-    def __init__(self, contact_s: float, now: float) -> None:
-        self.contact_s = contact_s
-        self.token = 0
-        self.heard = now
-        self.told = 0.0
-
-    def tell(self, now: float, token: int, share: float) -> bool:
-        """Whether it was taken: one from a leader that another has followed is not."""
-        if token < self.token:
-            return False
-        self.token, self.heard, self.told = token, now, share
-        return True
-
-    def share(self, now: float) -> float:
-        """The candidate's share; 0 once nothing has been heard for `contact_s`. All of it, once done, stays."""
-        if self.told >= 1.0 or now - self.heard < self.contact_s:
-            return self.told
-        return 0.0
+            "plan": self.plan.digest(),
+            "state": str(self.state),
+            "cause": str(self.cause) if self.cause else None,
+            "step": self.step,
+            "in_step": round(self.step_running_s, 3),
+            "units": self.step_units,
+            "why": self.reason,
+            "share": self.share,
+            "judge": self.judge.to_json(),
+        }
+
+    def restore(self, now: float, document: Mapping[str, Any]) -> None:
+        """Goes on from the stored form. A running shift whose plan has changed since is paused, at the step where it
+        stood, or at the last."""
+        self.state = ShiftState(document["state"])
+        self.cause = PauseCause(document["cause"]) if document["cause"] else None
+        self.step = min(int(document["step"]), len(self.plan.steps) - 1)
+        self.step_running_s, self.step_units = float(document["in_step"]), int(document["units"])
+        self.reason = str(document["why"])
+        self._window_closed_at = self._entered_at = self._cause_seen_at = now
+        self._pools_seen(now)
+        self.judge.restore(document["judge"])
+        changed = document["plan"] != self.plan.digest()
+        if changed and self.state in (ShiftState.RUNNING, ShiftState.PAUSED):
+            self.state, self.cause = ShiftState.PAUSED, PauseCause.PLAN_CHANGED
+            self.reason = f"paused: {PauseCause.PLAN_CHANGED}"
