--- a/harecross/sources/dns_source.py
+++ b/harecross/sources/dns_source.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from harecross.platform.log import log_exception, log_line
 from harecross.dns.client import Client, LookupFailed
 from harecross.dns.lifetime import CachedName, CacheLimits, CacheStatus, CacheView
+from harecross.platform.log import log_exception, log_line
 from harecross.sources.cache_file import CachedSet
 from harecross.sources.config import SrvConfig, srv_query_name
 from harecross.sources.publisher import MembershipPublisher
