--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -28,13 +28,13 @@
 from harecross.standins.xds import ASSIGNMENT, DRAINING, XdsProxy
 from harecross.xds.cache import EDS
 from harecross.xds.config import Limits
-from harecross.xds.fleet import Fleet
-from harecross.xds.link import Setup
-from harecross.xds.publish import Endpoint, Health, Told
-from harecross.xds.release import Release
-from harecross.xds.resources import Encoder, Published
-from harecross.xds.server import Control
+from harecross.xds.published import Health, PublishedCluster, PublishedEndpoint
+from harecross.xds.release import ReleaseSchedule
+from harecross.xds.resources import PublishedSnapshots, ResourceEncoder
+from harecross.xds.server import ControlServer
 from harecross.xds.wire import sotw_frame
+from harecross.xds.worker_channel import WorkerSetup
+from harecross.xds.worker_pool import WorkerPool
 
 CALLERS = 5  # processes of proxies
 DRAINS = 10
@@ -71,32 +71,36 @@
         each = endpoints // clusters
         self.lists = {
             f"c{c}": [
-                Endpoint(f"c{c}-{i}", f"127.0.0.1:{1 + (c * each + i) % 65000}", "z", Health.HEALTHY, 100)
+                PublishedEndpoint(
+                    f"c{c}-{i}", f"127.0.0.1:{1 + (c * each + i) % 65000}", "z", Health.HEALTHY, 100
+                )
                 for i in range(each)
             ]
             for c in range(clusters)
         }
 
-    def told(self, name: str) -> Told:
-        return Told(tuple(self.lists[name]))
+    def told(self, name: str) -> PublishedCluster:
+        return PublishedCluster(tuple(self.lists[name]))
 
     def weigh(self) -> str:
         """Changes one endpoint's weight; its cluster."""
         name = self.rng.choice(list(self.lists))
         i = self.rng.randrange(len(self.lists[name]))
         e = self.lists[name][i]
-        self.lists[name][i] = Endpoint(e.name, e.address, e.zone, e.health, self.rng.randrange(50, 200))
+        self.lists[name][i] = PublishedEndpoint(
+            e.name, e.address, e.zone, e.health, self.rng.randrange(50, 200)
+        )
         return name
 
     def weigh_all(self, name: str) -> None:
         self.lists[name] = [
-            Endpoint(e.name, e.address, e.zone, e.health, self.rng.randrange(50, 200))
+            PublishedEndpoint(e.name, e.address, e.zone, e.health, self.rng.randrange(50, 200))
             for e in self.lists[name]
         ]
 
     def mark(self, name: str, i: int, health: Health) -> str:
         e = self.lists[name][i]
-        self.lists[name][i] = Endpoint(e.name, e.address, e.zone, health, e.weight)
+        self.lists[name][i] = PublishedEndpoint(e.name, e.address, e.zone, health, e.weight)
         return e.name
 
 
@@ -108,23 +112,23 @@
     async def body() -> None:
         loop = asyncio.get_running_loop()
         board = Board(clusters, endpoints, 1)
-        control: Control | Fleet
+        control: ControlServer | WorkerPool
         if workers > 1:
-            setup = Setup("127.0.0.1:0", None, Limits(), {}, ("*",), False, 0.0)
-            control = Fleet(workers, setup, lambda name: None, print)
+            setup = WorkerSetup("127.0.0.1:0", None, Limits(), {}, ("*",), False, 0.0)
+            control = WorkerPool(workers, setup, lambda name: None, print)
             port = await control.start()
-            pids = [os.getpid(), *(m.process.pid for m in control.members if m.process is not None)]
+            pids = [os.getpid(), *(m.process.pid for m in control.workers if m.process is not None)]
         else:
-            control = Control()
+            control = ControlServer()
             port = await control.start("127.0.0.1:0")
             pids = [os.getpid()]
-        release, encoder = Release(int(interval * 1e6)), Encoder()
+        release, encoder = ReleaseSchedule(int(interval * 1e6)), ResourceEncoder()
         changes = 0
 
         def out() -> None:
-            due = release.due(time.monotonic_ns() // 1000)
+            due = release.take_due(time.monotonic_ns() // 1000)
             if due is not None:
-                control.publish(Published(encoder, due[0]), due[1])
+                control.publish(PublishedSnapshots(encoder, due.clusters), due.urgent)
 
         for name in board.lists:
             release.offer(name, board.told(name))
@@ -159,7 +163,7 @@
                 for name in board.lists:
                     board.weigh_all(name)
                     release.offer(name, board.told(name))
-                release.last = 0
+                release.released_at = 0
                 out()
                 pipe.send(None)
             elif what == "mark":
@@ -170,10 +174,10 @@
                 pipe.send((told, name))
             elif what == "used":
                 await asyncio.sleep(0.3)  # workers tell what they have sent every quarter of a second
-                sent = sum(m.streams.sent for m in control.members) if workers > 1 else control.bytes_sent
+                sent = sum(m.count.bytes_sent for m in control.workers) if workers > 1 else control.bytes_sent
                 pipe.send({**used(pids), "bytes": sent, "changes": changes, "streams": control.count()})
             elif what == "frames":
-                held = Published(encoder, release.out).for_zone("").get(EDS)
+                held = PublishedSnapshots(encoder, release.released).for_zone("").get(EDS)
                 pipe.send(b"".join(sotw_frame(EDS, held[n]) for n in args[0]))
             else:
                 await control.stop()
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -430,14 +430,14 @@
     if told.xds.listen:
         try:
             from harecross.xds.config import listen_address
-            from harecross.xds.inside import Inside
+            from harecross.xds.embedded import EmbeddedControlService
         except ImportError as e:
             raise BadConfig(f"{path}: xds.listen needs the extra `xds`: {e}") from None
         try:
             listen_address(told.xds.listen, told.xds.plaintext == "anywhere")
         except ValueError as e:
             raise BadConfig(f"{path}: xds.listen: {e}") from None
-        found["beside"] = Inside(told.xds.listen, told.xds.cluster)
+        found["beside"] = EmbeddedControlService(told.xds.listen, told.xds.cluster)
     if told.sources.on:
         from harecross.sources.manager import SourceManager
 
--- a/harecross/xds/__init__.py
+++ b/harecross/xds/__init__.py
@@ -1,5 +1,6 @@
-"""The control service: what the decision module thinks of servers, handed to other proxies over xDS v3.
+"""The control service: what the decision module finds of servers, for other proxies, over xDS v3.
 
-`publish` (what to say of each server), `cache` (resources, versions, order) and `streams` (one proxy's
-subscription, both variants) are free of I/O; `resources` builds messages; `server` is the gRPC front.
+`publisher` (what to publish of each server), `release` (when), `cache` (resources, versions, order), `subscription` and
+the streams (one proxy's stream, both variants) are free of I/O; `resources` builds messages; `stream_service` and
+`server` serve them over gRPC. `publisher_loop` connects cluster feeds and the server.
 """
--- a/harecross/xds/cache.py
+++ b/harecross/xds/cache.py
@@ -1,7 +1,7 @@
 """Resources and their versions, and the order in which changes go out. Free of I/O.
 
-A version is a hash of the content: two services with the same content, or one before and after its restart,
-give the same, and a proxy that comes back is sent only what differs.
+A version is a hash of the content: two services with the same content, or one before and after its restart, have the
+same versions, and a proxy that reconnects gets only what differs.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 EDS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
 LDS = PREFIX + "envoy.config.listener.v3.Listener"
 RDS = PREFIX + "envoy.config.route.v3.RouteConfiguration"
-ORDER = (CDS, EDS, LDS, RDS)  # make before break: what is referred to goes before what refers to it
-WILDCARDS = frozenset((CDS, LDS))  # types whose first request may ask for all by naming none
-SPACE = 1 << 64
+TYPES_IN_ORDER = (CDS, EDS, LDS, RDS)  # make before break: a resource goes before those that refer to it
+WILDCARD_TYPES = frozenset((CDS, LDS))  # a first request that names none asks for all
+VERSION_SPACE = 1 << 64
 
 
 @lru_cache(1 << 16)
 def digest(name: str, version: str) -> int:
-    """One resource's part in the version of a set."""
+    """One resource's part of the version of a set."""
     return int.from_bytes(hashlib.sha256(f"{name}={version}".encode()).digest()[:8], "big")
 
 
 def version_text(total: int) -> str:
     """The version of a set whose digests sum up to `total`."""
-    return f"{total % SPACE:016x}"
+    return f"{total % VERSION_SPACE:016x}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,8 @@
     frames: dict[str, bytes] = field(default_factory=dict, compare=False, repr=False)  # see `wire`
 
     @classmethod
-    def of(cls, name: str, body: bytes) -> Resource:
+    def from_body(cls, name: str, body: bytes) -> Resource:
+        """A resource with the version that its content has."""
         return cls(name, body, hashlib.sha256(body).hexdigest()[:16])
 
 
@@ -50,45 +51,48 @@
 
 
 def version_of(resources: Iterable[Resource]) -> str:
-    """The version of a set, whatever its order: a sum, so that a stream can keep it up as the set changes."""
-    return version_text(sum(digest(r.name, r.version) for r in resources))
+    """The version of a set, whatever its order: a sum, so that a stream can update it as the set changes."""
+    return version_text(sum(digest(resource.name, resource.version) for resource in resources))
 
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Snapshot:
     """All resources at one time, by type.
 
-    `withheld` names assignments of which nothing is known yet: they are neither sent nor told as removed.
+    `withheld` are the names of assignments of which nothing is known yet: they are neither sent nor reported as
+    removed.
     """
 
     types: Mapping[str, Resources]
     withheld: frozenset[str] = frozenset()
 
     def get(self, type_url: str) -> Resources:
+        """The resources of one type, by name."""
         return self.types.get(type_url, {})
 
     def for_zone(self, zone: str) -> Snapshot:
-        """The same for every zone; see `resources.Published`."""
+        """The same for every zone; see `resources.PublishedSnapshots`."""
         return self
 
-    def only(self, names: frozenset[str]) -> Snapshot:
-        """What a client sees that may see these clusters; a cluster's four resources bear its name."""
-        return Snapshot(
-            {t: {n: r for n, r in resources.items() if n in names} for t, resources in self.types.items()},
-            self.withheld & names,
-        )
+    def restricted_to(self, clusters: frozenset[str]) -> Snapshot:
+        """What a client sees that may see these clusters; a cluster's four resources have its name."""
+        types = {
+            type_url: {name: resource for name, resource in resources.items() if name in clusters}
+            for type_url, resources in self.types.items()
+        }
+        return Snapshot(types, self.withheld & clusters)
 
 
-@lru_cache(64)  # by identity: a thousand streams take the same step
-def steps(before: Snapshot, after: Snapshot) -> tuple[Snapshot, ...]:
-    """The way from one snapshot to the next: what is new and changed first, what is gone last.
+@lru_cache(64)  # by identity: a thousand streams take the same way
+def update_steps(before: Snapshot, after: Snapshot) -> tuple[Snapshot, ...]:
+    """The way from one snapshot to the next: what is new and changed first, what is removed last.
 
-    Failure prevented: a cluster goes while a route still leads to it, and its calls fail (the published rules
-    on ordering: a cluster update is pushed before the routes that use it, removals after them).
+    A cluster must not be removed while a route still leads to it (the published rules on ordering: a cluster update
+    is pushed before the routes that use it, removals after them).
     """
-    if all(before.get(t).keys() <= after.get(t).keys() for t in ORDER):
+    if all(before.get(type_url).keys() <= after.get(type_url).keys() for type_url in TYPES_IN_ORDER):
         return (after,)
-    union = {t: {**before.get(t), **after.get(t)} for t in (CDS, EDS)}
+    union = {type_url: {**before.get(type_url), **after.get(type_url)} for type_url in (CDS, EDS)}
     # Routes and listeners may go at once: nothing refers to them but what goes with them.
     union[LDS], union[RDS] = dict(after.get(LDS)), dict(after.get(RDS))
     return (Snapshot(union, after.withheld), after)
--- a/harecross/xds/cli.py
+++ b/harecross/xds/cli.py
@@ -44,12 +44,12 @@
 ) -> None:
     """Each proxy: what it was sent, has acknowledged and has refused, and why."""
     try:
-        from harecross.xds.ask import BadAnswer, ask
+        from harecross.xds.status_client import StatusError, fetch_status
     except ImportError as error:
         stop(f"control status needs the extra `xds`: {error}")
     try:
-        streams = ask(address, ca, cert, key)
-    except BadAnswer as error:
+        streams = fetch_status(address, ca, cert, key)
+    except StatusError as error:
         stop(str(error), 1)
     except OSError as error:
         stop(f"{error.filename}: {error.strerror}")
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -11,17 +11,17 @@
 from harecross.settings import address
 from harecross.sources.config import SourcesTable, SrvConfig
 from harecross.sources.config import check as check_sources
-from harecross.xds.access import loopback
+from harecross.xds.access import is_loopback
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.01, le=3600)]
 SecondsOrNone = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ControlFileTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """A table in which an unknown key is an error."""
 
 
-class ControlTable(Strict, frozen=True):
+class ControlTable(ControlFileTable, frozen=True):
     """`[control]`."""
 
     listen: str = "127.0.0.1:18000"
@@ -35,7 +35,7 @@
     status: tuple[str, ...] = ("*",)  # certificate names that may ask for the status
 
 
-class TlsTable(Strict, frozen=True):
+class TlsTable(ControlFileTable, frozen=True):
     """`[tls]`: files, read again when they change."""
 
     certificate: str
@@ -43,15 +43,15 @@
     client_ca: str = ""  # with it, clients must show a certificate
 
 
-class Limits(Strict, frozen=True):
-    """`[limits]`: bounds on what clients may do to the service."""
+class Limits(ControlFileTable, frozen=True):
+    """`[limits]`: how much of the service clients may use."""
 
     streams: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 5000
     subscriptions: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 10_000  # of one stream and type
     message_bytes: Annotated[int, msgspec.Meta(ge=1024, le=1 << 26)] = 1 << 20  # of one request
 
 
-class ProbeTable(Strict, frozen=True):
+class ProbeTable(ControlFileTable, frozen=True):
     """`[clusters.NAME.probe]`."""
 
     kind: Literal["http", "tcp"] = "http"
@@ -59,22 +59,24 @@
     timeout_s: Annotated[float, msgspec.Meta(ge=0.01, le=60)] = 0.25
 
 
-class ClusterTable(Strict, frozen=True):
+class ClusterTable(ControlFileTable, frozen=True):
     """`[clusters.NAME]`."""
 
     discovery: str = ""  # the platform's; not needed where there are other sources
     srv: str | tuple[str, ...] = ()  # SRV names that list its servers too
     resolvers: tuple[str, ...] = ()  # DNS servers for them
-    sources: SourcesTable | None = None  # in place of the two above: all that `[sources]` of a node knows
+    sources: SourcesTable | None = None  # in place of the two above, as `[sources]` of a node
     probe: ProbeTable = ProbeTable()
     columns: tuple[str, ...] = ()  # of the servers' load reports, as the node's configuration names them
     cross_zone_price: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0
-    calls_per_server: Annotated[float, msgspec.Meta(ge=0)] = 0.0  # 0: no bound on calls out
+    calls_per_server: Annotated[float, msgspec.Meta(ge=0)] = 0.0  # in flight; 0: no limit
     cold_s: SecondsOrNone = 0.0
-    cold_start: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # share of its capacity a fresh server has
+    cold_start: Annotated[float, msgspec.Meta(gt=0, le=1)] = (
+        0.25  # the part of its capacity that a started server has
+    )
 
     def table(self) -> SourcesTable:
-        """Its sources; the watch is one of them where `discovery` is set."""
+        """The cluster's sources; the watch is one of them where `discovery` is set."""
         watch = bool(self.discovery)
         if self.sources is not None:
             return msgspec.structs.replace(self.sources, watch=watch and self.sources.watch)
@@ -84,7 +86,7 @@
         )
 
 
-class ControlFile(Strict, frozen=True):
+class ControlFile(ControlFileTable, frozen=True):
     """The whole file."""
 
     clusters: dict[str, ClusterTable]
@@ -97,53 +99,79 @@
 def listen_address(text: str, anywhere: bool) -> tuple[str, int]:
     """Where to listen without TLS. ValueError beyond loopback, unless that is allowed."""
     host, port = address(text)
-    if not anywhere and not loopback(host):
+    if not anywhere and not is_loopback(host):
         raise ValueError(f'{text!r} is not loopback: set [tls], or plaintext = "anywhere"')
     return host, port
 
 
 def read_control(path: str | Path) -> ControlFile:
     """The file. BadFile names the file, the key and what is allowed."""
-    told = read_toml(path, ControlFile)
-
-    def check(key: str, ok: bool, allowed: str) -> None:
-        if not ok:
-            raise BadFile(f"{path}: {key}: {allowed}")
-
-    check("clusters", bool(told.clusters), "at least one [clusters.NAME] is needed")
-    for name, cluster in told.clusters.items():
-        here, table = f"clusters.{name}", cluster.table()
-        check(here, bool(cluster.discovery) or table.on, "discovery, srv or sources is needed")
-        check(f"{here}.sources", not (cluster.sources and (cluster.srv or cluster.resolvers)),
-              "not beside srv and resolvers: name them in it")  # fmt: skip
-        try:
-            check_sources(table, f"{here}.sources" if cluster.sources else here)
-        except ValueError as e:
-            raise BadFile(f"{path}: {e}") from None
-    for key, text in [("control.listen", told.control.listen)] + [
-        (f"clusters.{n}.discovery", c.discovery) for n, c in told.clusters.items() if c.discovery
-    ]:
+    file = read_toml(path, ControlFile)
+    check = ControlCheck(path)
+    check.require("clusters", bool(file.clusters), "at least one [clusters.NAME] is needed")
+    for name, cluster in file.clusters.items():
+        check.sources(name, cluster)
+    check.addresses(file)
+    if file.tls is None:
+        check.plaintext(file)
+    else:
+        check.tls(file, file.tls)
+    check.clients(file)
+    return file
+
+
+class ControlCheck:
+    """What a schema cannot say of the file."""
+
+    def __init__(self, path: str | Path) -> None:
+        self._path = path
+
+    def require(self, key: str, valid: bool, allowed: str) -> None:
+        """BadFile where a key is not valid."""
+        if not valid:
+            raise BadFile(f"{self._path}: {key}: {allowed}")
+
+    def sources(self, name: str, cluster: ClusterTable) -> None:
+        """A cluster must have a source, and name its SRV names in one place."""
+        key, table = f"clusters.{name}", cluster.table()
+        self.require(key, bool(cluster.discovery) or table.on, "discovery, srv or sources is needed")
+        twice = bool(cluster.sources and (cluster.srv or cluster.resolvers))
+        self.require(f"{key}.sources", not twice, "not beside srv and resolvers: name them in it")
         try:
-            address(text)
-        except ValueError as e:
-            raise BadFile(f"{path}: {key}: {e}") from None
-    if told.tls is None:
+            check_sources(table, f"{key}.sources" if cluster.sources else key)
+        except ValueError as error:
+            raise BadFile(f"{self._path}: {error}") from None
+
+    def addresses(self, file: ControlFile) -> None:
+        """Addresses must be HOST:PORT."""
+        addresses = {"control.listen": file.control.listen}
+        for name, cluster in file.clusters.items():
+            if cluster.discovery:
+                addresses[f"clusters.{name}.discovery"] = cluster.discovery
+        for key, text in addresses.items():
+            try:
+                address(text)
+            except ValueError as error:
+                raise BadFile(f"{self._path}: {key}: {error}") from None
+
+    def plaintext(self, file: ControlFile) -> None:
+        """Without TLS the service listens on loopback alone, and knows no client by name."""
         try:
-            listen_address(told.control.listen, told.control.plaintext == "anywhere")
-        except ValueError as e:
-            raise BadFile(f"{path}: control.listen: {e}") from None
-        check(
-            "clients", not told.clients, "needs [tls] with client_ca: without certificates there are no names"
-        )
-    else:
-        for name, file in (
-            ("certificate", told.tls.certificate),
-            ("key", told.tls.key),
-            ("client_ca", told.tls.client_ca),
-        ):
-            check(f"tls.{name}", not file or Path(file).is_file(), f"{file!r} is not a file")
-        check("clients", not told.clients or bool(told.tls.client_ca), "needs tls.client_ca")
-    for pattern, names in told.clients.items():
-        unknown = [n for n in names if n != "*" and n not in told.clusters]
-        check(f"clients.{pattern!r}", not unknown, f"{', '.join(unknown)}: no such cluster (or * for all)")
-    return told
+            listen_address(file.control.listen, file.control.plaintext == "anywhere")
+        except ValueError as error:
+            raise BadFile(f"{self._path}: control.listen: {error}") from None
+        allowed = "needs [tls] with client_ca: without certificates there are no names"
+        self.require("clients", not file.clients, allowed)
+
+    def tls(self, file: ControlFile, tls: TlsTable) -> None:
+        """The files must exist, and rules for clients need certificates of them."""
+        for key, name in (("certificate", tls.certificate), ("key", tls.key), ("client_ca", tls.client_ca)):
+            self.require(f"tls.{key}", not name or Path(name).is_file(), f"{name!r} is not a file")
+        self.require("clients", not file.clients or bool(tls.client_ca), "needs tls.client_ca")
+
+    def clients(self, file: ControlFile) -> None:
+        """Rules must name clusters that exist."""
+        for pattern, names in file.clients.items():
+            unknown = [name for name in names if name != "*" and name not in file.clusters]
+            allowed = f"{', '.join(unknown)}: no such cluster (or * for all)"
+            self.require(f"clients.{pattern!r}", not unknown, allowed)
--- /dev/null
+++ b/harecross/xds/delta_stream.py
@@ -0,0 +1,129 @@
+"""The incremental variant: only what differs is sent, and removals are named."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from collections.abc import Set as AbstractSet
+
+from harecross.xds.cache import EDS, WILDCARD_TYPES
+from harecross.xds.streams import Stream
+from harecross.xds.subscription import REMOVED, Response, Subscription, check_count, check_names
+
+WILDCARD = frozenset(("*",))
+
+
+class DeltaStream(Stream):
+    """An incremental stream."""
+
+    variant = "delta"
+
+    def request(
+        self,
+        type_url: str,
+        nonce: str = "",
+        subscribe: Iterable[str] = (),
+        unsubscribe: Iterable[str] = (),
+        initial: Mapping[str, str] | None = None,
+        error: str = "",
+    ) -> None:
+        """A request of the proxy: subscriptions, an ACK or NACK, or both. `initial` are versions that it has."""
+        added = check_names(type_url, subscribe, self.max_names)
+        dropped = check_names(type_url, unsubscribe, self.max_names)
+        subscription = self.types.get(type_url)
+        first = subscription is None
+        if first or error or added or dropped:
+            self.settled = False  # an ACK alone makes no response due
+        if subscription is None:
+            subscription = self._begin(type_url, added, initial or {})
+        if nonce and subscription.acknowledge(nonce, error):
+            if error:
+                subscription.status.refused = nonce
+            else:
+                subscription.status.acked = nonce
+        self._subscribe(type_url, subscription, added, dropped, first=first)
+
+    def _begin(self, type_url: str, added: frozenset[str], initial: Mapping[str, str]) -> Subscription:
+        """Takes the first request of a type."""
+        subscription = Subscription(wildcard=type_url in WILDCARD_TYPES and not added)
+        subscription.response_due = subscription.wildcard
+        for name, version in initial.items():
+            subscription.set_known(name, version)
+        self.types[type_url] = subscription
+        return subscription
+
+    def _subscribe(
+        self,
+        type_url: str,
+        subscription: Subscription,
+        added: frozenset[str],
+        dropped: frozenset[str],
+        *,
+        first: bool,
+    ) -> None:
+        if added >= WILDCARD:
+            subscription.wildcard = True
+        if dropped >= WILDCARD:
+            subscription.wildcard = False
+        added, dropped = added - WILDCARD, dropped - WILDCARD
+        check_count(type_url, len(subscription.names | added), self.max_names)
+        for name in dropped:
+            subscription.names.discard(name)
+            subscription.forget(name)
+        if not first:
+            for name in added:
+                subscription.forget(name)  # asked for again: sent again, whatever the proxy has
+        subscription.names |= added
+        available = self.snapshot.get(type_url)
+        subscription.missing |= {name for name in added if name not in available}
+
+    def _respond(self, type_url: str, subscription: Subscription) -> Response | None:
+        """What differs from what the proxy has; names that do not exist are reported as removed."""
+        available = self.snapshot.get(type_url)
+        requested = self._requested(type_url, subscription)
+        due = subscription.outdated(available, requested)
+        withheld = self.snapshot.withheld if type_url == EDS else frozenset()
+        gone = subscription.known.keys() - requested - withheld
+        subscription.missing = {
+            name
+            for name in subscription.missing
+            if name in subscription.names and name not in available and name not in withheld
+        }
+        self._forget_refused_removals(subscription, requested)
+        # A removal that was refused goes out again with the next thing that is new.
+        new_removals = {name for name in gone if subscription.refused.get(name) != REMOVED}
+        new_removals |= subscription.missing
+        if not due and not new_removals and not subscription.response_due:
+            return None
+        return self._send_difference(type_url, subscription, due, gone | new_removals)
+
+    def _respond_urgent(self, type_url: str, subscription: Subscription, names: set[str]) -> Response | None:
+        requested = self._requested(type_url, subscription)
+        due = subscription.outdated(self.snapshot.get(type_url), requested & names)
+        if not due:
+            return None
+        self._forget_refused_removals(subscription, requested)
+        return self._send_difference(type_url, subscription, due, set())
+
+    def _requested(self, type_url: str, subscription: Subscription) -> AbstractSet[str]:
+        """The names of those resources that exist and that the proxy asked for."""
+        available = self.snapshot.get(type_url)
+        return available.keys() if subscription.wildcard else subscription.names & available.keys()
+
+    @staticmethod
+    def _forget_refused_removals(subscription: Subscription, requested: AbstractSet[str]) -> None:
+        """Those of resources that are there again: their next removal is a new one."""
+        for name in [n for n, version in subscription.refused.items() if version == REMOVED]:
+            if name in requested:
+                del subscription.refused[name]
+
+    def _send_difference(
+        self, type_url: str, subscription: Subscription, due: list[str], removed: set[str]
+    ) -> Response:
+        resources = subscription.next_part(self.snapshot.get(type_url), due, self.max_part_bytes)
+        for name in removed:
+            subscription.forget(name)
+            subscription.refused.pop(name, None)
+            subscription.missing.discard(name)
+        response = self._send(type_url, subscription, resources, sorted(removed))
+        subscription.status.sent = response.nonce
+        return response
--- /dev/null
+++ b/harecross/xds/load_report_service.py
@@ -0,0 +1,63 @@
+"""The load reporting service: what proxies observed of servers. Source: `envoy.service.load_stats.v3`."""
+
+from __future__ import annotations
+
+from collections.abc import AsyncIterator, Callable
+from typing import Any, Protocol
+
+import grpc
+from envoy.service.load_stats.v3 import lrs_pb2
+
+from harecross.xds.client_identity import AllowedClusters, identify
+
+LRS = "envoy.service.load_stats.v3.LoadReportingService"
+
+
+class LoadReportSink(Protocol):
+    """Where a cluster's reports go: `load_reports.LoadReports`, or on to the service's process."""
+
+    def add(self, reporter: str, server: str, good: int, bad: int, in_progress: int, seconds: float) -> None:
+        """Takes one report's figures of one server."""
+
+
+SinkOfCluster = Callable[[str], LoadReportSink | None]  # None for a cluster that is not served
+
+
+def load_report_handler(sink_of: SinkOfCluster, allowed_clusters: AllowedClusters, interval_s: float) -> Any:
+    """The service's handler. A client's reports count for the clusters that it may see."""
+
+    async def stream_load_stats(requests: AsyncIterator[Any], context: Any) -> None:
+        identity = await identify(context, allowed_clusters)
+        # One reporter for each certificate or, without, each connection: a node may name itself as it likes.
+        reporter = identity.certificate_names[0] if identity.certificate_names else context.peer()
+        responded = False
+        async for request in requests:
+            if not responded:
+                responded = True
+                response = lrs_pb2.LoadStatsResponse(send_all_clusters=True)
+                response.load_reporting_interval.FromMilliseconds(int(interval_s * 1000))
+                await context.write(response.SerializeToString())
+            for stats in request.cluster_stats:
+                allowed = identity.allowed is None or stats.cluster_name in identity.allowed
+                sink = sink_of(stats.cluster_name) if allowed else None
+                if sink is not None:
+                    add_stats(sink, reporter, stats)
+
+    handler = grpc.stream_stream_rpc_method_handler(
+        stream_load_stats, request_deserializer=lrs_pb2.LoadStatsRequest.FromString
+    )
+    return grpc.method_handlers_generic_handler(LRS, {"StreamLoadStats": handler})
+
+
+def add_stats(sink: LoadReportSink, reporter: str, stats: Any) -> None:
+    """Passes on a reporter's figures of one cluster; a locality of it is a server."""
+    seconds = stats.load_report_interval.ToMilliseconds() / 1000
+    for locality in stats.upstream_locality_stats:
+        sink.add(
+            reporter,
+            locality.locality.sub_zone,
+            locality.total_successful_requests,
+            locality.total_error_requests,
+            locality.total_requests_in_progress,
+            seconds,
+        )
--- a/harecross/xds/release.py
+++ b/harecross/xds/release.py
@@ -7,65 +7,72 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from harecross.xds.publish import Told, urgent
+from harecross.xds.published import PublishedCluster, is_urgent
+
+
+class Batch(NamedTuple):
+    """What goes out."""
+
+    clusters: Mapping[str, PublishedCluster]  # all, as they are to be from now on
+    urgent: frozenset[str]  # those with an urgent change
 
 
 @dataclass(slots=True)
-class Release:
-    """What has been published of each cluster, and what waits."""
+class ReleaseSchedule:
+    """What has been released of each cluster, and what waits."""
 
-    interval: int  # between two releases of what can wait
-    out: dict[str, Told] = field(default_factory=dict)
-    waiting: dict[str, Told | None] = field(default_factory=dict)  # None: the cluster is gone
-    hurry: set[str] = field(default_factory=set)
-    last: int = 0
+    interval: int  # at least, between two releases of what can wait
+    released: dict[str, PublishedCluster] = field(default_factory=dict)
+    waiting: dict[str, PublishedCluster | None] = field(default_factory=dict)  # None: the cluster is removed
+    urgent: set[str] = field(default_factory=set)
+    released_at: int = 0  # the last release of what can wait
 
-    def offer(self, name: str, told: Told) -> None:
-        """What is thought of a cluster now. The newest counts; what is as published waits for nothing."""
-        before = self.out.get(name)
-        if before is None:
-            self.hurry.add(name)
-        elif before.same(told):
+    def offer(self, name: str, cluster: PublishedCluster) -> None:
+        """Takes a cluster's newest content; one that is as released does not wait."""
+        before = self.released.get(name)
+        if before is not None and before.same_as(cluster):
             self.waiting.pop(name, None)
-            self.hurry.discard(name)
+            self.urgent.discard(name)
             return
-        elif before.endpoints is None or told.endpoints is None or urgent(before.endpoints, told.endpoints):
-            self.hurry.add(name)
+        if self._is_urgent(before, cluster):
+            self.urgent.add(name)
         else:
-            # Guards against: a doubt that is taken back before it goes out still goes out in a hurry.
-            self.hurry.discard(name)
-        self.waiting[name] = told
+            # An urgent change that was taken back before its release leaves nothing urgent.
+            self.urgent.discard(name)
+        self.waiting[name] = cluster
+
+    @staticmethod
+    def _is_urgent(before: PublishedCluster | None, after: PublishedCluster) -> bool:
+        if before is None or before.endpoints is None or after.endpoints is None:
+            return True
+        return is_urgent(before.endpoints, after.endpoints)
 
     def withdraw(self, name: str) -> None:
         """The cluster is no longer configured."""
         self.waiting[name] = None
 
-    def due(self, now: int) -> tuple[Mapping[str, Told], frozenset[str]] | None:
-        """All clusters as they are to be from now on and which of them hurry; None if nothing is due.
+    def take_due(self, now: int) -> Batch | None:
+        """What is due now, if anything.
 
-        Failure prevented: weights that change all the time keep every proxy busy, and a drain waits behind
-        them. What hurries takes along nothing but its own cluster.
+        An urgent change takes along only its own cluster; weights, which change all the time, wait for their interval.
         """
         if not self.waiting:
             return None
-        hurry = frozenset(self.hurry)
-        if self.wait(now) == 0:
+        urgent = frozenset(self.urgent)
+        if now >= self.released_at + self.interval:
             names = set(self.waiting)
-            self.last = now
-        elif hurry:
-            names = set(hurry)
+            self.released_at = now
+        elif urgent:
+            names = set(urgent)
         else:
             return None
         for name in names:
-            told = self.waiting.pop(name)
-            if told is None:
-                self.out.pop(name, None)
+            cluster = self.waiting.pop(name)
+            if cluster is None:
+                self.released.pop(name, None)
             else:
-                self.out[name] = told
-        self.hurry.clear()
-        return dict(self.out), hurry
-
-    def wait(self, now: int) -> int:
-        """Microseconds until what can wait goes out."""
-        return max(0, self.last + self.interval - now)
+                self.released[name] = cluster
+        self.urgent.clear()
+        return Batch(dict(self.released), urgent)
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 
 from envoy.config.cluster.v3 import cluster_pb2
 from envoy.config.endpoint.v3 import endpoint_pb2
@@ -28,146 +29,187 @@
 )
 from harecross.policy.fleet_limits import MIN_LIMIT
 from harecross.xds.cache import CDS, EDS, LDS, RDS, Resource, Snapshot
-from harecross.xds.publish import PublishedEndpoint, Told, priority
+from harecross.xds.published import PublishedCluster, PublishedEndpoint
+from harecross.xds.publisher import priority
 
-RETRY_PERCENT = 100 * RETRY_RATIO  # of the calls out may be retries
+RETRY_PERCENT = 100 * RETRY_RATIO  # of the requests in flight may be retries
+API_VERSION = 2  # envoy.config.core.v3.ApiVersion.V3
+CONNECT_TIMEOUT_MS = 500
 
 
-def encoded(name: str, message: Message) -> Resource:
-    return Resource.of(name, message.SerializeToString(deterministic=True))
+def encode_resource(name: str, message: Message) -> Resource:
+    """A message as a resource."""
+    return Resource.from_body(name, message.SerializeToString(deterministic=True))
 
 
-def cluster(name: str, limit: int, loads: bool = False) -> Resource:
-    """EDS over ADS; `limit` calls may be out at once (circuit breaker), 0 for no bound; `loads` asks for LRS."""
-    c = cluster_pb2.Cluster(name=name, type=cluster_pb2.Cluster.EDS)
-    c.eds_cluster_config.eds_config.ads.SetInParent()
-    c.eds_cluster_config.eds_config.resource_api_version = 2  # V3
-    c.eds_cluster_config.service_name = name
-    c.lb_policy = cluster_pb2.Cluster.ROUND_ROBIN
-    c.common_lb_config.locality_weighted_lb_config.SetInParent()
-    if loads:
-        c.lrs_server.self.SetInParent()
-    c.connect_timeout.FromMilliseconds(500)
-    if limit > 0:
-        threshold = c.circuit_breakers.thresholds.add()
-        threshold.max_requests.value = limit
+def cluster_resource(name: str, request_limit: int, *, load_reports: bool = False) -> Resource:
+    """The cluster, with EDS over ADS.
+
+    `request_limit` requests may be in flight at once (circuit breaker), 0 for no limit. `load_reports` asks for LRS.
+    """
+    cluster = cluster_pb2.Cluster(name=name, type=cluster_pb2.Cluster.EDS)
+    cluster.eds_cluster_config.eds_config.ads.SetInParent()
+    cluster.eds_cluster_config.eds_config.resource_api_version = API_VERSION
+    cluster.eds_cluster_config.service_name = name
+    cluster.lb_policy = cluster_pb2.Cluster.ROUND_ROBIN
+    cluster.common_lb_config.locality_weighted_lb_config.SetInParent()
+    if load_reports:
+        cluster.lrs_server.self.SetInParent()
+    cluster.connect_timeout.FromMilliseconds(CONNECT_TIMEOUT_MS)
+    if request_limit > 0:
+        threshold = cluster.circuit_breakers.thresholds.add()
+        threshold.max_requests.value = request_limit
         threshold.retry_budget.budget_percent.value = RETRY_PERCENT
         threshold.retry_budget.min_retry_concurrency.value = MIN_LIMIT
-    return encoded(name, c)
+    return encode_resource(name, cluster)
 
 
-def assignment(name: str, endpoints: Sequence[PublishedEndpoint], zone: str = "") -> Resource:
-    """One locality for each server, its sub-zone the server's name; those of `zone`, if it has any, go first.
+def assignment_resource(name: str, endpoints: Sequence[PublishedEndpoint], zone: str = "") -> Resource:
+    """The endpoints: one locality for each server, its sub-zone the server's name; those of `zone` go first.
 
     gRPC's own client follows the weights of localities but, in round robin, not those of endpoints (gRFC A27);
     Envoy follows both. An endpoint that is to get nothing new stays listed, so that a proxy knows why.
     """
-    a = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
-    zones = {e.zone for e in endpoints}
-    for e in sorted(endpoints, key=lambda e: (e.zone, e.name)):
-        host, _, port = e.address.rpartition(":")
-        locality = a.endpoints.add()
-        locality.locality.zone = e.zone
-        locality.locality.sub_zone = e.name
-        locality.load_balancing_weight.value = e.weight
-        locality.priority = priority(e.zone, zone, zones)
-        lb = locality.lb_endpoints.add()
-        lb.endpoint.address.socket_address.address = host
-        lb.endpoint.address.socket_address.port_value = int(port)
-        lb.health_status = int(e.health)
-        lb.load_balancing_weight.value = e.weight
-    return encoded(name, a)
-
-
-def route(name: str) -> Resource:
-    r = route_pb2.RouteConfiguration(name=name)
-    host = r.virtual_hosts.add(name=name, domains=["*"])
-    entry = host.routes.add()
-    entry.match.prefix = ""
-    entry.route.cluster = name
-    return encoded(name, r)
-
-
-def listener(name: str, adaptive: bool = False) -> Resource:
-    """An API listener; `adaptive` adds the adaptive concurrency filter, which gRPC may leave out."""
+    assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
+    zones = {endpoint.zone for endpoint in endpoints}
+    for endpoint in sorted(endpoints, key=lambda e: (e.zone, e.name)):
+        _add_locality(assignment.endpoints.add(), endpoint, priority(endpoint.zone, zone, zones))
+    return encode_resource(name, assignment)
+
+
+def _add_locality(
+    locality: endpoint_pb2.LocalityLbEndpoints, endpoint: PublishedEndpoint, locality_priority: int
+) -> None:
+    host, _, port = endpoint.address.rpartition(":")
+    locality.locality.zone = endpoint.zone
+    locality.locality.sub_zone = endpoint.name
+    locality.load_balancing_weight.value = endpoint.weight
+    locality.priority = locality_priority
+    lb_endpoint = locality.lb_endpoints.add()
+    lb_endpoint.endpoint.address.socket_address.address = host
+    lb_endpoint.endpoint.address.socket_address.port_value = int(port)
+    lb_endpoint.health_status = int(endpoint.health)
+    lb_endpoint.load_balancing_weight.value = endpoint.weight
+
+
+def route_resource(name: str) -> Resource:
+    """Routes that lead all requests to the cluster."""
+    routes = route_pb2.RouteConfiguration(name=name)
+    host = routes.virtual_hosts.add(name=name, domains=["*"])
+    route = host.routes.add()
+    route.match.prefix = ""
+    route.route.cluster = name
+    return encode_resource(name, routes)
+
+
+def listener_resource(name: str, *, adaptive_concurrency: bool = False) -> Resource:
+    """An API listener; the adaptive concurrency filter is one that gRPC may leave out."""
     manager = http_connection_manager_pb2.HttpConnectionManager()
     manager.rds.route_config_name = name
     manager.rds.config_source.ads.SetInParent()
-    manager.rds.config_source.resource_api_version = 2
-    if adaptive:
-        f = manager.http_filters.add(name="envoy.filters.http.adaptive_concurrency", is_optional=True)
-        f.typed_config.Pack(gradient(), deterministic=True)
-    last = manager.http_filters.add(name="envoy.filters.http.router")
-    last.typed_config.Pack(router_pb2.Router(), deterministic=True)
-    result = listener_pb2.Listener(name=name)
-    result.api_listener.api_listener.Pack(manager, deterministic=True)
-    return encoded(name, result)
-
-
-def gradient() -> adaptive_concurrency_pb2.AdaptiveConcurrency:
-    """The filter with the decision module's own figures."""
-    a = adaptive_concurrency_pb2.AdaptiveConcurrency()
-    g = a.gradient_controller_config
-    g.sample_aggregate_percentile.value = 100 * PERCENTILE
-    g.concurrency_limit_params.concurrency_update_interval.FromMicroseconds(WINDOW)
-    g.min_rtt_calc_params.interval.FromMicroseconds(PASS_INTERVAL)
-    g.min_rtt_calc_params.request_count.value = PASS_CALLS
-    g.min_rtt_calc_params.jitter.value = 100 * PASS_JITTER
-    g.min_rtt_calc_params.min_concurrency.value = MIN_LIMIT
-    g.min_rtt_calc_params.buffer.value = 100 * BUFFER
-    return a
-
-
-class Encoder:
-    """Builds resources, each once while what is told of its cluster stays the same object."""
-
-    def __init__(self, adaptive: bool = False, loads: bool = False) -> None:
-        self.adaptive = adaptive
-        self.loads = loads
-        self.fixed: dict[str, tuple[Resource, Resource]] = {}
-        self.clusters: dict[str, tuple[Told, Resource, dict[str, Resource]]] = {}
-
-    def of(self, name: str, told: Told, zone: str) -> tuple[Resource, Resource | None]:
-        """The cluster and, where its servers are known, their assignment as a proxy in `zone` gets it."""
-        entry = self.clusters.get(name)
-        if entry is None or entry[0] is not told:
-            entry = self.clusters[name] = (told, cluster(name, told.limit, self.loads), {})
-        if told.endpoints is None:
-            return entry[1], None
-        if not told.zoned or all(e.zone != zone for e in told.endpoints):
-            zone = ""
-        made = entry[2]
-        if zone not in made:
-            made[zone] = assignment(name, told.endpoints, zone)
-        return entry[1], made[zone]
-
-    def snapshot(self, clusters: Mapping[str, Told], zone: str = "") -> Snapshot:
-        """All resources of all clusters."""
-        for name in self.clusters.keys() - clusters.keys():
-            del self.clusters[name]
-            self.fixed.pop(name, None)
+    manager.rds.config_source.resource_api_version = API_VERSION
+    if adaptive_concurrency:
+        concurrency = manager.http_filters.add(
+            name="envoy.filters.http.adaptive_concurrency", is_optional=True
+        )
+        concurrency.typed_config.Pack(gradient_settings(), deterministic=True)
+    router = manager.http_filters.add(name="envoy.filters.http.router")
+    router.typed_config.Pack(router_pb2.Router(), deterministic=True)
+    listener = listener_pb2.Listener(name=name)
+    listener.api_listener.api_listener.Pack(manager, deterministic=True)
+    return encode_resource(name, listener)
+
+
+def gradient_settings() -> adaptive_concurrency_pb2.AdaptiveConcurrency:
+    """The filter with the decision module's own parameters."""
+    settings = adaptive_concurrency_pb2.AdaptiveConcurrency()
+    controller = settings.gradient_controller_config
+    controller.sample_aggregate_percentile.value = 100 * PERCENTILE
+    controller.concurrency_limit_params.concurrency_update_interval.FromMicroseconds(WINDOW)
+    controller.min_rtt_calc_params.interval.FromMicroseconds(PASS_INTERVAL)
+    controller.min_rtt_calc_params.request_count.value = PASS_CALLS
+    controller.min_rtt_calc_params.jitter.value = 100 * PASS_JITTER
+    controller.min_rtt_calc_params.min_concurrency.value = MIN_LIMIT
+    controller.min_rtt_calc_params.buffer.value = 100 * BUFFER
+    return settings
+
+
+@dataclass(slots=True)
+class EncodedCluster:
+    """The encodings of one cluster's content."""
+
+    content: PublishedCluster
+    cluster: Resource
+    assignments: dict[str, Resource]  # by the proxies' zone; "" for those that no zone is preferred for
+
+
+class ResourceEncoder:
+    """Encodes clusters, each once while its content stays the same object."""
+
+    def __init__(self, *, adaptive_concurrency: bool = False, load_reports: bool = False) -> None:
+        self._adaptive_concurrency = adaptive_concurrency
+        self._load_reports = load_reports
+        self._constant: dict[str, tuple[Resource, Resource]] = {}  # listener and route, by cluster
+        self._encoded: dict[str, EncodedCluster] = {}
+
+    def snapshot(self, clusters: Mapping[str, PublishedCluster], zone: str = "") -> Snapshot:
+        """All resources of all clusters, as proxies in `zone` get them."""
+        self._forget_others(clusters)
         types: dict[str, dict[str, Resource]] = {CDS: {}, EDS: {}, LDS: {}, RDS: {}}
-        for name, told in clusters.items():
-            types[CDS][name], servers = self.of(name, told, zone)
-            if servers is not None:
-                types[EDS][name] = servers
-            if name not in self.fixed:
-                self.fixed[name] = (listener(name, self.adaptive), route(name))
-            types[LDS][name], types[RDS][name] = self.fixed[name]
-        return Snapshot(types, frozenset(n for n, told in clusters.items() if told.endpoints is None))
+        for name, content in clusters.items():
+            encoded = self._encode(name, content)
+            types[CDS][name] = encoded.cluster
+            if content.endpoints is not None:
+                types[EDS][name] = self._assignment(name, encoded, content.endpoints, zone)
+            types[LDS][name], types[RDS][name] = self._constant_resources(name)
+        withheld = frozenset(name for name, content in clusters.items() if content.endpoints is None)
+        return Snapshot(types, withheld)
+
+    def _forget_others(self, clusters: Mapping[str, PublishedCluster]) -> None:
+        for name in self._encoded.keys() - clusters.keys():
+            del self._encoded[name]
+            self._constant.pop(name, None)
+
+    def _encode(self, name: str, content: PublishedCluster) -> EncodedCluster:
+        encoded = self._encoded.get(name)
+        if encoded is None or encoded.content is not content:
+            cluster = cluster_resource(name, content.request_limit, load_reports=self._load_reports)
+            encoded = self._encoded[name] = EncodedCluster(content, cluster, {})
+        return encoded
+
+    def _assignment(
+        self, name: str, encoded: EncodedCluster, endpoints: Sequence[PublishedEndpoint], zone: str
+    ) -> Resource:
+        if not encoded.content.prefer_own_zone or all(endpoint.zone != zone for endpoint in endpoints):
+            zone = ""
+        if zone not in encoded.assignments:
+            encoded.assignments[zone] = assignment_resource(name, endpoints, zone)
+        return encoded.assignments[zone]
+
+    def _constant_resources(self, name: str) -> tuple[Resource, Resource]:
+        if name not in self._constant:
+            listener = listener_resource(name, adaptive_concurrency=self._adaptive_concurrency)
+            self._constant[name] = (listener, route_resource(name))
+        return self._constant[name]
 
 
-class Published:
-    """What is published now, as proxies of each zone get it. Built when the first of a zone asks."""
+class PublishedSnapshots:
+    """What is published now, as proxies of each zone get it. Built when the first proxy of a zone asks."""
 
-    def __init__(self, encoder: Encoder, clusters: Mapping[str, Told]) -> None:
-        self.encoder = encoder
+    def __init__(self, encoder: ResourceEncoder, clusters: Mapping[str, PublishedCluster]) -> None:
         self.clusters = clusters
-        self.zones: dict[str, Snapshot] = {}
-        self.wanted = {e.zone for told in clusters.values() if told.zoned for e in told.endpoints or ()}
+        self._encoder = encoder
+        self._snapshots: dict[str, Snapshot] = {}
+        self._zones = {
+            endpoint.zone
+            for content in clusters.values()
+            if content.prefer_own_zone
+            for endpoint in content.endpoints or ()
+        }
 
     def for_zone(self, zone: str) -> Snapshot:
-        zone = zone if zone in self.wanted else ""
-        if zone not in self.zones:
-            self.zones[zone] = self.encoder.snapshot(self.clusters, zone)
-        return self.zones[zone]
+        """The snapshot for proxies in a zone."""
+        zone = zone if zone in self._zones else ""
+        if zone not in self._snapshots:
+            self._snapshots[zone] = self._encoder.snapshot(self.clusters, zone)
+        return self._snapshots[zone]
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -1,10 +1,8 @@
-"""The stand-alone control service: configuration, clusters, memory, signals."""
+"""The stand-alone control service (`harecross control`): configuration, clusters, signals."""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import os
 import signal
 from pathlib import Path
 from typing import Any
@@ -13,49 +11,50 @@
 
 from harecross.operators import BadFile
 from harecross.platform.log import log_line
-from harecross.xds.access import allowed
+from harecross.xds.access import allowed_clusters
+from harecross.xds.assembly import create_encoder, create_server, listen
 from harecross.xds.config import ControlFile, read_control
-from harecross.xds.feed import OwnFeed
-from harecross.xds.fleet import Fleet
-from harecross.xds.front import encoder, front, listen
-from harecross.xds.link import Setup
-from harecross.xds.press import Press
-from harecross.xds.server import Control
-
-REMEMBER_EVERY = 1.0  # seconds between two writes of the remembered lists, at least
-
-
-class Service:
-    """`harecross control`."""
-
-    def __init__(self, path: Path, told: ControlFile, seed: int = 1) -> None:
-        self.path = path
-        self.told = told
-        self.seed = seed
-        c = told.control
-        self.setup = Setup(
-            c.listen, told.tls, told.limits, told.clients, c.status, c.adaptive_concurrency, c.load_reports_s
-        )
-        self.control: Control | Fleet
-        if c.workers > 1:
-            self.control = Fleet(c.workers, self.setup, self.loads, log_line)
-        else:
-            self.control = front(self.setup, self.see, self.loads)
-        self.press = Press(self.control, encoder(self.setup), c.interval_s)
-        self.press.every_step = self.every_step
+from harecross.xds.load_reports import LoadReports
+from harecross.xds.publisher_loop import PublisherLoop
+from harecross.xds.remembered_lists import RememberedLists
+from harecross.xds.server import ControlServer
+from harecross.xds.standalone_feed import StandaloneFeed
+from harecross.xds.worker_channel import WorkerSetup
+from harecross.xds.worker_pool import WorkerPool
+
+
+class ControlService:
+    """One run of the service."""
+
+    def __init__(self, path: Path, config: ControlFile, seed: int = 1) -> None:
+        self.ready = asyncio.Event()  # it listens
         self.stop = asyncio.Event()
-        self.ready = asyncio.Event()
-        self.dirty = False
-        self.wrote = 0.0
-        self.loaded = 0.0
-        self.until = 0.0
+        self._path = path
+        self.config = config
+        self._seed = seed
+        self._setup = worker_setup(config)
+        self.server = self._create_server()
+        self.publisher_loop = PublisherLoop(
+            self.server, create_encoder(self._setup), config.control.interval_s, self._on_step
+        )
+        self.remembered_lists = RememberedLists(config.control.remember)
+        self._load_reports_passed_at = 0.0
+        self._wait_until = 0.0  # for the first whole lists
+
+    def _create_server(self) -> ControlServer | WorkerPool:
+        workers = self.config.control.workers
+        if workers > 1:
+            return WorkerPool(workers, self._setup, self._load_reports, log_line)
+        return create_server(self._setup, self._allowed_clusters, self._load_reports)
 
-    def see(self, names: tuple[str, ...]) -> frozenset[str] | None:
-        return allowed(self.told.clients, names)
+    def _allowed_clusters(self, names: tuple[str, ...]) -> frozenset[str] | None:
+        return allowed_clusters(self.config.clients, names)
 
-    def loads(self, cluster: str) -> Any:
-        feed = self.press.feeds.get(cluster)
-        return feed.loads if feed is not None else None
+    def _load_reports(self, cluster: str) -> LoadReports | None:
+        feed = self.publisher_loop.feeds.get(cluster)
+        return feed.load_reports if feed is not None else None
+
+    # ---- start and stop -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
         """Serves until a signal. BadFile if it cannot listen."""
@@ -63,140 +62,159 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        memory = self.remembered()
-        for name in self.told.clusters:
-            try:
-                self.begin(name, memory.get(name))
-            except ValueError as e:
-                raise BadFile(f"{self.path}: clusters.{name}: {e}") from None
-        try:
-            if isinstance(self.control, Fleet):
-                port = await self.control.start()
-            else:
-                port = await listen(self.control, self.setup)
-        except (OSError, ValueError) as e:
-            raise BadFile(f"{self.path}: control.listen: {e}") from None
-        self.until = loop.time() + self.told.control.wait_s
-        self.press.start()
-        log_line(f"control: listening on port {port}, {len(self.told.clusters)} clusters")
+        self._start_clusters()
+        port = await self._listen()
+        self._wait_until = loop.time() + self.config.control.wait_s
+        self.publisher_loop.start()
+        log_line(f"control: listening on port {port}, {len(self.config.clusters)} clusters")
         self.ready.set()
         await self.stop.wait()
         log_line("control: stopping")
-        self.press.stop()
-        for feed in self.press.feeds.values():
-            if isinstance(feed, OwnFeed) and feed.sources is not None:
-                await feed.sources.stop()
-        self.remember(True)
-        await self.control.stop()
-
-    def begin(self, name: str, memory: Any = None) -> None:
-        told = self.told.clusters[name]
-        feed = OwnFeed(name, told, self.seed, self.changed)
-        self.press.add(feed, told.cross_zone_price, told.calls_per_server)
-        feed.start(memory)
-
-    def changed(self, name: str) -> None:
-        self.dirty = True
-        self.press.changed(name)
-
-    def every_step(self) -> None:
-        """Opens once all lists are there, or after the stated wait; load reports; memory."""
-        now = asyncio.get_running_loop().time()
-        if not self.press.open:
-            waiting = [n for n, f in self.press.feeds.items() if not f.roster.whole]
-            if not waiting or now >= self.until:
-                self.press.open = True
-                for name in waiting:
-                    known = self.press.feeds[name].roster.known()
-                    how = (
-                        "the remembered list, which is old"
-                        if known
-                        else "nothing: proxies keep what they have"
-                    )
-                    log_line(
-                        f"control: no list of {name} after {self.told.control.wait_s:g} s; it is served {how}"
-                    )
-        if now >= self.loaded + self.told.control.load_reports_s:
-            self.loaded = now
-            for feed in self.press.feeds.values():
-                feed.take_loads()
-        self.remember(False)
-
-    # ---- memory ---------------------------------------------------------------------------------------
-
-    def remembered(self) -> dict[str, Any]:
-        """The lists of an earlier run; a file that cannot be read is said and left out."""
-        name = self.told.control.remember
-        if not name or not Path(name).exists():
-            return {}
+        await self._stop()
+
+    def _start_clusters(self) -> None:
+        remembered = self.remembered_lists.load()
+        for name in self.config.clusters:
+            try:
+                self.start_cluster(name, remembered.get(name))
+            except ValueError as error:
+                raise BadFile(f"{self._path}: clusters.{name}: {error}") from None
+
+    async def _listen(self) -> int:
         try:
-            found = json.loads(Path(name).read_text())
-            return found if isinstance(found, dict) else {}
-        except (OSError, ValueError) as e:
-            log_line(f"control: {name}: remembered lists not read: {e}")
-            return {}
-
-    def remember(self, now: bool) -> None:
-        """Writes the lists, by a new file put in the old one's place: a kill leaves a whole one."""
-        name, time = self.told.control.remember, asyncio.get_running_loop().time()
-        if not name or not self.dirty or (not now and time < self.wrote + REMEMBER_EVERY):
+            if isinstance(self.server, WorkerPool):
+                return await self.server.start()
+            return await listen(self.server, self._setup)
+        except (OSError, ValueError) as error:
+            raise BadFile(f"{self._path}: control.listen: {error}") from None
+
+    async def _stop(self) -> None:
+        self.publisher_loop.stop()
+        for feed in self.publisher_loop.feeds.values():
+            if isinstance(feed, StandaloneFeed):
+                await feed.closed()
+        self.remembered_lists.save(self.publisher_loop.feeds)
+        await self.server.stop()
+
+    def start_cluster(self, name: str, remembered: Any = None) -> None:
+        """Adds a cluster of the configuration, which begins with a remembered list."""
+        table = self.config.clusters[name]
+        feed = StandaloneFeed(name, table, self._seed, self._on_change)
+        self.publisher_loop.add(feed, table.cross_zone_price, table.calls_per_server)
+        feed.start(remembered)
+
+    # ---- at work ------------------------------------------------------------------------------------------
+
+    def _on_change(self, name: str) -> None:
+        self.remembered_lists.mark_changed()
+        self.publisher_loop.mark_changed(name)
+
+    def _on_step(self) -> None:
+        now = asyncio.get_running_loop().time()
+        if not self.publisher_loop.enabled:
+            self._enable_if_ready(now)
+        if now >= self._load_reports_passed_at + self.config.control.load_reports_s:
+            self._load_reports_passed_at = now
+            for feed in self.publisher_loop.feeds.values():
+                feed.pass_load_reports_on()
+        self.remembered_lists.save_if_due(self.publisher_loop.feeds)
+
+    def _enable_if_ready(self, now: float) -> None:
+        """Publishes once all lists are there, or after the configured wait."""
+        feeds = self.publisher_loop.feeds
+        waiting = [name for name, feed in feeds.items() if not feed.roster.whole]
+        if waiting and now < self._wait_until:
             return
-        self.dirty, self.wrote = False, time
-        lists = {n: f.roster.memory() for n, f in self.press.feeds.items() if f.roster.known()}
-        try:
-            fresh = Path(f"{name}.new")
-            fresh.write_text(json.dumps(lists))
-            os.replace(fresh, name)
-        except OSError as e:
-            log_line(f"control: {name}: lists not remembered: {e.strerror}")
+        self.publisher_loop.enabled = True
+        for name in waiting:
+            known = feeds[name].roster.known()
+            how = "the remembered list, which is old" if known else "nothing: proxies keep what they have"
+            wait_s = self.config.control.wait_s
+            log_line(f"control: no list of {name} after {wait_s:g} s; it is served {how}")
 
-    # ---- reload ---------------------------------------------------------------------------------------
+    # ---- reload -------------------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """SIGHUP: clusters and clients are read again; the rest counts from the next start."""
+        """Reads clusters and clients again (SIGHUP); the rest counts from the next start."""
         try:
-            told = read_control(self.path)
-        except BadFile as e:
-            log_line(f"control: configuration not changed: {e}")
+            read = read_control(self._path)
+        except BadFile as error:
+            log_line(f"control: configuration not changed: {error}")
             return
-        old, later = self.told, []
-        if (old.control, old.tls, old.limits) != (told.control, told.tls, told.limits):
-            later = ["control", "tls", "limits"]
-        # Guards against: rules that need the new [tls] take all clusters from clients that show no certificate.
-        clients = told.clients if old.tls == told.tls else old.clients
-        later += ["clients"] if clients != told.clients else []
-        self.told = told = msgspec.structs.replace(
-            told, control=old.control, tls=old.tls, limits=old.limits, clients=clients
+        old, self.config = self.config, reloaded_config(self.config, read)
+        removed = old.clusters.keys() - self.config.clusters.keys()
+        for name in removed:
+            self.publisher_loop.remove(name)
+        changed = [name for name, c in self.config.clusters.items() if old.clusters.get(name) != c]
+        for name in changed:
+            self._restart_cluster(name)
+        if old.clients != self.config.clients:
+            self._refresh_access()
+        text = (
+            f"control: configuration read again: {len(changed)} clusters new or changed, {len(removed)} gone"
         )
-        gone = old.clusters.keys() - told.clusters.keys()
-        for name in gone:
-            self.press.remove(name)
-        fresh = [n for n, c in told.clusters.items() if old.clusters.get(n) != c]
-        for name in fresh:
-            memory = None
-            if name in old.clusters:
-                # The new watch begins with the old list: proxies see no gap.
-                memory = self.press.feeds[name].roster.memory()
-                self.press.feeds[name].close()
-            self.begin(name, memory)
-        if old.clients != told.clients:
-            if isinstance(self.control, Fleet):
-                self.control.allow(told.clients)
-            else:
-                self.control.refresh()
-        text = f"control: configuration read again: {len(fresh)} clusters new or changed, {len(gone)} gone"
+        later = settings_for_next_start(self.config, read)
         if later:
             text += f"; {', '.join(later)} will count from the next start"
         log_line(text)
 
+    def _restart_cluster(self, name: str) -> None:
+        """Starts a new or changed cluster. A changed one begins with its old list, so that proxies see no gap."""
+        feed = self.publisher_loop.feeds.get(name)
+        remembered = None
+        if feed is not None:
+            remembered = feed.roster.memory()
+            feed.close()
+        self.start_cluster(name, remembered)
+
+    def _refresh_access(self) -> None:
+        if isinstance(self.server, WorkerPool):
+            self.server.set_access(self.config.clients)
+        else:
+            self.server.refresh_access()
+
+
+def worker_setup(config: ControlFile) -> WorkerSetup:
+    """What the service's streams are served by, in this process or in workers."""
+    control = config.control
+    return WorkerSetup(
+        control.listen,
+        config.tls,
+        config.limits,
+        config.clients,
+        control.status,
+        control.adaptive_concurrency,
+        control.load_reports_s,
+    )
+
+
+def reloaded_config(running: ControlFile, read: ControlFile) -> ControlFile:
+    """The configuration after a reload.
+
+    Rules for clients that need the new [tls] wait for the next start, or they would take all clusters from clients
+    that show no certificate.
+    """
+    clients = read.clients if running.tls == read.tls else running.clients
+    return msgspec.structs.replace(
+        read, control=running.control, tls=running.tls, limits=running.limits, clients=clients
+    )
+
+
+def settings_for_next_start(running: ControlFile, read: ControlFile) -> list[str]:
+    """The tables of a file that was read again, and differ from what is running."""
+    later = []
+    if (running.control, running.tls, running.limits) != (read.control, read.tls, read.limits):
+        later = ["control", "tls", "limits"]
+    return [*later, "clients"] if running.clients != read.clients else later
+
 
 def main(path: Path) -> None:
     """Runs the service. BadFile for a file that cannot be used."""
     import uvloop
 
-    told = read_control(path)
+    config = read_control(path)
 
-    async def body() -> None:
-        await Service(path, told).run()
+    async def run() -> None:
+        await ControlService(path, config).run()
 
-    uvloop.run(body())
+    uvloop.run(run())
--- a/harecross/xds/wire.py
+++ b/harecross/xds/wire.py
@@ -1,7 +1,7 @@
-"""Responses as bytes: each resource is framed once, for all streams, and a response is its frames put together.
+"""Responses as bytes: each resource is encoded once for all streams, and a response is put together from them.
 
 Concatenating the encodings of two messages merges them (Protocol Buffers, "Last One Wins" and repeated fields), so
-a header and ready frames make a whole response.
+a header and encoded resources make a whole response.
 """
 
 from __future__ import annotations
@@ -10,10 +10,11 @@
 from google.protobuf.any_pb2 import Any as AnyMessage
 
 from harecross.xds.cache import Resource
-from harecross.xds.streams import Response
+from harecross.xds.subscription import Response
 
 
 def sotw_frame(type_url: str, resource: Resource) -> bytes:
+    """A resource as a part of a state-of-the-world response."""
     if "sotw" not in resource.frames:
         body = AnyMessage(type_url=type_url, value=resource.body)
         resource.frames["sotw"] = discovery_pb2.DiscoveryResponse(resources=[body]).SerializeToString()
@@ -21,23 +22,29 @@
 
 
 def delta_frame(type_url: str, resource: Resource) -> bytes:
+    """A resource as a part of an incremental response."""
     if "delta" not in resource.frames:
         body = AnyMessage(type_url=type_url, value=resource.body)
-        one = discovery_pb2.Resource(name=resource.name, version=resource.version, resource=body)
-        resource.frames["delta"] = discovery_pb2.DeltaDiscoveryResponse(resources=[one]).SerializeToString()
+        message = discovery_pb2.Resource(name=resource.name, version=resource.version, resource=body)
+        response = discovery_pb2.DeltaDiscoveryResponse(resources=[message])
+        resource.frames["delta"] = response.SerializeToString()
     return resource.frames["delta"]
 
 
-def sotw_bytes(response: Response) -> bytes:
-    head: bytes = discovery_pb2.DiscoveryResponse(
+def encode_sotw(response: Response) -> bytes:
+    """A state-of-the-world response."""
+    header: bytes = discovery_pb2.DiscoveryResponse(
         version_info=response.version, nonce=response.nonce, type_url=response.type_url
     ).SerializeToString()
-    return head + b"".join(sotw_frame(response.type_url, r) for r in response.resources)
+    return header + b"".join(sotw_frame(response.type_url, resource) for resource in response.resources)
 
 
-def delta_bytes(response: Response) -> bytes:
-    head: bytes = discovery_pb2.DeltaDiscoveryResponse(
-        system_version_info=response.version, nonce=response.nonce, type_url=response.type_url,
+def encode_delta(response: Response) -> bytes:
+    """An incremental response."""
+    header: bytes = discovery_pb2.DeltaDiscoveryResponse(
+        system_version_info=response.version,
+        nonce=response.nonce,
+        type_url=response.type_url,
         removed_resources=response.removed,
-    ).SerializeToString()  # fmt: skip
-    return head + b"".join(delta_frame(response.type_url, r) for r in response.resources)
+    ).SerializeToString()
+    return header + b"".join(delta_frame(response.type_url, resource) for resource in response.resources)
--- a/harecross/xds/worker.py
+++ b/harecross/xds/worker.py
@@ -1,4 +1,4 @@
-"""A worker: one process that serves a part of the streams of a control service. Started by `fleet` alone."""
+"""A worker: one process that serves a part of the streams of a control service. Started by `worker_pool` alone."""
 
 from __future__ import annotations
 
@@ -11,115 +11,139 @@
 from typing import Any
 
 from harecross.platform.log import log_exception
-from harecross.xds import status
-from harecross.xds.access import allowed
-from harecross.xds.front import encoder, front, listen
-from harecross.xds.link import Ask, Clients, Link, Listening, Message, Publish, Report, Rows, Setup, Streams
-from harecross.xds.publish import Told
-from harecross.xds.resources import Published
-
-COUNT_EVERY = 0.25  # seconds between two words on how many streams there are
-ANSWER = 5.0  # seconds that the other workers have for their rows
-
-
-class Forward:
-    """A cluster's account of load reports, kept by the service."""
-
-    def __init__(self, link: Link, cluster: str) -> None:
-        self.link = link
-        self.cluster = cluster
-
-    def add(self, proxy: str, server: str, good: int, bad: int, in_progress: int, seconds: float) -> None:
+from harecross.xds.access import allowed_clusters
+from harecross.xds.assembly import create_encoder, create_server, listen
+from harecross.xds.published import PublishedCluster
+from harecross.xds.resources import PublishedSnapshots
+from harecross.xds.status import status_table
+from harecross.xds.worker_channel import (
+    AccessMessage,
+    Listening,
+    LoadReportMessage,
+    Message,
+    PublishMessage,
+    StatusAnswer,
+    StatusQuery,
+    StreamCount,
+    WorkerChannel,
+    WorkerSetup,
+)
+
+COUNT_INTERVAL_S = 0.25  # between two reports of how many streams there are
+STATUS_TIMEOUT_S = 5.0  # for the other workers' rows
+
+
+class ForwardedLoadReports:
+    """Sends a cluster's load reports on to the service, which combines them."""
+
+    def __init__(self, channel: WorkerChannel, cluster: str) -> None:
+        self._channel = channel
+        self._cluster = cluster
+
+    def add(self, reporter: str, server: str, good: int, bad: int, in_progress: int, seconds: float) -> None:
+        """Sends one report's figures of one server."""
         if good or bad or in_progress:
-            self.link.send(Report(self.cluster, proxy, server, good, bad, in_progress, seconds))
+            self._channel.send(
+                LoadReportMessage(self._cluster, reporter, server, good, bad, in_progress, seconds)
+            )
 
 
 class Worker:
-    """Serves what the service tells it to; ends with the service."""
-
-    def __init__(self, link: Link, told: Setup) -> None:
-        self.link = link
-        self.told = told
-        self.rules = told.clients
-        self.clusters: dict[str, Told] = {}
-        self.encoder = encoder(told)
-        self.questions: dict[int, asyncio.Future[list[dict[str, Any]]]] = {}
-        self.numbers = count(1)
-        self.control = front(told, self.see, self.account, self.all_rows)
-
-    def see(self, names: tuple[str, ...]) -> frozenset[str] | None:
-        return allowed(self.rules, names)
-
-    def account(self, cluster: str) -> Forward | None:
-        return Forward(self.link, cluster) if cluster in self.clusters else None
-
-    async def all_rows(self) -> list[dict[str, Any]]:
-        """Every worker's rows: the service asks them all."""
-        number = next(self.numbers)
-        self.questions[number] = asyncio.get_running_loop().create_future()
-        self.link.send(Ask(number))
+    """Serves what the service publishes; ends with the service."""
+
+    def __init__(self, channel: WorkerChannel, setup: WorkerSetup) -> None:
+        self._channel = channel
+        self._setup = setup
+        self._rules = setup.clients
+        self._clusters: dict[str, PublishedCluster] = {}
+        self._encoder = create_encoder(setup)
+        self._queries: dict[int, asyncio.Future[list[dict[str, Any]]]] = {}
+        self._query_numbers = count(1)
+        self._server = create_server(
+            setup, self._allowed_clusters, self._load_report_sink, self._all_status_rows
+        )
+
+    def _allowed_clusters(self, names: tuple[str, ...]) -> frozenset[str] | None:
+        return allowed_clusters(self._rules, names)
+
+    def _load_report_sink(self, cluster: str) -> ForwardedLoadReports | None:
+        return ForwardedLoadReports(self._channel, cluster) if cluster in self._clusters else None
+
+    async def _all_status_rows(self) -> list[dict[str, Any]]:
+        """Every worker's rows, which the service collects."""
+        number = next(self._query_numbers)
+        self._queries[number] = asyncio.get_running_loop().create_future()
+        self._channel.send(StatusQuery(number))
         try:
-            async with asyncio.timeout(ANSWER):
-                return await self.questions[number]
+            async with asyncio.timeout(STATUS_TIMEOUT_S):
+                return await self._queries[number]
         finally:
-            del self.questions[number]
+            del self._queries[number]
 
     async def run(self) -> None:
-        """Until the service has gone or ends it."""
+        """Serves until the service ends, or ends the worker."""
         try:
-            port = await listen(self.control, self.told, shared=True)
-        except (OSError, ValueError) as e:
-            self.link.send(Listening(0, str(e)))
-            await self.link.writer.drain()
+            port = await listen(self._server, self._setup, shared=True)
+        except (OSError, ValueError) as error:
+            self._channel.send(Listening(0, str(error)))
+            await self._channel.flush()
             return
-        self.link.send(Listening(port))
-        counting = asyncio.create_task(self.counting())
-        await self.link.each(self.take)
-        counting.cancel()
-        await self.control.stop()
+        self._channel.send(Listening(port))
+        count_task = asyncio.create_task(self._report_count())
+        await self._channel.receive_all(self._receive)
+        count_task.cancel()
+        await self._server.stop()
 
-    def take(self, message: Message) -> None:
+    def _receive(self, message: Message) -> None:
         try:
-            if isinstance(message, Publish):
-                for name in message.gone:
-                    self.clusters.pop(name, None)
-                self.clusters.update(message.changed)
-                self.control.publish(Published(self.encoder, dict(self.clusters)), message.urgent)
-            elif isinstance(message, Clients):
-                self.rules = message.rules
-                self.control.refresh()
-            elif isinstance(message, Ask):
-                self.link.send(Rows(message.number, status.status_table(self.control)))
-            elif isinstance(message, Rows) and message.number in self.questions:
-                self.questions[message.number].set_result(message.rows)
+            self._handle(message)
         except Exception:
             log_exception("worker")
 
-    async def counting(self) -> None:
-        last: Streams | None = None
+    def _handle(self, message: Message) -> None:
+        if isinstance(message, PublishMessage):
+            self._publish(message)
+        elif isinstance(message, AccessMessage):
+            self._rules = message.rules
+            self._server.refresh_access()
+        elif isinstance(message, StatusQuery):
+            self._channel.send(StatusAnswer(message.number, status_table(self._server)))
+        elif isinstance(message, StatusAnswer) and message.number in self._queries:
+            self._queries[message.number].set_result(message.rows)
+
+    def _publish(self, message: PublishMessage) -> None:
+        for name in message.removed:
+            self._clusters.pop(name, None)
+        self._clusters.update(message.changed)
+        self._server.publish(PublishedSnapshots(self._encoder, dict(self._clusters)), message.urgent)
+
+    async def _report_count(self) -> None:
+        last: StreamCount | None = None
         while True:
-            now = Streams(self.control.count(), self.control.bytes_sent)
+            now = StreamCount(self._server.count(), self._server.bytes_sent)
             if now != last:
-                self.link.send(now)
+                self._channel.send(now)
             last = now
-            await asyncio.sleep(COUNT_EVERY)
+            await asyncio.sleep(COUNT_INTERVAL_S)
 
 
 async def serve(sock: socket.socket) -> None:
+    """Runs a worker on its end of the channel."""
     for number in (signal.SIGINT, signal.SIGHUP, signal.SIGTERM):
-        # The terminal sends these to all processes; the service decides, and ends its workers by the link.
+        # The terminal sends these to all processes; the service decides, and ends its workers by the channel.
         asyncio.get_running_loop().add_signal_handler(number, lambda: None)
-    link = Link(*await asyncio.open_connection(sock=sock))
-    told = await link.receive()
-    assert isinstance(told, Setup)
-    await Worker(link, told).run()
+    channel = WorkerChannel(*await asyncio.open_connection(sock=sock))
+    setup = await channel.receive()
+    assert isinstance(setup, WorkerSetup)
+    await Worker(channel, setup).run()
 
 
 def main() -> None:
+    """Runs a worker; its argument is the descriptor of the channel."""
     import uvloop
 
     uvloop.run(serve(socket.socket(fileno=int(sys.argv[1]))))
-    os._exit(0)  # grpcio's own threads may hold an ordinary exit up
+    os._exit(0)  # grpcio's own threads may delay an ordinary exit
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/harecross/xds/worker_pool.py
@@ -0,0 +1,255 @@
+"""Several processes for one service: each worker serves the streams that the kernel gives it (SO_REUSEPORT).
+
+One process of grpcio sends some four thousand responses a second. The service keeps discovery, health checks and
+decisions to itself, and sends its workers only what has changed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import sys
+from collections.abc import Callable, Collection, Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
+from harecross.platform.child_process import Child, cause
+from harecross.settings import address
+from harecross.xds.load_report_service import SinkOfCluster
+from harecross.xds.published import PublishedCluster
+from harecross.xds.resources import PublishedSnapshots
+from harecross.xds.worker_channel import (
+    AccessMessage,
+    Listening,
+    LoadReportMessage,
+    Message,
+    PublishMessage,
+    StatusAnswer,
+    StatusQuery,
+    StreamCount,
+    WorkerChannel,
+    WorkerSetup,
+    frame,
+)
+
+FIRST_BACKOFF_S = 0.2  # before a worker that has ended is started again...
+MAX_BACKOFF_S = 5.0  # ...doubling up to so many while it ends at once
+START_TIMEOUT_S = 20.0  # until a worker listens
+EXIT_TIMEOUT_S = 2.0  # from the end of a worker's channel to its own
+STOP_TIMEOUT_S = 5.0  # of each worker, when the service stops
+
+
+class WorkerHandle:
+    """One worker, as the service has it."""
+
+    def __init__(self) -> None:
+        self.channel: WorkerChannel | None = None
+        self.process: Child | None = None
+        self.count = StreamCount(0, 0)
+
+    def close_channel(self) -> None:
+        """Closes the channel, which ends the worker."""
+        if self.channel is not None:
+            self.channel.close()
+
+
+@dataclass(slots=True)
+class PendingQuery:
+    """A worker's query for the status, while other workers answer it."""
+
+    asker: WorkerHandle
+    number: int  # the asker's own
+    missing: set[int]  # workers that have not answered
+    rows: list[dict[str, Any]] = field(default_factory=list)
+
+
+class WorkerPool:
+    """Stands where a control server would: `publish`, `count`, `stop`."""
+
+    def __init__(
+        self,
+        size: int,
+        setup: WorkerSetup,
+        load_report_sink: SinkOfCluster,
+        log: Callable[[str], None],
+    ) -> None:
+        self.port = 0
+        self.workers = [WorkerHandle() for _ in range(size)]
+        self._setup = setup
+        self._load_report_sink = load_report_sink
+        self._log = log
+        self._published: Mapping[str, PublishedCluster] | None = None  # None before the first `publish`
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._queries: dict[int, PendingQuery] = {}
+        self._last_query = 0
+        self._stopping = False
+
+    def count(self) -> int:
+        """Streams of all workers, as of a quarter of a second ago at most."""
+        return sum(worker.count.streams for worker in self.workers)
+
+    # ---- workers ------------------------------------------------------------------------------------------
+
+    async def start(self) -> int:
+        """Starts all workers; returns the port. OSError if they cannot listen."""
+        host, port = address(self._setup.listen)
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        with socket.socket(family) as probe:
+            # Without SO_REUSEPORT this fails for another program's port, which workers would share unnoticed.
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            probe.bind((host.strip("[]"), port))
+            self.port = probe.getsockname()[1]
+        self._setup = msgspec.structs.replace(self._setup, listen=f"{host}:{self.port}")
+        try:
+            await asyncio.gather(*(self._start_worker(worker) for worker in self.workers))
+        except BaseException:
+            await self.stop()
+            raise
+        for worker in self.workers:
+            self._tasks.add(asyncio.create_task(self._supervise(worker)))
+        return self.port
+
+    async def _start_worker(self, worker: WorkerHandle) -> None:
+        """Starts a worker and sends it all that is published. OSError if it does not listen."""
+        ours, theirs = socket.socketpair()
+        with theirs:
+            number = theirs.fileno()
+            command = [sys.executable, "-m", "harecross.xds.worker", str(number)]
+            worker.process = Child(command, pass_fds=(number,))
+        channel = worker.channel = WorkerChannel(*await asyncio.open_connection(sock=ours))
+        channel.send(self._setup)
+        try:
+            async with asyncio.timeout(START_TIMEOUT_S):
+                answer = await channel.receive()
+        except (EOFError, TimeoutError):
+            end = await self._wait_for_exit(worker)
+            raise OSError(f"{self._setup.listen}: a worker did not start: it {end}") from None
+        if not isinstance(answer, Listening):
+            raise OSError("a worker answered out of turn")
+        if answer.error:
+            raise OSError(answer.error)
+        if self._published is not None:
+            channel.send(PublishMessage(dict(self._published), (), ()))
+
+    async def _supervise(self, worker: WorkerHandle) -> None:
+        """Reads from a worker; one that ends is started again, and its proxies reconnect to any of them."""
+        backoff_s = FIRST_BACKOFF_S
+        loop = asyncio.get_running_loop()
+        while True:
+            started_at = loop.time()
+            if worker.channel is not None:
+                await worker.channel.receive_all(lambda message: self._receive(worker, message))
+            self._lost(worker)
+            if self._stopping:
+                return
+            lasted = loop.time() - started_at > MAX_BACKOFF_S
+            backoff_s = FIRST_BACKOFF_S if lasted else min(2 * backoff_s, MAX_BACKOFF_S)
+            end = await self._wait_for_exit(worker)
+            self._log(f"xds: a worker {end}; another one in {backoff_s:g} s")
+            await asyncio.sleep(backoff_s)
+            try:
+                await self._start_worker(worker)
+            except OSError as error:
+                # One that listens after all must not stay: it has nothing to publish, and would keep its proxies.
+                self._log(f"xds: worker: {error}")
+                self._lost(worker)
+
+    async def _wait_for_exit(self, worker: WorkerHandle) -> str:
+        """How the worker ended, in words; one that lives on without its channel is killed."""
+        if worker.process is None:
+            return "did not start"
+        try:
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
+                return cause(await worker.process.wait())
+        except TimeoutError:
+            worker.process.kill()
+            await worker.process.wait()
+            return "had lost its link and was killed"
+
+    def _lost(self, worker: WorkerHandle) -> None:
+        """A worker's channel has ended."""
+        worker.close_channel()
+        worker.channel = None
+        worker.count = StreamCount(0, 0)
+        for number, query in list(self._queries.items()):
+            query.missing.discard(self.workers.index(worker))
+            self._answer_if_complete(number)
+
+    async def stop(self) -> None:
+        """Closes the channels: workers end their streams and themselves."""
+        self._stopping = True
+        for worker in self.workers:
+            worker.close_channel()
+        for worker in self.workers:
+            if worker.process is not None:
+                await self._wait_or_kill(worker.process)
+        for task in self._tasks:
+            task.cancel()
+
+    @staticmethod
+    async def _wait_or_kill(process: Child) -> None:
+        try:
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                await process.wait()
+        except TimeoutError:
+            process.kill()
+            await process.wait()
+
+    # ---- to workers ---------------------------------------------------------------------------------------
+
+    def publish(self, source: PublishedSnapshots, urgent: Collection[str] = ()) -> None:
+        """Sends every worker what differs from the last time; encoded once."""
+        before, now = self._published or {}, source.clusters
+        changed = {name: cluster for name, cluster in now.items() if before.get(name) is not cluster}
+        removed = tuple(name for name in before if name not in now)
+        self._published = dict(now)
+        self._send_to_all(PublishMessage(changed, removed, tuple(urgent)))
+
+    def set_access(self, rules: dict[str, tuple[str, ...]]) -> None:
+        """Takes other rules on which clusters clients may see."""
+        self._setup = msgspec.structs.replace(self._setup, clients=rules)
+        self._send_to_all(AccessMessage(rules))
+
+    def _send_to_all(self, message: Message) -> None:
+        framed = frame(message)
+        for worker in self.workers:
+            if worker.channel is not None:
+                worker.channel.send_frame(framed)
+
+    # ---- from workers -------------------------------------------------------------------------------------
+
+    def _receive(self, worker: WorkerHandle, message: Message) -> None:
+        if isinstance(message, StreamCount):
+            worker.count = message
+        elif isinstance(message, LoadReportMessage):
+            self._add_load_report(message)
+        elif isinstance(message, StatusQuery):
+            self._query_all(worker, message.number)
+        elif isinstance(message, StatusAnswer) and message.number in self._queries:
+            query = self._queries[message.number]
+            query.missing.discard(self.workers.index(worker))
+            query.rows.extend(message.rows)
+            self._answer_if_complete(message.number)
+
+    def _add_load_report(self, report: LoadReportMessage) -> None:
+        sink = self._load_report_sink(report.cluster)
+        if sink is not None:
+            sink.add(
+                report.reporter, report.server, report.good, report.bad, report.in_progress, report.seconds
+            )
+
+    def _query_all(self, asker: WorkerHandle, number: int) -> None:
+        self._last_query += 1
+        connected = {i for i, worker in enumerate(self.workers) if worker.channel is not None}
+        self._queries[self._last_query] = PendingQuery(asker, number, connected)
+        self._send_to_all(StatusQuery(self._last_query))
+
+    def _answer_if_complete(self, number: int) -> None:
+        """Sends a worker the rows that it asked for, once all are there."""
+        query = self._queries[number]
+        if not query.missing:
+            del self._queries[number]
+            if query.asker.channel is not None:
+                query.asker.channel.send(StatusAnswer(query.number, query.rows))
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -54,7 +54,7 @@
 from harecross.store.store import Store
 from harecross.upstream.exchange import ServerProcess
 from harecross.xds.config import ClusterTable, ControlFile, ControlTable
-from harecross.xds.service import Service
+from harecross.xds.service import ControlService
 
 ROOT = Path(__file__).parent.parent
 WALL = 1_700_000_000.0  # Unix seconds: the time of the first thing in each file
@@ -274,14 +274,14 @@
 }
 
 
-def control_service(path: Path) -> Service:
+def control_service(path: Path) -> ControlService:
     """A control service that remembers its lists in the file. Its one discovery is not there."""
     table = ControlTable(remember=str(path))
-    return Service(path, ControlFile({"orders": ClusterTable(discovery="127.0.0.1:1")}, table))
+    return ControlService(path, ControlFile({"orders": ClusterTable(discovery="127.0.0.1:1")}, table))
 
 
-async def stop_control(service: Service) -> None:
-    for feed in service.press.feeds.values():
+async def stop_control(service: ControlService) -> None:
+    for feed in service.publisher_loop.feeds.values():
         feed.close()
     await asyncio.sleep(0)
 
@@ -289,9 +289,10 @@
 def write_control_lists(path: Path) -> None:
     async def body() -> None:
         service = control_service(path)
-        service.begin("orders")
-        service.press.feeds["orders"].heard(CONTROL_LIST, True, False)
-        service.remember(True)
+        service.start_cluster("orders")
+        feeds = service.publisher_loop.feeds
+        feeds["orders"].endpoints_updated(CONTROL_LIST, True, False)
+        service.remembered_lists.save(feeds)
         await stop_control(service)
 
     asyncio.run(body())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -192,7 +192,8 @@
 def test_the_control_service_needs_its_own_extra_alone():
     """What the extra `xds` does not install, a fresh installation does not have."""
     text = (
-        "import sys, harecross.cli, harecross.console, harecross.xds.service, harecross.xds.ask, harecross.xds.worker; "
+        "import sys, harecross.cli, harecross.console; "
+        "import harecross.xds.service, harecross.xds.status_client, harecross.xds.worker; "
         "print([m for m in ('polars', 'numpy', 'zstandard', 'trustme', 'pytest') if m in sys.modules])"
     )
     pytest.importorskip("grpc")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -28,7 +28,7 @@
 from harecross.standins.servers import StandinServer  # noqa: E402
 from harecross.standins.xds import ASSIGNMENT, CLUSTER, DRAINING, XdsProxy, pick  # noqa: E402
 from harecross.xds.config import read_control  # noqa: E402
-from harecross.xds.service import Service  # noqa: E402
+from harecross.xds.service import ControlService  # noqa: E402
 
 DRAIN_GRACE = 0.25
 UNHEALTHY = 2
@@ -64,7 +64,7 @@
         self.path = folder / "control.toml"
         self.servers: dict[str, StandinServer] = {}
         self.catalogs: dict[str, Catalog] = {}
-        self.service: Service | None = None
+        self.service: ControlService | None = None
         self.task: asyncio.Task[None] | None = None
         self.channel = None
 
@@ -75,16 +75,16 @@
             catalog.put(entry(s.name, s.address))
         return catalog
 
-    async def serve(self, **parts: str) -> Service:
+    async def serve(self, **parts: str) -> ControlService:
         self.path.write_text(text_of(self.catalogs, **parts))
-        self.service = Service(self.path, read_control(self.path))
+        self.service = ControlService(self.path, read_control(self.path))
         self.task = asyncio.create_task(self.service.run())
         ready = asyncio.create_task(self.service.ready.wait())
         await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
         ready.cancel()
         if self.task.done():
             self.task.result()
-        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.service.control.port}")
+        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.service.server.port}")
         return self.service
 
     async def leave(self) -> None:
@@ -191,7 +191,7 @@
             service = await p.serve(control=memory)
             proxy = XdsProxy(p.channel).start()
             await proxy.until(lambda x: len(health(x)) == 3)
-            roster = service.press.feeds["orders"].roster
+            roster = service.publisher_loop.feeds["orders"].roster
             assert roster.remembered and not roster.whole
             await proxy.stop()
 
@@ -219,7 +219,7 @@
             again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
             again.start()
             await again.until(lambda x: x.streams >= 1)
-            while not any(ASSIGNMENT in s.stream.types for s in p.service.control.proxies):
+            while not any(ASSIGNMENT in s.stream.types for s in p.service.server.proxies):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
             assert len(health(again)) == 3 and set(again.held[CLUSTER]) == {"orders"}
@@ -291,7 +291,7 @@
             p.path.write_text(good + "\n[nonsense]\n")
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.05)
-            assert set(service.press.feeds) == {"orders", "stock"}
+            assert set(service.publisher_loop.feeds) == {"orders", "stock"}
             p.path.write_text(text_of({"orders": p.catalogs["orders"]}, cluster="cross_zone_price = 0.5"))
             os.kill(os.getpid(), signal.SIGHUP)
             await proxy.until(lambda x: set(x.held[CLUSTER]) == {"orders"})
@@ -322,7 +322,7 @@
                 await asyncio.sleep(0.01)
                 said += capfd.readouterr().err
             assert "control, tls, limits, clients will count from the next start" in said
-            assert service.told.tls is None and not service.told.clients
+            assert service.config.tls is None and not service.config.clients
             late = XdsProxy(p.channel).start()
             await late.until(lambda x: len(health(x)) == 3)
             await proxy.stop()
@@ -340,16 +340,16 @@
             catalog = await p.cluster("orders")
             await p.cluster("stock", 2)
             service = await p.serve(control="workers = 2\nload_reports_s = 0.1")
-            fleet = service.control
-            target = f"127.0.0.1:{fleet.port}"
+            pool = service.server
+            target = f"127.0.0.1:{pool.port}"
             alone = [("grpc.use_local_subchannel_pool", 1)]
             channels = [grpc.aio.insecure_channel(target, options=alone) for _ in range(16)]
             proxies = [XdsProxy(c, node=f"p{i}", delta=i % 2 == 1).start() for i, c in enumerate(channels)]
             for x in proxies:
                 await x.until(lambda x: len(health(x)) == 3 and len(health(x, "stock")) == 2)
-            while fleet.count() < 16:
+            while pool.count() < 16:
                 await asyncio.sleep(0.02)
-            assert all(m.streams.count for m in fleet.members), "one worker has them all"
+            assert all(worker.count.streams for worker in pool.workers), "one worker has them all"
             # The status of one is the status of all, whichever worker is asked.
             code, out = await command("control", "status", "--address", target, "--json", "-")
             assert code == 0 and {r["node"] for r in json.loads(out)["proxies"]} == {
@@ -366,12 +366,12 @@
                 x.on_response = lambda x, t, names: seen.append(
                     len(health(x)) if "orders" in x.held[CLUSTER] else -1
                 )
-            dead = fleet.members[0].process
+            dead = pool.workers[0].process
             dead.kill()
             catalog.put(entry("orders1", p.servers["orders1"].address, "terminating"))
             for x in proxies:
                 await x.until(lambda x: health(x)["orders1"] == DRAINING)
-            while fleet.members[0].process is dead or fleet.count() < 16:
+            while pool.workers[0].process is dead or pool.count() < 16:
                 await asyncio.sleep(0.02)
             assert set(seen) == {3}
             # Another rule on clusters reaches the workers too.
@@ -412,7 +412,7 @@
             await p.cluster("orders")
             first = await p.serve(control="workers = 2")
             path = tmp_path / "second.toml"
-            path.write_text(p.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.control.port}"))
+            path.write_text(p.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
             code, out = await command("control", "--config", path)
             assert code == 2 and "control.listen" in out and "in use" in out
 
@@ -514,7 +514,7 @@
                     await call.write(request)
                     await asyncio.sleep(0.1)
 
-            target = f"127.0.0.1:{p.service.control.port}"
+            target = f"127.0.0.1:{p.service.server.port}"
             channels = [
                 grpc.aio.insecure_channel(target, options=[("grpc.use_local_subchannel_pool", 1)])
                 for _ in range(3)
@@ -540,20 +540,20 @@
                 catalog.put(entry(name, address))
             service = await p.serve(control="load_reports_s = 0.1", probe="tcp")
             reported: Counter[str] = Counter()
-            feed = service.press.feeds["svc"]
-            take = feed.loads.take
+            feed = service.publisher_loop.feeds["svc"]
+            take = feed.load_reports.take
 
             def taken():
                 seen = take()
                 reported.update({s.server: s.good for s in seen})
                 return seen
 
-            feed.loads = SimpleNamespace(add=feed.loads.add, take=taken)
-            caller = await Caller.start(f"127.0.0.1:{service.control.port}", tmp_path)
+            feed.load_reports = SimpleNamespace(add=feed.load_reports.add, take=taken)
+            caller = await Caller.start(f"127.0.0.1:{service.server.port}", tmp_path)
             try:
                 assert set(await caller.calls(200)) == {"b0", "b1", "b2"}
                 catalog.put(entry("b1", made["b1"][1], "terminating"))
-                while service.control.source.clusters["svc"].endpoints[1].health != DRAINING:
+                while service.server.source.clusters["svc"].endpoints[1].health != DRAINING:
                     await asyncio.sleep(0.005)
                 await asyncio.sleep(DRAIN_GRACE)
                 assert set(await caller.calls(200)) == {"b0", "b2"}
@@ -595,7 +595,7 @@
                     pair = (cert.private_key_pem.bytes(), cert.cert_chain_pems[0].bytes())
                 made = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
                 options = [("grpc.use_local_subchannel_pool", 1)]
-                return grpc.aio.secure_channel(f"127.0.0.1:{p.service.control.port}", made, options=options)
+                return grpc.aio.secure_channel(f"127.0.0.1:{p.service.server.port}", made, options=options)
 
             put(ours)
             named = (("certificate", "server.pem"), ("key", "server.key"), ("client_ca", "ca.pem"))
@@ -639,7 +639,7 @@
                 cert.private_key_pem.write_to_path(tmp_path / "me.key")
                 cert.cert_chain_pems[0].write_to_path(tmp_path / "me.pem")
                 code, out = await command(
-                    "control", "status", "--address", f"127.0.0.1:{p.service.control.port}",
+                    "control", "status", "--address", f"127.0.0.1:{p.service.server.port}",
                     "--ca", tmp_path / "ca.pem", "--cert", tmp_path / "me.pem", "--key", tmp_path / "me.key",
                 )  # fmt: skip
                 assert word in out and code == (0 if word == "streams" else 1)
@@ -672,7 +672,7 @@
             bad.start()
             await good.until(lambda x: len(health(x)) == 3)
             await bad.until(lambda x: any(t == ASSIGNMENT for t, _, _ in x.responses))
-            address = f"127.0.0.1:{p.service.control.port}"
+            address = f"127.0.0.1:{p.service.server.port}"
             while True:
                 code, out = await command("control", "status", "--address", address, "--json", "-")
                 rows = {r["node"]: r for r in json.loads(out)["proxies"]}
@@ -748,17 +748,17 @@
 
 
 def test_a_node_hands_on_its_own_view(tmp_path):
-    from harecross.xds.inside import Inside
+    from harecross.xds.embedded import EmbeddedControlService
 
     async def body() -> None:
         catalog = await Catalog().start()
         servers = [await StandinServer(f"s{i}", Shape()).start() for i in range(3)]
         for s in servers:
             catalog.put(entry(s.name, s.address))
-        beside = Inside("127.0.0.1:0", "mine", interval_s=0.1)
+        beside = EmbeddedControlService("127.0.0.1:0", "mine", interval_s=0.1)
         async with node_at(catalog.address, beside=beside) as node:
             assert node.beside is beside
-            async with grpc.aio.insecure_channel(f"127.0.0.1:{beside.control.port}") as channel:
+            async with grpc.aio.insecure_channel(f"127.0.0.1:{beside.server.port}") as channel:
                 proxy = XdsProxy(channel).start()
                 await proxy.until(lambda x: len(health(x, "mine")) == 3)
                 catalog.put(entry("s1", servers[1].address, "terminating"))
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -418,7 +418,7 @@
     grpc = pytest.importorskip("grpc")
     from harecross.standins.xds import DRAINING, XdsProxy
     from harecross.xds.config import read_control
-    from harecross.xds.service import Service
+    from harecross.xds.service import ControlService
 
     async def test() -> None:
         async with site(4) as s:
@@ -435,10 +435,10 @@
                 path.write_text(f'{start}srv = {json.dumps(names)}\nresolvers = ["{s.dns.address}"]\n{probe}')
 
             write(NAME)
-            service = Service(path, read_control(path))
+            service = ControlService(path, read_control(path))
             task = asyncio.create_task(service.run())
             await service.ready.wait()
-            channel = grpc.aio.insecure_channel(f"127.0.0.1:{service.control.port}")
+            channel = grpc.aio.insecure_channel(f"127.0.0.1:{service.server.port}")
             proxy = XdsProxy(channel).start()
 
             def has(*which: int):
@@ -462,7 +462,7 @@
             path.write_text(f'{start}srv = "a..b"\nresolvers = ["{s.dns.address}"]\n')
             service.reload()
             await asyncio.sleep(0)
-            assert set(service.press.feeds) == {"readings"}
+            assert set(service.publisher_loop.feeds) == {"readings"}
             await proxy.stop()
             await channel.close()
             service.stop.set()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -440,8 +440,8 @@
 
     async def body() -> None:
         service = states.control_service(path)
-        service.begin("orders", service.remembered()["orders"])
-        feed = service.press.feeds["orders"]
+        service.start_cluster("orders", service.remembered_lists.load()["orders"])
+        feed = service.publisher_loop.feeds["orders"]
         assert feed.roster.remembered and not feed.roster.whole and feed.roster.known()
         assert feed.roster.lines == {
             "s1": {
@@ -456,7 +456,7 @@
         number = feed.registry.numbers["s1"]
         assert list(feed.registry.listed) == [number] and list(feed.registry.draining) == ["s2"]
         # What it remembers of them has the same bytes again.
-        service.remember(True)
+        service.remembered_lists.save(service.publisher_loop.feeds)
         await states.stop_control(service)
 
     asyncio.run(body())
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -14,11 +14,12 @@
     Idempotency,
     Settings,
 )
-from harecross.xds.access import allowed, loopback
-from harecross.xds.loads import Loads
-from harecross.xds.probes import Schedule
-from harecross.xds.publish import Health, PublishedEndpoint, Publisher, ServerView, Told, calls_out, priority
-from harecross.xds.release import Release
+from harecross.xds.access import allowed_clusters, is_loopback
+from harecross.xds.health_checks import HealthCheckSchedule
+from harecross.xds.load_reports import LoadReports
+from harecross.xds.published import Health, PublishedCluster, PublishedEndpoint, ServerView
+from harecross.xds.publisher import ClusterPublisher, priority, request_limit
+from harecross.xds.release import ReleaseSchedule
 
 SECOND = 1_000_000
 
@@ -110,8 +111,8 @@
 # ---- releases -----------------------------------------------------------------------------------------
 
 
-def told(*weights: int, drained: int | None = None, limit: int = 0) -> Told:
-    return Told(
+def told(*weights: int, drained: int | None = None, limit: int = 0) -> PublishedCluster:
+    return PublishedCluster(
         tuple(
             PublishedEndpoint(f"s{i}", f"h:{i}", "", Health.DRAINING if i == drained else Health.HEALTHY, w)
             for i, w in enumerate(weights)
@@ -121,65 +122,65 @@
 
 
 def test_weights_wait_for_their_interval_and_a_drain_goes_alone_at_once():
-    r = Release(SECOND)
+    r = ReleaseSchedule(SECOND)
     for name in "abc":
         r.offer(name, told(100, 100))
-    clusters, urgent = r.due(5 * SECOND)
-    assert set(clusters) == urgent == set("abc") and r.due(5 * SECOND) is None
+    clusters, urgent = r.take_due(5 * SECOND)
+    assert set(clusters) == urgent == set("abc") and r.take_due(5 * SECOND) is None
     for weight in range(50, 60):
         r.offer("a", told(weight, 100))
         r.offer("b", told(100, weight))
-        assert r.due(5 * SECOND + weight) is None
+        assert r.take_due(5 * SECOND + weight) is None
     r.offer("b", told(100, 60, drained=0))
-    clusters, urgent = r.due(5 * SECOND + 100)
+    clusters, urgent = r.take_due(5 * SECOND + 100)
     assert (
         urgent == {"b"}
         and clusters["b"].endpoints[1].weight == 60
         and clusters["a"].endpoints[0].weight == 100
     )
-    assert r.due(5 * SECOND + 200) is None
-    clusters, urgent = r.due(6 * SECOND)
+    assert r.take_due(5 * SECOND + 200) is None
+    clusters, urgent = r.take_due(6 * SECOND)
     assert not urgent and clusters["a"].endpoints[0].weight == 59
 
 
 def test_what_is_taken_back_before_it_goes_out_does_not_go_out():
-    r = Release(SECOND)
+    r = ReleaseSchedule(SECOND)
     r.offer("a", told(100, 100))
-    r.due(SECOND)
+    r.take_due(SECOND)
     r.offer("a", told(50, 100))
     r.offer("a", told(100, 100))
-    assert r.due(9 * SECOND) is None
+    assert r.take_due(9 * SECOND) is None
 
 
 def test_a_cluster_that_goes_is_left_out_and_one_not_known_is_there_with_nothing():
-    r = Release(SECOND)
+    r = ReleaseSchedule(SECOND)
     r.offer("a", told(100))
-    r.offer("b", Told(None))
-    clusters, _ = r.due(SECOND)
+    r.offer("b", PublishedCluster(None))
+    clusters, _ = r.take_due(SECOND)
     assert clusters["b"].endpoints is None
     r.withdraw("a")
     r.offer("b", told(100))
-    clusters, urgent = r.due(3 * SECOND)
+    clusters, urgent = r.take_due(3 * SECOND)
     assert set(clusters) == urgent == {"b"}
 
 
 def test_a_flapping_server_reaches_proxies_seldom():
     """Its cost doubles and halves ten times a second: ten seconds, at most a release a second."""
-    publisher, release, count, now = Publisher(), Release(SECOND), 0, 0
+    publisher, release, count, now = ClusterPublisher(), ReleaseSchedule(SECOND), 0, 0
     rng = Random(1)
     for i in range(100):
         now = i * 100_000
         views = [ServerView(f"s{k}", f"h:{k}", cost=rng.uniform(0.95, 1.05)) for k in range(9)]
         views.append(ServerView("s9", "h:9", cost=2.0 if i % 2 else 1.0))
-        release.offer("a", publisher.tell(now, views, 100 + i % 7))
-        count += release.due(now) is not None
+        release.offer("a", publisher.update(now, views, 100 + i % 7))
+        count += release.take_due(now) is not None
     assert 2 <= count <= 11
     # Noise alone, within the hysteresis, reaches nobody.
-    publisher, release, count = Publisher(), Release(SECOND), 0
+    publisher, release, count = ClusterPublisher(), ReleaseSchedule(SECOND), 0
     for i in range(100):
         views = [ServerView(f"s{k}", f"h:{k}", cost=rng.uniform(0.95, 1.05)) for k in range(9)]
-        release.offer("a", publisher.tell(i * 100_000, views, 100 + i % 7))
-        count += release.due(i * 100_000) is not None
+        release.offer("a", publisher.update(i * 100_000, views, 100 + i % 7))
+        count += release.take_due(i * 100_000) is not None
     assert count == 1
 
 
@@ -188,11 +189,15 @@
 
 def test_the_bound_on_calls_is_each_proxy_s_part_of_what_servers_bear():
     views = [ServerView(f"s{i}", "h:1") for i in range(10)]
-    assert calls_out(views, 0, 5) == 0 and calls_out(views, 10, 1) == 100 and calls_out(views, 10, 10) == 20
+    assert (
+        request_limit(views, 0, 5) == 0
+        and request_limit(views, 10, 1) == 100
+        and request_limit(views, 10, 10) == 20
+    )
     less = [*views[:5], *(ServerView(v.name, v.address, ejected=True) for v in views[5:])]
-    assert calls_out(less, 10, 10) == 10 and calls_out([], 10, 1000) == 3
+    assert request_limit(less, 10, 10) == 10 and request_limit([], 10, 1000) == 3
     cold = [ServerView("s", "h:1", warmth=0.25)]
-    assert calls_out(cold, 40, 2) == 10
+    assert request_limit(cold, 40, 2) == 10
 
 
 def test_a_zone_goes_first_only_for_proxies_that_stand_in_it():
@@ -238,7 +243,7 @@
 
 
 def test_one_proxy_s_broken_way_ejects_nothing_and_the_word_of_most_does():
-    loads = Loads()
+    loads = LoadReports()
     for proxy in range(5):
         loads.add(f"p{proxy}", "s1", *((0, 1000) if proxy == 0 else (100, 0)), 0, 1.0)
         loads.add(f"p{proxy}", "s2", *((0, 100) if proxy < 3 else (100, 0)), 0, 1.0)
@@ -248,14 +253,14 @@
 
 
 def test_reports_that_cannot_be_are_bounded():
-    loads = Loads()
+    loads = LoadReports()
     loads.add("p", "s", 1 << 60, -5, 1 << 60, 1e30)
     (seen,) = loads.take()
     assert seen.good == 10_000 and seen.bad == 0 and seen.latency_ms <= 3.6e6
 
 
 def test_latency_is_calls_in_progress_over_their_rate():
-    loads = Loads()
+    loads = LoadReports()
     loads.add("p", "s", 100, 0, 5, 2.0)  # 50 a second, 5 out: 100 ms each
     assert abs(loads.take()[0].latency_ms - 100) < 1
 
@@ -264,15 +269,15 @@
 
 
 def test_probes_are_spread_and_none_is_out_twice():
-    s = Schedule(SECOND, Random(1))
+    s = HealthCheckSchedule(SECOND, Random(1))
     servers = range(100)
-    assert s.due(0, servers) == []
-    counts = [len(s.due(t, servers)) for t in range(0, SECOND + 1, SECOND // 10)]
+    assert s.take_due(0, servers) == []
+    counts = [len(s.take_due(t, servers)) for t in range(0, SECOND + 1, SECOND // 10)]
     assert sum(counts) == 100 and max(counts) < 30
-    assert s.due(3 * SECOND, servers) == []  # all are still out
+    assert s.take_due(3 * SECOND, servers) == []  # all are still out
     s.ended(7)
-    assert s.due(3 * SECOND, servers) == [7]
-    assert s.due(9 * SECOND, []) == [] and not s.due_at
+    assert s.take_due(3 * SECOND, servers) == [7]
+    assert s.take_due(9 * SECOND, []) == [] and not s.due_at
 
 
 # ---- access -------------------------------------------------------------------------------------------
@@ -280,14 +285,14 @@
 
 def test_what_a_certificate_s_name_may_see():
     rules = {"*.partner.example": ["orders"], "edge.example": ["*"], "a.partner.example": ["stock"]}
-    assert allowed({}, ()) is None
-    assert allowed(rules, ()) == frozenset() == allowed(rules, ("partner.example",))
-    assert allowed(rules, ("a.partner.example",)) == {"orders", "stock"}
-    assert allowed(rules, ("nobody", "edge.example")) is None
+    assert allowed_clusters({}, ()) is None
+    assert allowed_clusters(rules, ()) == frozenset() == allowed_clusters(rules, ("partner.example",))
+    assert allowed_clusters(rules, ("a.partner.example",)) == {"orders", "stock"}
+    assert allowed_clusters(rules, ("nobody", "edge.example")) is None
 
 
 def test_what_counts_as_loopback():
-    assert all(loopback(h) for h in ("127.0.0.1", "127.9.9.9", "localhost", "::1", "[::1]"))
+    assert all(is_loopback(h) for h in ("127.0.0.1", "127.9.9.9", "localhost", "::1", "[::1]"))
     assert not any(
-        loopback(h) for h in ("0.0.0.0", "10.0.0.1", "[::]", "example.org", "127.0.0.1.example.org", "")
+        is_loopback(h) for h in ("0.0.0.0", "10.0.0.1", "[::]", "example.org", "127.0.0.1.example.org", "")
     )
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -14,11 +14,13 @@
 from xds_support import Caller, backend, snapshot  # noqa: E402
 
 from harecross.standins.xds import ASSIGNMENT, DRAINING, XdsProxy  # noqa: E402
-from harecross.xds import server as front  # noqa: E402
+from harecross.xds import server, stream_service  # noqa: E402
 from harecross.xds.cache import CDS, EDS, Snapshot  # noqa: E402
-from harecross.xds.publish import Health, PublishedEndpoint, Told  # noqa: E402
-from harecross.xds.resources import Encoder, Published  # noqa: E402
-from harecross.xds.server import Control, Limits  # noqa: E402
+from harecross.xds.client_identity import ignore  # noqa: E402
+from harecross.xds.config import Limits  # noqa: E402
+from harecross.xds.published import Health, PublishedCluster, PublishedEndpoint  # noqa: E402
+from harecross.xds.resources import PublishedSnapshots, ResourceEncoder  # noqa: E402
+from harecross.xds.server import ControlServer  # noqa: E402
 from harecross.xds.status import status_table  # noqa: E402
 
 DRAIN_GRACE = 0.25  # seconds: the users' rule
@@ -49,8 +51,8 @@
     assert of(HERE).get(EDS)["svc"].version != of(HERE, drained=(1,)).get(EDS)["svc"].version
 
 
-async def started(first=None) -> tuple[Control, str]:
-    control = Control()
+async def started(first=None, log=ignore) -> tuple[ControlServer, str]:
+    control = ControlServer(log=log)
     port = await control.start("127.0.0.1:0")
     if first is not None:
         control.publish(first)
@@ -167,7 +169,7 @@
 
 @VARIANTS
 def test_proxies_that_do_not_read_keep_no_other_waiting(delta, monkeypatch):
-    monkeypatch.setattr(front, "UNREAD_MOST", 600.0)
+    monkeypatch.setattr(stream_service, "UNREAD_TIMEOUT_S", 600.0)
 
     async def body() -> None:
         control, address = await started(of(MANY))
@@ -179,14 +181,14 @@
             for p in lazy:
                 p.reading.clear()
                 p.start()
-            while sum(p.stuck for p in control.proxies) < len(lazy):
+            while sum(p.blocked for p in control.proxies) < len(lazy):
                 await asyncio.sleep(0.02)
             # Another publication gives them no other turn.
             control.publish(of(MANY, weights={0: 50}))
             # They would hold all turns for ten minutes; another one is served all the same.
             good = XdsProxy(fine, ["svc"], delta, "good").start()
             await good.until(lambda p: len(p.endpoints("svc")) == 3000)
-            assert control.let_go == 0
+            assert control.slow_proxies_dropped == 0
             await gathered(good, *lazy)
         await control.stop()
 
@@ -195,12 +197,11 @@
 
 @VARIANTS
 def test_a_proxy_that_does_not_read_is_let_go(delta, monkeypatch):
-    monkeypatch.setattr(front, "UNREAD_MOST", 0.3)
+    monkeypatch.setattr(stream_service, "UNREAD_TIMEOUT_S", 0.3)
 
     async def body() -> None:
-        control, address = await started(of(MANY))
         said: list[str] = []
-        control.log = said.append
+        control, address = await started(of(MANY), said.append)
         narrow = grpc.aio.insecure_channel(address, options=NARROW)
         async with narrow as stuck, grpc.aio.insecure_channel(address) as fine:
             lazy = XdsProxy(stuck, ["svc"], delta, "lazy")
@@ -214,7 +215,7 @@
                 control.publish(of(MANY, weights={0: weight}))
                 await good.until(lambda p, w=weight: len(e := p.endpoints("svc")) > 0 and e[0].weight == w)
             await good.until(lambda p, w=weight: p.endpoints("svc")[0].weight == w)
-            assert {p.node for p in control.proxies} == {"good"} and control.let_go >= 1
+            assert {p.node for p in control.proxies} == {"good"} and control.slow_proxies_dropped >= 1
             await gathered(good, lazy)
         await control.stop()
 
@@ -222,7 +223,7 @@
 
 
 def test_a_proxy_that_acknowledges_nothing_is_let_go(monkeypatch):
-    monkeypatch.setattr(front, "UNACKED_MOST", 5)
+    monkeypatch.setattr(stream_service, "MAX_UNACKNOWLEDGED", 5)
 
     async def body() -> None:
         control, address = await started(of(HERE))
@@ -231,7 +232,7 @@
             p.acks = False
             p.start()
             weight = 0
-            while not control.let_go:
+            while not control.slow_proxies_dropped:
                 weight += 1
                 control.publish(of(HERE, weights={0: weight}))
                 await asyncio.sleep(0.005)
@@ -282,7 +283,7 @@
             p = XdsProxy(channel, delta=delta).start()
             await p.until(lambda p: len(p.held[EDS]) == 2)
             await first.stop()
-            second = Control()
+            second = ControlServer()
             await second.start(f"127.0.0.1:{port}")
             second.publish(snapshot(two))
             await p.until(lambda p: p.streams >= 2 and p.error is None)
@@ -351,7 +352,7 @@
 
 def test_the_bounds_on_streams_and_subscriptions_hold():
     async def body() -> None:
-        control = Control(Limits(streams=2, subscriptions=3, message_bytes=1024))
+        control = ControlServer(Limits(streams=2, subscriptions=3, message_bytes=1024))
         address = f"127.0.0.1:{await control.start('127.0.0.1:0')}"
         control.publish(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
@@ -381,8 +382,8 @@
 
 def test_a_peer_that_has_gone_without_a_word_is_found_by_its_pings(monkeypatch):
     """A machine cut off: the connection stays open and nothing comes through it."""
-    monkeypatch.setattr(front, "KEEPALIVE_MS", 1000)
-    monkeypatch.setattr(front, "KEEPALIVE_TIMEOUT_MS", 500)
+    monkeypatch.setattr(server, "KEEPALIVE_MS", 1000)
+    monkeypatch.setattr(server, "KEEPALIVE_TIMEOUT_MS", 500)
 
     async def body() -> None:
         control, address = await started(of(HERE))
@@ -424,12 +425,14 @@
 
 def test_a_proxy_prefers_its_own_zone_where_crossing_has_a_price():
     async def body() -> None:
-        told = Told(
+        told = PublishedCluster(
             tuple(PublishedEndpoint(f"s{i}", a, f"z{i}", Health.HEALTHY, 100) for i, a in enumerate(HERE)),
             7,
             True,
         )
-        control, address = await started(Published(Encoder(adaptive=True), {"svc": told}))
+        control, address = await started(
+            PublishedSnapshots(ResourceEncoder(adaptive_concurrency=True), {"svc": told})
+        )
         async with grpc.aio.insecure_channel(address) as channel:
             for zone, near in (("z0", ["s0"]), ("z1", ["s1"]), ("elsewhere", ["s0", "s1"])):
                 p = XdsProxy(channel, zone=zone).start()
@@ -467,7 +470,7 @@
             port = address.rpartition(":")[2]
             await control.stop()
             assert set(await caller.calls(100)) == {"b0", "b2"}
-            again = Control()
+            again = ControlServer()
             await again.start(f"127.0.0.1:{port}")
             again.publish(of(addresses, drained=(1,)))
             assert set(await caller.calls(100)) == {"b0", "b2"}
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -7,15 +7,28 @@
 
 import pytest
 
-from harecross.xds.cache import CDS, EDS, LDS, ORDER, RDS, Resource, Snapshot, steps, version_of
-from harecross.xds.streams import BadRequest, DeltaStream, Response, SotwStream, Stream
+from harecross.xds.cache import (
+    CDS,
+    EDS,
+    LDS,
+    RDS,
+    TYPES_IN_ORDER,
+    Resource,
+    Snapshot,
+    update_steps,
+    version_of,
+)
+from harecross.xds.delta_stream import DeltaStream
+from harecross.xds.sotw_stream import SotwStream
+from harecross.xds.streams import Stream
+from harecross.xds.subscription import BadRequestError, Response
 
 
 def snapshot(**types: dict[str, str]) -> Snapshot:
     """Resources by type's short name, as name: content."""
     urls = {"cds": CDS, "eds": EDS, "lds": LDS, "rds": RDS}
     return Snapshot(
-        {urls[t]: {n: Resource.of(n, b.encode()) for n, b in rs.items()} for t, rs in types.items()}
+        {urls[t]: {n: Resource.from_body(n, b.encode()) for n, b in rs.items()} for t, rs in types.items()}
     )
 
 
@@ -147,9 +160,9 @@
 
 def test_requests_that_cannot_be_served_end_the_stream():
     for s in (SotwStream(A1), DeltaStream(A1)):
-        with pytest.raises(BadRequest, match="not served here"):
+        with pytest.raises(BadRequestError, match="not served here"):
             asked(s, "type.googleapis.com/none", "", [])
-        with pytest.raises(BadRequest, match="more than 10000"):
+        with pytest.raises(BadRequestError, match="more than 10000"):
             asked(s, EDS, "", [str(i) for i in range(10_001)])
 
 
@@ -173,7 +186,7 @@
     sent = [(r.type_url, sorted(x.name for x in r.resources)) for r in pushed(s, after)]
     assert sent[0] == (CDS, ["a", "b"]) and sent[-1][1] in (["b"], [])
     assert sent.index((RDS, ["r"])) < sent.index((CDS, ["b"]))
-    assert steps(before, before) == (before,)
+    assert update_steps(before, before) == (before,)
 
 
 # ---- any interleaving -------------------------------------------------------------------------------
@@ -298,10 +311,10 @@
         first = stream.next()
         assert first is not None and len(first.resources) == 14  # 64 KiB: the rest follows in parts
         drained = snapshot(eds={**many, "c099": "drained", "c098": "heavier"})
-        stream.push(drained, hurry={"c099"})
-        urgent = stream.next(urgent=True)
+        stream.push(drained, urgent={"c099"})
+        urgent = stream.next(urgent_only=True)
         assert urgent is not None and [r.name for r in urgent.resources] == ["c099"]
-        assert stream.next(urgent=True) is None
+        assert stream.next(urgent_only=True) is None
         rest = [r.name for response in taken(stream) for r in response.resources]
         assert sorted([r.name for r in first.resources] + rest + ["c099"]) == sorted(many)
 
@@ -352,4 +365,4 @@
 
 
 def test_the_order_of_types_is_make_before_break():
-    assert ORDER == (CDS, EDS, LDS, RDS)
+    assert TYPES_IN_ORDER == (CDS, EDS, LDS, RDS)
--- a/tests/xds_support.py
+++ b/tests/xds_support.py
@@ -13,13 +13,15 @@
 import grpc
 
 from harecross.xds.cache import Snapshot
-from harecross.xds.publish import Endpoint, Told
-from harecross.xds.resources import Encoder
+from harecross.xds.published import PublishedCluster, PublishedEndpoint
+from harecross.xds.resources import ResourceEncoder
 
 
-def snapshot(clusters: dict[str, tuple[list[Endpoint], int]]) -> Snapshot:
+def snapshot(clusters: dict[str, tuple[list[PublishedEndpoint], int]]) -> Snapshot:
     """Everything of all clusters, each with its endpoints and the limit on calls out."""
-    return Encoder().snapshot({n: Told(tuple(e), limit) for n, (e, limit) in clusters.items()})
+    return ResourceEncoder().snapshot(
+        {name: PublishedCluster(tuple(endpoints), limit) for name, (endpoints, limit) in clusters.items()}
+    )
 
 
 CALLER = """
