--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -93,7 +93,8 @@
         "downstream/listener.py",
         "        with suppress(OSError):\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)",
         "        try:\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)\n"
-        "        except OSError:\n            connection.close()\n            self.dropped()\n            return",
+        "        except OSError:\n            connection.close()\n"
+        "            self.on_setup_failed()\n            return",
     ),
     Mutation(
         "the time that a request lay unread is not counted",
@@ -118,13 +119,14 @@
     Mutation(
         "an unsafe request that may have run is sent again",
         "policy/balancer.py",
-        "r.effect == Effect.SAFE or (r.effect == Effect.KEYED and now < r.ran_at + window)",
-        "True",
+        "repeatable = r.idempotency == Idempotency.IDEMPOTENT or (",
+        "repeatable = True or (",
     ),
     Mutation(
         "a stop does not wait for what is out",
-        "node/__main__.py",
-        "        while self.callers.busy():\n            await asyncio.sleep(0.01)\n",
+        "node/graceful_shutdown.py",
+        "        while self.parts.client_connections.has_open_requests():\n"
+        "            await asyncio.sleep(POLL_INTERVAL_S)\n",
         "",
     ),
     Mutation(
@@ -135,9 +137,9 @@
     ),
     Mutation(
         "a cold server gets what a warm one does",
-        "policy/draw.py",
-        "        rate = self.warm_rate * self.warmth(now, srv)\n",
-        "        return True\n        rate = self.warm_rate * self.warmth(now, srv)\n",
+        "policy/endpoint_picker.py",
+        "        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
+        "        return True\n        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
     ),
 ]
 
--- a/harecross/fleet/file.py
+++ b/harecross/fleet/file.py
@@ -101,5 +101,5 @@
 
 
 def read_fleet(path: Path) -> FleetFile:
-    """The file. BadFile for one that is missing, not TOML, or holds what cannot be."""
+    """The file. OperatorsFileError for one that is missing, not TOML, or holds what cannot be."""
     return read_toml(path, FleetFile)
--- a/harecross/operators.py
+++ b/harecross/operators.py
@@ -16,24 +16,24 @@
 T = TypeVar("T")
 
 
-class BadFile(Exception):
+class OperatorsFileError(Exception):
     """A file that cannot be used; the text names the file, the key and what is allowed."""
 
 
-class Log(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LogTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[log]`."""
 
     report_every_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 10.0
     attempts: str = ""  # a file for the attempt log, or "-" for standard error
 
 
-class Listen(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ListenTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[listen]`."""
 
     backlog: Annotated[int, msgspec.Meta(ge=1, le=65535)] = 1024
 
 
-class Xds(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class XdsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`[xds]`: a control service inside the node."""
 
     listen: str = ""
@@ -41,29 +41,29 @@
     plaintext: Literal["loopback", "anywhere"] = "loopback"
 
 
-class Operators(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """The whole file. Every key is optional."""
 
-    log: Log = Log()
-    listen: Listen = Listen()
-    xds: Xds = Xds()
+    log: LogTable = LogTable()
+    listen: ListenTable = ListenTable()
+    xds: XdsTable = XdsTable()
     sources: SourcesTable = SourcesTable()
 
 
 def read_toml(path: str | Path, kind: type[T]) -> T:
-    """The file as a `kind`. BadFile for one that is missing, not TOML, or holds what cannot be."""
+    """The file as a `kind`. OperatorsFileError for one that is missing, not TOML, or holds what cannot be."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as e:
-        raise BadFile(f"{path}: {e.strerror}") from None
+        raise OperatorsFileError(f"{path}: {e.strerror}") from None
     except UnicodeDecodeError as e:
-        raise BadFile(f"{path}: not UTF-8 at byte {e.start}") from None
+        raise OperatorsFileError(f"{path}: not UTF-8 at byte {e.start}") from None
     except tomllib.TOMLDecodeError as e:
-        raise BadFile(f"{path}: not TOML: {e}") from None
+        raise OperatorsFileError(f"{path}: not TOML: {e}") from None
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as e:
-        raise BadFile(f"{path}: {e}{allowed(raw, kind)}") from None
+        raise OperatorsFileError(f"{path}: {e}{allowed(raw, kind)}") from None
 
 
 def allowed(raw: object, kind: object) -> str:
--- a/harecross/shifts/cli.py
+++ b/harecross/shifts/cli.py
@@ -35,13 +35,13 @@
 def load_plan(path: Path) -> Plan:
     """The plan in a file; ends the command where it cannot be used."""
     try:
-        from harecross.operators import BadFile
+        from harecross.operators import OperatorsFileError
         from harecross.shifts.plan import read_plan
     except ImportError as error:
         stop(f"shift needs the extra `operators`: {error}")
     try:
         return read_plan(path)
-    except BadFile as error:
+    except OperatorsFileError as error:
         stop(str(error))
 
 
--- a/harecross/shifts/plan.py
+++ b/harecross/shifts/plan.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from harecross.operators import BadFile, read_toml
+from harecross.operators import OperatorsFileError, read_toml
 
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=7 * 86_400)]
@@ -84,7 +84,7 @@
 
 
 def read_plan(path: str | Path) -> Plan:
-    """The plan in a file. BadFile names the file, the key and what is allowed."""
+    """The plan in a file. OperatorsFileError names the file, the key and what is allowed."""
     plan = read_toml(path, Plan)
     check = PlanCheck(path)
     check.require(
@@ -103,9 +103,9 @@
         self._path = path
 
     def require(self, valid: bool, key: str, allowed: str) -> None:
-        """BadFile where a key is not valid."""
+        """OperatorsFileError where a key is not valid."""
         if not valid:
-            raise BadFile(f"{self._path}: {key}: {allowed}")
+            raise OperatorsFileError(f"{self._path}: {key}: {allowed}")
 
     def steps(self, steps: tuple[Step, ...]) -> None:
         """The shares must rise."""
--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -108,17 +108,17 @@
 ) -> None:
     """Whether a file can be used: its keys, its names, the files it names. Asks no server."""
     try:
-        from harecross.operators import BadFile, Operators, read_toml
+        from harecross.operators import OperatorsFile, OperatorsFileError, read_toml
     except ImportError as error:
         stop(f"sources check needs the extra `operators`: {error}")
     from harecross.sources.address_file import read_address_file
     from harecross.sources.config import check
 
     try:
-        table = read_toml(config, Operators).sources
+        table = read_toml(config, OperatorsFile).sources
         check(table)
         endpoints = sum(len(read_address_file(file.path)) for file in table.file)
-    except BadFile as error:
+    except OperatorsFileError as error:
         stop(str(error))
     except ValueError as error:
         stop(f"{config}: {error}")
--- a/harecross/sources/registry_host.py
+++ b/harecross/sources/registry_host.py
@@ -28,7 +28,7 @@
         It ejects a third of its members at most; the others of a dead priority show by what a request costs there.
         """
         names = {number: name for name, number in self._registry.numbers.items()}
-        views = self._registry.dispatcher.balancer.view(monotonic_us())
+        views = self._registry.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         return {
             names[view.server]
             for view in views
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -153,7 +153,7 @@
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.descriptors.servers -= 1
+        self.pool.descriptors.upstream_connections -= 1
         self.process.connection_count -= 1
         self.pool.streaming.discard(self)
         self.usable = False
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from harecross.operators import BadFile, read_toml
+from harecross.operators import OperatorsFileError, read_toml
 from harecross.settings import address
 from harecross.sources.config import SourcesTable, SrvConfig
 from harecross.sources.config import check as check_sources
@@ -105,7 +105,7 @@
 
 
 def read_control(path: str | Path) -> ControlFile:
-    """The file. BadFile names the file, the key and what is allowed."""
+    """The file. OperatorsFileError names the file, the key and what is allowed."""
     file = read_toml(path, ControlFile)
     check = ControlCheck(path)
     check.require("clusters", bool(file.clusters), "at least one [clusters.NAME] is needed")
@@ -127,9 +127,9 @@
         self._path = path
 
     def require(self, key: str, valid: bool, allowed: str) -> None:
-        """BadFile where a key is not valid."""
+        """OperatorsFileError where a key is not valid."""
         if not valid:
-            raise BadFile(f"{self._path}: {key}: {allowed}")
+            raise OperatorsFileError(f"{self._path}: {key}: {allowed}")
 
     def sources(self, name: str, cluster: ClusterTable) -> None:
         """A cluster must have a source, and name its SRV names in one place."""
@@ -140,7 +140,7 @@
         try:
             check_sources(table, f"{key}.sources" if cluster.sources else key)
         except ValueError as error:
-            raise BadFile(f"{self._path}: {error}") from None
+            raise OperatorsFileError(f"{self._path}: {error}") from None
 
     def addresses(self, file: ControlFile) -> None:
         """Addresses must be HOST:PORT."""
@@ -152,14 +152,14 @@
             try:
                 address(text)
             except ValueError as error:
-                raise BadFile(f"{self._path}: {key}: {error}") from None
+                raise OperatorsFileError(f"{self._path}: {key}: {error}") from None
 
     def plaintext(self, file: ControlFile) -> None:
         """Without TLS the service listens on loopback alone, and knows no client by name."""
         try:
             listen_address(file.control.listen, file.control.plaintext == "anywhere")
         except ValueError as error:
-            raise BadFile(f"{self._path}: control.listen: {error}") from None
+            raise OperatorsFileError(f"{self._path}: control.listen: {error}") from None
         allowed = "needs [tls] with client_ca: without certificates there are no names"
         self.require("clients", not file.clients, allowed)
 
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -42,7 +42,9 @@
 
     def views(self) -> tuple[list[ServerView], float]:
         """The views of all listed servers, and how many requests this program may have in flight at one."""
-        balancer_views = {view.server: view for view in self.dispatcher.balancer.view(monotonic_us())}
+        balancer_views = {
+            view.server: view for view in self.dispatcher.balancer.endpoint_snapshots(monotonic_us())
+        }
         views = []
         for name, line in self.roster.lines.items():
             where, zone = str(line.get("hostPort", "")), str(line.get("zone", ""))
@@ -56,7 +58,9 @@
             if view is None or draining:
                 views.append(ServerView(name, where, zone, draining))
             else:
-                views.append(ServerView(name, where, zone, False, view.ejected, view.warmth, view.cost))
+                views.append(
+                    ServerView(name, where, zone, False, view.ejected, view.slow_start_factor, view.cost)
+                )
         return views, max((view.limit for view in balancer_views.values()), default=0.0)
 
     def pass_load_reports_on(self) -> None:
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -18,21 +18,21 @@
 from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
 from google.protobuf.message import Message
 
-from harecross.policy.balancer import RETRY_RATIO
+from harecross.policy.balancer import RETRY_BUDGET_RATIO
 from harecross.policy.controller import (
-    BUFFER,
-    PASS_CALLS,
-    PASS_INTERVAL,
-    PASS_JITTER,
-    PERCENTILE,
-    WINDOW,
+    JITTER,
+    MIN_RTT_BUFFER,
+    MIN_RTT_INTERVAL_US,
+    MIN_RTT_REQUESTS,
+    SAMPLE_PERCENTILE,
+    WINDOW_US,
 )
-from harecross.policy.fleet_limits import MIN_LIMIT
+from harecross.policy.fleet_limits import MIN_CONCURRENCY
 from harecross.xds.cache import CDS, EDS, LDS, RDS, Resource, Snapshot
 from harecross.xds.published import PublishedCluster, PublishedEndpoint
 from harecross.xds.publisher import priority
 
-RETRY_PERCENT = 100 * RETRY_RATIO  # of the requests in flight may be retries
+RETRY_PERCENT = 100 * RETRY_BUDGET_RATIO  # of the requests in flight may be retries
 API_VERSION = 2  # envoy.config.core.v3.ApiVersion.V3
 CONNECT_TIMEOUT_MS = 500
 
@@ -60,7 +60,7 @@
         threshold = cluster.circuit_breakers.thresholds.add()
         threshold.max_requests.value = request_limit
         threshold.retry_budget.budget_percent.value = RETRY_PERCENT
-        threshold.retry_budget.min_retry_concurrency.value = MIN_LIMIT
+        threshold.retry_budget.min_retry_concurrency.value = MIN_CONCURRENCY
     return encode_resource(name, cluster)
 
 
@@ -124,13 +124,13 @@
     """The filter with the decision module's own parameters."""
     settings = adaptive_concurrency_pb2.AdaptiveConcurrency()
     controller = settings.gradient_controller_config
-    controller.sample_aggregate_percentile.value = 100 * PERCENTILE
-    controller.concurrency_limit_params.concurrency_update_interval.FromMicroseconds(WINDOW)
-    controller.min_rtt_calc_params.interval.FromMicroseconds(PASS_INTERVAL)
-    controller.min_rtt_calc_params.request_count.value = PASS_CALLS
-    controller.min_rtt_calc_params.jitter.value = 100 * PASS_JITTER
-    controller.min_rtt_calc_params.min_concurrency.value = MIN_LIMIT
-    controller.min_rtt_calc_params.buffer.value = 100 * BUFFER
+    controller.sample_aggregate_percentile.value = 100 * SAMPLE_PERCENTILE
+    controller.concurrency_limit_params.concurrency_update_interval.FromMicroseconds(WINDOW_US)
+    controller.min_rtt_calc_params.interval.FromMicroseconds(MIN_RTT_INTERVAL_US)
+    controller.min_rtt_calc_params.request_count.value = MIN_RTT_REQUESTS
+    controller.min_rtt_calc_params.jitter.value = 100 * JITTER
+    controller.min_rtt_calc_params.min_concurrency.value = MIN_CONCURRENCY
+    controller.min_rtt_calc_params.buffer.value = 100 * MIN_RTT_BUFFER
     return settings
 
 
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from harecross.operators import BadFile
+from harecross.operators import OperatorsFileError
 from harecross.platform.log import log_line
 from harecross.xds.access import allowed_clusters
 from harecross.xds.assembly import create_encoder, create_server, listen
@@ -57,7 +57,7 @@
     # ---- start and stop -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serves until a signal. BadFile if it cannot listen."""
+        """Serves until a signal. OperatorsFileError if it cannot listen."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -78,7 +78,7 @@
             try:
                 self.start_cluster(name, remembered.get(name))
             except ValueError as error:
-                raise BadFile(f"{self._path}: clusters.{name}: {error}") from None
+                raise OperatorsFileError(f"{self._path}: clusters.{name}: {error}") from None
 
     async def _listen(self) -> int:
         try:
@@ -86,7 +86,7 @@
                 return await self.server.start()
             return await listen(self.server, self._setup)
         except (OSError, ValueError) as error:
-            raise BadFile(f"{self._path}: control.listen: {error}") from None
+            raise OperatorsFileError(f"{self._path}: control.listen: {error}") from None
 
     async def _stop(self) -> None:
         self.publisher_loop.stop()
@@ -138,7 +138,7 @@
         """Reads clusters and clients again (SIGHUP); the rest counts from the next start."""
         try:
             read = read_control(self._path)
-        except BadFile as error:
+        except OperatorsFileError as error:
             log_line(f"control: configuration not changed: {error}")
             return
         old, self.config = self.config, reloaded_config(self.config, read)
@@ -209,7 +209,7 @@
 
 
 def main(path: Path) -> None:
-    """Runs the service. BadFile for a file that cannot be used."""
+    """Runs the service. OperatorsFileError for a file that cannot be used."""
     import uvloop
 
     config = read_control(path)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -24,7 +24,7 @@
 from harecross.fleet.discovery import Desk, Shape
 from harecross.fleet.rehearsal import Day, Rehearsal, bound
 from harecross.fleet.waits import WAITS
-from harecross.node.__main__ import Node
+from harecross.node.node import Node
 from harecross.standins.discovery import chunk, entry, line, update
 
 FLEET = DiscoveryTerms(True, 40, 7, 10.0)
@@ -264,7 +264,7 @@
         asked = {**SETTINGS, "discovery": "ask"}
         node = Node(config_from(config_of(address, known=known, settings=asked)))
         task = asyncio.create_task(node.run())
-        await node.ready.wait()
+        await node.started.wait()
         a = node.discovery.schedule
         writer = await came.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 from node_support import entry, until, with_node
 from support import ask, balancer, end
 
-from harecross.downstream import client_connection, connection_manager
+from harecross.downstream import connection_manager, request_receiver
 from harecross.http.body_buffer import (
     MAX_BODY_BYTES,
     MAX_BUFFERED_BODY_BYTES,
@@ -24,7 +24,7 @@
 )
 from harecross.http.response_parser import ReadResult, ResponseParser
 from harecross.interface import Outcome
-from harecross.node.__main__ import bodies_part
+from harecross.node.resource_shares import request_body_bytes
 from harecross.standins.http import read_body, read_message
 from harecross.upstream import connection_pool
 
@@ -338,7 +338,7 @@
 
 
 def test_a_caller_that_does_not_read_stops_the_server_and_is_put_out(monkeypatch):
-    monkeypatch.setattr(connection_manager, "LAGGING", 300_000)
+    monkeypatch.setattr(connection_manager, "SLOW_READER_TIMEOUT_US", 300_000)
     written, stopped = [0], asyncio.Event()
 
     async def pours(reader, writer) -> None:
@@ -359,7 +359,7 @@
         await stopped.wait()
         # What waits lies in the kernel's buffers, the test's own among them, and not in the node.
         assert written[0] < 12_000_000
-        await until(lambda: not (w.node.callers.open))
+        await until(lambda: not (w.node.client_connections.open))
         assert not w.node.dispatcher.requests and not w.node.dispatcher.open_request_ids
         client.writer.close()
 
@@ -389,7 +389,11 @@
         while len(held) < 15 or not all(c.read_paused for c in held):
             await asyncio.sleep(0.01)
             held = list(pool.streaming)
-        here = [c.transport.get_write_buffer_size() for c in w.node.callers.open if c.transport is not None]
+        here = [
+            c.transport.get_write_buffer_size()
+            for c in w.node.client_connections.open
+            if c.transport is not None
+        ]
         assert (
             max(here) <= 3 * MIN_STREAM_BUFFER_BYTES and pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         )
@@ -417,9 +421,8 @@
 
 def test_two_processes_hold_no_more_of_bodies_than_one_may():
     for whole in (0, 7, 20 << 20):
-        assert (
-            bodies_part(whole, 1, True) + bodies_part(whole, 2, True) <= whole == bodies_part(whole, 1, False)
-        )
+        together = request_body_bytes(whole, 1, shared=True) + request_body_bytes(whole, 2, shared=True)
+        assert together <= whole == request_body_bytes(whole, 1, shared=False)
 
 
 def taking(heads: list[bytes], bodies: list[bytes], reply: bytes = b"ok") -> Peer:
@@ -465,7 +468,7 @@
             assert (await client.answer())[0] == 200
         assert bodies == [BIG, BIG]
         assert w.node.dispatcher.balancer.controller.in_flight == 0
-        assert w.node.callers.held == 0
+        assert w.node.client_connections.buffered_body_bytes == 0
 
     with_peers(test, taking(heads, bodies))
 
@@ -534,8 +537,8 @@
 
 
 def test_a_body_that_stops_half_way_ends_its_request(monkeypatch):
-    monkeypatch.setattr(connection_manager, "OWED", 100_000)
-    monkeypatch.setattr(client_connection, "OWED", 100_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 100_000)
     heads: list[bytes] = []
 
     async def test(w) -> None:
@@ -545,14 +548,17 @@
         assert status == 408 and b"Connection: close" in head
         await until(lambda: not (w.node.pool.open_connections))
         assert not w.node.dispatcher.requests and w.node.dispatcher.final_answers["served"] == 0
-        assert w.node.dispatcher.balancer.controller.in_flight == 0 and w.node.callers.held == 0
+        assert (
+            w.node.dispatcher.balancer.controller.in_flight == 0
+            and w.node.client_connections.buffered_body_bytes == 0
+        )
 
     with_peers(test, taking(heads, []))
 
 
 def test_a_body_by_the_byte_is_cut_off(monkeypatch):
-    monkeypatch.setattr(connection_manager, "OWED", 60_000)
-    monkeypatch.setattr(client_connection, "OWED", 60_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 60_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 60_000)
 
     async def test(w) -> None:
         client = await w.client()
@@ -598,13 +604,13 @@
         client.writer.write(BIG[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
         assert (await client.answer())[0] == 200
-        assert bodies == [b"hi"] and w.node.callers.held == 0
+        assert bodies == [b"hi"] and w.node.client_connections.buffered_body_bytes == 0
 
     with_peers(test, taking([], bodies))
 
 
 def test_a_body_beyond_the_largest_is_turned_away(monkeypatch):
-    monkeypatch.setattr(client_connection, "MAX_BODY_BYTES", 200_000)
+    monkeypatch.setattr(request_receiver, "MAX_BODY_BYTES", 200_000)
     bodies: list[bytes] = []
 
     async def test(w) -> None:
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from harecross.downstream import client_connection, connection_manager
+from harecross.downstream import connection_manager, request_receiver
 from harecross.node import shutdown_schedule
 from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns
 from tests.node_support import SETTINGS, World, with_node
@@ -35,7 +35,7 @@
     client = Plain(w.node.address)
     client.send("/_health")
     assert await status(client) == 200
-    assert w.node.callers.resting
+    assert w.node.client_connections.idle
     return client
 
 
@@ -56,14 +56,14 @@
 @pytest.mark.parametrize("path", ["goes at once", "serves on"])
 def test_a_request_that_crosses_the_end_of_a_kept_connection_at_a_stop(kind, path, monkeypatch):
     if path == "goes at once":
-        monkeypatch.setattr(shutdown_schedule, "KILL_MOST", 0.2)
+        monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
 
     async def test(w: World) -> None:
         for origin in w.origins:
             origin.answer_all()
         client = await served(w)
-        before(w.node.callers, "close_idle", lambda: client.send(*kind))
-        w.node.stop.set()
+        before(w.node.client_connections, "close_idle", lambda: client.send(*kind))
+        w.node.stop_requested.set()
         assert await status(client) == 200
         await w.task
 
@@ -85,8 +85,8 @@
 
     async def test(w: World) -> None:
         client = await silent_client(w)
-        before(w.node.callers, "busy", lambda: client.send(*kind))
-        w.node.stop.set()
+        before(w.node.client_connections, "has_open_requests", lambda: client.send(*kind))
+        w.node.stop_requested.set()
         assert await status(client) == 200
         await w.task
 
@@ -105,8 +105,8 @@
                 clients.append(Plain(w.node.address))
                 clients[-1].send(*kind)
 
-        before(w.node.callers, "close", come)
-        w.node.stop.set()
+        before(w.node.client_connections, "drain_listener", come)
+        w.node.stop_requested.set()
         await w.task
         assert all([await status(c) in (200, 503) for c in clients]) and len(clients) == 40
 
@@ -116,9 +116,9 @@
 @every_kind
 @pytest.mark.parametrize("group", ["silent", "resting", "half a head"])
 def test_a_request_that_crosses_a_sweep(kind, group, monkeypatch):
-    monkeypatch.setattr(connection_manager, "RESTING", 300_000)
-    monkeypatch.setattr(connection_manager, "OWED", 300_000)
-    monkeypatch.setattr(client_connection, "OWED", 300_000)
+    monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 300_000)
 
     async def test(w: World) -> None:
         for origin in w.origins:
@@ -137,18 +137,18 @@
             send = lambda: client.sock.sendall(whole[0][20:])  # noqa: E731
         else:
             send = lambda: client.send(*kind)  # noqa: E731
-        (one,) = w.node.callers.open
-        groups = w.node.callers
+        (one,) = w.node.client_connections.open
+        groups = w.node.client_connections
         old = lambda: groups.loop.time() > began + 0.35  # noqa: E731
         began = groups.loop.time()
         before(groups, "sweep", send, old)
-        real_tick = w.node.sweep
+        real_tick = w.node.sweeper.sweep
         while not old():
             await turns(2)
-            for held in (groups.silent, groups.owing, groups.resting):
+            for held in (groups.silent, groups.receiving, groups.idle):
                 if one in held:  # not swept before the crossing
                     held[one] = max(held[one], int((groups.loop.time() - 0.2) * 1e6))
-        for held in (groups.silent, groups.owing, groups.resting):
+        for held in (groups.silent, groups.receiving, groups.idle):
             if one in held:
                 held[one] -= 10_000_000
         real_tick()
@@ -164,7 +164,7 @@
             origin.answer_all()
         client, other = await served(w), await served(w)
         client.send(*kind)
-        assert w.node.callers.make_room()  # the oldest at rest, were it not for what lies on it
+        assert w.node.client_connections.evict_one()  # the oldest at rest, were it not for what lies on it
         assert await status(client) == 200
         assert await status(other) == 0
 
@@ -175,13 +175,13 @@
 @pytest.mark.parametrize("what", ["a connect is pending", "a repeat is due", "its server hangs"])
 def test_a_stop_with_a_request_in_the_middle_of_it_answers_in_time(kind, what, monkeypatch):
     """Late for the kill, it is answered before it; nothing is written for it after its answer."""
-    monkeypatch.setattr(shutdown_schedule, "COUNTED", 0.0)
+    monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.0)
 
     async def test(w: World) -> None:
         client = Plain(w.node.address)
         await taken(w, 1)
         held = HeldConnects(w.node.pool)
-        w.node.stop.set()
+        w.node.stop_requested.set()
         await turns()
         client.send(*kind)
         await held.begun.get()
@@ -210,8 +210,8 @@
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.leave()
 
-        before(w.node.callers, "busy", reset)
-        w.node.stop.set()
+        before(w.node.client_connections, "has_open_requests", reset)
+        w.node.stop_requested.set()
         await w.task
 
     with_node(test, settings=QUICK)
@@ -223,11 +223,11 @@
 
     async def test(w: World) -> None:
         client = await silent_client(w)
-        groups = w.node.callers
+        groups = w.node.client_connections
         (one,) = groups.silent
-        groups.stand(True)
-        groups.stood_at -= connection_manager.EMPTIED + 1
-        groups.silent[one] -= connection_manager.EMPTIED
+        groups.enter_standby()
+        groups.standby_since -= connection_manager.STANDBY_DRAIN_US + 1
+        groups.silent[one] -= connection_manager.STANDBY_DRAIN_US
         client.send(*kind)
         groups.sweep()
         assert await status(client) == 200
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -22,8 +22,8 @@
 from harecross.discovery import subscription_schedule
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.interface import EndpointState, EndpointUpdateKind
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.node.node import Node
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.standins.discovery import chunk
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -306,12 +306,12 @@
 
 
 def test_near_the_descriptor_limit_work_is_refused(monkeypatch):
-    monkeypatch.setattr(connection_manager, "YOUNG", 10**9)
+    monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
 
     async def test(w: World) -> None:
         clients = [await w.client() for _ in range(4)]
-        await until(lambda: w.node.room.callers == 4)
-        w.node.room.total = 6
+        await until(lambda: w.node.descriptor_budget.client_connections == 4)
+        w.node.descriptor_budget.total = 6
         held = []
         for client in clients[:2]:
             client.send()
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -84,7 +84,7 @@
 def test_the_door_takes_these_calls(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            assert sorted(node.operations.door.calls) == [
+            assert sorted(node.admin_operations.server.calls) == [
                 (b"GET", b"/servers"),
                 (b"GET", b"/status"),
                 (b"POST", b"/active"),
@@ -133,14 +133,14 @@
 def test_the_doors_status_says_why_a_node_is_not_ready(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            operations, listed = node.operations, dict(node.registry.listed)
-            operations.heard = lambda: False
-            operations.serving_since = operations.loop.time()
+            operations, listed = node.admin_operations, dict(node.registry.listed)
+            operations.has_current_list = lambda: False
+            operations.started_at = operations.loop.time()
             assert await tell(node, "/status") == (503, b"waiting for discovery\n")
             node.registry.listed.clear()
             assert await tell(node, "/status") == (503, b"no servers known\n")
             node.registry.listed.update(listed)
-            operations.serving_since = None
+            operations.started_at = None
             assert await tell(node, "/status") == (503, b"starting\n")
 
     with_site(test, tmp_path)
@@ -216,17 +216,17 @@
 def test_ejections_and_cuts_are_logged_in_these_words():
     node, recorder = balancer([Endpoint(n, zone=n % 2) for n in range(1, 5)])
     server = node.servers[4]
-    server.fail_rate = 0.625
+    server.failure_rate = 0.625
     node.eject(1, server, silent=False)
     assert logged(recorder) == ["eject server=4 silent=0 fail_rate=0.62"]
     node.readmit(server)
     assert logged(recorder) == ["readmit server=4"]
     zone = node.zones[0]
     for number in (2, 4) * 20:
-        node.watch_zone(10**9, node.servers[number], Outcome.TIMEOUT)
-    assert zone.cut and logged(recorder) == ["cut zone=0"]
-    node.watch_zone(2 * 10**9, node.servers[2], Outcome.OK)
-    assert not zone.cut and logged(recorder) == ["restore zone=0"]
+        node.record_zone_outcome(10**9, node.servers[number], Outcome.TIMEOUT)
+    assert zone.ejected and logged(recorder) == ["cut zone=0"]
+    node.record_zone_outcome(2 * 10**9, node.servers[2], Outcome.OK)
+    assert not zone.ejected and logged(recorder) == ["restore zone=0"]
 
 
 def test_a_node_says_where_it_listens_and_what_it_was_told_in_these_words(tmp_path, capfd):
@@ -234,7 +234,7 @@
 
     async def test(site: Site) -> None:
         async with site.node() as node:
-            ports.append((node.operations.door.address[1], node.address[1]))
+            ports.append((node.admin_operations.server.address[1], node.address[1]))
             await tell(node, "/maintenance/enter", "s0")
 
     with_site(test, tmp_path)
--- a/tests/test_shifts.py
+++ b/tests/test_shifts.py
@@ -8,7 +8,7 @@
 
 pytest.importorskip("msgspec")
 
-from harecross.operators import BadFile
+from harecross.operators import OperatorsFileError
 from harecross.shifts.controller import COLLECTION, LEASE_S, Controller
 from harecross.shifts.eprocess import PoolCounts
 from harecross.shifts.judge import FirstAttempt, Judge
@@ -437,5 +437,5 @@
 def test_a_bad_plan_is_refused_with_its_key_and_what_is_allowed(tmp_path, old, new, allowed):
     path = tmp_path / "plan.toml"
     path.write_text(GOOD.replace(old, new, 1) if old != "0.5" else new.join(GOOD.rsplit(old, 1)))
-    with pytest.raises(BadFile, match=allowed):
+    with pytest.raises(OperatorsFileError, match=allowed):
         read_plan(path)
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -15,8 +15,9 @@
 
 pytest.importorskip("dns")
 
-from harecross.node.__main__ import Node
 from harecross.node.config import config_from
+from harecross.node.node import Node
+from harecross.node.options import NodeOptions
 from harecross.sources.cache_file import CachedSet, read_cache_file, write_cache_file
 from harecross.sources.config import AddressFileConfig, SourcesTable, SrvConfig, check
 from harecross.sources.manager import SourceManager
@@ -86,9 +87,11 @@
     async def serve(self, table: SourcesTable, **more) -> Node:
         check(table)
         config = config_of(self.catalog.address, admin="127.0.0.1:0", **more)
-        self.node = Node(config_from(config), more_sources=lambda d: SourceManager(table, d))
+        self.node = Node(
+            config_from(config), NodeOptions(additional_sources=lambda d: SourceManager(table, d))
+        )
         self.task = asyncio.create_task(self.node.run())
-        ready = asyncio.create_task(self.node.ready.wait())
+        ready = asyncio.create_task(self.node.started.wait())
         await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
         if self.task.done():
             self.task.result()
@@ -101,7 +104,7 @@
         return {i for i, b in enumerate(self.boxes) if b.address in where}
 
     async def door(self, call: str, body: str = "") -> tuple[int, str]:
-        reader, writer = await asyncio.open_connection(*self.node.operations.door.address)
+        reader, writer = await asyncio.open_connection(*self.node.admin_operations.server.address)
         writer.write(f"{call} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         whole = (await reader.read()).decode()
         writer.close()
@@ -111,7 +114,7 @@
         if self.node is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
-            await self.node.more_sources.stop()
+            await self.node.membership.additional_sources.stop()
             self.node.discovery.listen(False)
         await self.catalog.stop()
         self.dns.stop()
@@ -133,6 +136,12 @@
     return SourcesTable(srv=(SrvConfig(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **told)
 
 
+def refreshing(node: Node) -> bool:
+    """Whether a DNS query is in progress."""
+    sources = node.membership.additional_sources.dns_sources.values()
+    return any(source.cached_name.refreshing for source in sources)
+
+
 class Load:
     """Callers that ask all the time; every answer is counted, each request's id with it."""
 
@@ -313,16 +322,26 @@
             await until(lambda: s.up() == {0, 1})
             file.write_text(f"{s.boxes[1].address}\n{s.boxes[2].address} weight=2\n")
             s.dns.delay = 0.3
-            await until(lambda: any(s.cached_name.refreshing for s in node.more_sources.dns_sources.values()))
+            await until(
+                lambda: any(
+                    s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
+                )
+            )
             both = table(s, watch=False, file=(AddressFileConfig(str(file)),))
-            node.more_sources.configure(both)
+            node.membership.additional_sources.configure(both)
             await until(lambda: s.up() == {0, 1, 2})
-            await until(lambda: any(s.cached_name.refreshing for s in node.more_sources.dns_sources.values()))
-            node.more_sources.configure(SourcesTable(file=both.file, watch=False, step_s=1.0))
+            await until(
+                lambda: any(
+                    s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
+                )
+            )
+            node.membership.additional_sources.configure(
+                SourcesTable(file=both.file, watch=False, step_s=1.0)
+            )
             await until(lambda: s.up() == {1, 2})
             # A file that is spoilt is stale, and one that is whole again counts.
             file.write_text(f"{s.boxes[2].address} weigth=2\n")
-            await until(lambda: node.more_sources.file_sources[f"file:{file}"].problem)
+            await until(lambda: node.membership.additional_sources.file_sources[f"file:{file}"].problem)
             assert s.up() == {1, 2}
             file.write_text(f"{s.boxes[2].address}\n")
             await until(lambda: s.up() == {2})
