--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -4,6 +4,8 @@
 
 from random import Random
 
+import pytest
+
 from harecross.decide import Balancer
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.interface import (
@@ -24,278 +26,369 @@
 SECOND = 1_000_000
 
 
-class Silent:
-    """Actions that do nothing: whoever only judges sends nothing."""
+class IgnoredActions:
+    """Actions that do nothing: a decision module that only judges servers sends no requests."""
 
     def __getattr__(self, name):
         return lambda *args: None
 
 
-def judge(**more) -> Balancer:
+def balancer_of(servers: int, now: int = 0, **more) -> Balancer:
+    """A decision module without requests, with so many servers listed."""
     settings = Settings(
         classes=(ClassSettings(Idempotency.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),), subset_max=1 << 30,
         report_fields=("latency_ms",), **more,
     )  # fmt: skip
-    b = Balancer(settings, 1, Silent())
-    b.start(0)
-    return b
+    balancer = Balancer(settings, 1, IgnoredActions())
+    balancer.start(0)
+    balancer.endpoint_update(now, EndpointUpdateKind.FULL, [Endpoint(i) for i in range(1, servers + 1)])
+    return balancer
 
 
-def listed(b: Balancer, n: int, now: int = 0, **more) -> None:
-    b.endpoint_update(now, EndpointUpdateKind.FULL, [Endpoint(i, **more) for i in range(1, n + 1)])
+def ejected(balancer: Balancer, now: int = 0) -> list[int]:
+    return [snapshot.server for snapshot in balancer.endpoint_snapshots(now) if snapshot.ejected]
 
 
-# ---- the module's view --------------------------------------------------------------------------------
+# ---- the decision module's view -----------------------------------------------------------------------------
 
 
 def test_the_view_covers_every_server_and_changes_nothing():
-    b = judge()
-    listed(b, 200)
-    before = b.stats()
-    views = b.endpoint_snapshots(0)
-    assert {v.server for v in views} == set(range(1, 201)) and b.stats() == before
+    balancer = balancer_of(200)
+    before = balancer.stats()
+    snapshots = balancer.endpoint_snapshots(0)
+    assert {s.server for s in snapshots} == set(range(1, 201)) and balancer.stats() == before
     assert all(
-        v.state == EndpointState.READY and not v.ejected and v.slow_start_factor == 1 and v.cost == 1
-        for v in views
+        s.state == EndpointState.READY and not s.ejected and s.slow_start_factor == 1 and s.cost == 1
+        for s in snapshots
     )
 
 
-def test_probes_that_fail_eject_and_a_good_one_after_the_ejection_readmits():
-    b = judge()
-    listed(b, 5)
-    for n in range(3):
+@pytest.fixture
+def balancer_with_server_1_ejected():
+    """Five servers; the first one's health checks failed three times."""
+    balancer = balancer_of(5)
+    for second in range(3):
         for server in (2, 3, 4, 5):
-            b.health_checked(n * SECOND, server, True, 1000, ())
-        b.health_checked(n * SECOND, 1, False, 1000, ())
-    assert [v.server for v in b.endpoint_snapshots(0) if v.ejected] == [1]
-    b.health_checked(2 * SECOND + 1, 1, True, 1000, ())
-    assert b.endpoint_snapshots(0)[0].ejected  # not before its time
-    b.health_checked(9 * SECOND, 1, False, 1000, ())
-    b.health_checked(10 * SECOND, 1, True, 1000, ())
-    assert b.endpoint_snapshots(0)[0].ejected  # failed its trial: a longer time
-    b.health_checked(60 * SECOND, 1, True, 1000, ())
-    assert not b.endpoint_snapshots(0)[0].ejected
+            balancer.health_checked(second * SECOND, server, True, 1000, ())
+        balancer.health_checked(second * SECOND, 1, False, 1000, ())
+    assert ejected(balancer) == [1]
+    return balancer
+
+
+def test_a_good_health_check_during_the_ejection_does_not_end_it(balancer_with_server_1_ejected):
+    balancer_with_server_1_ejected.health_checked(2 * SECOND + 1, 1, True, 1000, ())
+    assert ejected(balancer_with_server_1_ejected) == [1]
+
+
+def test_a_failed_health_check_after_the_ejection_prolongs_it(balancer_with_server_1_ejected):
+    balancer = balancer_with_server_1_ejected
+    balancer.health_checked(2 * SECOND + 1, 1, True, 1000, ())
+    balancer.health_checked(9 * SECOND, 1, False, 1000, ())
+    balancer.health_checked(10 * SECOND, 1, True, 1000, ())
+    assert ejected(balancer) == [1]
+    balancer.health_checked(60 * SECOND, 1, True, 1000, ())
+    assert ejected(balancer) == []
 
 
 def test_no_more_than_a_third_is_ejected_whatever_is_reported():
-    b = judge()
-    listed(b, 9)
-    for n in range(5):
+    balancer = balancer_of(9)
+    for second in range(5):
         for server in range(1, 10):
-            b.load_reported(n * SECOND, server, *((0, 100) if server <= 6 else (100, 0)), ())
-    assert 1 <= sum(v.ejected for v in b.endpoint_snapshots(0)) <= 3
+            good, bad = (0, 100) if server <= 6 else (100, 0)
+            balancer.load_reported(second * SECOND, server, good, bad, ())
+    assert 1 <= len(ejected(balancer)) <= 3
+
+
+def test_a_slow_server_costs_more():
+    balancer = balancer_of(3, now=SECOND)
+    for step in range(20):
+        for server, latency_ms in ((1, 10), (2, 10), (3, 40)):
+            balancer.load_reported(SECOND + step, server, 50, 0, (latency_ms,))
+    snapshots = {s.server: s for s in balancer.endpoint_snapshots(SECOND + 20)}
+    assert snapshots[3].cost > 2 * snapshots[1].cost
 
 
-def test_a_slow_server_costs_more_and_a_cold_one_shows_its_warmth():
-    b = judge(slow_start_duration=10 * SECOND, slow_start_min_capacity=0.2)
-    listed(b, 3, now=SECOND)
-    b.endpoint_update(SECOND, EndpointUpdateKind.CHANGES, [Endpoint(4, ready_at=SECOND)])
-    for n in range(20):
-        for server, ms in ((1, 10), (2, 10), (3, 40)):
-            b.load_reported(SECOND + n, server, 50, 0, (ms,))
-    views = {v.server: v for v in b.endpoint_snapshots(SECOND + 20)}
-    assert views[3].cost > 2 * views[1].cost and 0.19 < views[4].slow_start_factor < 0.21
-    later = {v.server: v.slow_start_factor for v in b.endpoint_snapshots(6 * SECOND)}
-    assert 0.55 < later[4] < 0.65 and {v.slow_start_factor for v in b.endpoint_snapshots(11 * SECOND)} == {
-        1.0
-    }
+def test_a_server_that_has_just_started_shows_how_far_it_has_warmed_up():
+    balancer = balancer_of(3, SECOND, slow_start_duration=10 * SECOND, slow_start_min_capacity=0.2)
+    balancer.endpoint_update(SECOND, EndpointUpdateKind.CHANGES, [Endpoint(4, ready_at=SECOND)])
+    factors = [
+        {s.server: s.slow_start_factor for s in balancer.endpoint_snapshots(now)}
+        for now in (SECOND + 20, 6 * SECOND, 11 * SECOND)
+    ]
+    assert 0.19 < factors[0][4] < 0.21 and 0.55 < factors[1][4] < 0.65
+    assert set(factors[2].values()) == {1.0}
 
 
 def test_a_report_that_cannot_be_changes_nothing():
-    b = judge()
-    listed(b, 3)
-    b.load_reported(0, 99, 5, 5, ())
-    b.load_reported(0, 1, 0, 0, ())
-    b.load_reported(0, 1, 1, 0, (float("nan"),))
-    b.load_reported(0, 2, 1, 0, (-5.0,))
-    assert all(0 < v.cost < 1e9 and not v.ejected for v in b.endpoint_snapshots(0))
+    balancer = balancer_of(3)
+    balancer.load_reported(0, 99, 5, 5, ())
+    balancer.load_reported(0, 1, 0, 0, ())
+    balancer.load_reported(0, 1, 1, 0, (float("nan"),))
+    balancer.load_reported(0, 2, 1, 0, (-5.0,))
+    assert all(0 < s.cost < 1e9 and not s.ejected for s in balancer.endpoint_snapshots(0))
 
 
-# ---- releases -----------------------------------------------------------------------------------------
+# ---- releases ---------------------------------------------------------------------------------------------
 
 
-def told(*weights: int, drained: int | None = None, limit: int = 0) -> PublishedCluster:
+def cluster(*weights: int, drained: int | None = None) -> PublishedCluster:
     return PublishedCluster(
         tuple(
-            PublishedEndpoint(f"s{i}", f"h:{i}", "", Health.DRAINING if i == drained else Health.HEALTHY, w)
-            for i, w in enumerate(weights)
-        ),
-        limit,
+            PublishedEndpoint(
+                f"s{i}", f"h:{i}", "", Health.DRAINING if i == drained else Health.HEALTHY, weight
+            )
+            for i, weight in enumerate(weights)
+        )
     )
 
 
-def test_weights_wait_for_their_interval_and_a_drain_goes_alone_at_once():
-    r = ReleaseSchedule(SECOND)
+@pytest.fixture
+def released_abc():
+    """A schedule that has released the clusters a, b and c after 5 seconds."""
+    schedule = ReleaseSchedule(SECOND)
     for name in "abc":
-        r.offer(name, told(100, 100))
-    clusters, urgent = r.take_due(5 * SECOND)
-    assert set(clusters) == urgent == set("abc") and r.take_due(5 * SECOND) is None
+        schedule.offer(name, cluster(100, 100))
+    batch = schedule.take_due(5 * SECOND)
+    assert set(batch.clusters) == batch.urgent == set("abc")
+    return schedule
+
+
+def test_weights_wait_for_their_interval(released_abc):
+    assert released_abc.take_due(5 * SECOND) is None
     for weight in range(50, 60):
-        r.offer("a", told(weight, 100))
-        r.offer("b", told(100, weight))
-        assert r.take_due(5 * SECOND + weight) is None
-    r.offer("b", told(100, 60, drained=0))
-    clusters, urgent = r.take_due(5 * SECOND + 100)
-    assert (
-        urgent == {"b"}
-        and clusters["b"].endpoints[1].weight == 60
-        and clusters["a"].endpoints[0].weight == 100
-    )
-    assert r.take_due(5 * SECOND + 200) is None
-    clusters, urgent = r.take_due(6 * SECOND)
-    assert not urgent and clusters["a"].endpoints[0].weight == 59
-
-
-def test_what_is_taken_back_before_it_goes_out_does_not_go_out():
-    r = ReleaseSchedule(SECOND)
-    r.offer("a", told(100, 100))
-    r.take_due(SECOND)
-    r.offer("a", told(50, 100))
-    r.offer("a", told(100, 100))
-    assert r.take_due(9 * SECOND) is None
-
-
-def test_a_cluster_that_goes_is_left_out_and_one_not_known_is_there_with_nothing():
-    r = ReleaseSchedule(SECOND)
-    r.offer("a", told(100))
-    r.offer("b", PublishedCluster(None))
-    clusters, _ = r.take_due(SECOND)
-    assert clusters["b"].endpoints is None
-    r.withdraw("a")
-    r.offer("b", told(100))
-    clusters, urgent = r.take_due(3 * SECOND)
-    assert set(clusters) == urgent == {"b"}
-
-
-def test_a_flapping_server_reaches_proxies_seldom():
-    """Its cost doubles and halves ten times a second: ten seconds, at most a release a second."""
-    publisher, release, count, now = ClusterPublisher(), ReleaseSchedule(SECOND), 0, 0
+        released_abc.offer("a", cluster(weight, 100))
+        assert released_abc.take_due(5 * SECOND + weight) is None
+    batch = released_abc.take_due(6 * SECOND)
+    assert not batch.urgent and batch.clusters["a"].endpoints[0].weight == 59
+
+
+def test_a_drain_goes_at_once_with_its_own_cluster_alone(released_abc):
+    released_abc.offer("a", cluster(59, 100))
+    released_abc.offer("b", cluster(100, 59))
+    assert released_abc.take_due(5 * SECOND + 59) is None
+    released_abc.offer("b", cluster(100, 60, drained=0))
+    batch = released_abc.take_due(5 * SECOND + 100)
+    assert batch.urgent == {"b"} and batch.clusters["b"].endpoints[1].weight == 60
+    assert batch.clusters["a"].endpoints[0].weight == 100
+    assert released_abc.take_due(5 * SECOND + 200) is None
+    batch = released_abc.take_due(6 * SECOND)
+    assert not batch.urgent and batch.clusters["a"].endpoints[0].weight == 59
+
+
+def test_a_change_that_is_taken_back_before_its_release_does_not_go_out():
+    schedule = ReleaseSchedule(SECOND)
+    schedule.offer("a", cluster(100, 100))
+    schedule.take_due(SECOND)
+    schedule.offer("a", cluster(50, 100))
+    schedule.offer("a", cluster(100, 100))
+    assert schedule.take_due(9 * SECOND) is None
+
+
+def test_a_cluster_that_is_not_known_is_released_without_endpoints():
+    schedule = ReleaseSchedule(SECOND)
+    schedule.offer("b", PublishedCluster(None))
+    assert schedule.take_due(SECOND).clusters["b"].endpoints is None
+
+
+def test_a_cluster_that_becomes_known_is_urgent_and_a_removed_one_is_left_out():
+    schedule = ReleaseSchedule(SECOND)
+    schedule.offer("a", cluster(100))
+    schedule.offer("b", PublishedCluster(None))
+    schedule.take_due(SECOND)
+    schedule.withdraw("a")
+    schedule.offer("b", cluster(100))
+    batch = schedule.take_due(3 * SECOND)
+    assert set(batch.clusters) == batch.urgent == {"b"}
+
+
+def releases_in_ten_seconds(cost_of_s9) -> int:
+    """Ten servers with a little noise, looked at ten times a second; the tenth one's cost is given by the step."""
+    publisher, schedule, count = ClusterPublisher(), ReleaseSchedule(SECOND), 0
     rng = Random(1)
-    for i in range(100):
-        now = i * 100_000
+    for step in range(100):
+        now = step * 100_000
         views = [ServerView(f"s{k}", f"h:{k}", cost=rng.uniform(0.95, 1.05)) for k in range(9)]
-        views.append(ServerView("s9", "h:9", cost=2.0 if i % 2 else 1.0))
-        release.offer("a", publisher.update(now, views, 100 + i % 7))
-        count += release.take_due(now) is not None
-    assert 2 <= count <= 11
-    # Noise alone, within the hysteresis, reaches nobody.
-    publisher, release, count = ClusterPublisher(), ReleaseSchedule(SECOND), 0
-    for i in range(100):
-        views = [ServerView(f"s{k}", f"h:{k}", cost=rng.uniform(0.95, 1.05)) for k in range(9)]
-        release.offer("a", publisher.update(i * 100_000, views, 100 + i % 7))
-        count += release.take_due(i * 100_000) is not None
-    assert count == 1
+        views.append(ServerView("s9", "h:9", cost=cost_of_s9(step)))
+        schedule.offer("a", publisher.update(now, views, 100 + step % 7))
+        count += schedule.take_due(now) is not None
+    return count
+
+
+def test_a_server_whose_cost_flaps_reaches_proxies_once_a_second_at_most():
+    assert 2 <= releases_in_ten_seconds(lambda step: 2.0 if step % 2 else 1.0) <= 11
 
 
-# ---- publication --------------------------------------------------------------------------------------
+def test_noise_within_the_hysteresis_reaches_no_proxy():
+    assert releases_in_ten_seconds(lambda step: 1.0) == 1
 
 
-def test_the_bound_on_calls_is_each_proxy_s_part_of_what_servers_bear():
+# ---- limits and priorities ----------------------------------------------------------------------------------
+
+
+def test_the_request_limit_is_twice_a_proxys_part_of_the_capacity():
     views = [ServerView(f"s{i}", "h:1") for i in range(10)]
-    assert (
-        request_limit(views, 0, 5) == 0
-        and request_limit(views, 10, 1) == 100
-        and request_limit(views, 10, 10) == 20
-    )
-    less = [*views[:5], *(ServerView(v.name, v.address, ejected=True) for v in views[5:])]
-    assert request_limit(less, 10, 10) == 10 and request_limit([], 10, 1000) == 3
-    cold = [ServerView("s", "h:1", warmth=0.25)]
-    assert request_limit(cold, 40, 2) == 10
+    assert request_limit(views, 10, 1) == 100 and request_limit(views, 10, 10) == 20
+
+
+def test_without_a_capacity_per_server_there_is_no_request_limit():
+    assert request_limit([ServerView(f"s{i}", "h:1") for i in range(10)], 0, 5) == 0
+
+
+def test_ejected_servers_have_no_capacity():
+    views = [ServerView(f"s{i}", "h:1", ejected=i >= 5) for i in range(10)]
+    assert request_limit(views, 10, 10) == 10
 
 
-def test_a_zone_goes_first_only_for_proxies_that_stand_in_it():
+def test_a_server_that_warms_up_has_a_part_of_its_capacity():
+    assert request_limit([ServerView("s", "h:1", warmth=0.25)], 40, 2) == 10
+
+
+def test_a_proxy_may_always_have_a_few_requests_in_flight():
+    assert request_limit([], 10, 1000) == 3
+
+
+def test_a_zone_goes_first_only_for_proxies_that_are_in_it():
     zones = {"a", "b"}
-    assert [priority(z, "a", zones) for z in ("a", "b")] == [0, 1]
-    assert [priority(z, "c", zones) for z in ("a", "b")] == [0, 0]
+    assert [priority(zone, "a", zones) for zone in ("a", "b")] == [0, 1]
+    assert [priority(zone, "c", zones) for zone in ("a", "b")] == [0, 0]
 
 
-# ---- lists --------------------------------------------------------------------------------------------
+# ---- lists --------------------------------------------------------------------------------------------------
 
 
 def line(name: str, state: str = "in_service", port: int = 1) -> dict:
     return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state}
 
 
-def test_a_roster_keeps_drains_and_drops_what_is_gone():
-    r = ListedEndpoints()
-    r.apply({"instances": [line("a"), line("b")]}, full=True, cached=False)
-    r.apply({"instances": [{"instanceId": "a", "lifecycle": "terminating"}]}, full=False, cached=False)
-    assert r.lines["a"]["hostPort"] == "127.0.0.1:1" and r.lines["a"]["lifecycle"] == "terminating"
-    r.apply(
-        {"instances": [{"instanceId": "a", "lifecycle": "terminated"}, None, {}, {"instanceId": 3}]},
-        False,
-        False,
-    )
-    assert set(r.lines) == {"b"}
-    r.apply({"instances": [line("c")]}, full=True, cached=False)
-    assert set(r.lines) == {"c"}
+@pytest.fixture
+def listed_a_and_b():
+    endpoints = ListedEndpoints()
+    endpoints.apply({"instances": [line("a"), line("b")]}, full=True, cached=False)
+    return endpoints
+
 
+def test_a_list_keeps_a_server_that_drains(listed_a_and_b):
+    drain = {"instanceId": "a", "lifecycle": "terminating"}
+    listed_a_and_b.apply({"instances": [drain]}, full=False, cached=False)
+    assert listed_a_and_b.lines["a"]["hostPort"] == "127.0.0.1:1"
+    assert listed_a_and_b.lines["a"]["lifecycle"] == "terminating"
 
-def test_a_remembered_list_counts_as_old_and_an_empty_one_as_nothing():
-    r = ListedEndpoints()
-    r.apply({"instances": [line("a")]}, full=True, cached=False)
-    again = ListedEndpoints()
-    again.apply(r.memory(), full=True, cached=True)
-    assert again.known() and not again.whole and again.lines == r.lines
-    empty = ListedEndpoints()
-    empty.apply({"instances": []}, full=True, cached=True)
-    assert not empty.known()
 
+def test_a_list_drops_a_server_that_has_ended_and_lines_that_cannot_be_read(listed_a_and_b):
+    ended = {"instanceId": "a", "lifecycle": "terminated"}
+    listed_a_and_b.apply({"instances": [ended, None, {}, {"instanceId": 3}]}, False, False)
+    assert set(listed_a_and_b.lines) == {"b"}
 
-# ---- load reports -------------------------------------------------------------------------------------
 
+def test_a_full_list_replaces_the_one_before(listed_a_and_b):
+    listed_a_and_b.apply({"instances": [line("c")]}, full=True, cached=False)
+    assert set(listed_a_and_b.lines) == {"c"}
 
-def test_one_proxy_s_broken_way_ejects_nothing_and_the_word_of_most_does():
-    loads = LoadReports()
-    for proxy in range(5):
-        loads.add(f"p{proxy}", "s1", *((0, 1000) if proxy == 0 else (100, 0)), 0, 1.0)
-        loads.add(f"p{proxy}", "s2", *((0, 100) if proxy < 3 else (100, 0)), 0, 1.0)
-    one, two = loads.take()
-    assert (one.bad, two.good) == (0, 0) and one.good == 1400
-    assert loads.take() == []
 
+def test_a_remembered_list_is_known_but_counts_as_old():
+    endpoints = ListedEndpoints()
+    endpoints.apply({"instances": [line("a")]}, full=True, cached=False)
+    restarted = ListedEndpoints()
+    restarted.apply(endpoints.memory(), full=True, cached=True)
+    assert restarted.known() and not restarted.whole and restarted.lines == endpoints.lines
 
-def test_reports_that_cannot_be_are_bounded():
-    loads = LoadReports()
-    loads.add("p", "s", 1 << 60, -5, 1 << 60, 1e30)
-    (seen,) = loads.take()
-    assert seen.good == 10_000 and seen.bad == 0 and seen.latency_ms <= 3.6e6
 
+def test_an_empty_remembered_list_is_not_known():
+    endpoints = ListedEndpoints()
+    endpoints.apply({"instances": []}, full=True, cached=True)
+    assert not endpoints.known()
 
-def test_latency_is_calls_in_progress_over_their_rate():
-    loads = LoadReports()
-    loads.add("p", "s", 100, 0, 5, 2.0)  # 50 a second, 5 out: 100 ms each
-    assert abs(loads.take()[0].latency_ms - 100) < 1
 
+# ---- load reports -------------------------------------------------------------------------------------------
 
-# ---- probes -------------------------------------------------------------------------------------------
 
+def reports(*failing: bool) -> LoadReports:
+    """Reports of one server by as many proxies; for a failing one all of its 1000 requests failed."""
+    collected = LoadReports()
+    for number, fails in enumerate(failing):
+        good, bad = (0, 1000) if fails else (100, 0)
+        collected.add(f"p{number}", "s1", good, bad, 0, 1.0)
+    return collected
 
-def test_probes_are_spread_and_none_is_out_twice():
-    s = HealthCheckSchedule(SECOND, Random(1))
-    servers = range(100)
-    assert s.take_due(0, servers) == []
-    counts = [len(s.take_due(t, servers)) for t in range(0, SECOND + 1, SECOND // 10)]
+
+def test_one_proxy_whose_way_to_a_server_is_broken_makes_no_failures():
+    (load,) = reports(True, False, False, False, False).take()
+    assert load.bad == 0 and load.good == 1400
+
+
+def test_the_failures_that_most_proxies_report_count():
+    (load,) = reports(True, True, True, False, False).take()
+    assert load.good == 0
+
+
+def test_reports_are_taken_once():
+    collected = reports(False)
+    collected.take()
+    assert collected.take() == []
+
+
+def test_figures_that_cannot_be_are_bounded():
+    collected = LoadReports()
+    collected.add("p", "s", 1 << 60, -5, 1 << 60, 1e30)
+    (load,) = collected.take()
+    assert load.good == 10_000 and load.bad == 0 and load.latency_ms <= 3.6e6
+
+
+def test_latency_is_the_requests_in_progress_over_their_rate():
+    collected = LoadReports()
+    collected.add("p", "s", 100, 0, 5, 2.0)  # 50 a second, 5 in progress: 100 ms each
+    assert abs(collected.take()[0].latency_ms - 100) < 1
+
+
+# ---- health checks ------------------------------------------------------------------------------------------
+
+
+def test_health_checks_are_spread_over_their_interval():
+    schedule, servers = HealthCheckSchedule(SECOND, Random(1)), range(100)
+    assert schedule.take_due(0, servers) == []
+    counts = [len(schedule.take_due(now, servers)) for now in range(0, SECOND + 1, SECOND // 10)]
     assert sum(counts) == 100 and max(counts) < 30
-    assert s.take_due(3 * SECOND, servers) == []  # all are still out
-    s.ended(7)
-    assert s.take_due(3 * SECOND, servers) == [7]
-    assert s.take_due(9 * SECOND, []) == [] and not s.due_at
 
 
-# ---- access -------------------------------------------------------------------------------------------
+def test_a_server_has_one_health_check_in_progress():
+    schedule, servers = HealthCheckSchedule(SECOND, Random(1)), range(100)
+    for now in (0, SECOND):
+        schedule.take_due(now, servers)
+    assert schedule.take_due(3 * SECOND, servers) == []
+    schedule.ended(7)
+    assert schedule.take_due(3 * SECOND, servers) == [7]
 
 
-def test_what_a_certificate_s_name_may_see():
-    rules = {"*.partner.example": ["orders"], "edge.example": ["*"], "a.partner.example": ["stock"]}
+def test_a_server_that_is_no_longer_listed_is_forgotten():
+    schedule = HealthCheckSchedule(SECOND, Random(1))
+    schedule.take_due(0, range(100))
+    assert schedule.take_due(9 * SECOND, []) == [] and not schedule.due_at
+
+
+# ---- access -------------------------------------------------------------------------------------------------
+
+RULES = {"*.partner.example": ["orders"], "edge.example": ["*"], "a.partner.example": ["stock"]}
+
+
+def test_without_rules_a_client_sees_all_clusters():
     assert allowed_clusters({}, ()) is None
-    assert allowed_clusters(rules, ()) == frozenset() == allowed_clusters(rules, ("partner.example",))
-    assert allowed_clusters(rules, ("a.partner.example",)) == {"orders", "stock"}
-    assert allowed_clusters(rules, ("nobody", "edge.example")) is None
 
 
-def test_what_counts_as_loopback():
-    assert all(is_loopback(h) for h in ("127.0.0.1", "127.9.9.9", "localhost", "::1", "[::1]"))
-    assert not any(
-        is_loopback(h) for h in ("0.0.0.0", "10.0.0.1", "[::]", "example.org", "127.0.0.1.example.org", "")
-    )
+@pytest.mark.parametrize("names", [(), ("partner.example",)])
+def test_a_client_that_no_rule_matches_sees_nothing(names):
+    assert allowed_clusters(RULES, names) == frozenset()
+
+
+def test_a_client_sees_the_clusters_of_all_rules_that_match():
+    assert allowed_clusters(RULES, ("a.partner.example",)) == {"orders", "stock"}
+    assert allowed_clusters(RULES, ("nobody", "edge.example")) is None
+
+
+@pytest.mark.parametrize("host", ["127.0.0.1", "127.9.9.9", "localhost", "::1", "[::1]"])
+def test_an_address_of_this_machine_alone_is_loopback(host):
+    assert is_loopback(host)
+
+
+@pytest.mark.parametrize("host", ["0.0.0.0", "10.0.0.1", "[::]", "example.org", "127.0.0.1.example.org", ""])
+def test_any_other_address_is_not_loopback(host):
+    assert not is_loopback(host)
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -1,4 +1,4 @@
-"""What proxies are told: drains at once, doubts within bounds, weights that do not flap, cold servers in steps."""
+"""What proxies get of a cluster: drains at once, ejections within bounds, steady weights, slow start in steps."""
 
 from __future__ import annotations
 
@@ -9,118 +9,157 @@
 
 from harecross.discovery import listed_endpoints
 from harecross.discovery.listed_endpoints import ListedEndpoints
-from harecross.xds.published import Health, ServerView, is_urgent
+from harecross.xds.published import Health, PublishedEndpoint, ServerView, is_urgent
 from harecross.xds.publisher import ABSENCE_HOLD_US, ClusterPublisher
 
 
-def views(n: int = 4, **more) -> list[ServerView]:
-    return [ServerView(f"s{i}", f"127.0.0.1:{i}", **more) for i in range(n)]
+def views(count: int = 4, **more) -> list[ServerView]:
+    return [ServerView(f"s{i}", f"127.0.0.1:{i}", **more) for i in range(count)]
 
 
-def test_a_drain_and_an_ejection_are_told_and_are_urgent():
-    p = ClusterPublisher()
-    before = p.update_endpoints(0, views())
-    some = views()
-    some[0], some[1] = replace(some[0], draining=True), replace(some[1], ejected=True)
-    after = p.update_endpoints(1, some)
-    assert [e.health for e in after] == [Health.DRAINING, Health.UNHEALTHY, Health.HEALTHY, Health.HEALTHY]
+def names(endpoints: list[PublishedEndpoint]) -> set[str]:
+    return {endpoint.name for endpoint in endpoints}
+
+
+def publisher_of(count: int) -> ClusterPublisher:
+    """A publisher that has published so many healthy servers at time 0."""
+    publisher = ClusterPublisher()
+    publisher.update_endpoints(0, views(count))
+    return publisher
+
+
+# ---- health and urgency -------------------------------------------------------------------------------------
+
+
+def test_a_drain_and_an_ejection_are_published_and_urgent():
+    publisher = ClusterPublisher()
+    before = publisher.update_endpoints(0, views())
+    changed = views()
+    changed[0], changed[1] = replace(changed[0], draining=True), replace(changed[1], ejected=True)
+    after = publisher.update_endpoints(1, changed)
+    assert [endpoint.health for endpoint in after] == [
+        Health.DRAINING, Health.UNHEALTHY, Health.HEALTHY, Health.HEALTHY,
+    ]  # fmt: skip
     assert is_urgent(before, after) and not is_urgent(after, after)
 
 
 def test_a_weight_alone_is_not_urgent():
-    p = ClusterPublisher()
-    before = p.update_endpoints(0, views())
-    after = p.update_endpoints(1, [replace(v, cost=1.0 + 3 * (v.name == "s0")) for v in views()])
+    publisher = ClusterPublisher()
+    before = publisher.update_endpoints(0, views())
+    changed = [replace(view, cost=1.0 + 3 * (view.name == "s0")) for view in views()]
+    after = publisher.update_endpoints(1, changed)
     assert before != after and not is_urgent(before, after)
 
 
-def test_our_doubts_never_empty_a_set():
-    told = ClusterPublisher().update_endpoints(0, [replace(v, ejected=v.name != "s0") for v in views()])
-    assert [(e.health, e.weight) for e in told] == [(Health.HEALTHY, 100)] + [(Health.HEALTHY, 10)] * 3
-    half = ClusterPublisher().update_endpoints(0, [replace(v, ejected=v.name < "s2") for v in views()])
-    assert [e.health for e in half] == [Health.UNHEALTHY] * 2 + [Health.HEALTHY] * 2
-
-
-def test_a_list_that_suddenly_holds_almost_nothing_is_disbelieved_for_a_while():
-    p = ClusterPublisher()
-    p.update_endpoints(0, views(6))
-    assert len(p.update_endpoints(1_000_000, views(1))) == 6
-    assert len(p.update_endpoints(ABSENCE_HOLD_US, views(1))) == 6
-    assert len(p.update_endpoints(1_000_000 + ABSENCE_HOLD_US, views(1))) == 1
-    # One server that goes is believed at once, and so is any number that was said to drain.
-    p = ClusterPublisher()
-    p.update_endpoints(0, views(6))
-    assert len(p.update_endpoints(1, views(5))) == 5
-    p.update_endpoints(2, [replace(v, draining=True) for v in views(5)])
-    assert p.update_endpoints(3, []) == []
-
-
-def test_a_disbelieved_absence_ends_with_a_later_word_about_that_server():
-    """What is held is a view of the moment in which it went: discovery's own word, or a new server there, ends it."""
-    p = ClusterPublisher()
-    p.update_endpoints(0, views(6))
-    assert len(p.update_endpoints(1, views(1))) == 6
-    assert {e.name for e in p.update_endpoints(2, views(1), ended={"s4"})} == {"s0", "s1", "s2", "s3", "s5"}
+def test_with_most_servers_ejected_all_stay_healthy_with_small_weights():
+    ejected = [replace(view, ejected=view.name != "s0") for view in views()]
+    published = ClusterPublisher().update_endpoints(0, ejected)
+    expected = [(Health.HEALTHY, 100)] + [(Health.HEALTHY, 10)] * 3
+    assert [(endpoint.health, endpoint.weight) for endpoint in published] == expected
+
+
+def test_with_half_of_the_servers_ejected_these_are_unhealthy():
+    ejected = [replace(view, ejected=view.name < "s2") for view in views()]
+    published = ClusterPublisher().update_endpoints(0, ejected)
+    assert [endpoint.health for endpoint in published] == [Health.UNHEALTHY] * 2 + [Health.HEALTHY] * 2
+
+
+# ---- absences that are not believed -------------------------------------------------------------------------
+
+
+def test_a_list_that_suddenly_has_almost_nothing_is_not_believed_for_a_while():
+    publisher = publisher_of(6)
+    assert len(publisher.update_endpoints(1_000_000, views(1))) == 6
+    assert len(publisher.update_endpoints(ABSENCE_HOLD_US, views(1))) == 6
+    assert len(publisher.update_endpoints(1_000_000 + ABSENCE_HOLD_US, views(1))) == 1
+
+
+def test_one_absent_server_is_believed_at_once():
+    assert len(publisher_of(6).update_endpoints(1, views(5))) == 5
+
+
+def test_absent_servers_that_drained_are_believed_at_once():
+    publisher = publisher_of(5)
+    publisher.update_endpoints(2, [replace(view, draining=True) for view in views(5)])
+    assert publisher.update_endpoints(3, []) == []
+
+
+def test_doubt_of_an_absence_ends_when_discovery_says_that_the_server_has_ended():
+    publisher = publisher_of(6)
+    assert len(publisher.update_endpoints(1, views(1))) == 6
+    published = publisher.update_endpoints(2, views(1), ended={"s4"})
+    assert names(published) == {"s0", "s1", "s2", "s3", "s5"}
+
+
+def test_doubt_of_an_absence_ends_when_another_server_has_its_address():
+    publisher = publisher_of(6)
+    assert len(publisher.update_endpoints(1, views(1))) == 6
     newcomer = replace(views(3)[2], name="new")
-    told = p.update_endpoints(3, [*views(1), newcomer])
-    assert {e.name for e in told} == {"s0", "s1", "s3", "s5", "new"}, "s2's address is another's now"
-    # What was said of them all at once is the doubt itself, and ends none.
-    p = ClusterPublisher()
-    p.update_endpoints(0, views(6))
-    mass = {f"s{i}" for i in range(1, 6)}
-    assert (
-        len(p.update_endpoints(1, views(1), ended=mass))
-        == len(p.update_endpoints(2, views(1), ended=mass))
-        == 6
-    )
-
-
-def test_a_roster_knows_whom_discovery_has_said_to_be_gone_until_it_lists_them_again(monkeypatch):
-    roster = ListedEndpoints()
-    roster.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
-    roster.apply(update(2, entry("a", "h:1", "terminated")), full=False, cached=False)
-    roster.apply(update(3, entry("b", "h:2"), reset=True), full=True, cached=False)
-    assert set(roster.ended) == {"a"} and set(roster.lines) == {"b"}
-    roster.apply(update(4, entry("a", "h:1")), full=False, cached=False)
-    assert not roster.ended
-    monkeypatch.setattr(listed_endpoints, "ENDED_MOST", 3)
-    for i in range(20):
-        roster.apply(update(i, entry(f"x{i}", "h:3", "terminated")), full=False, cached=False)
-    assert list(roster.ended) == ["x17", "x18", "x19"]
+    published = publisher.update_endpoints(3, [*views(1), newcomer])
+    assert names(published) == {"s0", "s1", "s3", "s4", "s5", "new"}, "s2's address is another's now"
+
+
+def test_doubt_of_an_absence_does_not_end_by_what_was_said_of_all_at_once():
+    publisher = publisher_of(6)
+    ended = {f"s{i}" for i in range(1, 6)}
+    assert len(publisher.update_endpoints(1, views(1), ended=ended)) == 6
+    assert len(publisher.update_endpoints(2, views(1), ended=ended)) == 6
 
 
-def test_a_weight_that_hovers_is_told_once():
-    p, rng = ClusterPublisher(), Random(1)
-    p.update_endpoints(0, views())
+# ---- weights ------------------------------------------------------------------------------------------------
+
+
+def test_a_weight_that_hovers_is_published_once():
+    publisher, rng = publisher_of(4), Random(1)
     changes = 0
-    last = p.endpoints
+    last = publisher.endpoints
     for now in range(1, 500):
-        p.update_endpoints(now, [replace(v, cost=1.0 + 0.06 * rng.uniform(-1, 1)) for v in views()])
-        changes += p.endpoints != last
-        last = p.endpoints
+        publisher.update_endpoints(
+            now, [replace(view, cost=1.0 + 0.06 * rng.uniform(-1, 1)) for view in views()]
+        )
+        changes += publisher.endpoints != last
+        last = publisher.endpoints
     assert changes == 0
-    assert (
-        p.update_endpoints(501, [replace(v, cost=2.0 if v.name == "s0" else 1.0) for v in views()])[0].weight
-        < 80
-    )
 
 
-def test_a_cold_server_is_brought_up_in_steps_that_stay_under_its_part():
-    p = ClusterPublisher()
-    seen = set()
+def test_a_server_that_costs_twice_as_much_gets_a_smaller_weight():
+    costly = [replace(view, cost=2.0 if view.name == "s0" else 1.0) for view in views()]
+    assert publisher_of(4).update_endpoints(501, costly)[0].weight < 80
+
+
+def test_a_server_that_warms_up_gets_more_in_steps_that_stay_below_its_part():
+    publisher = ClusterPublisher()
+    weights = set()
     for percent in range(40, 101):
         warmth = percent / 100
-        told = p.update_endpoints(
-            percent, [replace(v, warmth=warmth if v.name == "s0" else 1.0) for v in views()]
-        )
-        weight = told[0].weight
-        assert weight <= max(warmth, 0.125) * told[1].weight
-        seen.add(weight)
-    assert sorted(seen) == [25, 50, 75, 100]
+        warming = [replace(view, warmth=warmth if view.name == "s0" else 1.0) for view in views()]
+        published = publisher.update_endpoints(percent, warming)
+        assert published[0].weight <= max(warmth, 0.125) * published[1].weight
+        weights.add(published[0].weight)
+    assert sorted(weights) == [25, 50, 75, 100]
+
+
+def test_a_cheap_server_that_warms_up_gets_no_more_than_its_part_of_the_mean():
+    warming = [replace(view, cost=0.1 if view.name == "s0" else 1.0, warmth=0.5) for view in views()]
+    assert ClusterPublisher().update_endpoints(0, warming)[0].weight <= 50
+
+
+# ---- ended servers of the list ------------------------------------------------------------------------------
 
 
-def test_a_cheap_cold_server_gets_no_more_than_a_warm_one_of_mean_cost():
-    told = ClusterPublisher().update_endpoints(
-        0, [replace(v, cost=0.1 if v.name == "s0" else 1.0, warmth=0.5) for v in views()]
-    )
-    assert told[0].weight <= 50
+def test_a_list_knows_which_servers_have_ended_until_it_lists_them_again():
+    endpoints = ListedEndpoints()
+    endpoints.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
+    endpoints.apply(update(2, entry("a", "h:1", "terminated")), full=False, cached=False)
+    endpoints.apply(update(3, entry("b", "h:2"), reset=True), full=True, cached=False)
+    assert set(endpoints.ended) == {"a"} and set(endpoints.lines) == {"b"}
+    endpoints.apply(update(4, entry("a", "h:1")), full=False, cached=False)
+    assert not endpoints.ended
+
+
+def test_a_list_remembers_a_limited_number_of_ended_servers(monkeypatch):
+    monkeypatch.setattr(listed_endpoints, "ENDED_MOST", 3)
+    endpoints = ListedEndpoints()
+    for i in range(20):
+        endpoints.apply(update(i, entry(f"x{i}", "h:3", "terminated")), full=False, cached=False)
+    assert list(endpoints.ended) == ["x17", "x18", "x19"]
