--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -44,10 +44,11 @@
 from harecross.node.maintenance import MaintenanceState
 from harecross.operators import OperatorsFile, read_toml
 from harecross.policy.learned_state import import_learned_state
-from harecross.shifts.plan import place, read_plan
-from harecross.shifts.shift import State as ShiftState
-from harecross.sources.keep import read as read_kept
-from harecross.store.store import Lease, Store
+from harecross.shifts.plan import read_plan, unit_position
+from harecross.shifts.shift import ShiftState
+from harecross.sources.cache_file import read_cache_file
+from harecross.store.leases import Lease
+from harecross.store.store import Store
 from harecross.xds.config import TlsTable, read_control
 
 ROOT = Path(__file__).parent.parent
@@ -127,10 +128,10 @@
 @pytest.mark.parametrize("name", STORE_FILES)
 def test_leases_of_a_stored_file_are_read_and_fence_as_they_did(tmp_path, name):
     store = Store(str(stored(name, tmp_path)))
-    assert store.held("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
-    assert store.held("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
-    assert store.lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
-    assert store.lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).token == 3
+    assert store.current_lease("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
+    assert store.current_lease("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
+    assert store.acquire_lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
+    assert store.acquire_lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).fencing_token == 3
     store.close()
 
 
@@ -248,9 +249,11 @@
 def test_a_stored_shift_and_its_records_hold_these_keys_and_values(tmp_path):
     store = Store(str(stored("shift", tmp_path)))
     document = store.get("shift", "readings-2")
-    assert (document.version, document.at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
+    assert (document.version, document.changed_at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
     assert [record.body for record in store.records("shift", "readings-2")] == SHIFT_RECORDS
-    assert store.held("shift/readings-2") == Lease("shift/readings-2", "controller-a", 1, 1_700_000_016.0)
+    assert store.current_lease("shift/readings-2") == Lease(
+        "shift/readings-2", "controller-a", 1, 1_700_000_016.0
+    )
     store.close()
 
 
@@ -258,16 +261,18 @@
     """Its plan counts as unchanged, or the shift would stand paused until an operator resumed it."""
     store = Store(str(stored("shift", tmp_path)))
     controller = states.shift_controller(store, "controller-b")
-    assert controller.lead(50.0, states.WALL + 60)
+    assert controller.renew_lease(50.0, states.WALL + 60)
     shift = controller.shift
-    assert (shift.state, shift.cause, shift.step, shift.in_step, shift.units, shift.share, shift.why) == (
+    assert (
+        shift.state, shift.cause, shift.step, shift.step_running_s, shift.step_units, shift.share, shift.reason,
+    ) == (
         ShiftState.RUNNING, None, 0, 4.0, 40, 0.05, "resumed by an operator",
     )  # fmt: skip
-    errors, late = shift.judge.bets["read", "errors"], shift.judge.bets["read", "late"]
-    assert (errors.windows, errors.at_risk, errors.harmed) == (4, [80, 34], [0, 4])
-    assert errors.starts == [[0.7002, 1.5616, 2.6791, 3.7041]]
-    assert (late.windows, late.at_risk, late.harmed) == (4, [74, 40], [4, 0])
-    assert controller.lease is not None and controller.lease.token == 2
+    errors, late = shift.judge.tests["read", "errors"], shift.judge.tests["read", "late"]
+    assert (errors.windows, list(errors.at_risk), list(errors.events)) == (4, [80, 34], [0, 4])
+    assert errors.log_wealths == [[0.7002, 1.5616, 2.6791, 3.7041]]
+    assert (late.windows, list(late.at_risk), list(late.events)) == (4, [74, 40], [4, 0])
+    assert controller.lease is not None and controller.lease.fencing_token == 2
     store.close()
 
 
@@ -281,7 +286,7 @@
 def test_a_shifts_units_stay_in_their_pools():
     """Every node works it out for itself, the old program's and the new one's among them."""
     units = (b"captain-1", b"captain-2", b"")
-    assert [place("readings-2", unit) for unit in units] == [
+    assert [unit_position("readings-2", unit) for unit in units] == [
         0.11079125463425318,
         0.4079752999256648,
         0.4433288467854551,
@@ -388,16 +393,16 @@
 
 
 def test_stored_dns_sets_are_read():
-    sets = read_kept(str(DATA / "kept-dns-sets"))
+    sets = read_cache_file(str(DATA / "kept-dns-sets"))
     assert list(sets) == ["_readings._tcp.site3.example.org", "_empty._tcp.example.org"]
     first, empty = sets.values()
-    assert (first.at, first.until, first.found.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
-    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.found.endpoints] == [
+    assert (first.answered_at, first.expires_at, first.answer.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
+    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.answer.endpoints] == [
         (0, "a.site3.example.org", "10.3.0.1", 8081, 10),
         (1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
     ]
-    assert (empty.at, empty.until, empty.found.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
-    assert empty.found.endpoints == ()
+    assert (empty.answered_at, empty.expires_at, empty.answer.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
+    assert empty.answer.endpoints == ()
 
 
 def test_dns_sets_are_written_with_the_same_bytes(tmp_path):
@@ -436,8 +441,8 @@
 
     async def body() -> None:
         service = states.control_service(path)
-        service.begin("orders", service.remembered()["orders"])
-        feed = service.press.feeds["orders"]
+        service.start_cluster("orders", service.remembered_lists.load()["orders"])
+        feed = service.publisher_loop.feeds["orders"]
         assert feed.roster.remembered and not feed.roster.whole and feed.roster.known()
         assert feed.roster.lines == {
             "s1": {
@@ -452,7 +457,7 @@
         number = feed.registry.numbers["s1"]
         assert list(feed.registry.listed) == [number] and list(feed.registry.draining) == ["s2"]
         # What it remembers of them has the same bytes again.
-        service.remember(True)
+        service.remembered_lists.save(service.publisher_loop.feeds)
         await states.stop_control(service)
 
     asyncio.run(body())
