--- /dev/null
+++ b/harecross/admin_client/cli.py
@@ -0,0 +1,253 @@
+"""`harecross door`: what operators tell running nodes. Status 0 for success, 1 for a refusal, 2 for wrong use."""
+
+from __future__ import annotations
+
+import sys
+import time
+from pathlib import Path
+from typing import TYPE_CHECKING, Annotated
+
+import typer
+
+from harecross.exits import stop
+
+if TYPE_CHECKING:
+    from harecross.admin_client.calls import CallResult, NodeStatus
+    from harecross.admin_client.release import Release
+
+DRAIN_POLL_INTERVAL_S = 0.25
+REFUSED_STATUS = 1
+INTERRUPTED_STATUS = 130
+
+door_app = typer.Typer(
+    no_args_is_help=True,
+    help="Take servers out and back, send clients away, release servers over several nodes.",
+)
+
+At = Annotated[
+    list[str],
+    typer.Option("--at", envvar="LB_ADMIN", help="HOST:PORT of a node's door; once for each node."),
+]
+Ids = Annotated[list[str], typer.Argument(metavar="ID...", help="Servers, by their ids in discovery.")]
+
+
+def checked_nodes(addresses: list[str]) -> list[str]:
+    """The nodes, each once. Exits for one that is no address."""
+    from harecross.admin_client.calls import node_address
+
+    try:
+        return list(dict.fromkeys(node_address(address) for address in addresses))
+    except ValueError as error:
+        stop(f"--at: {error}")
+
+
+def print_result(node: str, result: CallResult) -> None:
+    """Prints the result of one call, a refusal to standard error."""
+    if result.ok:
+        print(f"{node}: {result.text}")
+    else:
+        print(f"{node}: no: {result.text}", file=sys.stderr)
+
+
+def call_all(nodes: list[str], path: str, bodies: list[str], method: str = "POST") -> bool:
+    """Makes the same calls at every node and prints the results; returns whether all succeeded."""
+    from harecross.admin_client.calls import call_node
+
+    all_ok = True
+    for node in nodes:
+        for body in bodies:
+            result = call_node(node, method, path, body)
+            print_result(node, result)
+            all_ok = all_ok and result.ok
+    return all_ok
+
+
+def exit_with(ok: bool) -> typer.Exit:
+    """The exit of a command, to be raised."""
+    return typer.Exit(0 if ok else REFUSED_STATUS)
+
+
+@door_app.command("status")
+def status(at: At) -> None:
+    """Whether each node serves, and what is out there."""
+    raise exit_with(call_all(checked_nodes(at), "/status", [""], "GET"))
+
+
+@door_app.command("standby")
+def standby(at: At) -> None:
+    """Send clients away."""
+    raise exit_with(call_all(checked_nodes(at), "/standby", [""]))
+
+
+@door_app.command("active")
+def active(at: At) -> None:
+    """Take clients again."""
+    raise exit_with(call_all(checked_nodes(at), "/active", [""]))
+
+
+@door_app.command("back")
+def back(ids: Ids, at: At) -> None:
+    """Use servers again, as ones that have just started."""
+    raise exit_with(call_all(checked_nodes(at), "/maintenance/exit", ids))
+
+
+@door_app.command("out")
+def out(
+    ids: Ids,
+    at: At,
+    wait: Annotated[bool, typer.Option("--wait", help="Until nothing is out on them any more.")] = False,
+    within: Annotated[float, typer.Option(help="Seconds to wait at most.")] = 120.0,
+) -> None:
+    """Send nothing more to servers, until they are put back."""
+    nodes = checked_nodes(at)
+    if within <= 0:
+        stop("--within: above 0")
+    if not call_all(nodes, "/maintenance/enter", ids):
+        raise typer.Exit(REFUSED_STATUS)
+    if wait:
+        try:
+            wait_until_drained(nodes, tuple(ids), within)
+        except KeyboardInterrupt:
+            stop(f"interrupted; {', '.join(ids)} stay out", INTERRUPTED_STATUS)
+
+
+def wait_until_drained(nodes: list[str], ids: tuple[str, ...], timeout_s: float) -> None:
+    """Returns once no node has requests in flight on the servers; prints what is left whenever that changes."""
+    end, printed = time.monotonic() + timeout_s, ""
+    while True:
+        left = [text for node in nodes for text in undrained(node, ids)]
+        if not left:
+            print(f"{', '.join(ids)}: nothing is out on them")
+            return
+        if "; ".join(left) != printed:
+            printed = "; ".join(left)
+            print(printed, flush=True)
+        if time.monotonic() >= end:
+            stop(f"not empty after {timeout_s:g} s: {printed}", REFUSED_STATUS)
+        time.sleep(DRAIN_POLL_INTERVAL_S)
+
+
+def undrained(node: str, ids: tuple[str, ...]) -> list[str]:
+    """What one node still has in flight on the servers, or why that is not known."""
+    from harecross.admin_client.calls import StatusFailure, fetch_status
+
+    status = fetch_status(node, ids)
+    if isinstance(status, StatusFailure):
+        return [f"{node}: {status.reason}"]
+    left = [f"{s.id} has {s.in_flight} at {node}" for s in status.servers.values() if s.in_flight]
+    if status.other_processes:
+        left.append(f"another process serves at {node}")
+    return left
+
+
+@door_app.command("servers")
+def servers(
+    at: At,
+    ids: Annotated[list[str] | None, typer.Argument(metavar="[ID...]", help="Only these.")] = None,
+) -> None:
+    """Each server as each node sees it: its state, what is out on it, how warm it is."""
+    from harecross.admin_client.calls import StatusFailure, fetch_status
+
+    all_ok = True
+    for node in checked_nodes(at):
+        status = fetch_status(node, tuple(ids or ()))
+        if isinstance(status, StatusFailure):
+            print(f"{node}: no: {status.reason}", file=sys.stderr)
+            all_ok = False
+            continue
+        missing = [name for name in ids or () if name not in status.servers]
+        for name in missing:
+            print(f"{node}: no: {name}: no such server", file=sys.stderr)
+        all_ok = all_ok and not missing
+        print_servers(node, status)
+    raise exit_with(all_ok)
+
+
+def print_servers(node: str, status: NodeStatus) -> None:
+    """Prints one node's servers as a table."""
+    from harecross.console import out as console
+    from harecross.console import table
+
+    standby = ", standing by" if status.standby else ""
+    others = f", {status.other_processes} more processes" if status.other_processes else ""
+    rows = table(f"{status.name} at {node}{standby}{others}", "server", "state", "out on it", "warm")
+    for server in status.servers.values():
+        state = server.state + (", ejected" if server.ejected else "")
+        rows.add_row(server.id, state, str(server.in_flight), f"{server.warmth:.0%}")
+    console.print(rows)
+
+
+@door_app.command("release")
+def release(
+    at: At,
+    named: Annotated[list[str] | None, typer.Argument(metavar="[ID...]", help="Servers, in order.")] = None,
+    batch: Annotated[int, typer.Option(min=1, help="Servers out at once, at most.")] = 1,
+    keep: Annotated[float, typer.Option(min=0, max=1, help="Share of servers that stays in use.")] = 0.5,
+    restart: Annotated[
+        str | None,
+        typer.Option(help="Shell command that restarts $HARECROSS_SERVER and returns once it is up."),
+    ] = None,
+    empty_within: Annotated[float, typer.Option(help="Seconds.")] = 120.0,
+    restart_within: Annotated[float, typer.Option(help="Seconds.")] = 600.0,
+    warm_within: Annotated[float, typer.Option(help="Seconds.")] = 300.0,
+    ids_from: Annotated[
+        Path | None, typer.Option(help="A file of ids, one on a line, after those given.")
+    ] = None,
+) -> None:
+    """Take servers out, wait until they are empty, have them restarted, put them back, wait until they are warm.
+
+    Ends at the first no. Ctrl-C ends it in order, a second one at once; what stays out is named.
+    """
+    from harecross.admin_client.release import Limits, Release
+
+    nodes = checked_nodes(at)
+    check_above_zero("--empty-within", empty_within)
+    check_above_zero("--restart-within", restart_within)
+    check_above_zero("--warm-within", warm_within)
+    ids = release_ids(list(named or ()), ids_from)
+    if restart is None and not sys.stdin.isatty():
+        stop("release: --restart CMD is needed where standard input is no terminal")
+    limits = Limits(batch, keep, empty_within, restart_within, warm_within)
+    raise typer.Exit(run_release(Release(ids, nodes, limits), restart))
+
+
+def check_above_zero(option: str, value: float) -> None:
+    """Exits for a time that is not above 0."""
+    if value <= 0:
+        stop(f"{option}: above 0")
+
+
+def release_ids(ids: list[str], file: Path | None) -> list[str]:
+    """The servers of a release: those named, then those in the file. Exits if there are none, or one twice."""
+    if file is not None:
+        try:
+            ids += [line.strip() for line in file.read_text().splitlines() if line.strip()]
+        except (OSError, UnicodeDecodeError) as error:
+            stop(f"--ids-from {file}: {getattr(error, 'strerror', None) or 'not UTF-8'}")
+    if not ids:
+        stop("release: no servers are named")
+    repeated = sorted({name for name in ids if ids.count(name) > 1})
+    if repeated:
+        stop(f"given twice: {', '.join(repeated)}")
+    return ids
+
+
+def run_release(release: Release, restart_command: str | None) -> int:
+    """Runs a release and prints its progress and result; returns the exit status."""
+    from harecross.admin_client.release_runner import ReleaseRunner
+
+    began = time.monotonic()
+
+    def print_line(text: str) -> None:
+        print(f"{time.monotonic() - began:6.1f} s  {text}", flush=True)
+
+    exit_status = ReleaseRunner(release, restart_command, print_line).run()
+    restarted = sum(server.restarted for server in release.servers)
+    ended = f"; ended: {release.stop_reason}" if release.stop_reason else ""
+    print_line(f"{restarted} of {len(release.servers)} restarted{ended}")
+    for name in release.running_restarts():
+        print_line(f"{name}: its restart still runs")
+    for name, nodes in release.servers_out().items():
+        options = " ".join(f"--at {node}" for node in nodes)
+        print_line(f"{name} is out, or may be: harecross door back {name} {options}")
+    return exit_status
--- a/harecross/cli.py
+++ b/harecross/cli.py
@@ -11,8 +11,8 @@
 
 import typer
 
+from harecross.admin_client.cli import door_app
 from harecross.dns.cli import dns_app
-from harecross.doors.cli import door_app
 from harecross.fleet.cli import fleet_app
 from harecross.follow.cli import follow
 from harecross.replay.cli import demo, replay
--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -30,12 +30,12 @@
     """What each source says, how old that is, and which line of the rule decided."""
     from urllib.parse import urlencode
 
-    from harecross.doors.ask import call
-    from harecross.doors.cli import checked
+    from harecross.admin_client.calls import call_node
+    from harecross.admin_client.cli import checked_nodes
 
     good = True
-    for door in checked(at):
-        said = call(door, "GET", f"/sources?{urlencode({'box': box})}" if box else "/sources")
+    for door in checked_nodes(at):
+        said = call_node(door, "GET", f"/sources?{urlencode({'box': box})}" if box else "/sources")
         if not said.ok:
             why = "it has no sources beside the watch" if said.text == "no such call" else said.text
             print(f"{door}: no: {why}", file=sys.stderr)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -285,22 +285,22 @@
         async with site.node() as node:
             server = node.dispatcher.balancer.servers
             number = node.registry.numbers["s0"]
-            assert server[number].cold_until == 0
+            assert server[number].slow_start_until == 0
             await tell(node, "/maintenance/enter", "s0")
-            assert number not in server or not server[number].in_list
+            assert number not in server or not server[number].listed
             await tell(node, "/maintenance/exit", "s0")
             number = node.registry.numbers["s0"]
-            cold = server[number].cold_until
-            assert cold > 0 and server[number].member
+            cold = server[number].slow_start_until
+            assert cold > 0 and server[number].in_subset
             # The list has not heard of a restart: its line changes nothing.
             _, watch = await site.catalog.watches.get()
             site.catalog.push(watch, line(42, site.entries[0]))
             await until(lambda: node.discovery.current.generation == 42)
-            assert server[number].cold_until == cold
+            assert server[number].slow_start_until == cold
             started = (node.registry.start_times.unix_offset + cold) // 1000
             site.catalog.push(watch, line(43, {**site.entries[0], "startedAtMs": started}))
             await until(lambda: node.discovery.current.generation == 43)
-            assert server[number].cold_until > cold
+            assert server[number].slow_start_until > cold
 
     with_site(test, tmp_path)
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -14,13 +14,13 @@
 import pytest
 from node_support import Catalog, Origin, config_of, entry, line, run, until, update
 
+from harecross.admin_client.calls import CallResult, NodeStatus, ServerStatus, StatusFailure
+from harecross.admin_client.release import Action, ActionKind, Limits, Phase, Release
 from harecross.discovery.endpoint_status import IN_USE, OUT
-from harecross.doors.ask import Look, Row, Said
-from harecross.doors.release import Do, Limits, Phase, Release
 from harecross.node.config import config_from
 from harecross.node.node import Node
 
-LIMITS = Limits(empty_within=20, restart_within=20, warm_within=20)
+LIMITS = Limits(drain_timeout_s=20, restart_timeout_s=20, warm_up_timeout_s=20)
 
 
 # ---- the machine, against a world that fails ---------------------------------------------------------------
@@ -55,67 +55,67 @@
     def later(self, delay: float, event) -> None:
         self.queue.append((self.now + delay, len(self.queue) + self.rng.random(), event))
 
-    def do(self, todo: list[Do]) -> None:
+    def do(self, todo: list[Action]) -> None:
         for d in todo:
             delay = self.rng.uniform(0.01, 0.2)
-            if d.what == "look":
-                self.later(delay, lambda d=d: self.look(d.door))
-            elif d.what in ("out", "back"):
+            if d.kind is ActionKind.FETCH_STATUS:
+                self.later(delay, lambda d=d: self.look(d.node))
+            elif d.kind in (ActionKind.ENTER_MAINTENANCE, ActionKind.EXIT_MAINTENANCE):
                 self.later(delay, lambda d=d: self.call(d))
-            elif d.what == "restart":
+            elif d.kind is ActionKind.RESTART:
                 self.restart(d.server)
             else:
                 self.later(delay, lambda d=d: self.end(d.server, False))
 
     def look(self, door: str) -> None:
         if self.dead.get(door, 0) > self.now or self.chance("look lost"):
-            return self.do(self.release.looked(self.now, door, "no answer"))
+            return self.do(self.release.status_received(self.now, door, StatusFailure("no answer")))
         if self.chance("put back by others", 0.1) and self.out[door]:
             self.out[door].discard(self.rng.choice(sorted(self.out[door])))
         rows = {}
         for name in NAMES:
             state = OUT if name in self.out[door] else IN_USE
             out = int(self.open.get((door, name), 0) > self.now)
-            rows[name] = Row(
+            rows[name] = ServerStatus(
                 name, state, True, out, 1.0 if self.cold.get(name, 0) <= self.now else 0.5, False
             )
         if self.chance("another process"):
             self.beside[door] = self.now + 3
         others = int(self.beside.get(door, 0) > self.now)
-        return self.do(self.release.looked(self.now, door, Look(door, False, others, rows)))
+        return self.do(self.release.status_received(self.now, door, NodeStatus(door, False, others, rows)))
 
-    def call(self, d: Do) -> None:
+    def call(self, d: Action) -> None:
         if self.chance("door dies", 0.3):
-            self.dead[d.door] = self.now + self.rng.choice([1, 60])
-        if self.dead.get(d.door, 0) > self.now:
-            said = Said(False, "nobody listens there")
+            self.dead[d.node] = self.now + self.rng.choice([1, 60])
+        if self.dead.get(d.node, 0) > self.now:
+            result = CallResult(False, "nobody listens there")
         elif self.chance("call lost before"):
-            said = Said(False, "no answer", unsure=True)
-        elif d.what == "out" and self.chance("call late"):
-            self.late.add((d.door, d.server))
-            said = Said(False, "no answer", unsure=True)
+            result = CallResult(False, "no answer", effect_unknown=True)
+        elif d.kind is ActionKind.ENTER_MAINTENANCE and self.chance("call late"):
+            self.late.add((d.node, d.server))
+            result = CallResult(False, "no answer", effect_unknown=True)
         elif self.chance("no"):
-            said = Said(False, "a no")
+            result = CallResult(False, "a no")
         else:
             self.effect(d)
             lost = self.chance("answer lost")
-            said = Said(False, "no answer", unsure=True) if lost else Said(True, "yes")
-        self.do(self.release.answered(self.now, d.what, d.door, d.server, said))
+            result = CallResult(False, "no answer", effect_unknown=True) if lost else CallResult(True, "yes")
+        self.do(self.release.call_answered(self.now, d.kind, d.node, d.server, result))
 
-    def effect(self, d: Do) -> None:
+    def effect(self, d: Action) -> None:
         assert d.server not in self.running, "a server is put back, or out, in its restart"
-        if d.what == "out":
-            self.out[d.door].add(d.server)
-            self.open[d.door, d.server] = self.now + (
+        if d.kind is ActionKind.ENTER_MAINTENANCE:
+            self.out[d.node].add(d.server)
+            self.open[d.node, d.server] = self.now + (
                 40 if self.chance("long work") else self.rng.choice([0, 1, 5])
             )
         else:
-            self.out[d.door].discard(d.server)
-            if (d.door, d.server) in self.late:
-                self.late.discard((d.door, d.server))
-                self.out[d.door].add(d.server)
+            self.out[d.node].discard(d.server)
+            if (d.node, d.server) in self.late:
+                self.late.discard((d.node, d.server))
+                self.out[d.node].add(d.server)
         out = set().union(*self.out.values())
-        failed = {s.id for s in self.release.servers if s.phase == Phase.LEFT}
+        failed = {s.id for s in self.release.servers if s.phase == Phase.LEFT_OUT}
         self.most_out = max(self.most_out, len(out - failed))
 
     def restart(self, server: str) -> None:
@@ -136,20 +136,20 @@
         if server in self.running:
             self.running.discard(server)
             self.cold[server] = self.now + 2
-            self.do(self.release.restarted(self.now, server, ok, "ended"))
+            self.do(self.release.restart_ended(self.now, server, ok, "ended"))
 
     def play(self, interrupts: list[float]) -> None:
         for at in interrupts:
             self.later(at, lambda: self.do(self.release.interrupt(self.now)))
         self.do(self.release.begin(self.now))
-        while not self.release.over:
+        while not self.release.finished:
             self.now += 0.1
             assert self.now < 1500, "it never ends"
             for event in sorted(e for e in self.queue if e[0] <= self.now):
-                if not self.release.over:
+                if not self.release.finished:
                     self.queue.remove(event)
                     event[2]()
-            if not self.release.over:
+            if not self.release.finished:
                 self.do(self.release.tick(self.now))
 
 
@@ -158,7 +158,7 @@
 
 
 def world(seed: int, batch: int, faults: float, restart_fails: float = 0.0, keep: float = 0.5) -> World:
-    limits = Limits(batch, keep, LIMITS.empty_within, LIMITS.restart_within, LIMITS.warm_within)
+    limits = Limits(batch, keep, LIMITS.drain_timeout_s, LIMITS.restart_timeout_s, LIMITS.warm_up_timeout_s)
     release = Release(NAMES[:6], DOORS, limits)
     return World(release, Random(seed), faults, restart_fails, out={d: set() for d in DOORS})
 
@@ -169,7 +169,7 @@
         w = world(seed, batch, 0)
         w.play([])
         r = w.release
-        assert not r.why and not r.held() and not any(w.out.values())
+        assert not r.stop_reason and not r.servers_out() and not any(w.out.values())
         assert w.restarts == Counter(NAMES[:6]) and all(s.phase == Phase.DONE for s in r.servers)
         assert w.most_out == min(batch, 4), "four of eight stay in use"
 
@@ -182,21 +182,21 @@
         w = world(seed, rng.choice([1, 2, 3]), rng.choice([0.0005, 0.01, 0.05]), restart_fails)
         w.play(sorted(rng.uniform(0, 60) for _ in range(rng.choice([0, 0, 0, 1, 2]))))
         r = w.release
-        held = {(d, name) for name, doors in r.held().items() for d in doors}
+        held = {(d, name) for name, doors in r.servers_out().items() for d in doors}
         unnamed = {(d, name) for d, names in w.out.items() for name in names} - held
         # What a second Ctrl-C cuts off may still be under way: it is named all the same.
         assert not unnamed, (seed, unnamed)
         assert w.most_out <= r.limits.batch
         assert all(n == 1 for n in w.restarts.values())
-        if not r.why:
+        if not r.stop_reason:
             assert set(w.restarts) == set(NAMES[:6]) and not held
         if r.interrupts < 2:
-            assert not w.running and not r.running()
-            left = {s.id for s in r.servers if s.phase == Phase.LEFT}
+            assert not w.running and not r.running_restarts()
+            left = {s.id for s in r.servers if s.phase == Phase.LEFT_OUT}
             assert {name for _, name in held} <= left
             if not (restart_fails or w.seen["door dies"] or w.seen["restart hangs"]):
                 assert not held, (seed, held)
-        ends["stopped" if r.why else "done"] += 1
+        ends["stopped" if r.stop_reason else "done"] += 1
         seen += w.seen
     assert min(ends["done"], ends["stopped"]) > 50, "both kinds of end were played"
     assert len(seen) == 10 and min(seen.values()) > 2, f"every fault was met: {seen}"
@@ -209,10 +209,10 @@
         ("s0", 1.0, "", "8 servers are in use and 8 must stay"),
     ):
         w = world(1, 1, 0, keep=keep)
-        w.release = Release([name], DOORS, Limits(keep=keep))
+        w.release = Release([name], DOORS, Limits(min_in_use=keep))
         w.out["b:1"] = {out} - {""}
         w.play([])
-        assert why in w.release.why and not w.restarts and not w.release.held()
+        assert why in w.release.stop_reason and not w.restarts and not w.release.servers_out()
 
 
 # ---- the command, against real nodes -------------------------------------------------------------------------
