--- /dev/null
+++ b/tests/test_admin_operations.py
@@ -0,0 +1,194 @@
+"""Operators' calls to one node over loopback: maintenance of servers, standby, wrong and incomplete calls."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+
+import pytest
+from admin_support import Site, tell, with_site
+from node_support import entry, line, until
+
+from harecross.downstream import connection_manager
+from harecross.node import admin_server
+from harecross.node.maintenance import MaintenanceState
+from harecross.platform import durable_file
+
+
+def test_what_is_written_but_not_synced_is_in_force_and_is_said_to_be_uncertain(tmp_path, monkeypatch):
+    def failing(folder):
+        raise OSError(errno.EIO, os.strerror(errno.EIO))
+
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
+            monkeypatch.setattr(durable_file, "sync_folder", failing)
+            status, text = await tell(node, "/maintenance/exit", "s0")
+            assert status == 500 and b"may undo it" in text
+            assert not node.registry.out and node.admin_operations.store.maintenance.servers == frozenset()
+            monkeypatch.undo()
+            assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
+
+    with_site(test, tmp_path)
+
+
+def test_a_server_taken_out_gets_nothing_whatever_discovery_says(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            _, watch = await site.catalog.watches.get()
+            for _ in range(2):  # the call may come twice
+                assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
+            site.catalog.push(watch, line(42, entry("s0", site.origins[0].address)))
+            site.catalog.push(watch, line(43, *site.entries, reset=True))
+            await until(lambda: node.discovery.current.generation == 43)
+            assert {await site.called() for _ in range(12)} == {1}
+            # A list that leaves it out for a while does not put it back either.
+            site.catalog.push(watch, line(44, site.entries[1], reset=True))
+            site.catalog.push(watch, line(45, site.entries[0]))
+            await until(lambda: node.discovery.current.generation == 45)
+            assert {await site.called() for _ in range(12)} == {1}
+            assert (await tell(node, "/maintenance/exit", "s0\n"))[0] == 200
+            await site.until_called(0)
+
+    with_site(test, tmp_path, servers=2)
+
+
+def test_a_server_put_back_is_cold_until_discovery_tells_another_start(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            server = node.dispatcher.balancer.servers
+            number = node.registry.numbers["s0"]
+            assert server[number].slow_start_until == 0
+            await tell(node, "/maintenance/enter", "s0")
+            assert number not in server or not server[number].listed
+            await tell(node, "/maintenance/exit", "s0")
+            number = node.registry.numbers["s0"]
+            cold = server[number].slow_start_until
+            assert cold > 0 and server[number].in_subset
+            # The list has not heard of a restart: its line changes nothing.
+            _, watch = await site.catalog.watches.get()
+            site.catalog.push(watch, line(42, site.entries[0]))
+            await until(lambda: node.discovery.current.generation == 42)
+            assert server[number].slow_start_until == cold
+            started = (node.registry.start_times.unix_offset + cold) // 1000
+            site.catalog.push(watch, line(43, {**site.entries[0], "startedAtMs": started}))
+            await until(lambda: node.discovery.current.generation == 43)
+            assert server[number].slow_start_until > cold
+
+    with_site(test, tmp_path)
+
+
+def test_what_is_asked_wrongly_gets_a_no(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            assert (await tell(node, "/maintenance/enter", "s9"))[0] == 404
+            assert (await tell(node, "/maintenance/enter", ""))[0] == 404
+            assert (await tell(node, "/maintenance/exit", "s9"))[0] == 404
+            assert (await tell(node, "/maintenance/enter", "s0", "GET"))[0] == 405
+            assert (await tell(node, "/nothing"))[0] == 404
+            assert (await tell(node, "/status"))[0] == 200
+            assert node.admin_operations.store.maintenance == MaintenanceState()
+            reader, writer = await asyncio.open_connection(*node.admin_operations.server.address)
+            writer.write(b"\x16\x03\x01 noise\r\n\r\n")
+            assert (await reader.read()).startswith(b"HTTP/1.1 400")
+            writer.close()
+
+    with_site(test, tmp_path)
+
+
+def test_a_server_that_discovery_drains_is_known_and_comes_back_out(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            _, watch = await site.catalog.watches.get()
+            site.catalog.push(watch, line(42, entry("s0", site.origins[0].address, "terminating")))
+            await until(lambda: node.discovery.current.generation == 42)
+            assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
+            site.catalog.push(watch, line(43, site.entries[0]))
+            await until(lambda: node.discovery.current.generation == 43)
+            assert {await site.called() for _ in range(8)} == {1}
+
+    with_site(test, tmp_path, servers=2)
+
+
+def test_half_calls_do_not_keep_an_operators_call_waiting(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            address = node.admin_operations.server.address
+            silent = [
+                await asyncio.open_connection(*address) for _ in range(3 * admin_server.MAX_ADMIN_CONNECTIONS)
+            ]
+            for i, (_, writer) in enumerate(silent):
+                writer.write(b"POST /standby HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"[: 3 * i])
+            assert (await tell(node, "/status"))[0] == 200
+            assert len(node.admin_operations.server.open) <= admin_server.MAX_ADMIN_CONNECTIONS
+            assert not node.client_connections.in_standby
+            for _, writer in silent:
+                writer.close()
+
+    with_site(test, tmp_path)
+
+
+def test_half_a_call_is_put_out(tmp_path, monkeypatch):
+    monkeypatch.setattr(admin_server, "CALL_TIMEOUT_S", 0.05)
+
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            reader, writer = await asyncio.open_connection(*node.admin_operations.server.address)
+            writer.write(b"POST /standby HTTP/1.1\r\n")
+            with pytest.raises(ConnectionError):
+                await reader.read()
+                raise ConnectionError  # an end is as good as a reset
+            assert not node.admin_operations.server.open
+            writer.close()
+
+    with_site(test, tmp_path)
+
+
+def test_what_cannot_be_written_is_not_promised(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            node.admin_operations.store.maintenance_path.with_suffix(".lock").mkdir()
+            assert (await tell(node, "/maintenance/enter", "s0"))[0] == 500
+            assert await site.called() == 0
+
+    with_site(test, tmp_path)
+
+
+def test_a_standby_empties_the_node_and_active_fills_it_again(tmp_path, monkeypatch):
+    monkeypatch.setattr(connection_manager, "STANDBY_DRAIN_US", 100_000)
+
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            idle, kept, busy, fresh = [await site.client() for _ in range(4)]
+            for client in (idle, kept):
+                client.send()
+                (await site.origins[0].arrived.get()).answer()
+                assert (await client.answer())[0] == 200
+            busy.send()
+            at = await site.origins[0].arrived.get()
+            assert (await tell(node, "/standby"))[0] == 200
+            assert (await tell(node, "/standby"))[0] == 200
+            health = await site.client()
+            health.send("/_health")
+            assert (await health.answer())[0] == 503
+            # Served still, and told that this connection ends.
+            kept.send()
+            other = await site.origins[0].arrived.get()
+            other.answer()
+            status, head, _ = await kept.answer()
+            assert status == 200 and b"Connection: close" in head
+            # Nothing is held idle, what never spoke among it; what is out is waited for.
+            assert await idle.reader.read() == b"" and await fresh.reader.read() == b""
+            at.answer()
+            status, head, _ = await busy.answer()
+            assert status == 200 and b"Connection: close" in head
+            await until(lambda: not node.client_connections.open)
+            assert (await tell(node, "/active"))[0] == 200
+            back = await site.client()
+            back.send("/_health")
+            status, head, _ = await back.answer()
+            assert status == 200 and b"close" not in head
+            assert await site.called() == 0
+
+    with_site(test, tmp_path)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,10 +7,10 @@
 import time
 
 import pytest
+from admin_support import Site, tell, with_site
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from support import ask, balancer, end
-from test_operations import Site, tell, with_site
 
 from harecross.interface import Endpoint, Outcome
 from harecross.node.handover_store import LEARNED_STATE_MAX_AGE_S, HandoverStore
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -1,7 +1,7 @@
 """What operators type and read, literally: commands, the door's calls, the report line, the words of log lines.
 
 What other tests pin already is not repeated: bad input of `trace`, `replay` and `node` (`test_cli.py`), of `follow`
-(`test_follow.py`), the answers to wrong calls at the door (`test_operations.py`).
+(`test_follow.py`), the answers to wrong calls at the door (`test_admin_operations.py`).
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import pytest
 import typer
+from admin_support import Site, tell, with_site
 from support import Recorder, balancer
-from test_operations import Site, tell, with_site
 from typer.testing import CliRunner
 
 from harecross.cli import app
--- /dev/null
+++ b/tests/test_two_processes.py
@@ -0,0 +1,188 @@
+"""Two processes that serve as one node: shared state and limits, handover, an inherited listening socket."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from admin_support import Site, tell, with_site
+from node_support import config_of, until
+
+ROOT = Path(__file__).parent.parent
+
+
+def test_what_is_held_out_outlives_the_process(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            await tell(node, "/maintenance/enter", "s0")
+            await tell(node, "/standby")
+        async with site.node() as node:
+            assert node.client_connections.in_standby
+            assert {await site.called() for _ in range(8)} == {1}
+            assert (await tell(node, "/maintenance/exit", "s0"))[0] == 200
+            assert (await tell(node, "/active"))[0] == 200
+            await site.until_called(0)
+
+    with_site(test, tmp_path, servers=2)
+
+
+def test_what_one_process_is_told_the_other_follows(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as old, site.node() as new:
+            await tell(old, "/maintenance/enter", "s0")
+            await until(lambda: "s0" in new.registry.out)
+            await tell(new, "/maintenance/exit", "s0")
+            await until(lambda: not old.registry.out)
+            await tell(new, "/maintenance/enter", "s1")
+            await until(lambda: "s1" in old.registry.out)
+
+    with_site(test, tmp_path, servers=2)
+
+
+def test_two_processes_share_the_bounds_of_one(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as old:
+            whole = old.descriptor_budget.total
+            async with site.node() as new:
+                await until(lambda: old.descriptor_budget.total <= whole // 2)
+                assert new.descriptor_budget.total <= whole // 2
+            await until(lambda: old.descriptor_budget.total == whole)
+
+    with_site(test, tmp_path)
+
+
+def test_a_process_that_hands_over_loses_nothing_and_takes_nothing_more(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as old:
+            kept, busy = await site.client(), await site.client()
+            kept.send()
+            (await site.origins[0].arrived.get()).answer()
+            await kept.answer()
+            busy.send()
+            at = await site.origins[0].arrived.get()
+            async with site.node() as new:
+                old.stop_requested.set()
+                await until(lambda: old.client_connections.draining)
+                # What comes now is the other's, also what lay in the backlog.
+                assert {await site.called() for _ in range(8)} == {0}
+                assert (
+                    new.dispatcher.final_answers["served"] == 8
+                    and old.dispatcher.final_answers["served"] == 1
+                )
+                # Health on a kept connection does not say no: the node serves on.
+                kept.send("/_health")
+                status, head, _ = await kept.answer()
+                assert status == 200 and b"Connection: close" in head
+                at.answer()
+                status, head, _ = await busy.answer()
+                assert status == 200 and b"Connection: close" in head
+                await until(lambda: not old.client_connections.open)
+                await until(lambda: new.admin_operations.store.other_processes() == 0)
+
+    with_site(test, tmp_path)
+
+
+def test_with_nobody_to_hand_over_to_the_process_serves_on(tmp_path):
+    async def test(site: Site) -> None:
+        async with site.node() as node:
+            node.stop_requested.set()
+            await until(lambda: node.client_connections.health_check_failing)
+            assert await site.called() == 0
+
+    with_site(test, tmp_path)
+
+
+def start_process(site: Site, folder: Path, number: int, fd: int) -> subprocess.Popen:
+    config = config_of(site.catalog.address, admin="127.0.0.1:0", known=site.known)
+    path = folder / f"config{number}.json"
+    path.write_text(json.dumps(config))
+    env = {**os.environ, "LB_CONFIG": str(path), "LB_INHERITED_FD": str(fd), "TMPDIR": str(folder)}
+    for key in ("LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN"):
+        env.pop(key, None)
+    return subprocess.Popen(
+        [sys.executable, "-m", "harecross.node"], cwd=ROOT, env=env, pass_fds=[fd], stderr=subprocess.PIPE
+    )
+
+
+async def says(process: subprocess.Popen, text: bytes) -> None:
+    while text not in (heard := await asyncio.to_thread(process.stderr.readline)):
+        assert heard, "ended"
+
+
+def test_an_inherited_socket_takes_connections_after_a_process_that_served_alone_has_stopped(tmp_path):
+    """Whoever gave the socket may start the next process on it later."""
+
+    async def test(site: Site) -> None:
+        site.origins[0].answer_all()
+        old = start_process(site, tmp_path, 1, site.sock.fileno())
+        try:
+            await says(old, b"listening on")
+            old.send_signal(signal.SIGTERM)
+            assert await asyncio.to_thread(old.wait, 10) == 0
+        finally:
+            old.kill()
+            old.wait()
+            old.stderr.close()
+        async with site.node():
+            client = await site.client()
+            client.send()
+            assert (await client.answer())[0] == 200
+
+    with_site(test, tmp_path)
+
+
+def test_a_program_replaces_another_on_one_socket(tmp_path):
+    async def test(site: Site) -> None:
+        fd = site.sock.fileno()
+        site.origins[0].answer_all()
+        old = start_process(site, tmp_path, 1, fd)
+        new = None
+        try:
+            await says(old, b"listening on")
+            client = await site.client()
+            client.send()
+            assert (await client.answer())[0] == 200
+            new = start_process(site, tmp_path, 2, fd)
+            await says(new, b"listening on")
+            old.send_signal(signal.SIGTERM)
+            await says(old, b"another process serves on")
+            for _ in range(5):
+                other = await site.client()
+                other.send()
+                assert (await other.answer())[0] == 200
+                other.writer.close()
+            client.send()  # the old one still answers here, and says that this is the last
+            status, head, _ = await client.answer()
+            assert status == 200 and b"Connection: close" in head
+            assert await asyncio.to_thread(old.wait) == 0
+            assert new.poll() is None
+        finally:
+            for process in (old, new):
+                if process is not None:
+                    process.kill()
+                    process.wait()
+                    process.stderr.close()
+
+    with_site(test, tmp_path)
+
+
+@pytest.mark.parametrize("text", ["nine", "9999", "0"])
+def test_a_descriptor_that_is_no_listening_socket_ends_the_program(tmp_path, text):
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(config_of("127.0.0.1:1")))
+    env = {**os.environ, "LB_CONFIG": str(path), "LB_INHERITED_FD": text}
+    done = subprocess.run(
+        [sys.executable, "-m", "harecross.node"],
+        cwd=ROOT,
+        env=env,
+        stdin=subprocess.DEVNULL,
+        capture_output=True,
+        text=True,
+    )
+    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "LB_INHERITED_FD" in done.stderr
