--- a/harecross/admin_client/cli.py
+++ b/harecross/admin_client/cli.py
@@ -198,7 +198,8 @@
 
     Ends at the first no. Ctrl-C ends it in order, a second one at once; what stays out is named.
     """
-    from harecross.admin_client.release import Limits, Release
+    from harecross.admin_client.release import Release
+    from harecross.admin_client.release_state import Limits
 
     nodes = checked_nodes(at)
     check_above_zero("--empty-within", empty_within)
@@ -239,6 +240,7 @@
     began = time.monotonic()
 
     def print_line(text: str) -> None:
+        """Prints a line with the seconds since the beginning."""
         print(f"{time.monotonic() - began:6.1f} s  {text}", flush=True)
 
     exit_status = ReleaseRunner(release, restart_command, print_line).run()
--- a/harecross/admin_client/release_runner.py
+++ b/harecross/admin_client/release_runner.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from harecross.admin_client.calls import call_node, fetch_status
-from harecross.admin_client.release import Action, ActionKind, Release
+from harecross.admin_client.release import Release
+from harecross.admin_client.release_state import Action, ActionKind
 from harecross.platform.child_process import cause
 
 TICK_S = 0.1
@@ -108,7 +109,7 @@
                 self.restart_command, shell=True, env=env, stdin=subprocess.DEVNULL, start_new_session=True
             )
         except OSError as error:
-            self.restart_ended(server, False, f"did not start: {error.strerror}")
+            self.restart_ended(server, ok=False, how=f"did not start: {error.strerror}")
             return
         self.processes[server] = process
         threading.Thread(target=self.wait, args=(server, process), daemon=True).start()
@@ -116,14 +117,14 @@
     def wait(self, server: str, process: subprocess.Popen[Any]) -> None:
         """Runs in a thread of its own until the restart command ends."""
         status = process.wait()
-        self.restart_ended(server, status == 0, cause(status))
+        self.restart_ended(server, ok=status == 0, how=cause(status))
 
     def end_restart(self, server: str) -> None:
         """Ends a restart that takes too long, with all processes that it has started."""
         process = self.processes.get(server)
         if process is None:
             self.manual_restarts.discard(server)
-            self.restart_ended(server, False, "was not reported")
+            self.restart_ended(server, ok=False, how="was not reported")
             return
         for number in (signal.SIGTERM, signal.SIGKILL):
             try:
@@ -152,11 +153,11 @@
                 self.print_line(f"waiting for one of: {expected} (ID, or ID failed)")
                 continue
             self.manual_restarts.discard(name)
-            self.restart_ended(name, result == "", "was reported as failed")
+            self.restart_ended(name, ok=result == "", how="was reported as failed")
         for name in sorted(self.manual_restarts):
-            self.restart_ended(name, False, "was not reported: standard input has ended")
+            self.restart_ended(name, ok=False, how="was not reported: standard input has ended")
         self.reading_input = False
 
-    def restart_ended(self, server: str, ok: bool, how: str) -> None:
+    def restart_ended(self, server: str, *, ok: bool, how: str) -> None:
         """Passes the end of a restart to the release."""
-        self.events.put(lambda now: self.release.restart_ended(now, server, ok, how))
+        self.events.put(lambda now: self.release.restart_ended(now, server, ok=ok, how=how))
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -28,6 +28,7 @@
     # ---- asyncio --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is set up."""
         self.transport = cast(asyncio.Transport, transport)
         self.sock = transport.get_extra_info("socket")
         self.descriptor = transport.get_extra_info("socket").fileno()
@@ -35,6 +36,7 @@
         self.owner.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop once the connection is closed."""
         self.owner.connection_closed(self)
         self.transport = self.parser = None
         self.pending.clear()
@@ -49,6 +51,7 @@
             self.owner.dispatcher.client_disconnected(request)
 
     def data_received(self, data: bytes) -> None:
+        """Parses what has come, and handles the requests that are complete."""
         if self.parser is None or self.transport is None:
             return
         if self.input_closed:
@@ -79,6 +82,7 @@
             self.owner.mark_receiving(self)
 
     def resume_writing(self) -> None:
+        """The client reads again."""
         self.write_blocked = False
         self.owner.stopped_slow_reading(self)
         if self.pause_response is not None:
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -191,13 +191,13 @@
 
         Idle connections are closed once clients have had time to notice.
         """
-        self.set_standby(True)
+        self.set_standby(standby=True)
 
     def leave_standby(self) -> None:
         """Accepts clients again."""
-        self.set_standby(False)
+        self.set_standby(standby=False)
 
-    def set_standby(self, standby: bool) -> None:
+    def set_standby(self, *, standby: bool) -> None:
         """Sets all that standby changes."""
         self.in_standby = self.health_check_failing = self.draining = standby
         self.standby_since = monotonic_us()
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -65,6 +65,7 @@
         """Adds the call `/sources`. `explain` tells why an endpoint, or every endpoint, is in use or is not."""
 
         def sources(query: bytes) -> AdminAnswer:
+            """The explanation as one JSON object; `box` in the query selects one endpoint."""
             endpoint = dict(parse_qsl(query.decode(errors="replace"))).get("box", "")
             explanation = explain(endpoint)
             if endpoint and not explanation["boxes"]:
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -43,16 +43,19 @@
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the connection is set up."""
         self.transport = cast(asyncio.Transport, transport)
         self.timeout = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
         self.server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop once the connection is closed."""
         if self.timeout is not None:
             self.timeout.cancel()
         self.server.open.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
+        """Parses what has come, up to the end of the call."""
         self.received_bytes += len(data)
         if self.answered:
             return
--- a/harecross/node/options.py
+++ b/harecross/node/options.py
@@ -17,7 +17,7 @@
 class EmbeddedService(Protocol):
     """A service that runs in the node's process and reads its endpoint registry."""
 
-    async def start(self, host: RequestDispatcher, directory: EndpointRegistry) -> None:
+    async def start(self, dispatcher: RequestDispatcher, registry: EndpointRegistry) -> None:
         """Starts serving. OSError if the service cannot listen."""
 
     async def stop(self) -> None:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -15,7 +15,8 @@
 from node_support import Catalog, Origin, config_of, entry, line, run, until, update
 
 from harecross.admin_client.calls import CallResult, NodeStatus, ServerStatus, StatusFailure
-from harecross.admin_client.release import Action, ActionKind, Limits, Phase, Release
+from harecross.admin_client.release import Release
+from harecross.admin_client.release_state import Action, ActionKind, Limits, Phase
 from harecross.discovery.endpoint_status import IN_USE, OUT
 from harecross.node.config import config_from
 from harecross.node.node import Node
@@ -136,7 +137,7 @@
         if server in self.running:
             self.running.discard(server)
             self.cold[server] = self.now + 2
-            self.do(self.release.restart_ended(self.now, server, ok, "ended"))
+            self.do(self.release.restart_ended(self.now, server, ok=ok, how="ended"))
 
     def play(self, interrupts: list[float]) -> None:
         for at in interrupts:
