--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -30,13 +30,13 @@
     """What each source says, how old that is, and which line of the rule decided."""
     from urllib.parse import urlencode
 
-    from harecross.doors.ask import call
-    from harecross.doors.cli import checked
+    from harecross.admin_client.calls import call_node
+    from harecross.admin_client.cli import checked_nodes
 
     path = f"/sources?{urlencode({'box': box})}" if box else "/sources"
     succeeded = True
-    for address in checked(at):
-        answer = call(address, "GET", path)
+    for address in checked_nodes(at):
+        answer = call_node(address, "GET", path)
         if not answer.ok:
             problem = "it has no sources beside the watch" if answer.text == "no such call" else answer.text
             print(f"{address}: no: {problem}", file=sys.stderr)
