--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -78,9 +78,17 @@
         "        return True\n",
     ),
     Mutation(
-        "a silent watch is not noticed", "discovery/subscription_schedule.py", "BEAT = 2.5 ", "BEAT = 1000.0 "
+        "a silent watch is not noticed",
+        "discovery/subscription_schedule.py",
+        "WATCH_HEARTBEAT_TIMEOUT_S = 2.5\n",
+        "WATCH_HEARTBEAT_TIMEOUT_S = 1000.0\n",
+    ),
+    Mutation(
+        "calls to an agent are 3 s apart",
+        "discovery/subscription_schedule.py",
+        "SEND_STOP_GRACE_S / 2",
+        "3.0",
     ),
-    Mutation("calls to an agent are 3 s apart", "discovery/subscription_schedule.py", "GRACE / 2", "3.0"),
     Mutation(
         "a stop ends at an accept that failed",
         "downstream/connection_manager.py",
--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -169,7 +169,7 @@
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
         if settings.discovery_polled:
             self.schedule[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
-            self.schedule[node].calling(now / 1e6)
+            self.schedule[node].call_started(now / 1e6)
         self.tell(node, "start", now)
         return pos + int(size)
 
@@ -201,15 +201,17 @@
 
     def heard(self, now: float, node: int, good: bool) -> None:
         """A call for the list was answered or failed, or its subscription brought a change or ended."""
-        asking = self.schedule[node]
+        schedule = self.schedule[node]
         if good:
-            asking.word(now)
-            asking.good()
+            schedule.heartbeat_received(now)
+            schedule.update_applied()
             return
-        if asking.state is SubscriptionState.WAITING:
+        if schedule.state is SubscriptionState.WAITING:
             return
-        asking.ended(now, CallEnd.ENDED if asking.state is SubscriptionState.SUBSCRIBED else CallEnd.FAILED)
-        WireActions(self.out, node).set_timer(int((asking.next_at - now) * 1e6), ASK_AGAIN)
+        schedule.call_ended(
+            now, CallEnd.ENDED if schedule.state is SubscriptionState.SUBSCRIBED else CallEnd.FAILED
+        )
+        WireActions(self.out, node).set_timer(int((schedule.next_call_at - now) * 1e6), ASK_AGAIN)
 
     def accept(self, now: int, body: bytes, pos: int) -> int:
         node, request, _, tenant, flags, left, _, request_class = ACCEPT.unpack_from(body, pos)
@@ -237,7 +239,7 @@
         if token != ASK_AGAIN:
             self.tell(node, "timer", now, token)
         elif node in self.nodes:
-            self.schedule[node].calling(now / 1e6)
+            self.schedule[node].call_started(now / 1e6)
             WireActions(self.out, node).subscribe(True)
         return pos + WAKE.size
 
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -10,7 +10,12 @@
 
 from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
 from harecross.discovery.process_table import ProcessTable, Source, TableUpdate
-from harecross.discovery.subscription_schedule import MOVED, CallEnd, DiscoveryTerms, SubscriptionSchedule
+from harecross.discovery.subscription_schedule import (
+    MIGRATION_STALENESS_LIMIT_S,
+    CallEnd,
+    DiscoveryTerms,
+    SubscriptionSchedule,
+)
 from harecross.discovery.transition_log import describe
 from harecross.discovery.watch import Watch
 from harecross.dispatch.dispatcher import log_line
@@ -18,9 +23,9 @@
 from harecross.platform.clock import monotonic_us
 
 PUSHED = DiscoveryTerms()
-# After a new configuration the discovery it names may be behind for `MOVED` seconds; what it wrote by then may be on
-# its way for a moment more.
-CAUGHT_UP = MOVED + 1.0
+# After a new configuration the discovery that it names may be behind for so long, and what it has written by then may
+# be on its way for a moment more.
+CAUGHT_UP = MIGRATION_STALENESS_LIMIT_S + 1.0
 FORMER_MOST = 4  # watches of discoveries that have been left, until they end: one is open for 1.5 s (LATER)
 
 
@@ -46,7 +51,7 @@
         self.lists = lists or directory
         self.address = address
         self.terms = terms
-        self.asked = terms.asked
+        self.polled = terms.polled
         self.rng = Random(seed)
         self.monotonic = monotonic
         self.schedule = SubscriptionSchedule(terms, self.rng)
@@ -104,7 +109,7 @@
         if self.current is None:
             self.generation = None
         else:
-            asking = SubscriptionSchedule(self.terms, self.rng, moving=True)
+            asking = SubscriptionSchedule(self.terms, self.rng, migrating=True)
             self.coming = Watch(self, address, None, asking, self.lineage)
         return True
 
@@ -155,7 +160,7 @@
         """One of the watch's own calls is over."""
         if watch in self.former:
             self.former.remove(watch)
-        elif self.asked and watch is self.current:
+        elif self.polled and watch is self.current:
             self.failed()
 
     def source_of(self, watch: Watch, anew: bool, now: float) -> Source:
@@ -175,7 +180,7 @@
         if watch is self.coming:
             old = self.current
             self.current, self.coming, self.schedule = watch, None, watch.schedule
-            watch.schedule.moving = False
+            watch.schedule.migrating = False
             if old is not None:
                 self.leave(old)
             log_line(f"discovery: moved to {watch.place}")
@@ -226,7 +231,7 @@
         once = SubscriptionSchedule(
             self.terms, self.rng
         )  # what the call brings is no word of the watch that is open
-        once.calling(time.monotonic())
+        once.call_started(time.monotonic())
         if await watch.call(b"/catalog/members", once, own=False) is not CallEnd.ENDED:
             self.failed()
 
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -15,19 +15,19 @@
 from enum import Enum
 
 from harecross.discovery.subscription_schedule import (
-    BEAT,
-    BINDING,
-    QUEUE,
+    POLL_TIMEOUT_S,
+    STALENESS_LIMIT_S,
+    WATCH_HEARTBEAT_TIMEOUT_S,
     DiscoveryTerms,
     SubscriptionSchedule,
 )
 
 # Where lists are pushed the agent answers at once or discovery is down; after so long all that was listed before the
 # start counts as told, and more waiting tells nothing.
-PUSHED_MOST = BINDING
+PUSHED_MOST = STALENESS_LIMIT_S
 # Where they are asked for: clients come to a fleet that starts after 30 s, ready or not (DEPLOY, "Limits"),
 # and a call that goes out late may still be answered by then: two failed calls, their pauses and rounds fit in.
-ASKED_MOST = 30.0 - QUEUE
+ASKED_MOST = 30.0 - POLL_TIMEOUT_S
 BESIDE_MOST = 1.0  # where another process serves on as this node meanwhile, and is to be replaced in time
 
 
@@ -38,14 +38,14 @@
     KNOWN = "known"  # the configuration's, and discovery has not spoken to this process
     CURRENT = "current"  # discovery has spoken within a beat of its watch
     STALE = "stale"  # not since, and nothing that it may have told is binding yet
-    BINDING = "binding"  # something may count as told that this node has not heard
+    STALENESS_LIMIT_S = "binding"  # something may count as told that this node has not heard
 
 
 def longest_wait(terms: DiscoveryTerms, beside: bool = False) -> float:
     """How long a start waits for discovery's first word, in seconds, before it serves by the list it has."""
     if beside:
         return BESIDE_MOST
-    return ASKED_MOST if terms.asked else PUSHED_MOST
+    return ASKED_MOST if terms.polled else PUSHED_MOST
 
 
 class ListReadiness:
@@ -78,6 +78,10 @@
         """`asking` is the watch in use."""
         if not self.heard:
             return Freshness.KNOWN if self.listed else Freshness.NONE
-        if asking.overdue(now):
-            return Freshness.BINDING
-        return Freshness.STALE if now > asking.heard_at + BEAT else Freshness.CURRENT
+        if asking.staleness_limit_passed(now):
+            return Freshness.STALENESS_LIMIT_S
+        return (
+            Freshness.STALE
+            if now > asking.last_heartbeat_at + WATCH_HEARTBEAT_TIMEOUT_S
+            else Freshness.CURRENT
+        )
--- a/harecross/discovery/watch.py
+++ b/harecross/discovery/watch.py
@@ -10,11 +10,11 @@
 
 from harecross.discovery.json_stream import BLANK_LINE, BadValue, Values
 from harecross.discovery.list_versions import Verdict, judge
-from harecross.discovery.subscription_schedule import BEAT, CallEnd, SubscriptionSchedule
+from harecross.discovery.subscription_schedule import WATCH_HEARTBEAT_TIMEOUT_S, CallEnd, SubscriptionSchedule
 from harecross.dispatch.dispatcher import log_exception, log_line
 
 CONNECT = 1.0  # seconds
-PART_MOST = BEAT  # seconds for which the parts of one list or change count as words
+PART_MOST = WATCH_HEARTBEAT_TIMEOUT_S  # seconds for which the parts of one list or change count as words
 
 
 class Subscriber(Protocol):
@@ -67,7 +67,7 @@
         except HttpParserError as e:
             self.spoilt(f"bad answer: {e}")
         if self.good and self.is_word(time.monotonic()):
-            self.schedule.word(time.monotonic())
+            self.schedule.heartbeat_received(time.monotonic())
 
     def is_word(self, now: float) -> bool:
         """Whether what has come tells that the watch is alive.
@@ -155,7 +155,7 @@
         self.lineage = lineage
         self.closed = False
         self.final = False  # its address is to be left: no further call
-        asking.begin(time.monotonic())
+        asking.start(time.monotonic())
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     @property
@@ -193,7 +193,7 @@
             self.generation = generation
         elif self.generation is None:
             self.generation = 0
-        self.schedule.good()
+        self.schedule.update_applied()
 
     def unchanged(self) -> None:
         """An empty line: what this watch asked after is the newest there is, since a first line brings what is not."""
@@ -202,18 +202,18 @@
 
     async def run(self) -> None:
         while not self.final:
-            await asyncio.sleep(max(0.0, self.schedule.next_at - time.monotonic()))
+            await asyncio.sleep(max(0.0, self.schedule.next_call_at - time.monotonic()))
             if self.final:
                 return
             path, had = b"/catalog/members", self.generation
             if had is not None:
                 path += b"?watch=1&after=%d" % had
-            self.schedule.calling(time.monotonic())
+            self.schedule.call_started(time.monotonic())
             end = await self.call(path, self.schedule, own=True)
             if had is None and self.generation is not None and end is CallEnd.ENDED:
-                self.schedule.begin(time.monotonic())  # the whole list is here: its watch follows
+                self.schedule.start(time.monotonic())  # the whole list is here: its watch follows
                 continue
-            self.schedule.ended(time.monotonic(), end)
+            self.schedule.call_ended(time.monotonic(), end)
             self.subscriber.call_ended(self)
 
     async def call(self, path: bytes, asking: SubscriptionSchedule, own: bool) -> CallEnd:
@@ -226,7 +226,7 @@
             # Guards against: a machine that has gone leaves the connection open and silent; and two silent
             # watches in a row outlast the time after which a change is binding.
             while not stream.ended.done():
-                left = asking.patience_ends() - time.monotonic()
+                left = asking.response_deadline() - time.monotonic()
                 if left <= 0:
                     log_line(f"discovery: {self.place}: silent")
                     end = CallEnd.SILENT
@@ -238,7 +238,7 @@
             stream.stop()
         self.subscriber.reached(self, False)
         if stream.bad:
-            return CallEnd.BROKEN
+            return CallEnd.MALFORMED
         if not stream.good:
             return CallEnd.FAILED
         return end or CallEnd.ENDED
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -17,9 +17,9 @@
 
 from harecross.discovery.readiness import ListReadiness, longest_wait
 from harecross.discovery.subscription_schedule import (
-    BEAT,
-    BINDING,
-    GRACE,
+    SEND_STOP_GRACE_S,
+    STALENESS_LIMIT_S,
+    WATCH_HEARTBEAT_TIMEOUT_S,
     CallEnd,
     DiscoveryTerms,
     SubscriptionSchedule,
@@ -108,7 +108,9 @@
 
     Calls divided by rate, behind what stood in line, from the moment a silence can be known.
     """
-    known = BEAT if day.trigger == "silent" else day.down if day.trigger == "down" else 0.0
+    known = (
+        WATCH_HEARTBEAT_TIMEOUT_S if day.trigger == "silent" else day.down if day.trigger == "down" else 0.0
+    )
     return known + max(0.0, day.backlog - known) + day.nodes / day.discovery.rate
 
 
@@ -126,15 +128,15 @@
 class Node:
     """One node of the rehearsal."""
 
-    __slots__ = ("asking", "version", "turn", "back", "standing", "dead", "began", "opened", "learned")
+    __slots__ = ("schedule", "version", "turn", "back", "readiness", "dead", "began", "opened", "learned")
 
-    def __init__(self, asking: SubscriptionSchedule) -> None:
-        self.standing: ListReadiness | None = None  # of a process that began within the day
+    def __init__(self, schedule: SubscriptionSchedule) -> None:
+        self.readiness: ListReadiness | None = None  # of a process that began within the day
         self.dead = False
         self.began = -inf
         self.opened = -inf  # when it might send
         self.learned: list[float] = []  # by change: when it knew of it
-        self.asking = asking
+        self.schedule = schedule
         self.version = 0  # changes that it knows
         self.turn = 0  # of its events: what was planned before the last change of state is void
         self.back = inf
@@ -167,15 +169,15 @@
         for place, node in enumerate(self.nodes, 1):
             # A fleet that has run since a common start, whose line each node remembers as it found it: every watch
             # is open, and was spoken to within one beat.
-            asking, stood = node.asking, place / day.discovery.rate
-            asking.begin(0.0)
-            asking.calling(0.0)
+            schedule, stood = node.schedule, place / day.discovery.rate
+            schedule.start(0.0)
+            schedule.call_started(0.0)
             if stood > day.discovery.timeout:
-                asking.ended(day.discovery.timeout, CallEnd.FAILED)
-                asking.calling(day.at)
-            asking.word(min(stood, day.discovery.timeout))
-            asking.good()
-            asking.word(day.at)
+                schedule.call_ended(day.discovery.timeout, CallEnd.FAILED)
+                schedule.call_started(day.at)
+            schedule.heartbeat_received(min(stood, day.discovery.timeout))
+            schedule.update_applied()
+            schedule.heartbeat_received(day.at)
         if day.trigger == "restart" and day.dead > 0:
             self.later(day.at - day.dead, self.kill)
         if day.before > 0:
@@ -194,8 +196,8 @@
         r, day = self.result, self.day
         r.back = sorted(node.back - day.at for node in self.nodes)
         for node in self.nodes:
-            if node.standing is not None:
-                opened = min(node.opened, max(node.standing.until, node.began))
+            if node.readiness is not None:
+                opened = min(node.opened, max(node.readiness.until, node.began))
                 r.ready.append(opened - node.began)
                 r.waited += min(opened, day.length) - node.began
                 r.forbidden += self.sent_late(node, opened)
@@ -204,8 +206,8 @@
             took = sorted(t - at for t in knew) + [inf] * (len(self.nodes) - len(knew))
             if not r.knew:
                 r.knew = took
-            if at + BINDING <= day.length:
-                r.late += sum(t > BINDING for t in took)
+            if at + STALENESS_LIMIT_S <= day.length:
+                r.late += sum(t > STALENESS_LIMIT_S for t in took)
         r.in_vain, r.turned_away = self.desk.in_vain, self.desk.turned_away
         return r
 
@@ -216,9 +218,9 @@
         """
         late: list[tuple[float, float]] = []
         for version, at in enumerate(self.listed):
-            told = max(at, node.began) if self.day.pushed else max(at + BINDING, node.began)
+            told = max(at, node.began) if self.day.pushed else max(at + STALENESS_LIMIT_S, node.began)
             knew = node.learned[version] if version < len(node.learned) else inf
-            begin, end = max(told + GRACE, opened), min(knew, self.day.length)
+            begin, end = max(told + SEND_STOP_GRACE_S, opened), min(knew, self.day.length)
             if begin < end:
                 late.append((begin, end))
         return sum(end - begin for begin, end in merged(late))
@@ -237,21 +239,21 @@
     def trigger(self, now: float) -> None:
         day = self.day
         self.desk.free_at = now + day.backlog
-        end = {"silent": CallEnd.SILENT, "broken": CallEnd.BROKEN}.get(day.trigger, CallEnd.ENDED)
+        end = {"silent": CallEnd.SILENT, "broken": CallEnd.MALFORMED}.get(day.trigger, CallEnd.ENDED)
         hit = self.hit() if day.trigger == "restart" else self.nodes
         for node in self.nodes[len(hit) :]:
             node.back = now  # its watch was never lost
         for node in hit:
             node.turn += 1
             if day.trigger == "restart":
-                node.asking = type(node.asking)(node.asking.terms, Random(self.rng.getrandbits(64)))
-                node.asking.begin(now + BOOT)
-                node.standing = ListReadiness(now, longest_wait(node.asking.terms))
+                node.schedule = type(node.schedule)(node.schedule.terms, Random(self.rng.getrandbits(64)))
+                node.schedule.start(now + BOOT)
+                node.readiness = ListReadiness(now, longest_wait(node.schedule.terms))
                 node.dead, node.began, node.opened = False, now, inf
                 self.plan(node)
             elif end is CallEnd.SILENT:
                 # The last word came up to a beat ago; all heard it at once, as the beats of one service come.
-                self.later(now + BEAT, self.ends(node, end))
+                self.later(now + WATCH_HEARTBEAT_TIMEOUT_S, self.ends(node, end))
             else:
                 self.ends(node, end)(now)
 
@@ -261,7 +263,7 @@
         self.knew.append([])
         for node in self.nodes:
             listens = now < self.day.at or node.back < inf
-            if node.asking.state is SubscriptionState.SUBSCRIBED and listens and not node.dead:
+            if node.schedule.state is SubscriptionState.SUBSCRIBED and listens and not node.dead:
                 self.learn(node, now)
 
     def learn(self, node: Node, now: float) -> None:
@@ -275,7 +277,7 @@
 
         def event(now: float) -> None:
             if node.turn == turn:
-                node.asking.ended(now, end)
+                node.schedule.call_ended(now, end)
                 self.plan(node)
 
         return event
@@ -288,11 +290,11 @@
             if node.turn == turn:
                 self.call(node, now)
 
-        self.later(node.asking.next_at, event)
+        self.later(node.schedule.next_call_at, event)
 
     def call(self, node: Node, now: float) -> None:
         day, r = self.day, self.result
-        node.asking.calling(now)
+        node.schedule.call_started(now)
         r.calls[int(now - day.at)] += 1
         if day.trigger == "down" and now < day.at + day.down:
             self.ends(node, CallEnd.FAILED)(now)
@@ -308,15 +310,15 @@
         def word(at: float) -> None:
             if node.turn != turn:
                 return
-            node.asking.word(at)
+            node.schedule.heartbeat_received(at)
             if spoilt:
-                self.ends(node, CallEnd.BROKEN)(at)
+                self.ends(node, CallEnd.MALFORMED)(at)
                 return
-            node.asking.good()
+            node.schedule.update_applied()
             r.answered[int(at - day.at)] += 1
             node.back = at
-            if node.standing is not None:
-                node.standing.told()
+            if node.readiness is not None:
+                node.readiness.told()
                 node.opened = min(node.opened, at)
             self.learn(node, at)
 
--- a/harecross/fleet/waits.py
+++ b/harecross/fleet/waits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from harecross.discovery.subscription_schedule import EARLY, CallEnd, SubscriptionSchedule
+from harecross.discovery.subscription_schedule import MIN_CALL_DELAY_S, CallEnd, SubscriptionSchedule
 
 FORMER_FIRST, FORMER_MOST = 20, 4  # parts of the longest silence allowed
 
@@ -12,10 +12,10 @@
 
     __slots__ = ()
 
-    def turn_wait(self, end: CallEnd) -> float:
-        within = self.terms.within
+    def poll_delay(self, end: CallEnd) -> float:
+        within = self.terms.max_poll_interval_s
         first, most = within / FORMER_FIRST, within / FORMER_MOST
-        doubled = first * 2.0 ** min(self.failures - (end is CallEnd.FAILED), 3)
+        doubled = first * 2.0 ** min(self.consecutive_failures - (end is CallEnd.FAILED), 3)
         return min(doubled, most) * (0.5 + self.rng.random())
 
 
@@ -24,7 +24,7 @@
 
     __slots__ = ()
 
-    def place(self) -> float:
+    def round_position(self) -> float:
         return 0.0
 
 
@@ -33,9 +33,9 @@
 
     __slots__ = ()
 
-    def turn_wait(self, end: CallEnd) -> float:
-        most = min(self.terms.within, 0.5 * 2.0 ** min(self.failures + 1, 20))
-        return EARLY + most * self.rng.random()
+    def poll_delay(self, end: CallEnd) -> float:
+        most = min(self.terms.max_poll_interval_s, 0.5 * 2.0 ** min(self.consecutive_failures + 1, 20))
+        return MIN_CALL_DELAY_S + most * self.rng.random()
 
 
 class Even(SubscriptionSchedule):
@@ -43,7 +43,7 @@
 
     __slots__ = ()
 
-    def turn_wait(self, end: CallEnd) -> float:
+    def poll_delay(self, end: CallEnd) -> float:
         return 0.3 + (4.7 if end is CallEnd.FAILED else 3.7) * self.rng.random()
 
 
--- a/harecross/follow/leaving.py
+++ b/harecross/follow/leaving.py
@@ -12,7 +12,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from harecross.discovery.subscription_schedule import BINDING, GRACE
+from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S, STALENESS_LIMIT_S
 from harecross.follow.reader import Event, Logs
 
 NS = 1_000_000_000
@@ -41,7 +41,7 @@
     @property
     def told(self) -> int:
         """When it counts as told to the process that sent."""
-        times = [max(self.listed + int(BINDING * NS), self.started)]
+        times = [max(self.listed + int(STALENESS_LIMIT_S * NS), self.started)]
         if self.listed < self.started:
             times.append(self.started)
         if self.read is not None:
@@ -96,7 +96,7 @@
 
 
 def late_sends(logs: Logs) -> list[Late]:
-    """Every send whose first byte left later than `GRACE` after it was binding, the first first."""
+    """Every send whose first byte left later than `SEND_STOP_GRACE_S` after it was binding, the first first."""
     told = told_of(logs)
     starts = {node: sorted(began(e) for e in es if e.what == "start") for node, es in logs.told.items()}
     found = []
@@ -128,6 +128,6 @@
                 a.written,
                 last_state(logs, r.node, a.server, a.sent),
             )
-            if late.after > GRACE:
+            if late.after > SEND_STOP_GRACE_S:
                 found.append(late)
     return sorted(found, key=lambda late: late.written)
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -215,7 +215,7 @@
             self.more_sources.start()
         if self.operations is not None:
             self.operations.recall()
-        if not self.discovery.asked:
+        if not self.discovery.polled:
             self.watch(True)
         if not self.watches():
             self.list_told()  # what was kept of the other sources serves from the first moment on
@@ -393,7 +393,7 @@
     def report(self) -> None:
         now, lists = monotonic(), dict[str, float]()
         if self.watches():
-            lists = self.discovery.schedule.figures(now)
+            lists = self.discovery.schedule.report_fields(now)
             word = self.readiness.word(now, self.discovery.schedule)
             if word in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
                 lists[f"list_{word.value}"] = 1.0
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -5,7 +5,7 @@
 import pytest
 
 from harecross.discovery import discovery_client, process_table, subscription_schedule
-from harecross.discovery.subscription_schedule import BINDING, GRACE
+from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S, STALENESS_LIMIT_S
 from harecross.standins.discovery import chunk
 from tests.crossing_support import turns
 from tests.node_support import (
@@ -68,7 +68,7 @@
         writer = await came.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.registry.listed)
-        late.append(node.loop.time() - silent_since - BINDING)
+        late.append(node.loop.time() - silent_since - STALENESS_LIMIT_S)
 
     asking_nodes(one)
     assert len(late) == 4 and max(late) < 0
@@ -94,7 +94,7 @@
         writer = await came.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.registry.listed)
-        late.append(node.loop.time() - back - BINDING)
+        late.append(node.loop.time() - back - STALENESS_LIMIT_S)
 
     asking_nodes(one)
     assert len(late) == 4 and max(late) < 0
@@ -116,7 +116,9 @@
         whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole))
         await until(lambda: not node.registry.listed)
-        late.append(node.loop.time() - moved - subscription_schedule.MOVED - GRACE)
+        late.append(
+            node.loop.time() - moved - subscription_schedule.MIGRATION_STALENESS_LIMIT_S - SEND_STOP_GRACE_S
+        )
 
     asking_nodes(one)
     assert len(late) == 4 and max(late) < 0
--- a/tests/test_drain_after_move.py
+++ b/tests/test_drain_after_move.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from harecross.discovery.subscription_schedule import GRACE
+from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
 from tests.node_support import Client, Origin, config_of, entry, run, until
@@ -101,7 +101,7 @@
     async def test() -> None:
         async with fleet_in(tmp_path) as fleet:
             fleet.old.put(*(fleet.entry(name, "terminating") for name in LEAVING))
-            await asyncio.sleep(GRACE)
+            await asyncio.sleep(SEND_STOP_GRACE_S)
             moved_at = await fleet.move()
             await asyncio.sleep(1.0)
             fleet.new.put(*(fleet.entry(name) for name in LEAVING))
@@ -110,7 +110,7 @@
             fleet.new.put(*(fleet.entry(name, "terminating") for name in LEAVING))
             await asyncio.sleep(moved_at + 14.0 - fleet.loop.time())
             assert fleet.sends(moved_at, drained_at), "recalled servers are used again"
-            late = fleet.sends(drained_at + GRACE, fleet.loop.time())
+            late = fleet.sends(drained_at + SEND_STOP_GRACE_S, fleet.loop.time())
             assert not late, f"{len(late)} sends, the first {late[0] - moved_at:.2f} s after the move"
 
     run(test())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1314,8 +1314,8 @@
 
 def test_a_watch_that_never_says_a_word_is_given_up_at_once_and_the_next_one_counts(monkeypatch):
     """Two silent watches in a row outlast the time after which a drain is binding."""
-    monkeypatch.setattr(subscription_schedule, "FIRST_WORD", 0.05)
-    monkeypatch.setattr(subscription_schedule, "BEAT", 4 * WAIT)
+    monkeypatch.setattr(subscription_schedule, "AGENT_RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 4 * WAIT)
 
     async def test() -> None:
         origin = await Origin().start()
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -194,9 +194,9 @@
             host.reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
             host.closings.update([CloseReason.PEER, CloseReason.CLIENT_LEFT])
             host.unlisted = 1
-            asking.heard_at, asking.failures = 0.0, 1
+            asking.last_heartbeat_at, asking.consecutive_failures = 0.0, 1
             capfd.readouterr()
-            host.report({0: 1, 400: 2}, 3, asking.figures(1e9))
+            host.report({0: 1, 400: 2}, 3, asking.report_fields(1e9))
 
     with_site(test, tmp_path)
     (line,) = (x for x in capfd.readouterr().err.splitlines() if "served=" in x)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -215,9 +215,9 @@
     assert s.word(100.0, asking) is Freshness.NONE and not s.may_send(100.0)
     s.remembered()
     assert s.word(100.0, asking) is Freshness.KNOWN and not s.may_send(105.9)
-    asking.begin(100.0)
-    asking.calling(100.0)
-    asking.word(100.1)
+    asking.start(100.0)
+    asking.call_started(100.0)
+    asking.heartbeat_received(100.1)
     s.told()
     assert s.may_send(100.1)
     assert s.word(102.5, asking) is Freshness.CURRENT
@@ -236,13 +236,15 @@
 @pytest.mark.parametrize("number", [0, 40, 229])
 def test_the_longest_wait_holds_a_failed_first_call_and_the_second(number):
     """Arithmetic: a call that discovery fails after its longest time, the pause, any place, the next answer."""
-    asking = SubscriptionSchedule(DiscoveryTerms(asked=True, nodes=230, number=number), Random(1))
-    asking.begin(0.0)
-    asking.calling(0.0)
-    asking.ended(asking.patience_ends(), CallEnd.FAILED)
-    asking.calling(asking.next_at)
-    assert asking.patience_ends() <= ASKED_MOST
-    assert longest_wait(DiscoveryTerms(asked=True)) == ASKED_MOST < 30.0, "clients come after 30 s"
+    asking = SubscriptionSchedule(
+        DiscoveryTerms(polled=True, instance_count=230, instance_index=number), Random(1)
+    )
+    asking.start(0.0)
+    asking.call_started(0.0)
+    asking.call_ended(asking.response_deadline(), CallEnd.FAILED)
+    asking.call_started(asking.next_call_at)
+    assert asking.response_deadline() <= ASKED_MOST
+    assert longest_wait(DiscoveryTerms(polled=True)) == ASKED_MOST < 30.0, "clients come after 30 s"
     assert longest_wait(DiscoveryTerms()) == PUSHED_MOST
     assert longest_wait(DiscoveryTerms(), beside=True) < 2.0, "a new process is to say yes in time"
 
--- a/tests/test_asking.py
+++ b/tests/test_subscription_schedule.py
@@ -14,8 +14,8 @@
 from harecross.adapter import ASK_AGAIN, Host
 from harecross.discovery import subscription_schedule as schedule
 from harecross.discovery.subscription_schedule import (
-    FIRST_WORD,
-    GRACE,
+    AGENT_RESPONSE_TIMEOUT_S,
+    SEND_STOP_GRACE_S,
     CallEnd,
     DiscoveryTerms,
     SubscriptionSchedule,
@@ -32,11 +32,11 @@
 
 def subscribed(terms: DiscoveryTerms = FLEET, seed: int = 1) -> SubscriptionSchedule:
     a = SubscriptionSchedule(terms, Random(seed))
-    a.begin(0.0)
-    assert a.next_at == 0.0
-    a.calling(0.0)
-    a.word(0.2)
-    a.good()
+    a.start(0.0)
+    assert a.next_call_at == 0.0
+    a.call_started(0.0)
+    a.heartbeat_received(0.2)
+    a.update_applied()
     return a
 
 
@@ -45,43 +45,47 @@
 
 def test_states_and_how_old_the_list_is():
     a = SubscriptionSchedule(FLEET, Random(1))
-    assert a.state is SubscriptionState.IDLE and a.next_at == inf and a.patience_ends() == inf
-    a.begin(1.0)
+    assert a.state is SubscriptionState.IDLE and a.next_call_at == inf and a.response_deadline() == inf
+    a.start(1.0)
     assert a.state is SubscriptionState.WAITING
-    a.calling(1.0)
-    assert a.state is SubscriptionState.ASKING and a.patience_ends() == 1.0 + schedule.QUEUE
-    a.word(2.9)  # at the last moment of its wait
-    a.good()
-    assert a.state is SubscriptionState.SUBSCRIBED and a.waited == pytest.approx(1.9)
-    assert a.patience_ends() == 2.9 + schedule.BEAT and a.binding_at() == 2.9 + schedule.BINDING
-    assert not a.overdue(8.8) and a.overdue(9.0)
-    a.word(4.0)
-    assert not a.overdue(9.0)
+    a.call_started(1.0)
+    assert a.state is SubscriptionState.CALLING and a.response_deadline() == 1.0 + schedule.POLL_TIMEOUT_S
+    a.heartbeat_received(2.9)  # at the last moment of its wait
+    a.update_applied()
+    assert a.state is SubscriptionState.SUBSCRIBED and a.first_response_wait == pytest.approx(1.9)
+    assert (
+        a.response_deadline() == 2.9 + schedule.WATCH_HEARTBEAT_TIMEOUT_S
+        and a.staleness_limit_at() == 2.9 + schedule.STALENESS_LIMIT_S
+    )
+    assert not a.staleness_limit_passed(8.8) and a.staleness_limit_passed(9.0)
+    a.heartbeat_received(4.0)
+    assert not a.staleness_limit_passed(9.0)
     a.stop()
-    a.ended(5.0, CallEnd.ENDED)
-    assert a.state is SubscriptionState.IDLE and a.next_at == inf
+    a.call_ended(5.0, CallEnd.ENDED)
+    assert a.state is SubscriptionState.IDLE and a.next_call_at == inf
 
 
 def test_a_watch_that_ends_alone_is_asked_for_soon_and_a_silent_one_in_its_turn():
     ended, silent, long = [], [], []
     for number in range(40):
         for end, waits in ((CallEnd.ENDED, ended), (CallEnd.SILENT, silent)):
-            a = subscribed(replace(FLEET, number=number))
-            a.ended(10.0, end)
-            waits.append(a.next_at - 10.0)
-        a = subscribed(replace(FLEET, number=number))
-        a.long = schedule.LONG_CALLS
-        a.ended(10.0, CallEnd.SILENT)
-        long.append(a.next_at - 10.0)
-    assert max(ended) <= schedule.EARLY + schedule.ALONE
+            a = subscribed(replace(FLEET, instance_index=number))
+            a.call_ended(10.0, end)
+            waits.append(a.next_call_at - 10.0)
+        a = subscribed(replace(FLEET, instance_index=number))
+        a.long_queue_calls = schedule.LONG_QUEUE_CALLS
+        a.call_ended(10.0, CallEnd.SILENT)
+        long.append(a.next_call_at - 10.0)
+    assert max(ended) <= schedule.MIN_CALL_DELAY_S + schedule.SINGLE_FAILURE_ROUND_S
     for waits, length in (
-        (silent, schedule.longest_round()),
-        (long, schedule.ROUND),
+        (silent, schedule.max_round_s()),
+        (long, schedule.LONG_QUEUE_ROUND_S),
     ):
-        assert max(waits) <= schedule.EARLY + length
+        assert max(waits) <= schedule.MIN_CALL_DELAY_S + length
         # One in each fortieth of the round: nodes stand evenly, whatever their seeds.
         slots = sorted(
-            int((w - schedule.EARLY) / length * 40 + 40 - 40 * schedule.GOLDEN) % 40 for w in waits
+            int((w - schedule.MIN_CALL_DELAY_S) / length * 40 + 40 - 40 * schedule.GOLDEN_RATIO_FRACTION) % 40
+            for w in waits
         )
         assert len(set(slots)) >= 38
 
@@ -92,20 +96,27 @@
     for number in range(nodes):
         a = subscribed(DiscoveryTerms(True, nodes, number, 10.0), seed=number)
         for _ in range(3):
-            a.ended(10.0, CallEnd.SILENT)
-            assert schedule.BEAT + a.next_at - 10.0 + schedule.ANSWER <= schedule.BINDING + 1e-9
-            a.calling(a.next_at)
-            a.word(a.asked_at + schedule.ANSWER)
-            a.good()
+            a.call_ended(10.0, CallEnd.SILENT)
+            assert (
+                schedule.WATCH_HEARTBEAT_TIMEOUT_S + a.next_call_at - 10.0 + schedule.EXPECTED_RESPONSE_S
+                <= schedule.STALENESS_LIMIT_S + 1e-9
+            )
+            a.call_started(a.next_call_at)
+            a.heartbeat_received(a.call_started_at + schedule.EXPECTED_RESPONSE_S)
+            a.update_applied()
         for _ in range(12):  # down: called in vain for as long as that lasts
-            a.calling(20.0)
-            a.ended(20.0, CallEnd.FAILED)
-            assert a.next_at - 20.0 + schedule.QUEUE <= schedule.BINDING
-        moving = SubscriptionSchedule(DiscoveryTerms(True, nodes, number, 10.0), Random(number), moving=True)
-        moving.begin(0.0)
-        moving.calling(0.0)
-        moving.ended(moving.patience_ends(), CallEnd.FAILED)
-        assert moving.next_at + schedule.ANSWER <= schedule.MOVED + 1e-9
+            a.call_started(20.0)
+            a.call_ended(20.0, CallEnd.FAILED)
+            assert a.next_call_at - 20.0 + schedule.POLL_TIMEOUT_S <= schedule.STALENESS_LIMIT_S
+        moving = SubscriptionSchedule(
+            DiscoveryTerms(True, nodes, number, 10.0), Random(number), migrating=True
+        )
+        moving.start(0.0)
+        moving.call_started(0.0)
+        moving.call_ended(moving.response_deadline(), CallEnd.FAILED)
+        assert (
+            moving.next_call_at + schedule.EXPECTED_RESPONSE_S <= schedule.MIGRATION_STALENESS_LIMIT_S + 1e-9
+        )
 
 
 def test_only_a_call_failed_in_line_tells_of_a_long_one():
@@ -114,63 +125,65 @@
         (1.0, False),
         (2.0, True),
         (2.4, True),
-        (schedule.QUEUE, False),
+        (schedule.POLL_TIMEOUT_S, False),
     ):
         a = subscribed()
-        a.calling(10.0)
-        a.ended(10.0 + after, CallEnd.FAILED)
-        assert (a.next_at - 10.0 - after >= schedule.PAUSE) == long
+        a.call_started(10.0)
+        a.call_ended(10.0 + after, CallEnd.FAILED)
+        assert (a.next_call_at - 10.0 - after >= schedule.FAILED_CALL_PAUSE_S) == long
         for still in (long, long, False):
-            a.calling(20.0)
-            a.word(20.1)
-            a.good()
-            assert bool(a.long) == still
-    a.calling(30.0)
-    a.word(31.9)
-    assert a.long and a.round() == schedule.ROUND
+            a.call_started(20.0)
+            a.heartbeat_received(20.1)
+            a.update_applied()
+            assert bool(a.long_queue_calls) == still
+    a.call_started(30.0)
+    a.heartbeat_received(31.9)
+    assert a.long_queue_calls and a.round_length() == schedule.LONG_QUEUE_ROUND_S
 
 
 def test_calls_that_fail_pause_and_their_rounds_grow_until_a_list_comes():
     a = subscribed()
-    a.ended(0.0, CallEnd.SILENT)
+    a.call_ended(0.0, CallEnd.SILENT)
     longest, now = [], 0.0
     for _ in range(8):
-        now = a.next_at
-        a.calling(now)
-        a.ended(now + 2, CallEnd.FAILED)
-        wait = a.next_at - now - 2
-        assert schedule.PAUSE <= wait <= schedule.PAUSE + a.round()
-        longest.append(a.round())
-    assert longest[:3] == [5.0, 10.0, 20.0] and longest[-1] == schedule.ROUND_MOST * 10.0
-    a.calling(now)
-    a.word(now + 1)
-    a.good()
-    a.ended(now + 2, CallEnd.SILENT)
-    assert a.round() == schedule.ROUND
+        now = a.next_call_at
+        a.call_started(now)
+        a.call_ended(now + 2, CallEnd.FAILED)
+        wait = a.next_call_at - now - 2
+        assert schedule.FAILED_CALL_PAUSE_S <= wait <= schedule.FAILED_CALL_PAUSE_S + a.round_length()
+        longest.append(a.round_length())
+    assert longest[:3] == [5.0, 10.0, 20.0] and longest[-1] == schedule.MAX_ROUND_POLL_INTERVALS * 10.0
+    a.call_started(now)
+    a.heartbeat_received(now + 1)
+    a.update_applied()
+    a.call_ended(now + 2, CallEnd.SILENT)
+    assert a.round_length() == schedule.LONG_QUEUE_ROUND_S
 
 
 def test_an_answer_that_breaks_off_again_and_again_takes_its_turn():
     a = subscribed()
     waits = []
     for _ in range(4):
-        a.calling(0.0)
-        a.word(1.0)
-        a.ended(1.0, CallEnd.BROKEN)
-        waits.append(a.round())
-        assert a.next_at - 1.0 <= schedule.EARLY + (schedule.ALONE if len(waits) < 2 else a.round())
-    assert waits[-1] > waits[0] and a.failures == 4
+        a.call_started(0.0)
+        a.heartbeat_received(1.0)
+        a.call_ended(1.0, CallEnd.MALFORMED)
+        waits.append(a.round_length())
+        assert a.next_call_at - 1.0 <= schedule.MIN_CALL_DELAY_S + (
+            schedule.SINGLE_FAILURE_ROUND_S if len(waits) < 2 else a.round_length()
+        )
+    assert waits[-1] > waits[0] and a.consecutive_failures == 4
 
 
 def test_an_agent_is_asked_at_once():
     a = subscribed(DiscoveryTerms())
-    a.ended(1.0, CallEnd.SILENT)
-    assert a.next_at == pytest.approx(1.0 + schedule.BACKOFF_FIRST)
+    a.call_ended(1.0, CallEnd.SILENT)
+    assert a.next_call_at == pytest.approx(1.0 + schedule.AGENT_BACKOFF_INITIAL_S)
     for _ in range(10):
-        a.calling(2.0)
-        a.ended(2.0, CallEnd.FAILED)
-    assert a.next_at == pytest.approx(2.0 + schedule.BACKOFF_MOST)
-    a.calling(3.0)
-    assert a.patience_ends() == 3.0 + schedule.FIRST_WORD
+        a.call_started(2.0)
+        a.call_ended(2.0, CallEnd.FAILED)
+    assert a.next_call_at == pytest.approx(2.0 + schedule.AGENT_BACKOFF_MAX_S)
+    a.call_started(3.0)
+    assert a.response_deadline() == 3.0 + schedule.AGENT_RESPONSE_TIMEOUT_S
 
 
 # ---- the fleet ------------------------------------------------------------------------------------------
@@ -214,14 +227,18 @@
 
 def test_two_nodes_are_back_as_soon_as_one_round_lets_them():
     r = fleet(2, 2.0, backlog=0.0)
-    assert r.back[-1] <= schedule.BEAT + schedule.EARLY + schedule.ROUND + 2.0 and r.in_vain == 0
+    assert (
+        r.back[-1]
+        <= schedule.WATCH_HEARTBEAT_TIMEOUT_S + schedule.MIN_CALL_DELAY_S + schedule.LONG_QUEUE_ROUND_S + 2.0
+        and r.in_vain == 0
+    )
 
 
 @pytest.mark.parametrize("trigger", ["ended", "broken", "restart", "down"])
 def test_other_triggers_come_back_too(trigger):
     for seconds in (2.0, 4.9, 8.0):
         r = fleet(40, seconds, trigger=trigger, backlog=0.0)
-        assert r.recovered and r.back[-1] <= 4 * bound(r.day) + schedule.PAUSE
+        assert r.recovered and r.back[-1] <= 4 * bound(r.day) + schedule.FAILED_CALL_PAUSE_S
 
 
 def test_more_nodes_than_can_be_answered_within_the_longest_silence_come_back_all_the_same():
@@ -255,7 +272,13 @@
 
 
 def test_a_node_whose_watch_falls_silent_asks_in_its_turn_and_one_that_is_failed_pauses(monkeypatch):
-    for name, value in (("BEAT", 0.2), ("ROUND", 0.2), ("PAUSE", 0.1), ("ALONE", 0.02), ("EARLY", 0.01)):
+    for name, value in (
+        ("WATCH_HEARTBEAT_TIMEOUT_S", 0.2),
+        ("LONG_QUEUE_ROUND_S", 0.2),
+        ("FAILED_CALL_PAUSE_S", 0.1),
+        ("SINGLE_FAILURE_ROUND_S", 0.02),
+        ("MIN_CALL_DELAY_S", 0.01),
+    ):
         monkeypatch.setattr(schedule, name, value)
 
     async def test() -> None:
@@ -271,14 +294,14 @@
         writer.write(chunk(line(42)))
         await until(lambda: a.state is SubscriptionState.SUBSCRIBED)
         writer = await came.get()  # the first one has fallen silent
-        assert a.failures == 0 and a.calls == 2
+        assert a.consecutive_failures == 0 and a.call_count == 2
         writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         writer = await came.get()
-        assert a.failures == 1
+        assert a.consecutive_failures == 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(43, entry("s1", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.registry.listed)
-        assert a.failures == 0 and a.state is SubscriptionState.SUBSCRIBED
+        assert a.consecutive_failures == 0 and a.state is SubscriptionState.SUBSCRIBED
         task.cancel()
 
     run(test())
@@ -288,14 +311,14 @@
     host = Host()
     text = json.dumps({**ENV, "discovery": "ask"}).encode()
     host.batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
-    assert host.schedule[3].state is SubscriptionState.ASKING
+    assert host.schedule[3].state is SubscriptionState.CALLING
     failed = struct.pack("<BHBII", 7, 3, 3, 0, 0)
     reply = bytes(host.batch(1, failed, 2_000_000))
     assert reply[4] == 69
     _, _, delay, token = struct.unpack("<BHIQ", reply[4:19])
-    assert token == ASK_AGAIN and delay >= schedule.PAUSE * 1e6
+    assert token == ASK_AGAIN and delay >= schedule.FAILED_CALL_PAUSE_S * 1e6
     reply = host.batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
-    assert reply[4] == 75 and host.schedule[3].calls == 2
+    assert reply[4] == 75 and host.schedule[3].call_count == 2
     host.batch(1, struct.pack("<BH", 9, 3), 9_000_000)
     assert not host.schedule
 
@@ -303,11 +326,11 @@
 def test_an_agent_that_is_silent_or_refuses_for_long_is_asked_again_within_the_grace():
     """What it gets at its return counts as told at once, whether or not a call is out at that moment."""
     watch = SubscriptionSchedule(DiscoveryTerms(), Random(1))
-    watch.begin(0.0)
+    watch.start(0.0)
     now = 0.0
     for end in [CallEnd.SILENT, CallEnd.FAILED] * 20:
-        watch.calling(now)
-        now += FIRST_WORD if end is CallEnd.SILENT else 0.0
-        watch.ended(now, end)
-        assert watch.next_at - now <= GRACE / 2 + 1e-9, "and half of it is left for the call"
-        now = watch.next_at
+        watch.call_started(now)
+        now += AGENT_RESPONSE_TIMEOUT_S if end is CallEnd.SILENT else 0.0
+        watch.call_ended(now, end)
+        assert watch.next_call_at - now <= SEND_STOP_GRACE_S / 2 + 1e-9, "and half of it is left for the call"
+        now = watch.next_call_at
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -160,7 +160,7 @@
 
 
 def test_a_list_that_dribbles_in_does_not_keep_up_a_watch(monkeypatch):
-    monkeypatch.setattr(subscription_schedule, "BEAT", 0.3)
+    monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(watch_module, "PART_MOST", 0.3)
 
     async def test(w: World) -> None:
