--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -39,42 +39,45 @@
     Mutation(
         "a new discovery is believed at once",
         "discovery/process_table.py",
-        "        earlier = self.carried.get(name)\n        if earlier is not None:\n",
+        "        earlier = self.earlier_statements.get(name)\n        if earlier is not None:\n",
         "        earlier = None\n        if earlier is not None:\n",
     ),
     Mutation(
         "a timer puts the first list's entries back (the incident)",
         "discovery/discovery_client.py",
-        "        self.close_former_if_caught_up()\n\n    def unchanged",
-        "        if new:\n"
+        "        self.close_retired_if_caught_up()\n\n    def heartbeat_received",
+        "        if is_new_source:\n"
         "            items = [i for i in update['instances'] if i['lifecycle'] == 'in_service']\n"
-        "            self.loop.call_later(6.0, self.lists.apply, {'instances': items})\n\n    def unchanged",
+        "            self.loop.call_later(6.0, self.consumer.apply, {'instances': items})\n\n"
+        "    def heartbeat_received",
     ),
     Mutation(
         "the new discovery's replayed recall ends an objection",
         "discovery/process_table.py",
-        "        self.words[name] = statement\n",
-        "        if not statement.leaves and name in self.words:\n"
-        "            self.carried.pop(name, None)\n"
-        "        self.words[name] = statement\n",
+        "        self.current_statements[name] = statement\n",
+        "        if not statement.is_leaving and name in self.current_statements:\n"
+        "            self.earlier_statements.pop(name, None)\n"
+        "        self.current_statements[name] = statement\n",
     ),
     Mutation(
         "the old watch is dropped at once",
         "discovery/discovery_client.py",
-        "        watch.final = True\n        self.former.append(watch)",
+        "        watch.retired = True\n        self.retired.append(watch)",
         "        watch.close()",
     ),
     Mutation(
         "changes are used half a second late",
         "discovery/discovery_client.py",
-        "            self.lists.apply(outcome.update, full=whole)\n            self.settled(watch)",
-        "            self.loop.call_later(0.0 if whole else 0.5, self.lists.apply, outcome.update, False, whole)\n"
-        "            self.settled(watch)",
+        "            self.consumer.apply(result.update, full=full)\n            self.list_confirmed(watch)",
+        "            self.loop.call_later(\n"
+        "                0.0 if full else 0.5, lambda: self.consumer.apply(result.update, full=full)\n"
+        "            )\n"
+        "            self.list_confirmed(watch)",
     ),
     Mutation(
         "a start does not wait for its first list",
         "discovery/readiness.py",
-        "        return self.open\n",
+        "        return self.ready\n",
         "        return True\n",
     ),
     Mutation(
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch in use, the move to another address, and what both say as one list of servers."""
+"""The discovery client: the watch in use, the migration to another address, and both as one list of servers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from random import Random
 from typing import Any
 
+from harecross.discovery import wire_format
 from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
-from harecross.discovery.process_table import ProcessTable, Source, TableUpdate
+from harecross.discovery.process_table import DiscoverySource, ProcessTable, TableUpdate
 from harecross.discovery.subscription_schedule import (
     MIGRATION_STALENESS_LIMIT_S,
     CallEnd,
@@ -17,223 +18,241 @@
     SubscriptionSchedule,
 )
 from harecross.discovery.transition_log import describe
-from harecross.discovery.watch import Watch
+from harecross.discovery.watch import LIST_PATH, Watch
 from harecross.dispatch.dispatcher import log_line
 from harecross.interface import EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
 
 PUSHED = DiscoveryTerms()
-# After a new configuration the discovery that it names may be behind for so long, and what it has written by then may
-# be on its way for a moment more.
-CAUGHT_UP = MIGRATION_STALENESS_LIMIT_S + 1.0
-FORMER_MOST = 4  # watches of discoveries that have been left, until they end: one is open for 1.5 s (LATER)
+# After a migration the new discovery may lag behind for so long; what it has written by then may still be on its way
+# for a moment more.
+MAX_MIGRATION_LAG_S = MIGRATION_STALENESS_LIMIT_S + 1.0
+MAX_RETIRED_WATCHES = 4  # each one's connection ends soon after a migration
 
 
 class DiscoveryClient:
-    """The watch in use and, while the node moves to another address, the one that comes up there.
+    """The watch in use and, during a migration to another address, the pending watch there.
 
     A watch is reopened when its `SubscriptionSchedule` says; where lists are polled, the module is notified of its end.
-    The old watch counts until the new one has brought its first list; from then on only what it says of servers that
-    drain or are gone counts, until it ends.
+    The old watch is used until the pending one has brought its first list. From then on until its connection ends, the
+    old watch is retired, and only its statements on servers that drain or are gone count.
     """
 
     def __init__(
         self,
-        directory: EndpointRegistry,
+        registry: EndpointRegistry,
         address: tuple[str, int],
         terms: DiscoveryTerms = PUSHED,
-        lists: EndpointListConsumer | None = None,
+        consumer: EndpointListConsumer | None = None,
         seed: int = 0,
         monotonic: Callable[[], float] = time.monotonic,
+        on_current_list: Callable[[], None] = lambda: None,
     ) -> None:
+        """Lists go to `consumer`, or else to the registry.
+
+        `on_current_list` is called when discovery has sent a list or confirmed the present one.
+        """
         self.loop = asyncio.get_running_loop()
-        self.registry = directory
-        self.lists = lists or directory
+        self.registry = registry
+        self.consumer = consumer or registry
         self.address = address
         self.terms = terms
-        self.polled = terms.polled
         self.rng = Random(seed)
         self.monotonic = monotonic
+        self.on_current_list = on_current_list
         self.schedule = SubscriptionSchedule(terms, self.rng)
-        self.generation: int | None = 0
-        self.lineage = 0  # counts the moves
-        self.moved_at: float | None = None  # when the last one began
+        self.generation: int | None = 0  # the version that the next watch starts after
+        self.epoch = 0  # counts migrations
+        self.migrated_at: float | None = None  # when the last migration began
         self.current: Watch | None = None
-        self.coming: Watch | None = None
-        self.former: list[Watch] = []
-        self.heard = False  # has spoken to this process
-        self.on_word: Callable[[], None] = lambda: None  # the list in hand is of this process's own time
-        self.fetching: set[asyncio.Task[None]] = set()
-        self.sources: dict[int, Source] = {
-            0: Source("{}:{}".format(*address), 0)
-        }  # by lineage, in use or former
-        self.source_number = 0
+        self.pending: Watch | None = None
+        self.retired: list[Watch] = []
+        self.list_received = False  # by this process, not only from its configuration
+        self.poll_tasks: set[asyncio.Task[None]] = set()
+        # By the epoch of its watch, of those in use and retired:
+        self.sources: dict[int, DiscoverySource] = {0: DiscoverySource("{}:{}".format(*address), 0)}
+        self.source_sequence = 0
         self.table = ProcessTable(self.sources[0])
 
-    def begin(self, known: Any) -> None:
-        """The list of the configuration, as it was once told at the same address. ValueError if it is none."""
-        self.table.receive(self.monotonic(), self.sources[0], known, whole=True)
-        self.lists.apply(known, cached=True)
-        generation = known.get("generation")
+    # ---- commands of the node ---------------------------------------------------------------------------
+
+    def use_configured_list(self, configured: Any) -> None:
+        """Uses the configuration's list, an earlier one of the same address. ValueError if it is none."""
+        self.table.receive(self.monotonic(), self.sources[0], configured, full=True)
+        self.consumer.apply(configured, cached=True)
+        generation = wire_format.generation_of(configured)
         if isinstance(generation, int):
             self.generation = generation
 
-    def listen(self, on: bool) -> None:
-        for watch in (self.current, self.coming):
+    def subscribe(self) -> None:
+        """Opens the watch, in place of one that is open."""
+        self.unsubscribe()
+        self.current = Watch(self, self.address, self.generation, self.schedule, self.epoch)
+
+    def unsubscribe(self) -> None:
+        """Closes all watches."""
+        for watch in (self.current, self.pending):
             if watch is not None:
                 self.generation = watch.generation
                 watch.close()
-        self.current = self.coming = None
-        self.close_former()
-        if on:
-            self.current = Watch(self, self.address, self.generation, self.schedule, self.lineage)
+        self.current = self.pending = None
+        self.close_retired()
 
-    def move(self, address: tuple[str, int]) -> bool:
-        """Goes to another address; False if that is where the node is, or is going, already.
+    def migrate(self, address: tuple[str, int]) -> bool:
+        """Goes to another address; False if the node is there, or on its way there.
 
-        Guards against: between two watches a change is missed. The old one counts until the new one has
-        brought its first list, and that is asked for whole: a version of the old address may mean nothing
-        at the new one.
+        No change between two watches is missed: the old watch is used until the pending one has brought its first list.
+        That list is a full one, because a version of the old address may mean nothing at the new one.
         """
         if address == self.address:
             return False
         self.address = address
-        if self.coming is not None:
-            self.coming.close()
-            self.coming = None
+        if self.pending is not None:
+            self.pending.close()
+            self.pending = None
         if self.current is not None and address == self.current.address:
-            self.lineage = self.current.lineage
-            return True  # back before the other one had come up
-        self.lineage = max(self.lineage, *self.sources) + 1
-        self.moved_at = self.monotonic()
+            self.epoch = self.current.epoch  # back before the other watch was ready
+            return True
+        self.epoch = max(self.epoch, *self.sources) + 1
+        self.migrated_at = self.monotonic()
         if self.current is None:
             self.generation = None
         else:
-            asking = SubscriptionSchedule(self.terms, self.rng, migrating=True)
-            self.coming = Watch(self, address, None, asking, self.lineage)
+            schedule = SubscriptionSchedule(self.terms, self.rng, migrating=True)
+            self.pending = Watch(self, address, None, schedule, self.epoch)
         return True
 
-    # ---- what watches say -------------------------------------------------------------------------------
+    # ---- events of watches ------------------------------------------------------------------------------
 
-    def received(self, watch: Watch, update: Any, whole: bool, anew: bool) -> None:
+    def update_received(self, watch: Watch, update: Any, *, full: bool, restarted: bool) -> None:
         """A list or change. ValueError if it is neither."""
         now = self.monotonic()
-        new = watch.lineage not in self.sources
-        source = self.source_of(watch, anew, now)
-        outcome = self.table.receive(now, source, update, whole or anew)
-        if watch in self.former:
-            if outcome.update["instances"]:
-                self.lists.apply(outcome.update)
+        is_new_source = watch.epoch not in self.sources
+        source = self.source_of(watch, now, restarted=restarted)
+        result = self.table.receive(now, source, update, full=full or restarted)
+        if watch in self.retired:
+            self.apply_if_any(result)
         else:
-            self.lists.apply(outcome.update, full=whole)
-            self.settled(watch)
-        self.heard_all(watch)
-        self.log(watch, update.get("generation"), outcome, now)
-        if new and (held := self.table.held()):
-            log_line(f"discovery: {watch.place} has not heard of {len(held)} that leave")
-        self.close_former_if_caught_up()
-
-    def unchanged(self, watch: Watch) -> None:
-        """There is nothing newer than what the watch has brought."""
+            self.consumer.apply(result.update, full=full)
+            self.list_confirmed(watch)
+        self.note_listing_complete(watch)
+        self.log(watch, wire_format.generation_of(update), result, now)
+        if is_new_source and (quarantined := self.table.quarantined()):
+            log_line(f"discovery: {watch.name} has not heard of {len(quarantined)} that leave")
+        self.close_retired_if_caught_up()
+
+    def heartbeat_received(self, watch: Watch) -> None:
+        """Nothing has changed since the last list or change of the watch."""
         if watch is not self.current:
             return
         now = self.monotonic()
-        outcome = self.table.spoke(now, self.sources[watch.lineage])
-        if outcome.update["instances"]:
-            self.lists.apply(outcome.update)
-        self.heard_all(watch)
-        self.log(watch, watch.generation, outcome, now)
-        self.close_former_if_caught_up()
-        self.on_word()
-
-    def heard_all(self, watch: Watch) -> None:
-        """What the present discovery lists has been told up to now: what appears later has started later."""
-        if watch is self.current:
-            self.registry.start_times.listed_all(monotonic_us())
+        result = self.table.heartbeat(now, self.sources[watch.epoch])
+        self.apply_if_any(result)
+        self.note_listing_complete(watch)
+        self.log(watch, watch.generation, result, now)
+        self.close_retired_if_caught_up()
+        self.on_current_list()
 
-    def reached(self, watch: Watch, good: bool) -> None:
-        """The watch has just spoken, or its connection has ended or come to nothing."""
-        if watch not in self.former:
-            self.lists.reached(good)
+    def connectivity_changed(self, watch: Watch, *, connected: bool) -> None:
+        """The watch has just received something, or its connection has ended or could not be made."""
+        if watch not in self.retired:
+            self.consumer.connectivity_changed(connected=connected)
 
     def call_ended(self, watch: Watch) -> None:
         """One of the watch's own calls is over."""
-        if watch in self.former:
-            self.former.remove(watch)
-        elif self.polled and watch is self.current:
-            self.failed()
-
-    def source_of(self, watch: Watch, anew: bool, now: float) -> Source:
-        """Who speaks: another one from the first list of a new lineage on, and where a discovery has begun anew."""
-        known = self.sources.get(watch.lineage)
-        if known is not None and (watch in self.former or not anew):
+        if watch in self.retired:
+            self.retired.remove(watch)
+        elif self.terms.polled and watch is self.current:
+            self.notify_failure()
+
+    def apply_if_any(self, result: TableUpdate) -> None:
+        """Applies the entries that a heartbeat, or a list of a retired watch, has changed."""
+        if wire_format.entries_of(result.update):
+            self.consumer.apply(result.update)
+
+    def note_listing_complete(self, watch: Watch) -> None:
+        """The current discovery has listed all servers up to now: one that appears later has started later."""
+        if watch is self.current:
+            self.registry.start_times.listing_complete(monotonic_us())
+
+    def source_of(self, watch: Watch, now: float, *, restarted: bool) -> DiscoverySource:
+        """The source of the watch's updates: a new one from the first list of an epoch, or of a restarted discovery."""
+        known = self.sources.get(watch.epoch)
+        if known is not None and (watch in self.retired or not restarted):
             return known
-        self.source_number += 1
-        behind_until = now if anew or self.moved_at is None else self.moved_at + CAUGHT_UP
-        source = self.sources[watch.lineage] = Source(watch.place, self.source_number, behind_until)
+        self.source_sequence += 1
+        may_lag_until = now
+        if not restarted and self.migrated_at is not None:
+            may_lag_until = self.migrated_at + MAX_MIGRATION_LAG_S
+        source = DiscoverySource(watch.name, self.source_sequence, may_lag_until)
+        self.sources[watch.epoch] = source
         return source
 
-    def settled(self, watch: Watch) -> None:
-        """A watch has brought a list."""
-        self.heard = True
-        self.on_word()
-        if watch is self.coming:
-            old = self.current
-            self.current, self.coming, self.schedule = watch, None, watch.schedule
+    def list_confirmed(self, watch: Watch) -> None:
+        """A watch has brought a list or change; a pending watch becomes the current one."""
+        self.list_received = True
+        self.on_current_list()
+        if watch is self.pending:
+            previous = self.current
+            self.current, self.pending, self.schedule = watch, None, watch.schedule
             watch.schedule.migrating = False
-            if old is not None:
-                self.leave(old)
-            log_line(f"discovery: moved to {watch.place}")
+            if previous is not None:
+                self.retire(previous)
+            log_line(f"discovery: moved to {watch.name}")
 
-    def log(self, watch: Watch, version: object, outcome: TableUpdate, now: float) -> None:
-        for line in describe(outcome.transitions, now):
-            log_line(f"discovery: {watch.place} v{version}: {line}")
+    def log(self, watch: Watch, version: object, result: TableUpdate, now: float) -> None:
+        """Writes transitions to the log, and to the attempt log where there is one."""
+        for line in describe(result.transitions, now):
+            log_line(f"discovery: {watch.name} v{version}: {line}")
         trace = self.registry.dispatcher.trace
         if trace is not None:
-            for transition in outcome.transitions:
+            for transition in result.transitions:
                 trace.changed(transition, now)
 
-    # ---- discoveries that have been left ----------------------------------------------------------------
+    # ---- retired watches --------------------------------------------------------------------------------
 
-    def leave(self, watch: Watch) -> None:
-        """Hears the old discovery out: what it says of leaving counts until its connection ends.
-
-        Guards against: a drain that it writes in the moment of the hand-over is missed.
-        """
-        watch.final = True
-        self.former.append(watch)
-        while len(self.former) > FORMER_MOST:
-            self.former.pop(0).close()
+    def retire(self, watch: Watch) -> None:
+        """Keeps the previous watch until its connection ends, so that a drain written meanwhile is not missed."""
+        watch.retired = True
+        self.retired.append(watch)
+        while len(self.retired) > MAX_RETIRED_WATCHES:
+            self.retired.pop(0).close()
         self.sources = {
-            w.lineage: self.sources[w.lineage] for w in (*self.former, self.current) if w is not None
+            watch.epoch: self.sources[watch.epoch]
+            for watch in (*self.retired, self.current)
+            if watch is not None
         }
 
-    def close_former_if_caught_up(self) -> None:
+    def close_retired_if_caught_up(self) -> None:
+        """Closes retired watches once their statements no longer count."""
         if not self.table.catching_up:
-            self.close_former()
+            self.close_retired()
 
-    def close_former(self) -> None:
-        for watch in self.former:
+    def close_retired(self) -> None:
+        """Closes all retired watches."""
+        for watch in self.retired:
             watch.close()
-        self.former.clear()
+        self.retired.clear()
 
-    # ---- lists that are asked for -----------------------------------------------------------------------
+    # ---- polls ------------------------------------------------------------------------------------------
 
-    def fetch(self) -> None:
-        task = self.loop.create_task(self.ask_once())
-        self.fetching.add(task)
-        task.add_done_callback(self.fetching.discard)
+    def poll(self) -> None:
+        """Asks the current discovery for its full list, beside the watch."""
+        task = self.loop.create_task(self.poll_once())
+        self.poll_tasks.add(task)
+        task.add_done_callback(self.poll_tasks.discard)
 
-    async def ask_once(self) -> None:
+    async def poll_once(self) -> None:
+        """One poll; the module is notified if it fails."""
         watch = self.current
         if watch is None:
-            return self.failed()
-        once = SubscriptionSchedule(
-            self.terms, self.rng
-        )  # what the call brings is no word of the watch that is open
-        once.call_started(time.monotonic())
-        if await watch.call(b"/catalog/members", once, own=False) is not CallEnd.ENDED:
-            self.failed()
-
-    def failed(self) -> None:
+            return self.notify_failure()
+        # A schedule of its own: the response is no heartbeat of the watch.
+        schedule = SubscriptionSchedule(self.terms, self.rng)
+        schedule.call_started(time.monotonic())
+        if await watch.call(LIST_PATH, schedule, is_watch_call=False) is not CallEnd.ENDED:
+            self.notify_failure()
+
+    def notify_failure(self) -> None:
+        """Notifies the module that a call brought no list."""
         self.registry.dispatcher.endpoint_update(EndpointUpdateKind.FAILED, [])
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -1,234 +1,281 @@
-"""The list of servers as the module and the connections are told it."""
+"""The endpoints in use: discovery's lists as endpoints of the module and targets of the connection pool."""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
 from typing import Any, NamedTuple, Protocol
 
+from harecross.discovery import wire_format
 from harecross.discovery.start_times import LONG_AGO, StartTimes
+from harecross.discovery.wire_format import Lifecycle
 from harecross.dispatch.dispatcher import RequestDispatcher, log_line
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
 from harecross.upstream.connection_pool import ConnectionPool
 
-STATES = {
-    "in_service": EndpointState.READY,
-    "terminating": EndpointState.DRAINING,
-    "terminated": EndpointState.GONE,
+STATE_OF_LIFECYCLE = {
+    Lifecycle.IN_SERVICE: EndpointState.READY,
+    Lifecycle.DRAINING: EndpointState.DRAINING,
+    Lifecycle.GONE: EndpointState.GONE,
 }
-COLD_MOST = 60_000_000  # microseconds after which a server put back is warm anywhere
+MAX_SLOW_START_US = 60_000_000  # no server is in slow start for longer
 
 
 class NameIndex:
-    """Positions of names: those in the settings keep theirs, others get one for as long as it is in use."""
+    """Numbers for names: those of the settings keep theirs, others have one for as long as they are in use."""
 
     def __init__(self, names: Sequence[str]) -> None:
-        self.fixed = {name: i for i, name in enumerate(names)}
-        self.others: dict[str, int] = {}
-        self.last = len(names)
+        self.fixed = {name: index for index, name in enumerate(names)}
+        self.dynamic: dict[str, int] = {}
+        self.next_index = len(names)
 
-    def place(self, name: str) -> int:
+    def index_of(self, name: str) -> int:
+        """The name's number; a new one where it has none."""
         if name in self.fixed:
             return self.fixed[name]
-        if name not in self.others:
-            self.others[name] = self.last
-            self.last += 1
-        return self.others[name]
+        if name not in self.dynamic:
+            self.dynamic[name] = self.next_index
+            self.next_index += 1
+        return self.dynamic[name]
 
-    def keep(self, used: set[int]) -> None:
-        self.others = {name: at for name, at in self.others.items() if at in used}
+    def retain(self, used: set[int]) -> None:
+        """Drops the names whose numbers are not in use."""
+        self.dynamic = {name: index for name, index in self.dynamic.items() if index in used}
 
 
 class ListedEndpoint(NamedTuple):
-    """What discovery says of a server in service."""
+    """A server that discovery lists as in service."""
 
-    entry: Endpoint
+    endpoint: Endpoint
     address: str
-    started: int  # Unix time in milliseconds
+    started_ms: int  # when its process started, Unix milliseconds
 
 
 class EndpointListConsumer(Protocol):
-    """Who is told what a watch brings: the directory itself, or what stands between where there are more sources."""
+    """Where lists and changes go: to the registry, or to what merges them with other sources."""
 
-    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
-        """One list or change. ValueError if it is none."""
+    def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
+        """Uses a list or change. ValueError if it is neither.
 
-    def reached(self, good: bool) -> None:
-        """The watch has just spoken, or its connection has ended or come to nothing."""
+        `full`: servers that it does not name are gone. `cached`: it is a full list from before this process.
+        """
+
+    def connectivity_changed(self, *, connected: bool) -> None:
+        """The watch has just received something, or its connection has ended or could not be made."""
+
+
+class UpdateListener(Protocol):
+    """What is notified of each list or change after it has been used (`xds.feed.Feed`)."""
+
+    def __call__(self, update: Any, full: bool, cached: bool, /) -> None: ...
 
 
 class EndpointRegistry:
-    """Makes lists of discovery into the module's entries, and tells the connections of them.
+    """The endpoints in use, with a number for the name of each.
 
-    A server that operators hold out is DRAINING to the module, whatever discovery says of it.
+    A server in maintenance is DRAINING to the module, whatever discovery states.
     """
 
     def __init__(
-        self, host: RequestDispatcher, servers: ConnectionPool, zones: Sequence[str], kinds: Sequence[str]
+        self,
+        dispatcher: RequestDispatcher,
+        pool: ConnectionPool,
+        zones: Sequence[str],
+        machine_types: Sequence[str],
     ) -> None:
-        self.dispatcher = host
-        self.pool = servers
+        """`zones` and `machine_types` are the settings' names, whose positions are their numbers."""
+        self.dispatcher = dispatcher
+        self.pool = pool
         self.zones = NameIndex(zones)
-        self.kinds = NameIndex(kinds)
+        self.machine_types = NameIndex(machine_types)
         self.numbers: dict[str, int] = {}
-        self.last = 0
-        self.listed: dict[int, Endpoint] = {}  # in service, as last told
-        self.draining: set[str] = set()  # names that discovery lists as such
-        self.out: dict[str, ListedEndpoint | None] = {}  # held out: what discovery says of them meanwhile
-        self.back: dict[str, int] = {}  # when they were put back
-        self.owners: dict[str, int] = {}  # who listens at an address
-        self.weighted = False  # the platform's weights are nominal, and the module measures speeds itself
-        self.resolve: Callable[[str], str] = str  # from a name that operators use to the one that lists use
-        self.heard: Callable[[Any, bool, bool], None] | None = (
-            None  # each update, whether full, whether cached
+        self.last_number = 0
+        self.listed: dict[int, Endpoint] = {}  # in service, as the module was last notified
+        self.draining: set[str] = set()  # names that discovery lists as draining
+        self.in_maintenance: dict[str, ListedEndpoint | None] = {}  # with what discovery lists meanwhile
+        self.restored_at: dict[str, int] = {}  # when maintenance ended, monotonic microseconds
+        self.owner_by_address: dict[str, int] = {}  # the server that listens there
+        # Whether the lists' weights are measurements. The platform's are nominal, and the module measures speeds.
+        self.uses_listed_weights = False
+        self.resolve_name: Callable[[str], str] = (
+            str  # from a name that operators use to the one that lists use
         )
+        self.update_listener: UpdateListener | None = None
         self.start_times = StartTimes(time.time_ns() // 1000 - monotonic_us())
 
-    def reached(self, good: bool) -> None:
-        """The only source there is: its last list holds however old it is."""
+    # ---- lists and changes ------------------------------------------------------------------------------
+
+    def connectivity_changed(self, *, connected: bool) -> None:
+        """Does nothing: the last list is used however old it is."""
 
-    def number(self, name: str) -> int:
-        """The server's number: the same for as long as it is listed or anything is out on it."""
+    def number_of(self, name: str) -> int:
+        """The server's number: the same while it is listed or has requests in flight."""
         number = self.numbers.get(name)
         if number is None:
-            self.last += 1
-            number = self.numbers[name] = self.last
+            self.last_number += 1
+            number = self.numbers[name] = self.last_number
         return number
 
-    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
-        """One list or change. ValueError if it is none; a bad entry is logged and left out."""
-        if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
-            raise ValueError("no list of servers")
-        full = full or cached or bool(update.get("reset"))
-        trace = self.dispatcher.trace
-        before = set(self.listed) if trace is not None else set()
-        entries: dict[int, Endpoint] = {}
-        for item in update["instances"]:
-            try:
-                for entry in self.entries(item):
-                    entries[entry.server] = entry
-            except (KeyError, TypeError, ValueError) as e:
-                log_line(f"discovery: bad entry {item!r:.200}: {e!r}")
+    def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
+        """Uses a list or change. ValueError if it is neither; a bad entry is logged and ignored."""
+        entries = wire_format.entries_of(update)
+        full = full or cached or wire_format.is_reset(update)
+        kind = EndpointUpdateKind.CHANGES
         if full:
-            for server in [n for n in self.listed if n not in entries]:
-                self.withdraw(server)
-            names = {str(item.get("instanceId")) for item in update["instances"] if isinstance(item, dict)}
-            self.draining &= names
-            self.out.update({name: None for name in self.out if name not in names})
-        kind = (
-            EndpointUpdateKind.CACHED
-            if cached
-            else EndpointUpdateKind.FULL
-            if full
-            else EndpointUpdateKind.CHANGES
-        )
-        self.dispatcher.endpoint_update(kind, list(entries.values()))
-        if trace is not None:
-            named = {number: name for name, number in self.numbers.items()}
-            now_listed = set(self.listed)
-            came, left = ({named[n] for n in part} for part in (now_listed - before, before - now_listed))
-            trace.listed(kind, update.get("generation"), came, left)
-        self.forget()
-        if self.heard is not None:
-            self.heard(update, full, cached)
-
-    def entries(self, item: Any) -> list[Endpoint]:
-        """What one line says, of its server and of one whose address it takes over."""
-        name = str(item["instanceId"])
-        # A state never heard of counts as draining: nothing new is sent.
-        state = STATES.get(item["lifecycle"], EndpointState.DRAINING)
+            kind = EndpointUpdateKind.CACHED if cached else EndpointUpdateKind.FULL
+        before = set(self.listed) if self.dispatcher.trace is not None else set()
+        changed = self.use_entries(entries)
+        if full:
+            self.remove_unlisted(entries, changed)
+        self.dispatcher.endpoint_update(kind, list(changed.values()))
+        self.trace_update(kind, wire_format.generation_of(update), before)
+        self.drop_unused()
+        if self.update_listener is not None:
+            self.update_listener(update, full, cached)
+
+    def use_entries(self, entries: Sequence[Any]) -> dict[int, Endpoint]:
+        """Uses the entries; the endpoints to notify the module of, by number."""
+        changed: dict[int, Endpoint] = {}
+        for entry in entries:
+            try:
+                for endpoint in self.use_entry(entry):
+                    changed[endpoint.server] = endpoint
+            except (KeyError, TypeError, ValueError) as error:
+                log_line(f"discovery: bad entry {entry!r:.200}: {error!r}")
+        return changed
+
+    def remove_unlisted(self, entries: Sequence[Any], changed: Mapping[int, Endpoint]) -> None:
+        """Removes the servers that a full list does not name; the list itself notifies the module of them."""
+        for number in [number for number in self.listed if number not in changed]:
+            self.withdraw(number)
+        names = {str(entry.get(wire_format.INSTANCE_ID)) for entry in entries if isinstance(entry, dict)}
+        self.draining &= names
+        self.in_maintenance.update({name: None for name in self.in_maintenance if name not in names})
+
+    def trace_update(self, kind: EndpointUpdateKind, generation: Any, before: set[int]) -> None:
+        """Writes to the attempt log, where there is one, which servers are in service now and were not `before`."""
+        trace = self.dispatcher.trace
+        if trace is None:
+            return
+        names = {number: name for name, number in self.numbers.items()}
+        now_listed = set(self.listed)
+        added = {names[number] for number in now_listed - before}
+        removed = {names[number] for number in before - now_listed}
+        trace.listed(kind, generation, added, removed)
+
+    def use_entry(self, entry: Any) -> list[Endpoint]:
+        """The endpoints that one entry changes: its server, and one whose address it takes over.
+
+        KeyError, TypeError or ValueError for an entry that cannot be used.
+        """
+        name, lifecycle = wire_format.name_and_lifecycle(entry)
+        state = STATE_OF_LIFECYCLE[lifecycle]
         self.draining.discard(name)
         if state != EndpointState.READY:
-            if state == EndpointState.DRAINING:
-                self.draining.add(name)
-            if name in self.out:
-                self.out[name] = None
-            # Guards against: a line on a server that goes is left out over a field that no longer matters.
-            return [self.withdraw(self.numbers[name], state)] if name in self.numbers else []
-        started = int(item.get("startedAtMs") or 0)
-        address = str(item["hostPort"])
-        number = self.number(name)
-        entry = Endpoint(
-            server=number,
-            cell=int(item.get("cell") or 0),
-            zone=self.zones.place(str(item.get("zone", ""))),
-            machine_type=self.kinds.place(str(item.get("machineType", ""))),
-            weight=float(item.get("weight", 1.0)) if self.weighted else 1.0,
-            ready_at=self.start_times.ready_at(name, started, monotonic_us()) if started > 0 else LONG_AGO,
-        )
-        listed = ListedEndpoint(entry, address, started)
-        if name in self.out:
-            self.out[name] = listed
+            return self.use_leaving_entry(name, state)
+        listed = self.listed_endpoint(name, entry)
+        if name in self.in_maintenance:
+            self.in_maintenance[name] = listed
             return []
-        return self.place(name, listed)
-
-    def place(self, name: str, listed: ListedEndpoint) -> list[Endpoint]:
-        """Uses a server, unless a younger one listens at its address."""
-        entry, address, started = listed
-        number = entry.server
-        owner = self.listed.get(self.owners.get(address, number))
-        if owner is not None and owner.server != number and owner.ready_at > entry.ready_at:
+        return self.activate(name, listed)
+
+    def use_leaving_entry(self, name: str, state: EndpointState) -> list[Endpoint]:
+        """The same for a server that drains or is gone: no other field of the entry matters."""
+        if state == EndpointState.DRAINING:
+            self.draining.add(name)
+        if name in self.in_maintenance:
+            self.in_maintenance[name] = None
+        return [self.withdraw(self.numbers[name], state)] if name in self.numbers else []
+
+    def listed_endpoint(self, name: str, entry: Any) -> ListedEndpoint:
+        """What an entry lists as in service. KeyError, TypeError or ValueError where that cannot be used."""
+        fields = wire_format.parse_in_service(entry, uses_weight=self.uses_listed_weights)
+        ready_at = LONG_AGO
+        if fields.started_ms > 0:
+            ready_at = self.start_times.ready_at(name, fields.started_ms, monotonic_us())
+        endpoint = Endpoint(
+            server=self.number_of(name),
+            cell=fields.cell,
+            zone=self.zones.index_of(fields.zone),
+            machine_type=self.machine_types.index_of(fields.machine_type),
+            weight=fields.weight,
+            ready_at=ready_at,
+        )
+        return ListedEndpoint(endpoint, fields.address, fields.started_ms)
+
+    def activate(self, name: str, listed: ListedEndpoint) -> list[Endpoint]:
+        """Uses a server, unless a younger one listens at its address; the endpoints that this changes."""
+        endpoint, address, started_ms = listed
+        number = endpoint.server
+        owner = self.listed.get(self.owner_by_address.get(address, number))
+        if owner is not None and owner.server != number and owner.ready_at > endpoint.ready_at:
             return [self.withdraw(number)]
-        if self.back.get(name, 0) > entry.ready_at:
-            # Guards against: a server comes back cold, and the list has not told that it was restarted.
-            entry = replace(entry, ready_at=self.back[name])
-        self.pool.update(number, address, started)
-        self.listed[number] = entry
-        self.owners[address] = number
+        if self.restored_at.get(name, 0) > endpoint.ready_at:
+            # It is in slow start after maintenance, though the list does not show that it was restarted.
+            endpoint = replace(endpoint, ready_at=self.restored_at[name])
+        self.pool.update(number, address, started_ms)
+        self.listed[number] = endpoint
+        self.owner_by_address[address] = number
         if owner is None or owner.server == number:
-            return [entry]
-        # Guards against: what is sent to a server that has been replaced reaches the new one at its address,
-        # which is cold and is not counted as having got it.
-        return [self.withdraw(owner.server), entry]
-
-    # ---- held out by hand ----------------------------------------------------------------------------
-
-    def knows(self, name: str) -> bool:
-        """Whether discovery lists the server, or operators hold it out."""
-        name = self.resolve(name)
-        return name in self.out or name in self.draining or self.numbers.get(name) in self.listed
-
-    def hold(self, name: str) -> None:
-        """Takes the server out until it is `put_back`, whatever discovery says meanwhile."""
-        name = self.resolve(name)
-        if name in self.out:
-            return
-        number = self.numbers.get(name, 0)
-        entry, target = self.listed.get(number), self.pool.targets.get(number)
-        self.out[name] = None
-        if entry is not None and target is not None:
-            self.out[name] = ListedEndpoint(entry, target.address, target.started)
-            self.dispatcher.endpoint_update(
-                EndpointUpdateKind.CHANGES, [self.withdraw(number, EndpointState.DRAINING)]
-            )
-
-    def put_back(self, name: str) -> None:
-        """Uses the server again if discovery lists it, as one that has just started."""
-        name = name if name in self.out else self.resolve(name)
-        if name not in self.out:
-            return
-        listed = self.out.pop(name)
-        self.back[name] = monotonic_us()
-        if listed is not None:
-            entry = replace(listed.entry, server=self.number(name))
-            self.dispatcher.endpoint_update(
-                EndpointUpdateKind.CHANGES, self.place(name, listed._replace(entry=entry))
-            )
+            return [endpoint]
+        # The owner has been replaced: requests for it would reach the new server, which is in slow start, uncounted.
+        return [self.withdraw(owner.server), endpoint]
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
+        """Takes a server out of use; the endpoint to notify the module of."""
         self.pool.withdraw(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
 
-    def forget(self) -> None:
-        """Guards against: where servers are replaced all day, what was known of those gone piles up."""
+    def drop_unused(self) -> None:
+        """Drops what is known of servers that are gone, so that it does not grow where servers are replaced all day."""
         for name, number in list(self.numbers.items()):
             if number not in self.listed and self.pool.forget(number):
                 del self.numbers[name]
-        cold = monotonic_us() - COLD_MOST
-        self.back = {name: at for name, at in self.back.items() if name in self.numbers or at > cold}
-        self.owners = {address: n for address, n in self.owners.items() if n in self.listed}
-        self.zones.keep({e.zone for e in self.listed.values()})
-        self.kinds.keep({e.machine_type for e in self.listed.values()})
+        slow_start_since = monotonic_us() - MAX_SLOW_START_US
+        self.restored_at = {
+            name: restored_at
+            for name, restored_at in self.restored_at.items()
+            if name in self.numbers or restored_at > slow_start_since
+        }
+        self.owner_by_address = {
+            address: number for address, number in self.owner_by_address.items() if number in self.listed
+        }
+        self.zones.retain({endpoint.zone for endpoint in self.listed.values()})
+        self.machine_types.retain({endpoint.machine_type for endpoint in self.listed.values()})
+
+    # ---- maintenance ------------------------------------------------------------------------------------
+
+    def is_known(self, name: str) -> bool:
+        """Whether discovery lists the server, or it is in maintenance."""
+        name = self.resolve_name(name)
+        if name in self.in_maintenance or name in self.draining:
+            return True
+        return self.numbers.get(name) in self.listed
+
+    def enter_maintenance(self, name: str) -> None:
+        """Takes the server out of use until `exit_maintenance`, whatever discovery states meanwhile."""
+        name = self.resolve_name(name)
+        if name in self.in_maintenance:
+            return
+        number = self.numbers.get(name, 0)
+        endpoint, target = self.listed.get(number), self.pool.targets.get(number)
+        self.in_maintenance[name] = None
+        if endpoint is not None and target is not None:
+            self.in_maintenance[name] = ListedEndpoint(endpoint, target.address, target.started)
+            draining = self.withdraw(number, EndpointState.DRAINING)
+            self.dispatcher.endpoint_update(EndpointUpdateKind.CHANGES, [draining])
+
+    def exit_maintenance(self, name: str) -> None:
+        """Uses the server again if discovery lists it, with a slow start."""
+        name = name if name in self.in_maintenance else self.resolve_name(name)
+        if name not in self.in_maintenance:
+            return
+        listed = self.in_maintenance.pop(name)
+        self.restored_at[name] = monotonic_us()
+        if listed is not None:
+            endpoint = replace(listed.endpoint, server=self.number_of(name))
+            changed = self.activate(name, listed._replace(endpoint=endpoint))
+            self.dispatcher.endpoint_update(EndpointUpdateKind.CHANGES, changed)
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -1,45 +1,57 @@
-"""What a process can say of each server it knows, for operators: rows of plain values. Free of I/O."""
+"""The status of each server that a process knows, for operators. Free of I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from typing import TypedDict
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
 
+# The values of `state` in the answers to operators:
 IN_USE, OUT, DRAINING, GONE = "in use", "out", "draining", "gone"
 
 
+class EndpointStatus(TypedDict):
+    """One server; the keys are those of the answers to operators."""
+
+    id: str
+    state: str  # in use; out (in maintenance); draining; or gone, with requests still in flight
+    listed: bool  # discovery lists it as in service
+    open: int  # requests in flight
+    warmth: float  # its part of full capacity during slow start; 1 where it is not in use
+    ejected: bool
+
+
 def endpoint_status_rows(
-    directory: EndpointRegistry, out_on: Mapping[int, int], now: int
-) -> list[dict[str, Any]]:
-    """A row for each server that discovery lists, operators hold out, or something is still out on.
+    registry: EndpointRegistry, in_flight: Mapping[int, int], now: int
+) -> list[EndpointStatus]:
+    """The status of each server that is listed, in maintenance, or has requests in flight.
 
-    `out_on` counts what is out by server number. A row holds `id`, `state` (one of the four above), `listed`
-    (discovery has it in service), `open`, `warmth` (part of a warm server's capacity, 1 for one that is not
-    in use) and `ejected`.
+    `in_flight` counts them by the server's number; `now` in monotonic microseconds.
     """
-    views = {view.server: view for view in directory.dispatcher.balancer.view(now)}
-    numbers = directory.numbers
-    rows = []
-    for name in sorted({*numbers, *directory.out, *directory.draining}):
-        number = numbers.get(name, 0)
-        if name in directory.out:
-            state = OUT
-        elif number in directory.listed:
-            state = IN_USE
-        else:
-            state = DRAINING if name in directory.draining else GONE
-        view = views.get(number)
-        used = view is not None and state == IN_USE
+    views = {view.server: view for view in registry.dispatcher.balancer.view(now)}
+    rows: list[EndpointStatus] = []
+    for name in sorted({*registry.numbers, *registry.in_maintenance, *registry.draining}):
+        number = registry.numbers.get(name, 0)
+        state = state_of(registry, name)
+        view = views.get(number) if state == IN_USE else None
         rows.append(
             {
                 "id": name,
                 "state": state,
-                "listed": number in directory.listed or directory.out.get(name) is not None,
-                "open": out_on.get(number, 0),
-                "warmth": round(view.warmth, 3) if view is not None and used else 1.0,
-                "ejected": bool(view is not None and used and view.ejected),
+                "listed": number in registry.listed or registry.in_maintenance.get(name) is not None,
+                "open": in_flight.get(number, 0),
+                "warmth": 1.0 if view is None else round(view.warmth, 3),
+                "ejected": view is not None and bool(view.ejected),
             }
         )
     return rows
+
+
+def state_of(registry: EndpointRegistry, name: str) -> str:
+    """The server's `state`."""
+    if name in registry.in_maintenance:
+        return OUT
+    if registry.numbers.get(name, 0) in registry.listed:
+        return IN_USE
+    return DRAINING if name in registry.draining else GONE
--- a/harecross/discovery/json_stream.py
+++ b/harecross/discovery/json_stream.py
@@ -1,14 +1,15 @@
-"""JSON values one after another as they come in, however they are laid out: bytes in, values out. Free of I/O.
+"""An incremental parser of JSON values that follow one another: bytes in, values out. Free of I/O.
 
-A watch is said to hold one object a line, and lists may come indented, over many lines (STANDING, "Days at full size");
-so a value ends where its brackets close, not where a line does (RFC 8259, 2). What tells that one was broken off:
+A watch is specified to hold one object a line, but lists may come indented, over many lines (STANDING, "Days at full
+size"). So a value ends where its brackets close, not at the end of a line (RFC 8259, 2). A value counts as broken off
+at these bytes within it:
 
-| what comes inside a value | why it cannot belong to it |
+| bytes | why they cannot belong to the value |
 | --- | --- |
-| a line end within a string | RFC 8259, 7: it would be escaped |
-| a blank line | an empty line is discovery's word that nothing has changed; no printer of JSON writes one |
+| a line end within a string | it would be escaped (RFC 8259, 7) |
+| a blank line | an empty line is discovery's heartbeat; no printer of JSON writes one |
 
-Each byte is looked at once, so a large list in single bytes costs no more than in one piece.
+Each byte is scanned once, so a large list in single bytes costs no more than in one piece.
 """
 
 from __future__ import annotations
@@ -18,87 +19,107 @@
 from collections.abc import Iterator
 from typing import Any
 
-VALUE_MOST = 1 << 22  # bytes of one value
-IN_STRING = re.compile(rb'["\\\n]')
-IN_VALUE = re.compile(rb'["{}\[\]\n]')
-BETWEEN = re.compile(rb"[^ \t\r]")
+MAX_VALUE_BYTES = 1 << 22
+NEXT_IN_STRING = re.compile(rb'["\\\n]')
+NEXT_IN_VALUE = re.compile(rb'["{}\[\]\n]')
+NEXT_BETWEEN_VALUES = re.compile(rb"[^ \t\r]")
 BLANK = b" \t\r"
-SHOWN = 200  # bytes of what could not be read go into the log
+BACKSLASH, LINE_FEED, QUOTE = b'\\\n"'
+MAX_SHOWN_BYTES = 200  # of malformed input, in an error
 
 
-class BadValue(ValueError):
-    """What came is no JSON value, or was broken off."""
+class MalformedJsonError(ValueError):
+    """The input is no JSON value, or a value was broken off."""
 
 
-class Blank:
+class BlankLine:
     """A blank line between two values."""
 
 
-BLANK_LINE = Blank()
+BLANK_LINE = BlankLine()
 
 
-class Values:
-    """Reads values from a stream. What follows on a BadValue belongs to nothing: the stream is to be ended."""
+class JsonStreamParser:
+    """Parses a stream of values. After a MalformedJsonError the stream is to be closed."""
 
-    __slots__ = ("buffer", "at", "line", "depth", "string", "told")
+    __slots__ = ("buffer", "position", "line_start", "depth", "in_string", "value_on_line")
 
     def __init__(self) -> None:
-        self.buffer = (
-            bytearray()
-        )  # from the present value's first byte, or the present line's where there is none
-        self.at = 0  # so far it has been looked at
-        self.line = 0  # where the present line begins
-        self.depth = 0  # brackets that are open
-        self.string = False
-        self.told = False  # a value has ended on the present line
+        # From the first byte of the present value on, or of the present line where there is no value:
+        self.buffer = bytearray()
+        self.position = 0  # the buffer has been scanned up to here
+        self.line_start = 0  # where the present line begins
+        self.depth = 0  # open brackets
+        self.in_string = False
+        self.value_on_line = False  # a value has ended on the present line
 
     @property
-    def open(self) -> bool:
-        """Whether part of a value has come."""
+    def has_partial_value(self) -> bool:
+        """Whether the first part of a value has come, but not all of it."""
         return self.depth > 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """What is whole by now, in order; BLANK_LINE for a blank line between values. BadValue behind what was good."""
+        """The values that are complete now, in order, with BLANK_LINE for a blank line between values.
+
+        MalformedJsonError after the values that precede the malformed one.
+        """
         self.buffer += data
         found: list[Any] = []
         while self.step(found):
             yield from found
             found.clear()
-        if len(self.buffer) > VALUE_MOST:
-            raise BadValue(f"longer than {VALUE_MOST} bytes")
+        if len(self.buffer) > MAX_VALUE_BYTES:
+            raise MalformedJsonError(f"longer than {MAX_VALUE_BYTES} bytes")
 
     def finish(self) -> None:
-        """The stream has ended. BadValue if that was inside a value."""
+        """The stream has ended. MalformedJsonError if that was within a value."""
         if self.depth:
-            raise self.bad("broken off")
+            raise self.error("broken off")
 
-    def bad(self, why: str) -> BadValue:
-        return BadValue(f"{why}: {bytes(self.buffer[:SHOWN])!r}")
+    def error(self, reason: str) -> MalformedJsonError:
+        """An error that shows the start of the buffer."""
+        return MalformedJsonError(f"{reason}: {bytes(self.buffer[:MAX_SHOWN_BYTES])!r}")
 
     def step(self, found: list[Any]) -> bool:
-        """Looks at the next byte that means something; whether there was one."""
-        buffer = self.buffer
-        look = IN_STRING if self.string else IN_VALUE if self.depth else BETWEEN
-        m = look.search(buffer, self.at)
-        if m is None:
-            self.at = len(buffer)
+        """Scans up to the next significant byte; False if there is none yet. Appends complete values to `found`."""
+        match = self.next_significant_byte().search(self.buffer, self.position)
+        if match is None:
+            self.position = len(self.buffer)
             return False
-        at, byte = m.start(), buffer[m.start()]
-        self.at = at + 1
-        if self.string:
-            if byte == 0x5C:  # a backslash: the byte behind it is no end
-                if at + 1 == len(buffer):
-                    self.at = at
-                    return False
-                self.at = at + 2
-            elif byte == 0x0A:
-                raise self.bad("broken off in a string")
-            else:
-                self.string = False
-        elif byte == 0x0A:
-            self.line_end(at, found)
-        elif byte == 0x22 and self.depth:
-            self.string = True
+        at = match.start()
+        self.position = at + 1
+        if self.in_string:
+            return self.step_in_string(at)
+        self.step_outside_string(at, found)
+        return True
+
+    def next_significant_byte(self) -> re.Pattern[bytes]:
+        """The pattern of the bytes that matter where the parser is."""
+        if self.in_string:
+            return NEXT_IN_STRING
+        return NEXT_IN_VALUE if self.depth else NEXT_BETWEEN_VALUES
+
+    def step_in_string(self, at: int) -> bool:
+        """The byte at `at` is a backslash, a line end or a quote within a string; False to wait for more bytes."""
+        byte = self.buffer[at]
+        if byte == BACKSLASH:  # the byte after it does not end the string
+            if at + 1 == len(self.buffer):
+                self.position = at
+                return False
+            self.position = at + 2
+        elif byte == LINE_FEED:
+            raise self.error("broken off in a string")
+        else:
+            self.in_string = False
+        return True
+
+    def step_outside_string(self, at: int, found: list[Any]) -> None:
+        """The byte at `at` is a line end, a quote or a bracket, or what cannot begin a value."""
+        byte = self.buffer[at]
+        if byte == LINE_FEED:
+            self.line_ended(at, found)
+        elif byte == QUOTE and self.depth:
+            self.in_string = True
         elif byte in b"{[":
             if not self.depth:
                 self.drop(at)
@@ -106,33 +127,34 @@
         elif byte in b"}]" and self.depth:
             self.depth -= 1
             if not self.depth:
-                self.value(found)
+                self.value_ended(found)
         else:
-            raise self.bad("neither an object nor a list")
-        return True
+            raise self.error("neither an object nor a list")
 
-    def line_end(self, at: int, found: list[Any]) -> None:
-        blank = not self.told and not bytes(self.buffer[self.line : at]).strip(BLANK)
-        self.line, self.told = at + 1, False
+    def line_ended(self, at: int, found: list[Any]) -> None:
+        """The present line ends at `at`."""
+        is_blank = not self.value_on_line and not bytes(self.buffer[self.line_start : at]).strip(BLANK)
+        self.line_start, self.value_on_line = at + 1, False
         if self.depth:
-            if blank:
-                raise self.bad("broken off at a blank line")
+            if is_blank:
+                raise self.error("broken off at a blank line")
             return
-        if blank:
+        if is_blank:
             found.append(BLANK_LINE)
         self.drop(at + 1)
 
-    def value(self, found: list[Any]) -> None:
-        text = bytes(self.buffer[: self.at])
+    def value_ended(self, found: list[Any]) -> None:
+        """The present value ends at the present position."""
+        text = bytes(self.buffer[: self.position])
         try:
             found.append(json.loads(text))
-        except (ValueError, RecursionError) as e:
-            raise BadValue(f"{e}: {text[:SHOWN]!r}") from None
-        self.told = True
-        self.drop(self.at)
+        except (ValueError, RecursionError) as error:
+            raise MalformedJsonError(f"{error}: {text[:MAX_SHOWN_BYTES]!r}") from None
+        self.value_on_line = True
+        self.drop(self.position)
 
     def drop(self, end: int) -> None:
-        """Forgets what stands before that place."""
+        """Removes the bytes before `end` from the buffer."""
         del self.buffer[:end]
-        self.at -= end
-        self.line = max(0, self.line - end)
+        self.position -= end
+        self.line_start = max(0, self.line_start - end)
--- a/harecross/discovery/list_versions.py
+++ b/harecross/discovery/list_versions.py
@@ -1,17 +1,17 @@
-"""Which of the lists that one discovery sends is newer, free of I/O.
+"""Which of the lists that one discovery sends is newer. Free of I/O.
 
-A list that overtakes a newer one brings back a server that the newer one said leaves. Versions of one address only
-grow (`generation` in PROTOCOL, "Discovery"), but for a discovery that has begun anew: it counts from a lower number,
-and what it says first, on a call made after the old watch had ended, is a whole list. Told apart so:
+A list that overtakes a newer one would bring back a server that the newer one stated as leaving. Versions of one
+address only grow (`generation` in PROTOCOL, "Discovery"), except for a discovery that has restarted: it counts from a
+lower number, and its first response to a call made after the old watch ended is a full list. So:
 
-| version | what came | it is |
+| version | update | order |
 | --- | --- | --- |
-| higher, or the same | anything | NEWER |
-| lower | a whole list, the first word of the watch's own call | ANEW: it counts, and so do its versions |
-| lower | a change, the first word of the watch's own call | UNUSABLE: what it follows on is not known |
-| lower | anything later on that call, or the answer of a call beside the watch | OLDER: left out |
+| higher, or the same | any | NEWER |
+| lower | a full list, the first response of the watch's own call | RESTARTED: it is used, and so are its versions |
+| lower | a change, the first response of the watch's own call | UNUSABLE: the version it follows is unknown |
+| lower | anything later on that call, or the response of a call beside the watch | OLDER: it is ignored |
 
-What is UNUSABLE ends the call, and the list is asked for whole.
+An UNUSABLE change ends the call, and the next call is for the full list.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from enum import Enum
 
 
-class Verdict(Enum):
-    """What to do with a list or change."""
+class VersionOrder(Enum):
+    """How an update relates to the last one that was used. The values are words of the log."""
 
     NEWER = "newer"
-    ANEW = "anew"
+    RESTARTED = "anew"
     UNUSABLE = "unusable"
     OLDER = "older"
 
 
-def judge(newest: int | None, version: object, whole: bool, first: bool) -> Verdict:
-    """`newest` is the last version used of that address, None before the first; `version` what came with this one.
+def compare_versions(newest: int | None, version: object, *, full: bool, first: bool) -> VersionOrder:
+    """The order of an update with `version` after the last used one, `newest` (None before the first).
 
-    `first`: it is the first word of the watch's own call. Without a version nothing can be told, and it is used.
+    `first`: it is the first response of the watch's own call. An update without a version is always used.
     """
     if newest is None or not isinstance(version, int) or version >= newest:
-        return Verdict.NEWER
+        return VersionOrder.NEWER
     if not first:
-        return Verdict.OLDER
-    return Verdict.ANEW if whole else Verdict.UNUSABLE
+        return VersionOrder.OLDER
+    return VersionOrder.RESTARTED if full else VersionOrder.UNUSABLE
--- a/harecross/discovery/listed_endpoints.py
+++ b/harecross/discovery/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""What discovery says of each server by name, its drains included, and a memory of it across restarts. Free of I/O."""
+"""What discovery lists on each server, draining ones included, and its memory across restarts. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,44 +6,56 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-ENDED_MOST = 8192  # servers remembered as gone: a release of the largest clusters twice over
+from harecross.discovery import wire_format
+
+MAX_ENDED = 8192  # two releases of the largest clusters
 
 
 @dataclass(slots=True)
 class ListedEndpoints:
-    """One cluster's lines, as they came; a server that drains stays until the list leaves it out."""
-
-    lines: dict[str, dict[str, Any]] = field(default_factory=dict)
-    whole: bool = False  # a whole list has come, not only a remembered one
-    remembered: bool = False
-    ended: dict[str, None] = field(
-        default_factory=dict
-    )  # said to be gone and not listed since, the oldest first
-
-    def apply(self, update: Mapping[str, Any], full: bool, cached: bool) -> None:
-        """A list or change that has been found readable; lines that are not are left out."""
-        told: dict[str, dict[str, Any]] = {}
-        for item in update["instances"]:
-            if isinstance(item, dict) and isinstance(item.get("instanceId"), str) and "lifecycle" in item:
-                told[item["instanceId"]] = item
+    """One cluster's entries, as discovery sent them. A server that drains stays until a full list omits it."""
+
+    entries: dict[str, dict[str, Any]] = field(default_factory=dict)  # by the server's name
+    has_full_list: bool = False  # of this process, not only a remembered one
+    has_remembered_list: bool = False
+    ended: dict[str, None] = field(default_factory=dict)  # gone and not listed since, the oldest first
+
+    def apply(self, update: Mapping[str, Any], *, full: bool, cached: bool) -> None:
+        """Uses a list or change that has been found readable; unreadable entries are ignored."""
+        stated = {
+            entry[wire_format.INSTANCE_ID]: entry
+            for entry in update[wire_format.INSTANCES]
+            if is_readable(entry)
+        }
         if full:
-            self.lines = {}
-        for name, item in told.items():
-            self.ended.pop(name, None)
-            if item["lifecycle"] == "terminated":
-                self.lines.pop(name, None)
-                self.ended[name] = None
-            elif isinstance(item.get("hostPort"), str) or name in self.lines:
-                self.lines[name] = {**self.lines.get(name, {}), **item}
-        while len(self.ended) > ENDED_MOST:
+            self.entries = {}
+        for name, entry in stated.items():
+            self.use_entry(name, entry)
+        while len(self.ended) > MAX_ENDED:
             del self.ended[next(iter(self.ended))]
-        self.whole = self.whole or (full and not cached)
-        self.remembered = self.remembered or cached
-
-    def known(self) -> bool:
-        """Whether there is anything to publish. Failure prevented: a service that has just started tells of none."""
-        return self.whole or (self.remembered and bool(self.lines))
+        self.has_full_list = self.has_full_list or (full and not cached)
+        self.has_remembered_list = self.has_remembered_list or cached
+
+    def use_entry(self, name: str, entry: dict[str, Any]) -> None:
+        """Uses one entry; its fields replace those of the entry before."""
+        self.ended.pop(name, None)
+        if entry[wire_format.LIFECYCLE] == wire_format.TERMINATED:
+            self.entries.pop(name, None)
+            self.ended[name] = None
+        elif isinstance(entry.get(wire_format.HOST_PORT), str) or name in self.entries:
+            self.entries[name] = {**self.entries.get(name, {}), **entry}
+
+    def is_publishable(self) -> bool:
+        """Whether there is a list: a service that has just started must not publish an empty one."""
+        return self.has_full_list or (self.has_remembered_list and bool(self.entries))
 
     def memory(self) -> dict[str, Any]:
-        """A list to begin with after a restart."""
-        return {"reset": True, "instances": list(self.lines.values())}
+        """The list to begin with after a restart, in discovery's form."""
+        return {wire_format.RESET: True, wire_format.INSTANCES: list(self.entries.values())}
+
+
+def is_readable(entry: Any) -> bool:
+    """Whether an entry has a server's name and a state."""
+    if not isinstance(entry, dict) or wire_format.LIFECYCLE not in entry:
+        return False
+    return isinstance(entry.get(wire_format.INSTANCE_ID), str)
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -1,13 +1,14 @@
-"""Whether anything new may be sent, and by what list: the standing of one node's list of servers, free of I/O.
+"""Whether requests may be sent by the present list of servers, and how old that list is. Free of I/O.
 
-A node that has just started has the list of its configuration, which "may be old" (DEPLOY, `known`), while what the
-agent on its machine has, or what was listed 6 s ago, counts as told to it from its first moment on (PROTOCOL,
-"Discovery" and "Figures"). A server that left the list meanwhile must get nothing. So nothing is sent by that list
-until discovery has said a word to this process, were it that nothing has changed; what comes before is refused at
-once, and health says no. The wait is bounded: a start that waits for a discovery that is down would never end.
+A node that has just started has the list of its configuration, which "may be old" (DEPLOY, `known`). But a change that
+the agent on its machine has, or that was listed 6 s ago, counts as notified from the node's first moment on (PROTOCOL,
+"Discovery" and "Figures"): a server that has left the list must get nothing. So nothing is sent by the configured list
+until discovery has confirmed a list to this process, if only that nothing has changed. Until then requests are refused
+at once, and the health check answers no. The wait is bounded, because a start that waits for a discovery that is down
+would never end.
 
-Once discovery has spoken, its list is used however old its last word is: a fleet that refuses everything while
-discovery is down serves nobody (docs/design-fleet.md has the plays). Times are seconds of one monotonic clock.
+After that the list is used however old it is: a fleet that refuses everything while discovery is down serves nobody
+(docs/design-fleet.md). Times are seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,66 +23,64 @@
     SubscriptionSchedule,
 )
 
-# Where lists are pushed the agent answers at once or discovery is down; after so long all that was listed before the
-# start counts as told, and more waiting tells nothing.
-PUSHED_MOST = STALENESS_LIMIT_S
-# Where they are asked for: clients come to a fleet that starts after 30 s, ready or not (DEPLOY, "Limits"),
-# and a call that goes out late may still be answered by then: two failed calls, their pauses and rounds fit in.
-ASKED_MOST = 30.0 - POLL_TIMEOUT_S
-BESIDE_MOST = 1.0  # where another process serves on as this node meanwhile, and is to be replaced in time
+# Where lists are pushed, the agent answers at once or discovery is down. After so long all that was listed before the
+# start counts as notified, and a longer wait would gain nothing.
+MAX_PUSHED_WAIT_S = STALENESS_LIMIT_S
+# Where they are polled: clients come 30 s after a fleet's start at the latest (DEPLOY, "Limits"), and the last call
+# has to be answered by then. Two failed calls with their pauses and rounds fit in.
+MAX_POLLED_WAIT_S = 30.0 - POLL_TIMEOUT_S
+# Where another process of this node still serves, and is to be replaced in time.
+MAX_REPLACEMENT_WAIT_S = 1.0
 
 
 class Freshness(Enum):
-    """Of when the list in hand is."""
+    """How old the present list is. The values are parts of keys in reports."""
 
     NONE = "none"  # there is no list
-    KNOWN = "known"  # the configuration's, and discovery has not spoken to this process
-    CURRENT = "current"  # discovery has spoken within a beat of its watch
-    STALE = "stale"  # not since, and nothing that it may have told is binding yet
-    STALENESS_LIMIT_S = "binding"  # something may count as told that this node has not heard
+    CONFIGURED = "known"  # it is the configuration's; discovery has confirmed none to this process
+    CURRENT = "current"  # discovery has sent a heartbeat within the heartbeat timeout
+    STALE = "stale"  # not since, but no change that may have been missed counts as notified yet
+    PAST_LIMIT = "binding"  # a change that this node has not received may count as notified
 
 
-def longest_wait(terms: DiscoveryTerms, beside: bool = False) -> float:
-    """How long a start waits for discovery's first word, in seconds, before it serves by the list it has."""
-    if beside:
-        return BESIDE_MOST
-    return ASKED_MOST if terms.polled else PUSHED_MOST
+def max_start_wait_s(terms: DiscoveryTerms, *, replaces_process: bool = False) -> float:
+    """How long a start waits for discovery, in seconds, before it uses the list that it has."""
+    if replaces_process:
+        return MAX_REPLACEMENT_WAIT_S
+    return MAX_POLLED_WAIT_S if terms.polled else MAX_PUSHED_WAIT_S
 
 
 class ListReadiness:
-    """One node's list, from its start on. A host tells it `told` and asks `may_send` whenever it is about to send."""
+    """The list of one process, from its start on. `may_send` is asked before anything is sent."""
 
-    __slots__ = ("until", "listed", "heard", "open")
+    __slots__ = ("wait_until", "has_list", "has_confirmed_list", "ready")
 
-    def __init__(self, now: float, longest: float) -> None:
-        """`longest` is how long to wait for the first word at most, in seconds."""
-        self.until = now + longest
-        self.listed = False  # there is a list
-        self.heard = False  # and it is of this process's own time
-        self.open = False
+    def __init__(self, now: float, max_wait_s: float) -> None:
+        """`max_wait_s` is how long to wait for discovery."""
+        self.wait_until = now + max_wait_s
+        self.has_list = False
+        self.has_confirmed_list = False
+        self.ready = False
 
-    def remembered(self) -> None:
+    def configured_list_loaded(self) -> None:
         """There is a list from before this process started."""
-        self.listed = True
+        self.has_list = True
 
-    def told(self) -> None:
-        """Discovery has told this process its list, or that nothing has changed since the one in hand."""
-        self.listed = self.heard = self.open = True
+    def list_confirmed(self) -> None:
+        """Discovery has sent this process a list, or confirmed that the present one has not changed."""
+        self.has_list = self.has_confirmed_list = self.ready = True
 
     def may_send(self, now: float) -> bool:
-        """Whether anything new may go to a server."""
-        if not self.open and now >= self.until:
-            self.open = True
-        return self.open
-
-    def word(self, now: float, asking: SubscriptionSchedule) -> Freshness:
-        """`asking` is the watch in use."""
-        if not self.heard:
-            return Freshness.KNOWN if self.listed else Freshness.NONE
-        if asking.staleness_limit_passed(now):
-            return Freshness.STALENESS_LIMIT_S
-        return (
-            Freshness.STALE
-            if now > asking.last_heartbeat_at + WATCH_HEARTBEAT_TIMEOUT_S
-            else Freshness.CURRENT
-        )
+        """Whether anything new may be sent to a server."""
+        if not self.ready and now >= self.wait_until:
+            self.ready = True
+        return self.ready
+
+    def freshness(self, now: float, schedule: SubscriptionSchedule) -> Freshness:
+        """How old the list is; `schedule` is that of the watch in use."""
+        if not self.has_confirmed_list:
+            return Freshness.CONFIGURED if self.has_list else Freshness.NONE
+        if schedule.staleness_limit_passed(now):
+            return Freshness.PAST_LIMIT
+        heartbeat_missed = now > schedule.last_heartbeat_at + WATCH_HEARTBEAT_TIMEOUT_S
+        return Freshness.STALE if heartbeat_missed else Freshness.CURRENT
--- a/harecross/discovery/start_times.py
+++ b/harecross/discovery/start_times.py
@@ -1,57 +1,57 @@
-"""When server processes became ready, on this node's monotonic clock: free of I/O.
+"""When server processes became ready, on this node's monotonic clock. Free of I/O.
 
-Discovery tells a start as Unix time (`startedAtMs`), by a clock that may be hours away from this node's wall clock, and
-either may be stepped. A process that is taken for older than it is gets more than a cold server can bear. So the wall
-clock is evidence only, bounded by what this node has seen: nobody starts in the future, and a process that appears
-after lists without it cannot have started before the last of them. Only of the first list's processes nothing else
-than the wall clock is known.
+Discovery states the start of a process as Unix time (`startedAtMs`), by a clock that may differ from this node's wall
+clock by hours; both clocks may be stepped. A process that is taken for older than it is would get more requests than a
+server in slow start can serve. So the wall clock is bounded by what this node has observed: no process starts in the
+future, and a process that appears after full lists without it cannot have started before the last of them. Only for the
+processes of the first list is the wall clock all there is.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-LONG_AGO = 0  # a process that is warm, whenever it started
+LONG_AGO = 0  # a process whose slow start is over, whenever it started
 MAX_START_TIMES = 16_384  # servers whose processes are remembered, also while no list names them
 
 
 class ProcessStart(NamedTuple):
     """One process of a server."""
 
-    started: int  # Unix milliseconds, as discovery tells it
-    ready_at: int  # monotonic microseconds, fixed once: the module takes another time for another process
+    started_ms: int  # Unix milliseconds, as discovery states it
+    ready_at: int  # monotonic microseconds; fixed, because the module takes another time for another process
 
 
 class StartTimes:
-    """What is known of each server's latest process. Times are monotonic microseconds."""
+    """The start of each server's latest process. Times are monotonic microseconds unless their names say otherwise."""
 
-    __slots__ = ("unix_offset", "known", "absent_at")
+    __slots__ = ("unix_offset", "by_name", "complete_at")
 
     def __init__(self, unix_offset: int) -> None:
         """`unix_offset` is the wall clock's Unix time less the monotonic time, in microseconds, at one moment."""
         self.unix_offset = unix_offset
-        self.known: dict[str, ProcessStart] = {}
-        self.absent_at = LONG_AGO  # a process that no list has named by now was not listed at that time
+        self.by_name: dict[str, ProcessStart] = {}
+        self.complete_at = LONG_AGO  # a process that no list has named yet was not listed at that time
 
-    def listed_all(self, now: int) -> None:
-        """Discovery has just told that the list in hand is all there is."""
-        self.absent_at = now
+    def listing_complete(self, now: int) -> None:
+        """Discovery has just confirmed that the present list is complete."""
+        self.complete_at = now
 
-    def ready_at(self, name: str, started: int, now: int) -> int:
+    def ready_at(self, name: str, started_ms: int, now: int) -> int:
         """When that process of the server became ready."""
-        known = self.known.get(name)
-        if known is not None and known.started == started:
+        known = self.by_name.get(name)
+        if known is not None and known.started_ms == started_ms:
             return known.ready_at
-        ready_at = self.judge(started, now)
-        self.known.pop(name, None)
-        self.known[name] = ProcessStart(started, ready_at)
-        while len(self.known) > MAX_START_TIMES:
-            del self.known[next(iter(self.known))]
+        ready_at = self.estimate_ready_at(started_ms, now)
+        self.by_name.pop(name, None)
+        self.by_name[name] = ProcessStart(started_ms, ready_at)
+        while len(self.by_name) > MAX_START_TIMES:
+            del self.by_name[next(iter(self.by_name))]
         return ready_at
 
-    def judge(self, started: int, now: int) -> int:
-        """Of a process never seen before."""
-        if started <= 0:
+    def estimate_ready_at(self, started_ms: int, now: int) -> int:
+        """When a process that is new to this node became ready."""
+        if started_ms <= 0:
             return LONG_AGO
-        told = started * 1000 - self.unix_offset
-        return max(1, min(now, max(told, self.absent_at)))
+        stated_start = started_ms * 1000 - self.unix_offset
+        return max(1, min(now, max(stated_start, self.complete_at)))
--- a/harecross/discovery/transition_log.py
+++ b/harecross/discovery/transition_log.py
@@ -1,4 +1,4 @@
-"""Lines of the log on what changed of server processes: from what to what, by whose word, how old, and why."""
+"""Lines of the log on the transitions of server processes: from which state to which, and what caused it."""
 
 from __future__ import annotations
 
@@ -6,29 +6,41 @@
 
 from harecross.discovery.process_table import ProcessState, Transition, TransitionCause
 
-NAMES_MOST = 6  # servers named in one line for each kind of change; the rest are counted
+MAX_NAMES_SHOWN = 6  # in one line; the other servers are counted
 
 
-def word_of(transition: Transition, now: float) -> str:
-    """The statement that decided, for a reader who asks who said it and when."""
-    said = transition.statement
-    version = "" if said.version is None else f" v{said.version}"
-    return f"{said.source.address}{version} said {said.lifecycle.value}, {now - said.at:.1f} s ago"
+def describe_statement(transition: Transition, now: float) -> str:
+    """The statement that decided: who made it, in which version, and how long ago."""
+    statement = transition.statement
+    version = "" if statement.version is None else f" v{statement.version}"
+    lifecycle = statement.lifecycle.value
+    age_s = now - statement.stated_at
+    return f"{statement.source.address}{version} said {lifecycle}, {age_s:.1f} s ago"
 
 
 def describe(transitions: Iterable[Transition], now: float) -> list[str]:
-    """One line for each kind of change; `now` in monotonic seconds.
+    """One line for each combination of states and cause; `now` in monotonic seconds.
 
-    A change that is the present discovery's own word of this moment names no more than the servers.
+    Where the current source has just stated the new state, only the servers are named.
     """
     groups: dict[tuple[ProcessState, ProcessState, TransitionCause], list[Transition]] = {}
     for transition in transitions:
         groups.setdefault((transition.before, transition.after, transition.cause), []).append(transition)
-    lines = []
-    for (before, after, cause), group in groups.items():
-        own = cause in (TransitionCause.SAID, TransitionCause.OMITTED) and after is not ProcessState.HELD
-        shown = [t.name if own else f"{t.name} ({word_of(t, now)})" for t in group[:NAMES_MOST]]
-        if len(group) > NAMES_MOST:
-            shown.append(f"{len(group) - NAMES_MOST} more")
-        lines.append(f"{before.value} -> {after.value}, {cause.value}: {', '.join(shown)}")
-    return lines
+    return [
+        f"{before.value} -> {after.value}, {cause.value}: {', '.join(shown_names(group, now))}"
+        for (before, after, cause), group in groups.items()
+    ]
+
+
+def shown_names(group: list[Transition], now: float) -> list[str]:
+    """The servers of transitions of one kind, each with the statement that decided where that is not obvious."""
+    cause, after = group[0].cause, group[0].after
+    by_current_source = cause in (TransitionCause.STATED, TransitionCause.ABSENT_FROM_FULL_LIST)
+    names_only = by_current_source and after is not ProcessState.QUARANTINED
+    shown = [
+        transition.server if names_only else f"{transition.server} ({describe_statement(transition, now)})"
+        for transition in group[:MAX_NAMES_SHOWN]
+    ]
+    if len(group) > MAX_NAMES_SHOWN:
+        shown.append(f"{len(group) - MAX_NAMES_SHOWN} more")
+    return shown
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -206,7 +206,7 @@
     def may_send(self) -> bool:
         """Whether anything new may go to a server, by the list that there is."""
         standing = self.readiness
-        return standing is None or standing.open or standing.may_send(monotonic())
+        return standing is None or standing.ready or standing.may_send(monotonic())
 
     def usual_time(self) -> float:
         """Seconds within which nearly every request is answered; the longest aim at most."""
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -15,7 +15,7 @@
 from math import ceil, inf
 from random import Random
 
-from harecross.discovery.readiness import ListReadiness, longest_wait
+from harecross.discovery.readiness import ListReadiness, max_start_wait_s
 from harecross.discovery.subscription_schedule import (
     SEND_STOP_GRACE_S,
     STALENESS_LIMIT_S,
@@ -197,7 +197,7 @@
         r.back = sorted(node.back - day.at for node in self.nodes)
         for node in self.nodes:
             if node.readiness is not None:
-                opened = min(node.opened, max(node.readiness.until, node.began))
+                opened = min(node.opened, max(node.readiness.wait_until, node.began))
                 r.ready.append(opened - node.began)
                 r.waited += min(opened, day.length) - node.began
                 r.forbidden += self.sent_late(node, opened)
@@ -248,7 +248,7 @@
             if day.trigger == "restart":
                 node.schedule = type(node.schedule)(node.schedule.terms, Random(self.rng.getrandbits(64)))
                 node.schedule.start(now + BOOT)
-                node.readiness = ListReadiness(now, longest_wait(node.schedule.terms))
+                node.readiness = ListReadiness(now, max_start_wait_s(node.schedule.terms))
                 node.dead, node.began, node.opened = False, now, inf
                 self.plan(node)
             elif end is CallEnd.SILENT:
@@ -318,7 +318,7 @@
             r.answered[int(at - day.at)] += 1
             node.back = at
             if node.readiness is not None:
-                node.readiness.told()
+                node.readiness.list_confirmed()
                 node.opened = min(node.opened, at)
             self.learn(node, at)
 
--- a/harecross/follow/attempts.py
+++ b/harecross/follow/attempts.py
@@ -118,16 +118,16 @@
 
     def changed(self, transition: Transition, now: float) -> None:
         """A server process changed its state: from what to what, by whose word and how old that was, and why."""
-        said = transition.statement
+        statement = transition.statement
         self.tell(
             "process",
-            **{"server.id": transition.name, "server.state": transition.after.value},
+            **{"server.id": transition.server, "server.state": transition.after.value},
             before=transition.before.value,
             cause=transition.cause.value,
-            said_by=said.source.address,
-            said=said.lifecycle.value,
-            generation=said.version,
-            age=round(now - said.at, 3),
+            said_by=statement.source.address,
+            said=statement.lifecycle.value,
+            generation=statement.version,
+            age=round(now - statement.stated_at, 3),
         )
 
     def name(self, server: int) -> str:
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from harecross.discovery.discovery_client import FORMER_MOST, DiscoveryClient
+from harecross.discovery.discovery_client import MAX_RETIRED_WATCHES, DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointListConsumer, EndpointRegistry
-from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
+from harecross.discovery.readiness import Freshness, ListReadiness, max_start_wait_s
 from harecross.discovery.subscription_schedule import discovery_terms
 from harecross.dispatch.dispatcher import RequestDispatcher, log_line
 from harecross.downstream.connection_manager import ACCEPTS, ConnectionManager
@@ -35,7 +35,7 @@
 
 BACKLOG = 1024
 # Descriptors for connections about to be closed, two watches and those of discoveries that have been left, a file.
-RESERVE = ACCEPTS + 8 + FORMER_MOST
+RESERVE = ACCEPTS + 8 + MAX_RETIRED_WATCHES
 SOURCES = 24  # descriptors for DNS servers, files of addresses and kept sets, where there are any
 BODIES = 4  # one part in so many of the memory may hold callers' bodies
 SWEEP_EVERY = 0.25  # seconds
@@ -142,12 +142,16 @@
         if more_sources is not None:
             self.more_sources = more_sources(self.registry)
         self.discovery = DiscoveryClient(
-            self.registry, config.discovery, discovery_terms(settings), self.more_sources, config.seed
+            self.registry,
+            config.discovery,
+            discovery_terms(settings),
+            self.more_sources,
+            config.seed,
+            on_current_list=self.list_told,
         )
-        self.readiness = ListReadiness(monotonic(), longest_wait(self.discovery.terms))
+        self.readiness = ListReadiness(monotonic(), max_start_wait_s(self.discovery.terms))
         self.dispatcher.readiness = self.readiness
         self.told = asyncio.Event()  # the list may be used
-        self.discovery.on_word = self.list_told
         self.dispatcher.on_watch, self.dispatcher.on_fetch = self.watch, self.fetch
         reader = RequestReader(settings, config.classes, config.tenants)
         self.callers = ConnectionManager(
@@ -170,12 +174,12 @@
 
     def heard(self) -> bool:
         """Whether the list of servers comes from this process's own time."""
-        return self.discovery.heard or (self.more_sources is not None and self.more_sources.heard)
+        return self.discovery.list_received or (self.more_sources is not None and self.more_sources.heard)
 
     def list_told(self) -> None:
         """The list in hand is of this process's own time."""
         if not self.told.is_set():
-            self.readiness.told()
+            self.readiness.list_confirmed()
             self.told.set()
 
     def watches(self) -> bool:
@@ -183,12 +187,14 @@
         return self.more_sources is None or self.more_sources.watches
 
     def watch(self, on: bool) -> None:
-        if self.watches() or not on:
-            self.discovery.listen(on)
+        if not on:
+            self.discovery.unsubscribe()
+        elif self.watches():
+            self.discovery.subscribe()
 
     def fetch(self) -> None:
         if self.more_sources is None or self.more_sources.watches:
-            self.discovery.fetch()
+            self.discovery.poll()
         else:
             self.more_sources.again()
 
@@ -207,20 +213,22 @@
             await self.open_door(self.operations, self.config.admin)
         if self.config.known is not None:
             try:
-                self.discovery.begin(self.config.known)
-                self.readiness.remembered()
+                self.discovery.use_configured_list(self.config.known)
+                self.readiness.configured_list_loaded()
             except ValueError as e:
                 log_line(f"known: {e}")
         if self.more_sources is not None:
             self.more_sources.start()
         if self.operations is not None:
             self.operations.recall()
-        if not self.discovery.polled:
+        if not self.discovery.terms.polled:
             self.watch(True)
         if not self.watches():
             self.list_told()  # what was kept of the other sources serves from the first moment on
         elif self.others():
-            self.readiness.until = monotonic() + longest_wait(self.discovery.terms, beside=True)
+            self.readiness.wait_until = monotonic() + max_start_wait_s(
+                self.discovery.terms, replaces_process=True
+            )
         sock = self.inherited or self.bind()
         self.callers.listen(sock, self.backlog)
         self.address = sock.getsockname()
@@ -290,7 +298,7 @@
         except BadConfig as e:
             log_line(f"configuration not changed: {e}")
             return
-        moves = self.discovery.move(config.discovery)
+        moves = self.discovery.migrate(config.discovery)
         text = "configuration read again: " + (
             "moving to another discovery" if moves else "discovery as before"
         )
@@ -312,9 +320,9 @@
         except (BadConfig, ValueError) as e:
             return f"; sources not changed: {e}"
         if self.more_sources.watches and self.discovery.current is None:
-            self.discovery.listen(True)
+            self.discovery.subscribe()
         elif not self.more_sources.watches:
-            self.discovery.listen(False)
+            self.discovery.unsubscribe()
         return f"; {len(self.more_sources.membership.ledger.sources)} sources"
 
     async def drain(self) -> None:
@@ -351,7 +359,7 @@
         while self.callers.busy():
             await asyncio.sleep(0.01)
         self.callers.close_all()
-        self.discovery.listen(False)
+        self.discovery.unsubscribe()
         if self.more_sources is not None:
             await self.more_sources.stop()
         self.pool.shut()
@@ -394,9 +402,9 @@
         now, lists = monotonic(), dict[str, float]()
         if self.watches():
             lists = self.discovery.schedule.report_fields(now)
-            word = self.readiness.word(now, self.discovery.schedule)
-            if word in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
-                lists[f"list_{word.value}"] = 1.0
+            freshness = self.readiness.freshness(now, self.discovery.schedule)
+            if freshness in (Freshness.NONE, Freshness.CONFIGURED, Freshness.STALE):
+                lists[f"list_{freshness.value}"] = 1.0
         self.dispatcher.report(self.callers.bad, self.callers.turned_away, lists)
 
 
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -114,11 +114,11 @@
     def follow(self) -> None:
         """Makes the node what the store says it is."""
         held = self.store.held
-        out, back = difference(self.registry.out, map(self.registry.resolve, held.out))
+        out, back = difference(self.registry.in_maintenance, map(self.registry.resolve_name, held.out))
         for name in out:
-            self.registry.hold(name)
+            self.registry.enter_maintenance(name)
         for name in back:
-            self.registry.put_back(name)
+            self.registry.exit_maintenance(name)
         if held.standby != self.callers.standing_by:
             self.callers.stand(held.standby)
 
@@ -128,7 +128,7 @@
         since = self.serving_since
         if since is None:
             return 503, "starting"
-        if not self.registry.listed and not self.registry.out:
+        if not self.registry.listed and not self.registry.in_maintenance:
             return 503, "no servers known"
         fresh = self.heard() or self.loop.time() >= since + FIRST_LIST
         if not fresh or not self.registry.dispatcher.may_send():
@@ -140,7 +140,7 @@
     def servers(self, query: bytes) -> AdminAnswer:
         """Each server as this process sees it, one line of JSON; `id=` names those that are asked for."""
         asked = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
-        wanted = {self.registry.resolve(name): name for name in asked}
+        wanted = {self.registry.resolve_name(name): name for name in asked}
         rows = endpoint_status_rows(self.registry, self.registry.dispatcher.out_on(), monotonic_us())
         for row in rows:
             row["id"] = wanted.get(row["id"], row["id"])  # by the name that was asked for
@@ -160,7 +160,7 @@
 
     def without(self, held: MaintenanceState, server: str) -> MaintenanceState:
         """With the server back, by whichever of its names it was taken out."""
-        for name in {server, *(n for n in held.out if self.registry.resolve(n) == server)}:
+        for name in {server, *(n for n in held.out if self.registry.resolve_name(n) == server)}:
             held = held.exit(name)
         return held
 
@@ -178,9 +178,9 @@
             return "", "the body is no id: not UTF-8"
         if not name or len(body) > ID_MOST:
             return "", "the body holds the id of a server"
-        if not self.registry.knows(name):
+        if not self.registry.is_known(name):
             return "", f"{name}: no such server"
-        return self.registry.resolve(name), ""
+        return self.registry.resolve_name(name), ""
 
     def stand(self, by: bool) -> AdminAnswer:
         return self.write(lambda held: held.stand(by), "standby" if by else "active")
--- a/harecross/sources/explain.py
+++ b/harecross/sources/explain.py
@@ -20,7 +20,7 @@
     found = [*ledger.boxes.values(), *(b for a, b in ledger.gone.items() if a not in ledger.boxes)]
     if box:
         found = [b for b in found if box == b.address or box in b.names]
-    held = set(sources.registry.out)
+    held = set(sources.registry.in_maintenance)
     return {
         "priorities": sources.membership.tiers,
         "sources": [source_row(sources, name, now) for name in ledger.sources],
--- a/harecross/sources/membership.py
+++ b/harecross/sources/membership.py
@@ -25,9 +25,9 @@
 
 
 class Tell(Protocol):
-    """A host's `Directory.apply`."""
+    """`EndpointRegistry.apply`."""
 
-    def __call__(self, update: Any, cached: bool = False, full: bool = False) -> None: ...
+    def __call__(self, update: Any, *, cached: bool = False, full: bool = False) -> None: ...
 
 
 def weighed(endpoints: Iterable[Endpoint]) -> list[tuple[Endpoint, int, float]]:
@@ -127,8 +127,8 @@
         """A list or change of the watch. ValueError if it is none."""
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
             raise ValueError("no list of servers")
-        self.roster.apply(update, full or cached or bool(update.get("reset")), cached)
-        before, self.raw = self.raw, by_address(self.roster.lines)
+        self.roster.apply(update, full=full or cached or bool(update.get("reset")), cached=cached)
+        before, self.raw = self.raw, by_address(self.roster.entries)
         for where, line in self.raw.items():
             old = before.get(where)
             if old is not None and old.get("instanceId") != line.get("instanceId") and not age(line)[0]:
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -81,8 +81,8 @@
             told.watch_rank if told.watch else None,
             self.now() + FIRST_WORDS,
         )
-        self.membership.sick, self.membership.held = self.sick, lambda: directory.out
-        directory.resolve, directory.weighted = self.membership.resolve, True
+        self.membership.sick, self.membership.held = self.sick, lambda: directory.in_maintenance
+        directory.resolve_name, directory.uses_listed_weights = self.membership.resolve, True
         self.watch_heard = self.now()
         self.clients: dict[tuple[object, ...], Client] = {}
         self.asked: dict[str, Asked] = {}
@@ -184,7 +184,7 @@
 
     # ---- between the watch and the directory --------------------------------------------------------------
 
-    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
+    def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
         """The watch's word. ValueError if it is none."""
         if not self.told.watch:
             return
@@ -197,9 +197,9 @@
                 log_line(f"discovery: bad entry {item!r:.200}")
         self.settle()
 
-    def reached(self, good: bool) -> None:
-        """The watch has spoken, or its connection has ended."""
-        if not good or not self.told.watch:
+    def connectivity_changed(self, *, connected: bool) -> None:
+        """The watch has received something, or its connection has ended."""
+        if not connected or not self.told.watch:
             return
         self.watch_heard = self.now()
         if self.membership.ledger.sources[WATCH].credit == Credit.STALE and self.membership.whole:
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -41,11 +41,11 @@
         self.changed = changed
         self.roster = ListedEndpoints()
         self.loads = Loads()
-        directory.heard = self.heard
+        directory.update_listener = self.update_used
 
-    def heard(self, update: Any, full: bool, cached: bool) -> None:
-        """Discovery said something."""
-        self.roster.apply(update, full, cached)
+    def update_used(self, update: Any, full: bool, cached: bool) -> None:
+        """The registry has used a list or change."""
+        self.roster.apply(update, full=full, cached=cached)
         self.changed(self.name)
 
     def views(self) -> tuple[list[ServerView], float]:
@@ -53,7 +53,7 @@
         seen = {v.server: v for v in self.dispatcher.balancer.view(monotonic_us())}
         limits = [v.limit for v in seen.values()]
         views = []
-        for name, line in self.roster.lines.items():
+        for name, line in self.roster.entries.items():
             where = str(line.get("hostPort", ""))
             try:
                 address(where)
@@ -81,7 +81,7 @@
                 self.dispatcher.balancer.load_reported(monotonic_us(), number, s.good, s.bad, report)
 
     def close(self) -> None:
-        self.registry.heard = None
+        self.registry.update_listener = None
 
 
 class Judge(RequestDispatcher):
@@ -129,7 +129,7 @@
         # ValueError for a file of addresses that cannot be used.
         self.sources = Sources(table, self.registry, name) if table.on else None
         where = address(told.discovery) if told.discovery else NOWHERE
-        self.discovery = DiscoveryClient(self.registry, where, lists=self.sources, seed=seed)
+        self.discovery = DiscoveryClient(self.registry, where, consumer=self.sources, seed=seed)
         self.schedule = Schedule(int(told.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
         self.tasks: set[asyncio.Task[None]] = set()
         self.ending: asyncio.Task[None] | None = None
@@ -145,7 +145,7 @@
                 log_line(f"{self.name}: remembered list: {e}")
         self.discovery.generation = None
         if self.told.discovery:
-            self.discovery.listen(True)
+            self.discovery.subscribe()
         if self.sources is not None:
             self.sources.start()
         self.keep(self.probe())
@@ -194,7 +194,7 @@
 
     def close(self) -> None:
         super().close()
-        self.discovery.listen(False)
+        self.discovery.unsubscribe()
         if self.sources is not None:
             self.ending = asyncio.get_running_loop().create_task(self.sources.stop())
         for task in self.tasks:
--- a/harecross/xds/inside.py
+++ b/harecross/xds/inside.py
@@ -34,7 +34,7 @@
     def open_when_known(self) -> None:
         """Nothing is known before the node's first list; proxies wait for it."""
         if self.press is not None and not self.press.open:
-            self.press.open = self.press.feeds[self.cluster].roster.known()
+            self.press.open = self.press.feeds[self.cluster].roster.is_publishable()
 
     async def stop(self) -> None:
         if self.press is not None:
--- a/harecross/xds/press.py
+++ b/harecross/xds/press.py
@@ -102,7 +102,7 @@
 
     def look(self, name: str) -> None:
         feed = self.feeds[name]
-        if not feed.roster.known():
+        if not feed.roster.is_publishable():
             told = Told(None)
         else:
             views, own = feed.views()
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -103,11 +103,11 @@
         """Opens once all lists are there, or after the stated wait; load reports; memory."""
         now = asyncio.get_running_loop().time()
         if not self.press.open:
-            waiting = [n for n, f in self.press.feeds.items() if not f.roster.whole]
+            waiting = [n for n, f in self.press.feeds.items() if not f.roster.has_full_list]
             if not waiting or now >= self.until:
                 self.press.open = True
                 for name in waiting:
-                    known = self.press.feeds[name].roster.known()
+                    known = self.press.feeds[name].roster.is_publishable()
                     how = (
                         "the remembered list, which is old"
                         if known
@@ -142,7 +142,7 @@
         if not name or not self.dirty or (not now and time < self.wrote + REMEMBER_EVERY):
             return
         self.dirty, self.wrote = False, time
-        lists = {n: f.roster.memory() for n, f in self.press.feeds.items() if f.roster.known()}
+        lists = {n: f.roster.memory() for n, f in self.press.feeds.items() if f.roster.is_publishable()}
         try:
             fresh = Path(f"{name}.new")
             fresh.write_text(json.dumps(lists))
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -15,13 +15,13 @@
 from support import balancer
 
 from harecross.discovery.process_table import (
-    Lifecycle,
+    DiscoverySource,
     ProcessState,
-    Source,
     Statement,
     Transition,
     TransitionCause,
 )
+from harecross.discovery.wire_format import Lifecycle
 from harecross.dispatch.close_reasons import CloseReason, Closing
 from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
 from harecross.dns.srv import Endpoint as SrvEndpoint
@@ -194,7 +194,7 @@
 def transition(
     before: ProcessState, after: ProcessState, cause: TransitionCause, lifecycle: Lifecycle
 ) -> Transition:
-    said = Statement(lifecycle, Source("10.2.0.1:8500", 1), 97.5, 42, 1_699_999_000_000, {})
+    said = Statement(lifecycle, DiscoverySource("10.2.0.1:8500", 1), 97.5, 42, 1_699_999_000_000, {})
     return Transition("s1", before, after, cause, said)
 
 
@@ -223,7 +223,7 @@
         log.closed(Closing("client", "", CloseReason.LAST_ANSWER))
         log.changed(
             transition(
-                ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.SAID, Lifecycle.DRAINING
+                ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.STATED, Lifecycle.DRAINING
             ),
             now=100.0,
         )
@@ -290,7 +290,7 @@
     async def body() -> None:
         service = control_service(path)
         service.begin("orders")
-        service.press.feeds["orders"].heard(CONTROL_LIST, True, False)
+        service.press.feeds["orders"].update_used(CONTROL_LIST, True, False)
         service.remember(True)
         await stop_control(service)
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -516,7 +516,7 @@
         assert bodies == [BIG] * 4
         # It is gone, and the call cannot have run: the caller is told when to come back, nothing is sent again.
         cut[0] = 250_000
-        w.node.registry.hold("s1")
+        w.node.registry.enter_maintenance("s1")
         before = len(heads)
         client = await w.client()
         client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:280_000])
@@ -588,10 +588,10 @@
 
     async def test(w) -> None:
         client = await w.client()
-        w.node.registry.hold("s0")  # nobody to send to
+        w.node.registry.enter_maintenance("s0")  # nobody to send to
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:1000])
         assert (await client.answer())[0] == 503
-        w.node.registry.out.clear()
+        w.node.registry.in_maintenance.clear()
         w.node.registry.apply({"instances": [entry("s0", w.addresses[0])]})
         client.writer.write(BIG[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -192,7 +192,7 @@
             proxy = XdsProxy(p.channel).start()
             await proxy.until(lambda x: len(health(x)) == 3)
             roster = service.press.feeds["orders"].roster
-            assert roster.remembered and not roster.whole
+            assert roster.has_remembered_list and not roster.has_full_list
             await proxy.stop()
 
     run(body())
--- a/tests/test_lists.py
+++ b/tests/test_discovery_client.py
@@ -12,7 +12,7 @@
 from harecross.discovery import process_table
 from harecross.discovery.discovery_client import DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
-from harecross.discovery.list_versions import Verdict, judge
+from harecross.discovery.list_versions import VersionOrder, compare_versions
 from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
 from harecross.discovery.watch import Watch
 from harecross.platform.descriptor_budget import DescriptorBudget
@@ -33,22 +33,22 @@
 
 
 @pytest.mark.parametrize(
-    "newest, version, whole, first, verdict",
+    "newest, version, full, first, order",
     [
-        (None, 3, True, True, Verdict.NEWER),
-        (7, 8, False, False, Verdict.NEWER),
-        (7, 7, False, True, Verdict.NEWER),
-        (7, None, False, False, Verdict.NEWER),
-        (7, 6, True, False, Verdict.OLDER),
-        (7, 6, False, False, Verdict.OLDER),
-        (7, 1, True, True, Verdict.ANEW),
-        (7, 1, False, True, Verdict.UNUSABLE),
+        (None, 3, True, True, VersionOrder.NEWER),
+        (7, 8, False, False, VersionOrder.NEWER),
+        (7, 7, False, True, VersionOrder.NEWER),
+        (7, None, False, False, VersionOrder.NEWER),
+        (7, 6, True, False, VersionOrder.OLDER),
+        (7, 6, False, False, VersionOrder.OLDER),
+        (7, 1, True, True, VersionOrder.RESTARTED),
+        (7, 1, False, True, VersionOrder.UNUSABLE),
     ],
 )
 def test_versions_of_one_address_never_go_back_unless_discovery_began_anew(
-    newest, version, whole, first, verdict
+    newest, version, full, first, order
 ):
-    assert judge(newest, version, whole, first) is verdict
+    assert compare_versions(newest, version, full=full, first=first) is order
 
 
 def test_a_whole_list_older_than_the_change_before_it_brings_nobody_back():
@@ -60,7 +60,7 @@
         w.catalog.whole = line(42, *before, reset=True)
         Catalog.push(watch, line(43, {**before[0], "lifecycle": "terminating"}))
         await until(lambda: len(w.node.registry.listed) == 1)
-        await w.node.discovery.ask_once()
+        await w.node.discovery.poll_once()
         assert len(w.node.registry.listed) == 1 and w.node.discovery.current.generation == 43
         Catalog.push(watch, line(42, *before, reset=True))  # nor on the watch itself
         Catalog.push(watch, line(44, before[0]))
@@ -74,7 +74,7 @@
     monkeypatch,
 ):
     """What it lists may be older than the drain that it told in its life before."""
-    monkeypatch.setattr(process_table, "FIRST_LIST_SETTLES", 0.2)
+    monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
     async def test(w: World) -> None:
         watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
@@ -109,7 +109,7 @@
         other = await Catalog().start()
         other.whole = line(5, entries[1], reset=True)
         host, port = other.address.split(":")
-        assert w.node.discovery.move((host, int(port)))
+        assert w.node.discovery.migrate((host, int(port)))
         await other.watches.get()
         assert w.node.discovery.current.generation == 5 and len(w.node.registry.listed) == 1
 
@@ -165,8 +165,8 @@
 def watching(discovery: DiscoveryClient, generation: int | None) -> Watch:
     """A watch that makes no calls: the test tells it what comes."""
     watch = object.__new__(Watch)
-    watch.subscriber, watch.address, watch.lineage = discovery, discovery.address, discovery.lineage
-    watch.closed, watch.final, watch.generation = False, False, generation
+    watch.listener, watch.address, watch.epoch = discovery, discovery.address, discovery.epoch
+    watch.closed, watch.retired, watch.generation = False, False, generation
     watch.schedule = SubscriptionSchedule(DiscoveryTerms(), Random(1))
     watch.task = SimpleNamespace(cancel=lambda: None)
     return watch
@@ -227,7 +227,7 @@
 def test_nothing_goes_to_who_left_and_nobody_is_shunned_whom_every_word_since_has_listed(steps):
     async def body() -> None:
         fleet = Fleet()
-        host = SimpleNamespace(server_list=lambda kind, entries: None, trace=None)
+        host = SimpleNamespace(endpoint_update=lambda kind, entries: None, trace=None)
 
         def process(known: dict | None) -> tuple[EndpointRegistry, Watch]:
             directory = EndpointRegistry(
@@ -235,7 +235,7 @@
             )
             discovery = DiscoveryClient(directory, ("d", 1), monotonic=lambda: now)
             if known is not None:
-                discovery.begin(known)
+                discovery.use_configured_list(known)
             discovery.current = watching(discovery, None if known is None else known["generation"])
             return directory, discovery.current
 
@@ -246,10 +246,10 @@
             nonlocal first
             was_first, first = first and not beside, first and beside
             try:
-                watch.told(told, was_first)
+                watch.update_received(told, first=was_first)
             except ValueError:
                 first = True  # the call ends, and the list is asked for whole
-                watch.told(fleet.whole(fleet.version), True)
+                watch.update_received(fleet.whole(fleet.version), first=True)
                 first = False
 
         def used() -> set[str]:
@@ -258,19 +258,19 @@
         def move(behind: int) -> Watch:
             """To a discovery that is some versions behind, and then tells them one by one."""
             nonlocal now
-            discovery, versions = watch.subscriber, sorted(fleet.versions)
+            discovery, versions = watch.listener, sorted(fleet.versions)
             at = max(0, len(versions) - 1 - behind)
-            assert discovery is not None and discovery.move(("d", discovery.address[1] + 1))
-            discovery.coming.close()
-            new = discovery.coming = watching(discovery, None)
-            new.told(fleet.whole(versions[at]), True)
+            assert discovery is not None and discovery.migrate(("d", discovery.address[1] + 1))
+            discovery.pending.close()
+            new = discovery.pending = watching(discovery, None)
+            new.update_received(fleet.whole(versions[at]), first=True)
             assert used() <= fleet.in_service(fleet.version)
             for before, version in zip(versions[at:], versions[at + 1 :], strict=False):
-                new.told(fleet.between(before, version), False)
+                new.update_received(fleet.between(before, version), first=False)
                 assert used() <= fleet.in_service(fleet.version)
                 now += 0.1
             now += 10.0
-            new.unchanged()
+            new.heartbeat_received()
             return new
 
         tell(fleet.whole(1))
@@ -294,7 +294,7 @@
                 tell(fleet.whole(1))
                 assert used() <= fleet.in_service(1)
                 now += 3.0  # what it tells from then on is no replay
-                watch.unchanged()
+                watch.heartbeat_received()
             elif step == "restart":
                 known = fleet.whole(sorted(fleet.versions)[more[0] % len(fleet.versions)])
                 directory, watch = process(known)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_discovery_races.py
@@ -110,7 +110,7 @@
         )
         other, calls = await held_calls()
         moved = node.loop.time()
-        assert node.discovery.move(place(other))
+        assert node.discovery.migrate(place(other))
         await calls.get()  # mute
         writer = await calls.get()
         whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
@@ -129,8 +129,8 @@
 def test_a_new_discovery_that_has_not_heard_of_a_drain_brings_nobody_back(state, then, monkeypatch):
     """SIGHUP right after the old watch told of it; the new list was made before."""
     if then == "it says that nothing is new":
-        monkeypatch.setattr(discovery_client, "CAUGHT_UP", 0.2)
-        monkeypatch.setattr(process_table, "FIRST_LIST_SETTLES", 0.2)
+        monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
+        monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
     async def test(w: World) -> None:
         watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
@@ -138,7 +138,7 @@
         await until(lambda: len(w.node.registry.listed) == 1)
         other = await Catalog().start()
         other.whole = line(5, *entries, reset=True)
-        assert w.node.discovery.move(place(other.address))
+        assert w.node.discovery.migrate(place(other.address))
         _, watch = await other.watches.get()
         client = await w.client()
         for _ in range(6):
@@ -174,7 +174,7 @@
 
         other = await Catalog().start()
         other.whole = line(5, *entries, reset=True)
-        assert w.node.discovery.move(place(other.address))
+        assert w.node.discovery.migrate(place(other.address))
         _, new = await other.watches.get()
         Catalog.push(old, line(43, {**entries[0], "lifecycle": "terminating"}, entry("s9", "127.0.0.1:9")))
         await until(lambda: used() == {"s1"})  # s9, which only the old one lists in service, is not used
@@ -187,28 +187,28 @@
         Catalog.push(old, line(44, entries[0], entries[1]))
         await until(lambda: used() == {"s0", "s1"})
         old.close()
-        await until(lambda: not w.node.discovery.former)
+        await until(lambda: not w.node.discovery.retired)
         assert w.catalog.watches.empty(), "it is not called again"
 
     with_node(test, servers=2)
 
 
 def test_moves_in_a_row_leave_a_bounded_number_of_old_watches_and_none_once_caught_up(monkeypatch):
-    monkeypatch.setattr(discovery_client, "CAUGHT_UP", 0.2)
-    monkeypatch.setattr(process_table, "FIRST_LIST_SETTLES", 0.2)
+    monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
+    monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
     async def test(w: World) -> None:
         await w.watch()
         entries = [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
-        for number in range(discovery_client.FORMER_MOST + 4):
+        for number in range(discovery_client.MAX_RETIRED_WATCHES + 4):
             other = await Catalog().start()
             other.whole = line(5, *entries, reset=True)
-            assert w.node.discovery.move(place(other.address))
+            assert w.node.discovery.migrate(place(other.address))
             _, watch = await other.watches.get()
-            assert len(w.node.discovery.former) == min(number + 1, discovery_client.FORMER_MOST)
+            assert len(w.node.discovery.retired) == min(number + 1, discovery_client.MAX_RETIRED_WATCHES)
         await asyncio.sleep(0.5)
         Catalog.push(watch, b"")
-        await until(lambda: not w.node.discovery.former and not w.node.discovery.table.carried)
+        await until(lambda: not w.node.discovery.retired and not w.node.discovery.table.earlier_statements)
         assert len(w.node.registry.listed) == 2
 
     with_node(test, servers=2)
@@ -221,9 +221,9 @@
         mute, calls = await held_calls()
         third = await Catalog().start()
         third.whole = line(9, entry("s0", w.origins[0].address), reset=True)
-        assert w.node.discovery.move(place(mute))
+        assert w.node.discovery.migrate(place(mute))
         call = await calls.get()
-        assert w.node.discovery.move(place(w.catalog.address)) and w.node.discovery.coming is None
+        assert w.node.discovery.migrate(place(w.catalog.address)) and w.node.discovery.pending is None
         assert w.node.discovery.current is first
         whole = line(99, reset=True)
         call.write(
@@ -231,8 +231,8 @@
         )  # too late to count
         await turns()
         assert len(w.node.registry.listed) == 1
-        assert w.node.discovery.move(place(mute)) and w.node.discovery.move(place(third.address))
+        assert w.node.discovery.migrate(place(mute)) and w.node.discovery.migrate(place(third.address))
         await third.watches.get()
-        assert w.node.discovery.current.generation == 9 and w.node.discovery.coming is None
+        assert w.node.discovery.current.generation == 9 and w.node.discovery.pending is None
 
     with_node(test)
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -47,7 +47,7 @@
         await until(lambda: all(n.told.is_set() for n in fleet))
         host, port = second.split(":")
         for node in fleet:
-            assert node.discovery.move((host, int(port)))
+            assert node.discovery.migrate((host, int(port)))
         old.drain("s0")  # said by the old one while the new one works its line off
         await until(lambda: all(len(n.registry.listed) == 2 for n in fleet))
         assert new.answered < nodes, "before all had moved"
@@ -184,10 +184,12 @@
                 assert {t.port for t in w.node.pool.targets.values() if t.ready} == set(range(2000, 2020))
             generation += 1
             directory.apply(update(generation, *now.values(), reset=True))
-            assert len(directory.numbers) == len(directory.listed) == len(directory.owners) == servers
+            assert (
+                len(directory.numbers) == len(directory.listed) == len(directory.owner_by_address) == servers
+            )
             assert len(w.node.pool.targets) == servers and not directory.draining
             assert len(w.node.dispatcher.balancer.servers) == servers
-            assert len(directory.zones.others) <= 6
+            assert len(directory.zones.dynamic) <= 6
 
     with_node(test, servers=1)
 
--- a/tests/test_values.py
+++ b/tests/test_json_stream.py
@@ -9,10 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harecross.discovery import json_stream as values_module
-from harecross.discovery import subscription_schedule
+from harecross.discovery import json_stream, subscription_schedule
 from harecross.discovery import watch as watch_module
-from harecross.discovery.json_stream import BLANK_LINE, VALUE_MOST, BadValue, Values
+from harecross.discovery.json_stream import BLANK_LINE, MAX_VALUE_BYTES, JsonStreamParser, MalformedJsonError
 from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
 from harecross.discovery.watch import DiscoveryCall
 from tests.node_support import STARTED, World, entry, run, update, with_node
@@ -38,11 +37,11 @@
 
 
 def read(text: bytes, cuts: list[int]) -> list:
-    values, found, last = Values(), [], 0
+    parser, found, last = JsonStreamParser(), [], 0
     for cut in [*sorted({c % (len(text) + 1) for c in cuts}), len(text)]:
-        found += values.feed(text[last:cut])
+        found += parser.feed(text[last:cut])
         last = cut
-    values.finish()
+    parser.finish()
     return found
 
 
@@ -69,9 +68,9 @@
     good, broken = updates[:-1], json.dumps(updates[-1], **layout).encode()
     text = b"".join(json.dumps(u).encode() + b"\n" for u in good)
     broken = broken[: max(1, len(broken) - left_out)]
-    values, found = Values(), []
-    with pytest.raises(BadValue):
-        for value in values.feed(text + broken + b"\n\n" + b'{"generation": 9, "instances": []}\n'):
+    parser, found = JsonStreamParser(), []
+    with pytest.raises(MalformedJsonError):
+        for value in parser.feed(text + broken + b"\n\n" + b'{"generation": 9, "instances": []}\n'):
             found.append(value)
     assert found == good
 
@@ -80,19 +79,19 @@
     "text", [b"no json\n", b"7\n", b'"a"\n', b"}\n", b'{"a": 1]', b"{,}\n", b"[" * 100_000 + b"]" * 100_000]
 )
 def test_what_is_no_value(text):
-    with pytest.raises(BadValue):
-        list(Values().feed(text))
+    with pytest.raises(MalformedJsonError):
+        list(JsonStreamParser().feed(text))
 
 
 def test_the_end_of_the_stream_inside_a_value_and_one_without_end():
-    values = Values()
-    assert list(values.feed(b'\n{"a": [1, ')) == [BLANK_LINE] and values.open
-    with pytest.raises(BadValue):
-        values.finish()
-    values = Values()
-    with pytest.raises(BadValue):
-        for _ in range(VALUE_MOST // 65_536 + 2):
-            assert not list(values.feed(b'{"a":' * 13_107))
+    parser = JsonStreamParser()
+    assert list(parser.feed(b'\n{"a": [1, ')) == [BLANK_LINE] and parser.has_partial_value
+    with pytest.raises(MalformedJsonError):
+        parser.finish()
+    parser = JsonStreamParser()
+    with pytest.raises(MalformedJsonError):
+        for _ in range(MAX_VALUE_BYTES // 65_536 + 2):
+            assert not list(parser.feed(b'{"a":' * 13_107))
 
 
 def test_a_large_list_in_small_pieces_is_looked_at_once(monkeypatch):
@@ -109,12 +108,12 @@
             looked += (m.end() if m else len(buffer)) - at
             return m
 
-    for name in ("IN_STRING", "IN_VALUE", "BETWEEN"):
-        monkeypatch.setattr(values_module, name, Counting(getattr(values_module, name)))
+    for name in ("NEXT_IN_STRING", "NEXT_IN_VALUE", "NEXT_BETWEEN_VALUES"):
+        monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
     text = json.dumps(update(1, *[entry("s", "127.0.0.1:1")] * 800), indent=2).encode()
-    values, found = Values(), []
+    parser, found = JsonStreamParser(), []
     for at in range(0, len(text), 16):
-        found += values.feed(text[at : at + 16])
+        found += parser.feed(text[at : at + 16])
     assert len(found) == 1 and looked == len(text)
 
 
@@ -150,9 +149,9 @@
         w.node.discovery.generation = None
         entries = [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
         w.catalog.whole = json.dumps(update(50, *entries, reset=True), **layout).encode()
-        w.node.discovery.listen(False)
+        w.node.discovery.unsubscribe()
         w.node.discovery.generation = None
-        w.node.discovery.listen(True)
+        w.node.discovery.subscribe()
         path, watch = await w.catalog.watches.get()
         assert path.endswith(b"after=50") and len(w.node.registry.listed) == 2
 
@@ -161,7 +160,7 @@
 
 def test_a_list_that_dribbles_in_does_not_keep_up_a_watch(monkeypatch):
     monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(watch_module, "PART_MOST", 0.3)
+    monkeypatch.setattr(watch_module, "PARTIAL_UPDATE_TIMEOUT_S", 0.3)
 
     async def test(w: World) -> None:
         path, watch = await w.catalog.watches.get()
@@ -181,19 +180,23 @@
 
     async def test() -> None:
         told = []
-        watch = SimpleNamespace(told=lambda value, first: told.append(value), unchanged=lambda: None)
-        stream = DiscoveryCall(watch, b"/", SubscriptionSchedule(DiscoveryTerms(), Random(1)), own=True)
-        stream.parser.feed_data(STARTED)
+        watch = SimpleNamespace(
+            update_received=lambda value, first: told.append(value), heartbeat_received=lambda: None
+        )
+        stream = DiscoveryCall(
+            watch, b"/", SubscriptionSchedule(DiscoveryTerms(), Random(1)), is_watch_call=True
+        )
+        stream.http_parser.feed_data(STARTED)
         text = b"".join(json.dumps(update(n)).encode() + b"\n" for n in range(100, 150))
         piece, now = len(text) // 50, 0.0
         for at in range(-(piece // 2), len(text) - piece, piece):
             part = text[max(0, at) : at + piece]
-            stream.parser.feed_data(b"%x\r\n%s\r\n" % (len(part), part))
-            assert stream.values.open and stream.is_word(now)
+            stream.http_parser.feed_data(b"%x\r\n%s\r\n" % (len(part), part))
+            assert stream.json_parser.has_partial_value and stream.counts_as_heartbeat(now)
             now += 0.5
         assert len(told) == 49
-        while stream.is_word(now):
+        while stream.counts_as_heartbeat(now):
             now += 0.5
-        assert now > 20 and now - stream.part_since == watch_module.PART_MOST
+        assert now > 20 and now - stream.partial_since == watch_module.PARTIAL_UPDATE_TIMEOUT_S
 
     run(test())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1010,7 +1010,7 @@
         assert list(directory.listed) == [d.server] == list(pool.targets)
         for n in range(20):
             directory.apply(update(8 + n, entry(f"e{n}", "127.0.0.1:4", zone=f"z{n}"), reset=True))
-        assert len(pool.targets) == len(directory.numbers) == len(directory.zones.others) == 1
+        assert len(pool.targets) == len(directory.numbers) == len(directory.zones.dynamic) == 1
 
     run(test())
 
@@ -1273,7 +1273,7 @@
 def test_the_old_discovery_counts_until_the_new_one_has_brought_a_list():
     async def test(w: World) -> None:
         watch, new = await w.watch(), await Catalog().start()
-        assert w.node.discovery.move(("127.0.0.1", 1))  # nobody there
+        assert w.node.discovery.migrate(("127.0.0.1", 1))  # nobody there
         Catalog.push(watch, line(42, entry("s0", w.origins[1].address)))
         while w.node.discovery.current.generation < 42:
             await asyncio.sleep(0)
@@ -1283,7 +1283,7 @@
         assert (await client.answer())[0] == 200
         host, _, port = new.address.rpartition(":")
         new.whole = line(3, entry("s0", w.origins[0].address), reset=True)
-        assert w.node.discovery.move((host, int(port)))
+        assert w.node.discovery.migrate((host, int(port)))
         assert (await new.watches.get())[0].endswith(b"after=3")
         client.send("/pay/2")
         (await w.origins[0].arrived.get()).answer()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -165,7 +165,7 @@
             monkeypatch.setattr(durable_file, "sync_folder", failing)
             status, text = await tell(node, "/maintenance/exit", "s0")
             assert status == 500 and b"may undo it" in text
-            assert not node.registry.out and node.operations.store.held.out == frozenset()
+            assert not node.registry.in_maintenance and node.operations.store.held.out == frozenset()
             monkeypatch.undo()
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
 
@@ -203,7 +203,7 @@
         node = Node(config_from(config), inherited=inherited, folder=self.folder)
         task = asyncio.create_task(node.run())
         await node.ready.wait()
-        node.discovery.heard = True  # these tests' discovery speaks only where a test says so
+        node.discovery.list_received = True  # these tests' discovery speaks only where a test says so
         try:
             yield node
         finally:
@@ -439,11 +439,11 @@
     async def test(site: Site) -> None:
         async with site.node() as old, site.node() as new:
             await tell(old, "/maintenance/enter", "s0")
-            await until(lambda: "s0" in new.registry.out)
+            await until(lambda: "s0" in new.registry.in_maintenance)
             await tell(new, "/maintenance/exit", "s0")
-            await until(lambda: not old.registry.out)
+            await until(lambda: not old.registry.in_maintenance)
             await tell(new, "/maintenance/enter", "s1")
-            await until(lambda: "s1" in old.registry.out)
+            await until(lambda: "s1" in old.registry.in_maintenance)
 
     with_site(test, tmp_path, servers=2)
 
--- a/tests/test_standing.py
+++ b/tests/test_readiness.py
@@ -6,7 +6,13 @@
 import pytest
 
 from harecross.discovery import readiness
-from harecross.discovery.readiness import ASKED_MOST, PUSHED_MOST, Freshness, ListReadiness, longest_wait
+from harecross.discovery.readiness import (
+    MAX_POLLED_WAIT_S,
+    MAX_PUSHED_WAIT_S,
+    Freshness,
+    ListReadiness,
+    max_start_wait_s,
+)
 from harecross.discovery.subscription_schedule import CallEnd, DiscoveryTerms, SubscriptionSchedule
 from harecross.fleet import rehearsal
 from harecross.fleet.discovery import Shape
@@ -131,7 +137,7 @@
 def test_a_start_never_waits_for_ever(monkeypatch):
     """Discovery is down: after the longest wait the list from before will do."""
     monkeypatch.setattr(node_main, "FIRST_WORD", 0.01)
-    monkeypatch.setattr(readiness, "PUSHED_MOST", 0.2)
+    monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.2)
 
     async def test(s: Starting) -> None:
         client = await s.client()
@@ -140,7 +146,7 @@
         client.send()
         (await first(s.a, s.b)).answer()
         assert (await client.answer())[0] == 200
-        assert s.node.readiness.word(0.0, s.node.discovery.schedule) is Freshness.KNOWN
+        assert s.node.readiness.freshness(0.0, s.node.discovery.schedule) is Freshness.CONFIGURED
 
     starting(test)
 
@@ -211,42 +217,48 @@
 
 
 def test_the_states_of_a_list():
-    asking, s = SubscriptionSchedule(DiscoveryTerms(), Random(1)), ListReadiness(100.0, 6.0)
-    assert s.word(100.0, asking) is Freshness.NONE and not s.may_send(100.0)
-    s.remembered()
-    assert s.word(100.0, asking) is Freshness.KNOWN and not s.may_send(105.9)
-    asking.start(100.0)
-    asking.call_started(100.0)
-    asking.heartbeat_received(100.1)
-    s.told()
-    assert s.may_send(100.1)
-    assert s.word(102.5, asking) is Freshness.CURRENT
-    assert s.word(102.7, asking) is Freshness.STALE
-    assert s.word(106.2, asking) is Freshness.BINDING
-    assert s.may_send(106.2), "once heard, a list serves on"
+    schedule, list_readiness = SubscriptionSchedule(DiscoveryTerms(), Random(1)), ListReadiness(100.0, 6.0)
+    assert list_readiness.freshness(100.0, schedule) is Freshness.NONE and not list_readiness.may_send(100.0)
+    list_readiness.configured_list_loaded()
+    assert list_readiness.freshness(100.0, schedule) is Freshness.CONFIGURED and not list_readiness.may_send(
+        105.9
+    )
+    schedule.start(100.0)
+    schedule.call_started(100.0)
+    schedule.heartbeat_received(100.1)
+    list_readiness.list_confirmed()
+    assert list_readiness.may_send(100.1)
+    assert list_readiness.freshness(102.5, schedule) is Freshness.CURRENT
+    assert list_readiness.freshness(102.7, schedule) is Freshness.STALE
+    assert list_readiness.freshness(106.2, schedule) is Freshness.PAST_LIMIT
+    assert list_readiness.may_send(106.2), "once heard, a list serves on"
 
 
 def test_a_wait_ends_by_itself():
-    s = ListReadiness(100.0, 6.0)
-    s.remembered()
-    assert not s.may_send(105.99) and s.may_send(106.0)
-    assert s.may_send(100.0), "and does not begin again"
+    list_readiness = ListReadiness(100.0, 6.0)
+    list_readiness.configured_list_loaded()
+    assert not list_readiness.may_send(105.99) and list_readiness.may_send(106.0)
+    assert list_readiness.may_send(100.0), "and does not begin again"
 
 
 @pytest.mark.parametrize("number", [0, 40, 229])
 def test_the_longest_wait_holds_a_failed_first_call_and_the_second(number):
     """Arithmetic: a call that discovery fails after its longest time, the pause, any place, the next answer."""
-    asking = SubscriptionSchedule(
+    schedule = SubscriptionSchedule(
         DiscoveryTerms(polled=True, instance_count=230, instance_index=number), Random(1)
     )
-    asking.start(0.0)
-    asking.call_started(0.0)
-    asking.call_ended(asking.response_deadline(), CallEnd.FAILED)
-    asking.call_started(asking.next_call_at)
-    assert asking.response_deadline() <= ASKED_MOST
-    assert longest_wait(DiscoveryTerms(polled=True)) == ASKED_MOST < 30.0, "clients come after 30 s"
-    assert longest_wait(DiscoveryTerms()) == PUSHED_MOST
-    assert longest_wait(DiscoveryTerms(), beside=True) < 2.0, "a new process is to say yes in time"
+    schedule.start(0.0)
+    schedule.call_started(0.0)
+    schedule.call_ended(schedule.response_deadline(), CallEnd.FAILED)
+    schedule.call_started(schedule.next_call_at)
+    assert schedule.response_deadline() <= MAX_POLLED_WAIT_S
+    assert max_start_wait_s(DiscoveryTerms(polled=True)) == MAX_POLLED_WAIT_S < 30.0, (
+        "clients come after 30 s"
+    )
+    assert max_start_wait_s(DiscoveryTerms()) == MAX_PUSHED_WAIT_S
+    assert max_start_wait_s(DiscoveryTerms(), replaces_process=True) < 2.0, (
+        "a new process is to say yes in time"
+    )
 
 
 # ---- a herd's start, on the model ---------------------------------------------------------------------------
@@ -274,14 +286,14 @@
     quick = herd(nodes, 1, line=1.5)
     assert quick.ready[-1] < 0.3 + 1.5 + 0.1, "one line"
     slow = herd(nodes, 1, line=5.0)
-    assert slow.after_start(0.3) < 0.3 + 2.0 + 0.1 and slow.ready[-1] < ASKED_MOST
-    assert herd(nodes, 1, line=60.0).ready[-1] == ASKED_MOST, "and never for ever"
+    assert slow.after_start(0.3) < 0.3 + 2.0 + 0.1 and slow.ready[-1] < MAX_POLLED_WAIT_S
+    assert herd(nodes, 1, line=60.0).ready[-1] == MAX_POLLED_WAIT_S, "and never for ever"
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 def test_without_the_wait_the_rehearsal_counts_what_was_sent_by_the_list_from_before(pushed, monkeypatch):
-    monkeypatch.setattr(readiness, "ASKED_MOST", 0.0)
-    monkeypatch.setattr(readiness, "PUSHED_MOST", 0.0)
+    monkeypatch.setattr(readiness, "MAX_POLLED_WAIT_S", 0.0)
+    monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.0)
     if pushed:
         monkeypatch.setattr(
             rehearsal, "BOOT", 0.31
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -250,7 +250,7 @@
         return [word for host, port in doors for word in ("--at", f"{host}:{port}")]
 
     def out(self) -> list[set[str]]:
-        return [set(n.registry.out) for n in self.nodes]
+        return [set(n.registry.in_maintenance) for n in self.nodes]
 
     async def door(self, *words: str, **more) -> tuple[int, str]:
         """The command to its end: status and all it said."""
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -112,7 +112,7 @@
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
             await self.node.more_sources.stop()
-            self.node.discovery.listen(False)
+            self.node.discovery.unsubscribe()
         await self.catalog.stop()
         self.dns.stop()
 
@@ -249,7 +249,7 @@
             node = await s.serve(table(s))
             await until(lambda: s.up() == {0, 1})
             s.catalog.put(*s.line(0, 1))
-            await until(lambda: node.registry.resolve("s-0") == s.boxes[0].address)
+            await until(lambda: node.registry.resolve_name("s-0") == s.boxes[0].address)
             assert (await s.door("POST /maintenance/enter", "s-0"))[0] == 200
             assert s.up() == {1}
             code, told = await s.door("GET /servers?id=s-0")
--- a/tests/test_births.py
+++ b/tests/test_start_times.py
@@ -23,14 +23,14 @@
 def test_a_process_that_appears_is_no_older_than_the_last_list_without_it_whatever_clocks_say(off):
     """`off`: how far this node's wall clock is ahead."""
     found = StartTimes(WALL + off)
-    found.listed_all(100 * SECOND)
+    found.listing_complete(100 * SECOND)
     started, now = (WALL + 100 * SECOND + SECOND // 2) // 1000, 101 * SECOND
     ready_at = found.ready_at("s", started, now)
     assert 100 * SECOND <= ready_at <= now
     if off == 0:
         assert ready_at == 100 * SECOND + SECOND // 2
     # It stays so, though lists go on, and the server drains and is recalled.
-    found.listed_all(500 * SECOND)
+    found.listing_complete(500 * SECOND)
     assert found.ready_at("s", started, 501 * SECOND) == ready_at
 
 
@@ -47,7 +47,7 @@
     found = StartTimes(0)
     for i in range(50):
         found.ready_at(f"s{i}", i + 1, SECOND)
-    assert list(found.known) == ["s47", "s48", "s49"]
+    assert list(found.by_name) == ["s47", "s48", "s49"]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -65,7 +65,7 @@
     """Each start: when after the last list (ms), how much later it is listed, and how far the server's clock is off."""
     found, now = StartTimes(WALL + off), 0
     for i, (after, lag, server_off) in enumerate(starts):
-        found.listed_all(now)
+        found.listing_complete(now)
         listed_at = now
         began = now + after * 1000
         now = began + lag * 1000
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,8 @@
 import stored_states as states
 from support import balancer
 
-from harecross.discovery.process_table import Lifecycle, ProcessState, TransitionCause
+from harecross.discovery.process_table import ProcessState, TransitionCause
+from harecross.discovery.wire_format import Lifecycle
 from harecross.dispatch.close_reasons import CloseReason, Closing
 from harecross.fleet.file import read_fleet
 from harecross.follow.attempts import AttemptLog
@@ -437,8 +438,10 @@
         service = states.control_service(path)
         service.begin("orders", service.remembered()["orders"])
         feed = service.press.feeds["orders"]
-        assert feed.roster.remembered and not feed.roster.whole and feed.roster.known()
-        assert feed.roster.lines == {
+        assert (
+            feed.roster.has_remembered_list and not feed.roster.has_full_list and feed.roster.is_publishable()
+        )
+        assert feed.roster.entries == {
             "s1": {
                 "instanceId": "s1",
                 "hostPort": "10.2.0.1:8081",
@@ -618,7 +621,7 @@
         log.changed(states.transition(state, state, cause, Lifecycle.GONE), 100.0)
     for lifecycle in Lifecycle:
         log.changed(
-            states.transition(ProcessState.GONE, ProcessState.GONE, TransitionCause.SAID, lifecycle), 100.0
+            states.transition(ProcessState.GONE, ProcessState.GONE, TransitionCause.STATED, lifecycle), 100.0
         )
     log.stream.close()
     told = lines_of(tmp_path / "log")
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -209,29 +209,31 @@
 
 
 def test_a_roster_keeps_drains_and_drops_what_is_gone():
-    r = ListedEndpoints()
-    r.apply({"instances": [line("a"), line("b")]}, full=True, cached=False)
-    r.apply({"instances": [{"instanceId": "a", "lifecycle": "terminating"}]}, full=False, cached=False)
-    assert r.lines["a"]["hostPort"] == "127.0.0.1:1" and r.lines["a"]["lifecycle"] == "terminating"
-    r.apply(
+    listed = ListedEndpoints()
+    listed.apply({"instances": [line("a"), line("b")]}, full=True, cached=False)
+    listed.apply({"instances": [{"instanceId": "a", "lifecycle": "terminating"}]}, full=False, cached=False)
+    assert (
+        listed.entries["a"]["hostPort"] == "127.0.0.1:1" and listed.entries["a"]["lifecycle"] == "terminating"
+    )
+    listed.apply(
         {"instances": [{"instanceId": "a", "lifecycle": "terminated"}, None, {}, {"instanceId": 3}]},
-        False,
-        False,
+        full=False,
+        cached=False,
     )
-    assert set(r.lines) == {"b"}
-    r.apply({"instances": [line("c")]}, full=True, cached=False)
-    assert set(r.lines) == {"c"}
+    assert set(listed.entries) == {"b"}
+    listed.apply({"instances": [line("c")]}, full=True, cached=False)
+    assert set(listed.entries) == {"c"}
 
 
 def test_a_remembered_list_counts_as_old_and_an_empty_one_as_nothing():
-    r = ListedEndpoints()
-    r.apply({"instances": [line("a")]}, full=True, cached=False)
+    listed = ListedEndpoints()
+    listed.apply({"instances": [line("a")]}, full=True, cached=False)
     again = ListedEndpoints()
-    again.apply(r.memory(), full=True, cached=True)
-    assert again.known() and not again.whole and again.lines == r.lines
+    again.apply(listed.memory(), full=True, cached=True)
+    assert again.is_publishable() and not again.has_full_list and again.entries == listed.entries
     empty = ListedEndpoints()
     empty.apply({"instances": []}, full=True, cached=True)
-    assert not empty.known()
+    assert not empty.is_publishable()
 
 
 # ---- load reports -------------------------------------------------------------------------------------
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -75,10 +75,10 @@
     roster.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
     roster.apply(update(2, entry("a", "h:1", "terminated")), full=False, cached=False)
     roster.apply(update(3, entry("b", "h:2"), reset=True), full=True, cached=False)
-    assert set(roster.ended) == {"a"} and set(roster.lines) == {"b"}
+    assert set(roster.ended) == {"a"} and set(roster.entries) == {"b"}
     roster.apply(update(4, entry("a", "h:1")), full=False, cached=False)
     assert not roster.ended
-    monkeypatch.setattr(listed_endpoints, "ENDED_MOST", 3)
+    monkeypatch.setattr(listed_endpoints, "MAX_ENDED", 3)
     for i in range(20):
         roster.apply(update(i, entry(f"x{i}", "h:3", "terminated")), full=False, cached=False)
     assert list(roster.ended) == ["x17", "x18", "x19"]
