--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -19,9 +19,9 @@
 )
 from harecross.discovery.transition_log import describe
 from harecross.discovery.watch import LIST_PATH, Watch
-from harecross.dispatch.dispatcher import log_line
 from harecross.interface import EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 
 PUSHED = DiscoveryTerms()
 # After a migration the new discovery may lag behind for so long; what it has written by then may still be on its way
@@ -204,10 +204,10 @@
         """Writes transitions to the log, and to the attempt log where there is one."""
         for line in describe(result.transitions, now):
             log_line(f"discovery: {watch.name} v{version}: {line}")
-        trace = self.registry.dispatcher.trace
-        if trace is not None:
+        tracer = self.registry.dispatcher.tracer
+        if tracer is not None:
             for transition in result.transitions:
-                trace.changed(transition, now)
+                tracer.process_changed(transition, now)
 
     # ---- retired watches --------------------------------------------------------------------------------
 
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -10,9 +10,10 @@
 from harecross.discovery import wire_format
 from harecross.discovery.start_times import LONG_AGO, StartTimes
 from harecross.discovery.wire_format import Lifecycle
-from harecross.dispatch.dispatcher import RequestDispatcher, log_line
+from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_line
 from harecross.upstream.connection_pool import ConnectionPool
 
 STATE_OF_LIFECYCLE = {
@@ -125,7 +126,7 @@
         kind = EndpointUpdateKind.CHANGES
         if full:
             kind = EndpointUpdateKind.CACHED if cached else EndpointUpdateKind.FULL
-        before = set(self.listed) if self.dispatcher.trace is not None else set()
+        before = set(self.listed) if self.dispatcher.tracer is not None else set()
         changed = self.use_entries(entries)
         if full:
             self.remove_unlisted(entries, changed)
@@ -156,14 +157,14 @@
 
     def trace_update(self, kind: EndpointUpdateKind, generation: Any, before: set[int]) -> None:
         """Writes to the attempt log, where there is one, which servers are in service now and were not `before`."""
-        trace = self.dispatcher.trace
-        if trace is None:
+        tracer = self.dispatcher.tracer
+        if tracer is None:
             return
         names = {number: name for name, number in self.numbers.items()}
         now_listed = set(self.listed)
         added = {names[number] for number in now_listed - before}
         removed = {names[number] for number in before - now_listed}
-        trace.listed(kind, generation, added, removed)
+        tracer.endpoints_listed(kind, generation, added, removed)
 
     def use_entry(self, entry: Any) -> list[Endpoint]:
         """The endpoints that one entry changes: its server, and one whose address it takes over.
@@ -225,14 +226,14 @@
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
         """Takes a server out of use; the endpoint to notify the module of."""
-        self.pool.withdraw(number)
+        self.pool.take_out_of_service(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
 
     def drop_unused(self) -> None:
         """Drops what is known of servers that are gone, so that it does not grow where servers are replaced all day."""
         for name, number in list(self.numbers.items()):
-            if number not in self.listed and self.pool.forget(number):
+            if number not in self.listed and self.pool.remove_if_unused(number):
                 del self.numbers[name]
         slow_start_since = monotonic_us() - MAX_SLOW_START_US
         self.restored_at = {
@@ -261,10 +262,10 @@
         if name in self.in_maintenance:
             return
         number = self.numbers.get(name, 0)
-        endpoint, target = self.listed.get(number), self.pool.targets.get(number)
+        endpoint, process = self.listed.get(number), self.pool.processes.get(number)
         self.in_maintenance[name] = None
-        if endpoint is not None and target is not None:
-            self.in_maintenance[name] = ListedEndpoint(endpoint, target.address, target.started)
+        if endpoint is not None and process is not None:
+            self.in_maintenance[name] = ListedEndpoint(endpoint, process.address, process.started_at)
             draining = self.withdraw(number, EndpointState.DRAINING)
             self.dispatcher.endpoint_update(EndpointUpdateKind.CHANGES, [draining])
 
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -29,20 +29,22 @@
 
     `in_flight` counts them by the server's number; `now` in monotonic microseconds.
     """
-    views = {view.server: view for view in registry.dispatcher.balancer.view(now)}
+    snapshots = {
+        snapshot.server: snapshot for snapshot in registry.dispatcher.balancer.endpoint_snapshots(now)
+    }
     rows: list[EndpointStatus] = []
     for name in sorted({*registry.numbers, *registry.in_maintenance, *registry.draining}):
         number = registry.numbers.get(name, 0)
         state = state_of(registry, name)
-        view = views.get(number) if state == IN_USE else None
+        snapshot = snapshots.get(number) if state == IN_USE else None
         rows.append(
             {
                 "id": name,
                 "state": state,
                 "listed": number in registry.listed or registry.in_maintenance.get(name) is not None,
                 "open": in_flight.get(number, 0),
-                "warmth": 1.0 if view is None else round(view.warmth, 3),
-                "ejected": view is not None and bool(view.ejected),
+                "warmth": 1.0 if snapshot is None else round(snapshot.slow_start_factor, 3),
+                "ejected": snapshot is not None and bool(snapshot.ejected),
             }
         )
     return rows
--- a/harecross/discovery/watch.py
+++ b/harecross/discovery/watch.py
@@ -16,7 +16,7 @@
     CallEnd,
     SubscriptionSchedule,
 )
-from harecross.dispatch.dispatcher import log_exception, log_line
+from harecross.platform.log import log_exception, log_line
 
 LIST_PATH = b"/catalog/members"
 CONNECT_TIMEOUT_S = 1.0
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -10,13 +10,13 @@
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.endpoint_status import endpoint_status_rows
-from harecross.dispatch.dispatcher import log_line
 from harecross.downstream.connection_manager import ConnectionManager
 from harecross.node.admin_server import AdminAnswer, AdminServer
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, difference
 from harecross.platform.clock import monotonic_us
 from harecross.platform.durable_file import UnsyncedReplace
+from harecross.platform.log import log_line
 from harecross.policy import learned_state
 
 LOOK_EVERY = 0.05  # seconds between two looks at what another process was told
@@ -83,7 +83,7 @@
         if text is None:
             return
         try:
-            learned_state.recall(
+            learned_state.import_learned_state(
                 self.registry.dispatcher.balancer, self.registry.numbers, text, monotonic_us()
             )
             log_line("what the other process has learned is taken over")
@@ -96,7 +96,7 @@
         if self.callers.leaving or now < self.learned_at + LEARN_EVERY:
             return
         self.learned_at = now
-        text = learned_state.learned(self.registry.dispatcher.balancer, self.registry.numbers)
+        text = learned_state.export_learned_state(self.registry.dispatcher.balancer, self.registry.numbers)
         if text is not None:
             self.store.write_learned(text)
 
@@ -141,7 +141,9 @@
         """Each server as this process sees it, one line of JSON; `id=` names those that are asked for."""
         asked = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
         wanted = {self.registry.resolve_name(name): name for name in asked}
-        rows = endpoint_status_rows(self.registry, self.registry.dispatcher.out_on(), monotonic_us())
+        rows = endpoint_status_rows(
+            self.registry, self.registry.dispatcher.in_flight_by_server(), monotonic_us()
+        )
         for row in rows:
             row["id"] = wanted.get(row["id"], row["id"])  # by the name that was asked for
         told = {
--- a/harecross/sources/run.py
+++ b/harecross/sources/run.py
@@ -13,8 +13,8 @@
 from typing import TYPE_CHECKING, Any
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
-from harecross.dispatch.dispatcher import log_exception, log_line
 from harecross.platform.clock import monotonic_us
+from harecross.platform.log import log_exception, log_line
 from harecross.sources.config import File, SourcesTable, Srv, name_of
 from harecross.sources.files import BadFile, read_file
 from harecross.sources.ledger import Credit, Priorities
@@ -212,7 +212,7 @@
         It ejects a third of its members at most; the others of a dead priority show by what a call costs there.
         """
         names = {number: name for name, number in self.registry.numbers.items()}
-        views = self.registry.dispatcher.balancer.view(monotonic_us())
+        views = self.registry.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         return {names[v.server] for v in views if (v.ejected or v.cost >= SICK) and v.server in names}
 
     @property
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -22,7 +22,7 @@
     TransitionCause,
 )
 from harecross.discovery.wire_format import Lifecycle
-from harecross.dispatch.close_reasons import CloseReason, Closing
+from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
 from harecross.dns.srv import Endpoint as SrvEndpoint
 from harecross.dns.srv import Found
@@ -31,7 +31,7 @@
 from harecross.interface import Endpoint, EndpointUpdateKind, FinalReason, Outcome
 from harecross.node.handover_store import HandoverStore as NodeStore
 from harecross.policy.balancer import Balancer
-from harecross.policy.learned_state import learned
+from harecross.policy.learned_state import export_learned_state
 from harecross.shifts.controller import Controller
 from harecross.shifts.judge import Try
 from harecross.shifts.plan import read_plan
@@ -118,22 +118,26 @@
 def learned_balancer() -> Balancer:
     """One that has measured its servers, has ejected one and cut off a zone; all figures are set here."""
     node, _ = balancer(SERVERS)
-    node.controller.end_pass(1)
-    node.controller.limit, node.controller.usual = 24.5, 18.25
+    node.controller.end_min_rtt_window(1)
+    node.controller.limit, node.controller.baseline_in_flight = 24.5, 18.25
     node.controller.min_rtt, node.controller.target = [900.0, 1100.5, 1300.0], [2500.0, 2600.0, 2700.0]
-    node.mean_rtt, node.deviation, node.warm_rate = [1500.0, 1600.0, 1700.0], [125.0, 150.5, 175.0], 7.5
+    node.mean_rtt, node.rtt_deviation, node.warm_server_rate = (
+        [1500.0, 1600.0, 1700.0],
+        [125.0, 150.5, 175.0],
+        7.5,
+    )
     for server, slowness, fail_rate in ((1, 1.25, 0.0), (2, 0.75, 0.125), (4, 2.5, 0.625)):
-        node.servers[server].calls = 10
-        node.servers[server].slowness, node.servers[server].fail_rate = slowness, fail_rate
+        node.servers[server].outcome_count = 10
+        node.servers[server].slowness, node.servers[server].failure_rate = slowness, fail_rate
     node.eject(1, node.servers[4], silent=False)
     zone = node.zones[1]
-    zone.cut = True
-    node.cut.append(zone)
+    zone.ejected = True
+    node.ejected_zones.append(zone)
     return node
 
 
 def write_learned(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    text = learned(learned_balancer(), SERVER_NAMES)
+    text = export_learned_state(learned_balancer(), SERVER_NAMES)
     assert text is not None
     with monkeypatch.context() as patch:
         patch.setattr(time, "monotonic_ns", lambda: MONOTONIC_NS)
@@ -171,15 +175,15 @@
 
 def request(name: str, request_class: int = 0) -> DispatchedRequest:
     message = ParsedRequest(
-        id=name.encode(),
+        request_id=name.encode(),
         request_class=request_class,
         tenant=0,
-        repeat=False,
-        time_left=2_000_000,
+        is_retry=False,
+        timeout_us=2_000_000,
         head=b"GET /read/%s HTTP/1.1\r\n" % name.encode(),
         body=b"",
-        came=0,
-        keep=True,
+        received_us=0,
+        keep_alive=True,
     )
     return DispatchedRequest(1, NoAnswers(), message, 2_000_000)  # type: ignore[arg-type]
 
@@ -187,7 +191,7 @@
 def attempt(of: DispatchedRequest, number: int, server: int) -> UpstreamAttempt:
     made = UpstreamAttempt(server, b"", b"", 2_000_000, lambda *ended: None)
     made.request, made.number = of, number
-    made.target = ServerProcess(server, f"10.2.0.{server}", 8080 + server, 0)
+    made.process = ServerProcess(server, f"10.2.0.{server}", 8080 + server, 0)
     return made
 
 
@@ -212,39 +216,39 @@
     with monkeypatch.context() as patch:
         patch.setattr(time, "time_ns", lambda: next(times))
         log = AttemptLog("n3", str(path), SERVER_NAMES)  # start
-        log.listed(EndpointUpdateKind.CACHED, 41, ["s2", "s1"], [])
+        log.endpoints_listed(EndpointUpdateKind.CACHED, 41, ["s2", "s1"], [])
         good = request("good-1")
-        log.taken(good, 0)
+        log.request_admitted(good, 0)
         kept = attempt(good, 0, 1)
-        log.sent(kept)
-        log.written(kept, fresh=False, whole=True)
-        log.ended(kept, Outcome.OK, [0.5, 3.0])
-        log.final(good, "served")
-        log.closed(Closing("client", "", CloseReason.LAST_ANSWER))
-        log.changed(
+        log.attempt_sent(kept)
+        log.attempt_written(kept, fresh=False, whole=True)
+        log.attempt_ended(kept, Outcome.OK, [0.5, 3.0])
+        log.request_answered(good, "served")
+        log.connection_closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
+        log.process_changed(
             transition(
                 ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.STATED, Lifecycle.DRAINING
             ),
             now=100.0,
         )
-        log.listed(EndpointUpdateKind.CHANGES, 42, [], ["s1"])
+        log.endpoints_listed(EndpointUpdateKind.CHANGES, 42, [], ["s1"])
         late = request("late-1", request_class=2)
-        log.taken(late, 500_000)
+        log.request_admitted(late, 500_000)
         first = attempt(late, 0, 2)
-        log.sent(first)
-        log.written(first, fresh=True, whole=False)
-        log.ended(first, Outcome.REJECTED, [])
+        log.attempt_sent(first)
+        log.attempt_written(first, fresh=True, whole=False)
+        log.attempt_ended(first, Outcome.REJECTED, [])
         late.last_outcome = Outcome.REJECTED
         second = attempt(late, 1, 1)
-        log.sent(second)
-        log.written(second, fresh=True, whole=True)
-        log.closed(Closing("server", "10.2.0.1:8081", CloseReason.GIVEN_UP, "late-1"))
-        log.ended(second, Outcome.TIMEOUT, [])
-        log.final(late, "failed", FinalReason.MAY_HAVE_RUN)
+        log.attempt_sent(second)
+        log.attempt_written(second, fresh=True, whole=True)
+        log.connection_closed(ClosedConnection("server", "10.2.0.1:8081", CloseReason.ABANDONED, "late-1"))
+        log.attempt_ended(second, Outcome.TIMEOUT, [])
+        log.request_answered(late, "failed", FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
-        unknown.target = None
+        unknown.process = None
         unknown.dispatcher = NoServers()  # type: ignore[assignment]
-        log.ended(unknown, Outcome.CANCELLED, [])
+        log.attempt_ended(unknown, Outcome.CANCELLED, [])
         log.stream.close()
 
 
@@ -252,7 +256,7 @@
     """In place of an attempt's dispatcher: it knows no addresses."""
 
     class pool:
-        targets: dict[int, ServerProcess] = {}
+        processes: dict[int, ServerProcess] = {}
 
 
 # ---- the control service's remembered lists -------------------------------------------------------------
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -227,7 +227,7 @@
 def test_nothing_goes_to_who_left_and_nobody_is_shunned_whom_every_word_since_has_listed(steps):
     async def body() -> None:
         fleet = Fleet()
-        host = SimpleNamespace(endpoint_update=lambda kind, entries: None, trace=None)
+        host = SimpleNamespace(endpoint_update=lambda kind, entries: None, tracer=None)
 
         def process(known: dict | None) -> tuple[EndpointRegistry, Watch]:
             directory = EndpointRegistry(
@@ -304,7 +304,9 @@
                 watch, first = move(more[0]), False
             assert used() == fleet.in_service(fleet.version), (step, more)
             ready = {
-                n for n, at in directory.numbers.items() if (t := directory.pool.targets.get(at)) and t.ready
+                n
+                for n, at in directory.numbers.items()
+                if (t := directory.pool.processes.get(at)) and t.in_service
             }
             assert ready == used()
 
