--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -104,7 +104,8 @@
         "downstream/listener.py",
         "        with suppress(OSError):\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)",
         "        try:\n            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)\n"
-        "        except OSError:\n            connection.close()\n            self.dropped()\n            return",
+        "        except OSError:\n            connection.close()\n"
+        "            self.on_setup_failed()\n            return",
     ),
     Mutation(
         "the time that a request lay unread is not counted",
@@ -134,8 +135,9 @@
     ),
     Mutation(
         "a stop does not wait for what is out",
-        "node/__main__.py",
-        "        while self.callers.busy():\n            await asyncio.sleep(0.01)\n",
+        "node/graceful_shutdown.py",
+        "        while self.parts.client_connections.has_open_requests():\n"
+        "            await asyncio.sleep(POLL_INTERVAL_S)\n",
         "",
     ),
     Mutation(
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -46,12 +46,8 @@
         consumer: EndpointListConsumer | None = None,
         seed: int = 0,
         monotonic: Callable[[], float] = time.monotonic,
-        on_current_list: Callable[[], None] = lambda: None,
     ) -> None:
-        """Lists go to `consumer`, or else to the registry.
-
-        `on_current_list` is called when discovery has sent a list or confirmed the present one.
-        """
+        """Lists go to `consumer`, or else to the registry."""
         self.loop = asyncio.get_running_loop()
         self.registry = registry
         self.consumer = consumer or registry
@@ -59,7 +55,8 @@
         self.terms = terms
         self.rng = Random(seed)
         self.monotonic = monotonic
-        self.on_current_list = on_current_list
+        # Called when discovery has sent a list, or confirmed that the present one has not changed:
+        self.on_current_list: Callable[[], None] = lambda: None
         self.schedule = SubscriptionSchedule(terms, self.rng)
         self.generation: int | None = 0  # the version that the next watch starts after
         self.epoch = 0  # counts migrations
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -35,14 +35,18 @@
     """Every connection of this node to servers."""
 
     def __init__(
-        self, connect_timeout: int, idle_time: int, columns: Sequence[str], room: DescriptorBudget
+        self,
+        connect_timeout: int,
+        idle_time: int,
+        columns: Sequence[str],
+        descriptor_budget: DescriptorBudget,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout / 1e6
         self.idle_time = max(idle_time - IDLE_MARGIN_US, idle_time // 2)
         self.report_positions = report_positions(columns)
         self.report_size = len(columns)
-        self.descriptors = room
+        self.descriptors = descriptor_budget
         self.on_connection_closed: Callable[[ClosedConnection], None] = lambda closing: None
         # Asks callers for a place: True if one of theirs has been put out.
         self.on_descriptor_shortage: Callable[[], bool] = lambda: False
@@ -59,7 +63,7 @@
     @property
     def open_connections(self) -> int:
         """Connections to servers, and attempts at one."""
-        return self.descriptors.servers
+        return self.descriptors.upstream_connections
 
     def update(self, server: int, address: str, started: int) -> None:
         """A server in service. Old connections never lead to a new process or address."""
@@ -109,7 +113,7 @@
             return
         if exchange.deadline_us < NO_DEADLINE_US:
             self.start_deadline_timer(exchange)
-        fits = self.descriptors.server_fits()
+        fits = self.descriptors.upstream_connection_fits()
         # Where no other one fits, the one that has not rested is better than the work of another handshake.
         conn = self.acquire_idle(target, now) or (
             None if fits else self.acquire_idle(target, now, rested=False)
@@ -121,7 +125,7 @@
             # Guards against: at the descriptor limit the node could not even accept and refuse.
             self.loop.call_soon(self.finish, exchange, Outcome.NOT_SENT)
             return
-        self.descriptors.servers += 1
+        self.descriptors.upstream_connections += 1
         target.connection_count += 1
         task = self.loop.create_task(self.connect(exchange, target))
         self.connect_tasks.add(task)
@@ -189,7 +193,7 @@
             if conn.transport is not None:
                 conn.discard(CloseReason.CONNECT_TIMEOUT)
             else:
-                self.descriptors.servers -= 1
+                self.descriptors.upstream_connections -= 1
                 target.connection_count -= 1
             # Guards against: a server is blamed, and put out, for a shortage of this machine's own.
             blameless = isinstance(error, OSError) and is_local_shortage(error)
--- a/harecross/xds/cli.py
+++ b/harecross/xds/cli.py
@@ -26,11 +26,11 @@
         from harecross.xds.service import main as serve
     except ImportError as error:
         stop(f"control needs the extra `xds`: {error}")
-    from harecross.operators import BadFile
+    from harecross.operators import OperatorsFileError
 
     try:
         serve(config)
-    except BadFile as error:
+    except OperatorsFileError as error:
         stop(str(error))
 
 
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -22,7 +22,7 @@
 )
 def test_callers_that_stop_half_way_are_let_go(text, monkeypatch):
     """Silence and half requests held a connection, and its descriptor, for good."""
-    monkeypatch.setattr(connection_manager, "OWED", 100_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
         client = await w.client()
@@ -35,21 +35,21 @@
 
 
 def test_idle_connections_are_let_go(monkeypatch):
-    monkeypatch.setattr(connection_manager, "RESTING", 100_000)
+    monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
         client = await w.client()
         client.send("/_health")
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
-        assert not w.node.callers.open and w.node.room.callers == 0
+        assert not w.node.client_connections.open and w.node.descriptor_budget.client_connections == 0
 
     with_node(test)
 
 
 def test_a_caller_that_does_not_read_is_let_go(monkeypatch):
     """Its answers piled up in memory without bound."""
-    monkeypatch.setattr(connection_manager, "OWED", 300_000)
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     full = asyncio.Event()
     pause = connection_manager.ClientConnection.pause_writing
     monkeypatch.setattr(
@@ -80,7 +80,7 @@
             if full.is_set():
                 break
         assert full.is_set()
-        while w.node.callers.open:
+        while w.node.client_connections.open:
             await asyncio.sleep(0.01)
         task.cancel()
         sock.close()
@@ -90,7 +90,7 @@
 
 def test_bodies_are_bounded_by_the_memory_limit():
     async def test(w: World) -> None:
-        assert w.node.callers.held_most == 1 << 18
+        assert w.node.client_connections.max_buffered_body_bytes == 1 << 18
         clients = [await w.client() for _ in range(5)]
         for client in clients:
             client.writer.write(b"POST /pay/1" + HEAD + b"Content-Length: 65536\r\n\r\n" + b"x" * 65535)
@@ -106,29 +106,32 @@
 
 def test_connections_beyond_the_limit_are_closed_at_once_and_usual_callers_last(monkeypatch):
     """Hundreds of connections that said nothing took every descriptor; then no server could be reached."""
-    monkeypatch.setattr(connection_manager, "YOUNG", 0)
+    monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 0)
 
     async def test(w: World) -> None:
         usual = await w.client()
         usual.send()
         (await w.origins[0].arrived.get()).answer()
         await usual.answer()
-        room = w.node.room
-        most = room.total - room.servers_part()
+        room = w.node.descriptor_budget
+        most = room.total - room.upstream_reserve()
         assert most < 128
         silent = [await w.client() for _ in range(most + 20)]
-        assert len(w.node.callers.open) <= most
+        assert len(w.node.client_connections.open) <= most
         usual.send()  # its connection is still there
         (await w.origins[0].arrived.get()).answer()
         assert (await usual.answer())[0] == 200
         # Where nothing may be put out, the newest is turned away and costs no more than that.
-        monkeypatch.setattr(connection_manager, "YOUNG", 10**9)
+        monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
         usual.send()
         at = await w.origins[0].arrived.get()
         extra = [await w.client() for _ in range(most)]
         with contextlib.suppress(ConnectionError):
             assert await extra[-1].reader.read() == b""
-        assert w.node.callers.turned_away > 0 and w.node.room.callers <= most
+        assert (
+            w.node.client_connections.refused_connections > 0
+            and w.node.descriptor_budget.client_connections <= most
+        )
         at.answer()
         assert (await usual.answer())[0] == 200
         assert len(silent) == most + 20
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -36,7 +36,7 @@
     SubscriptionState,
     max_round_s,
 )
-from harecross.node.__main__ import Node
+from harecross.node.node import Node
 from harecross.standins.discovery import chunk, entry, line, update
 
 FLEET = DiscoveryTerms(True, 40, 7, 10.0)
@@ -222,7 +222,7 @@
         asked = {**SETTINGS, "discovery": "ask"}
         node = Node(config_from(config_of(address, known=known, settings=asked)))
         task = asyncio.create_task(node.run())
-        await node.ready.wait()
+        await node.started.wait()
         schedule = node.discovery.schedule
         writer = await came.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
