--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -145,7 +145,7 @@
         clients = [await w.client() for _ in range(40)]
         for i, client in enumerate(clients):
             client.send("/put/1", key=f"k{i}")
-        await until(lambda: w.node.dispatcher.balancer.waiting)
+        await until(lambda: w.node.dispatcher.balancer.queue)
         Catalog.push(watch, line(42, entry("s0", w.origins[0].address, "terminating")))
         await until(lambda: len(w.node.registry.listed) == 1)
         had = w.origins[0].arrived.qsize()
