--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -122,8 +122,8 @@
         (
             (
                 "platform/peer_state.py",
-                "    return looked(descriptor, ENDED) &",
-                "    return False and looked(descriptor, ENDED) &",
+                "    return present_events(descriptor, PEER_CLOSED) &",
+                "    return False and present_events(descriptor, PEER_CLOSED) &",
             ),
         ),
     ),
--- a/harecross/doors/run.py
+++ b/harecross/doors/run.py
@@ -15,7 +15,7 @@
 
 from harecross.doors.ask import call, look
 from harecross.doors.release import Do, Release
-from harecross.platform.child_process import cause
+from harecross.platform.child_process import describe_exit
 
 TICK = 0.1  # seconds between two looks at the clock
 BEFORE_KILL = 5.0  # seconds from SIGTERM to SIGKILL for a restart that takes too long
@@ -105,7 +105,7 @@
 
     def wait(self, server: str, process: subprocess.Popen[Any]) -> None:
         code = process.wait()
-        self.ended(server, code == 0, cause(code))
+        self.ended(server, code == 0, describe_exit(code))
 
     def end(self, server: str) -> None:
         """Ends a restart that takes too long, with all that it has started."""
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -15,7 +15,7 @@
 from harecross.http.request_parser import MAX_HEAD_BYTES, BadRequestError, ParsedRequest
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_exception
-from harecross.platform.peer_state import has_left, is_quiet
+from harecross.platform.peer_state import is_quiet, peer_has_closed
 
 MAX_DISCARDED_BYTES = 1 << 18  # read after the input was closed; then reading is paused
 
@@ -197,7 +197,7 @@
         """
         if self.transport is None or self.transport.is_closing():
             return False
-        if not has_left(self.descriptor):
+        if not peer_has_closed(self.descriptor):
             return True
         # The decision module may be asking: it must not be called within its own call.
         self.owner.loop.call_soon(self.close_abandoned)
--- a/harecross/downstream/listener.py
+++ b/harecross/downstream/listener.py
@@ -15,7 +15,7 @@
 from harecross.downstream.read_delay import Heartbeat, WaitingSocket
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_line
-from harecross.platform.system_errors import AcceptFailure, accept_failure
+from harecross.platform.system_errors import AcceptFailure, classify_accept_error
 
 MAX_SHORTAGE_TRIES = 8  # in a row
 SHORTAGE_PAUSE_S = 0.005  # until the next tries
@@ -85,8 +85,8 @@
             try:
                 connection, _ = self.sock.accept()
             except OSError as error:
-                failure = accept_failure(error)
-                if failure is AcceptFailure.NONE_WAITS:
+                failure = classify_accept_error(error)
+                if failure is AcceptFailure.NO_CONNECTION:
                     self.waiting_since = None
                 if failure is not AcceptFailure.SHORTAGE:
                     return failure
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -15,7 +15,7 @@
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, maintenance_changes
 from harecross.platform.clock import monotonic_us
-from harecross.platform.durable_file import UnsyncedReplace
+from harecross.platform.durable_file import UnsyncedReplaceError
 from harecross.platform.log import log_line
 from harecross.policy import learned_state
 
@@ -220,7 +220,7 @@
         """Writes the new state and applies it. 200 only once it is on disk, because it has to outlive the process."""
         try:
             self.store.update(change)
-        except UnsyncedReplace as error:
+        except UnsyncedReplaceError as error:
             self.store.refresh()
             self.apply_maintenance()
             return 500, f"{text} now, but a crash of the machine may undo it: {error.strerror}"
--- a/harecross/platform/durable_file.py
+++ b/harecross/platform/durable_file.py
@@ -1,4 +1,4 @@
-"""Files that are replaced as a whole and are on disk before the writer goes on."""
+"""Files that are replaced as a whole and synced to disk before the writer goes on."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from pathlib import Path
 
 
-class UnsyncedReplace(OSError):
-    """The file has its new content, which a crash of the machine may still undo."""
+class UnsyncedReplaceError(OSError):
+    """The file has its new content, but a crash of the machine may still undo that."""
 
 
-def replace_file(path: Path, data: bytes, fresh: Path) -> None:
-    """Puts `data` in the file's place by way of `fresh`, another name in the same folder.
+def replace_file(path: Path, data: bytes, temporary: Path) -> None:
+    """Replaces the file's content by way of `temporary`, another name in the same folder.
 
-    OSError where it cannot be written, with the old content in place; `UnsyncedReplace` where only the folder could
-    not be synced. A kill at any moment leaves the old content or the new one.
+    OSError if it cannot be written, with the old content in place; `UnsyncedReplaceError` if only the folder could not
+    be synced. A kill at any moment leaves the old content or the new one.
     """
     try:
-        write_synced(fresh, data)
-        os.replace(fresh, path)
+        write_and_sync(temporary, data)
+        os.replace(temporary, path)
     except OSError:
-        # Guards against: what was written of it takes the space for the next try.
+        # The incomplete file would take the space that the next attempt needs.
         with suppress(OSError):
-            fresh.unlink()
+            temporary.unlink()
         raise
     try:
         sync_folder(path.parent)
     except OSError as error:
-        raise UnsyncedReplace(error.errno, error.strerror, str(path)) from error
+        raise UnsyncedReplaceError(error.errno, error.strerror, str(path)) from error
 
 
-def write_synced(path: Path, data: bytes) -> None:
-    """Writes a file that is on disk when this returns, though each write may take a part only."""
+def write_and_sync(path: Path, data: bytes) -> None:
+    """Writes a file and syncs it; a write(2) may write only a part of the data."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
         while data:
@@ -43,7 +43,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Without this a new name may not be on disk when the power goes, though the bytes are."""
+    """Syncs a folder: without this a power failure may undo a rename in it, though the file is on disk."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/harecross/platform/system_errors.py
+++ b/harecross/platform/system_errors.py
@@ -1,4 +1,4 @@
-"""What a failed system call says, and about whom: this machine, one connection, or nothing to do. Free of I/O.
+"""What the error of a system call says, and about what: this machine, one connection, or nothing. Free of I/O.
 
 Sources: accept(2), socket(2) and connect(2) of the Linux manual.
 """
@@ -8,8 +8,8 @@
 import errno
 from enum import Enum
 
-# Descriptors, memory or local addresses have run out, or this machine has no way out: the other end has no part in it.
-LOCAL_SHORTAGES = frozenset(
+# Descriptors, memory or local ports are exhausted, or this machine has no route: the other end is not the cause.
+LOCAL_SHORTAGE_ERRORS = frozenset(
     (
         errno.EMFILE,
         errno.ENFILE,
@@ -21,9 +21,9 @@
         errno.ENETUNREACH,
     )
 )
-# accept(2) hands on what befell the connection it would have returned, and "should be treated like EAGAIN by retrying";
-# a firewall's rule (EPERM) forbids one connection, not the next.
-CONNECTION_GONE = frozenset(
+# accept(2) returns the pending errors of the connection that it would have returned; they "should be treated like
+# EAGAIN by retrying". A firewall rule (EPERM) forbids one connection, not the next.
+CONNECTION_GONE_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EINTR,
@@ -38,30 +38,30 @@
         errno.ENETUNREACH,
     )
 )
-NONE_WAITS = frozenset((errno.EAGAIN, errno.EWOULDBLOCK))
-LISTENER_CLOSED = frozenset((errno.EBADF, errno.EINVAL, errno.ENOTSOCK))
+NO_CONNECTION_ERRORS = frozenset((errno.EAGAIN, errno.EWOULDBLOCK))
+LISTENER_CLOSED_ERRORS = frozenset((errno.EBADF, errno.EINVAL, errno.ENOTSOCK))
 
 
 class AcceptFailure(Enum):
     """Why accept(2) returned no connection."""
 
-    NONE_WAITS = "none waits"
-    CONNECTION_GONE = "that connection is gone, the next may not be"
-    SHORTAGE = "this machine is short of something; what waits goes on waiting"
-    CLOSED = "the listener is closed"
+    NO_CONNECTION = "no connection waits"
+    CONNECTION_GONE = "that connection is gone; the next one may not be"
+    SHORTAGE = "this machine is short of a resource; waiting connections go on waiting"
+    LISTENER_CLOSED = "the listener is closed"
 
 
-def accept_failure(error: OSError) -> AcceptFailure:
-    """What to do after a failed accept(2). An errno that the manual does not name counts as a shortage."""
-    if error.errno in NONE_WAITS:
-        return AcceptFailure.NONE_WAITS
-    if error.errno in CONNECTION_GONE:
+def classify_accept_error(error: OSError) -> AcceptFailure:
+    """Why accept(2) failed. An errno that the manual does not name counts as a shortage."""
+    if error.errno in NO_CONNECTION_ERRORS:
+        return AcceptFailure.NO_CONNECTION
+    if error.errno in CONNECTION_GONE_ERRORS:
         return AcceptFailure.CONNECTION_GONE
-    if error.errno in LISTENER_CLOSED:
-        return AcceptFailure.CLOSED
+    if error.errno in LISTENER_CLOSED_ERRORS:
+        return AcceptFailure.LISTENER_CLOSED
     return AcceptFailure.SHORTAGE
 
 
 def is_local_shortage(error: OSError) -> bool:
-    """Whether a connection could not be made for a reason of this machine's own, whoever it was for."""
-    return error.errno in LOCAL_SHORTAGES
+    """Whether a connection could not be made for a reason of this machine, whatever its destination."""
+    return error.errno in LOCAL_SHORTAGE_ERRORS
--- a/harecross/xds/fleet.py
+++ b/harecross/xds/fleet.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from harecross.platform.child_process import Child, cause
+from harecross.platform.child_process import ChildProcess, describe_exit
 from harecross.settings import address
 from harecross.xds.link import (
     Ask,
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.link: Link | None = None
-        self.process: Child | None = None
+        self.process: ChildProcess | None = None
         self.streams = Streams(0, 0)
 
 
@@ -96,7 +96,7 @@
         with theirs:
             number = theirs.fileno()
             command = [sys.executable, "-m", "harecross.xds.worker", str(number)]
-            member.process = Child(command, pass_fds=(number,))
+            member.process = ChildProcess(command, pass_fds=(number,))
         member.link = Link(*await asyncio.open_connection(sock=ours))
         member.link.send(self.setup)
         try:
@@ -137,7 +137,7 @@
             return "did not start"
         try:
             async with asyncio.timeout(LAST_BREATH):
-                return cause(await member.process.wait())
+                return describe_exit(await member.process.wait())
         except TimeoutError:
             member.process.kill()
             await member.process.wait()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,7 +22,7 @@
 from xds_support import Caller, backend  # noqa: E402
 
 from harecross.operators import OperatorsFileError  # noqa: E402
-from harecross.platform.child_process import cause  # noqa: E402
+from harecross.platform.child_process import describe_exit  # noqa: E402
 from harecross.standins.discovery import Catalog, entry  # noqa: E402
 from harecross.standins.model import Shape  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
@@ -237,7 +237,7 @@
     """The service in a process of its own, and its port."""
     started = subprocess.Popen([sys.executable, "-c", SERVE, str(path)], stderr=subprocess.PIPE)
     while b"listening on port" not in (said := await asyncio.to_thread(started.stderr.readline)):
-        assert said, f"the service {cause(started.wait())}"
+        assert said, f"the service {describe_exit(started.wait())}"
     return started, int(said.split(b"port ")[1].split(b",")[0])
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -151,7 +151,7 @@
         sock.listen(100)
         heartbeat = Heartbeat()
         listener = Listener(sock, lambda waiting: asyncio.Protocol(), lambda: None, heartbeat)
-        assert listener.accept() is AcceptFailure.NONE_WAITS and listener.waiting_since is None
+        assert listener.accept() is AcceptFailure.NO_CONNECTION and listener.waiting_since is None
         callers = [socket.create_connection(sock.getsockname()) for _ in range(3)]
         before, came = monotonic_us(), []
         for pause in (0.0, 0.05, 0.1):
@@ -161,7 +161,7 @@
             taken.close()
             came.append(listener.came_after)
         assert before <= came[0] == came[1] == came[2], "since the first of them was taken"
-        assert listener.accept() is AcceptFailure.NONE_WAITS and listener.waiting_since is None
+        assert listener.accept() is AcceptFailure.NO_CONNECTION and listener.waiting_since is None
         for caller in callers:
             caller.close()
         await listener.close()
