--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON values off a stream: cut anywhere, laid out anyhow, broken off anywhere."""
+"""The parser of JSON streams, and watches whose lists come in any layout: cut anywhere, broken off anywhere."""
 
 import asyncio
 import json
@@ -36,7 +36,8 @@
 ]
 
 
-def read(text: bytes, cuts: list[int]) -> list:
+def parse_in_pieces(text: bytes, cuts: list[int]) -> list:
+    """The values of a text that comes in pieces."""
     parser, found, last = JsonStreamParser(), [], 0
     for cut in [*sorted({c % (len(text) + 1) for c in cuts}), len(text)]:
         found += parser.feed(text[last:cut])
@@ -52,19 +53,19 @@
     st.sampled_from(["\n", "\r\n"]),
     st.lists(st.integers(0, 999), max_size=9),
 )
-def test_values_in_any_layout_cut_anywhere_with_words_between_them(updates, layout, end, cuts):
+def test_values_in_any_layout_cut_anywhere_with_blank_lines_between_them(updates, layout, end, cuts):
     text = "".join(json.dumps(u, **layout).replace("\n", end) + end + end for u in updates)
-    found = read(text.encode(), cuts)
+    found = parse_in_pieces(text.encode(), cuts)
     assert [v for v in found if v is not BLANK_LINE] == updates
     assert found.count(BLANK_LINE) == len(updates)
 
 
 @settings(deadline=None)
 @given(UPDATES.filter(bool), st.sampled_from([{}, {"indent": 2}]), st.integers(1, 500))
-def test_a_value_broken_off_anywhere_is_known_by_the_next_word_and_costs_none_before_it(
+def test_a_value_broken_off_anywhere_is_detected_by_the_next_blank_line_and_values_before_it_are_kept(
     updates, layout, left_out
 ):
-    """Discovery breaks off in the middle and goes on with an empty line: never a list, never a part of the next."""
+    """Discovery breaks off within a value and goes on with an empty line: the part belongs to no value."""
     good, broken = updates[:-1], json.dumps(updates[-1], **layout).encode()
     text = b"".join(json.dumps(u).encode() + b"\n" for u in good)
     broken = broken[: max(1, len(broken) - left_out)]
@@ -78,12 +79,12 @@
 @pytest.mark.parametrize(
     "text", [b"no json\n", b"7\n", b'"a"\n', b"}\n", b'{"a": 1]', b"{,}\n", b"[" * 100_000 + b"]" * 100_000]
 )
-def test_what_is_no_value(text):
+def test_what_is_no_value_raises(text):
     with pytest.raises(MalformedJsonError):
         list(JsonStreamParser().feed(text))
 
 
-def test_the_end_of_the_stream_inside_a_value_and_one_without_end():
+def test_a_stream_that_ends_within_a_value_and_a_value_without_end_raise():
     parser = JsonStreamParser()
     assert list(parser.feed(b'\n{"a": [1, ')) == [BLANK_LINE] and parser.has_partial_value
     with pytest.raises(MalformedJsonError):
@@ -94,19 +95,19 @@
             assert not list(parser.feed(b'{"a":' * 13_107))
 
 
-def test_a_large_list_in_small_pieces_is_looked_at_once(monkeypatch):
+def test_a_large_list_in_small_pieces_is_scanned_once(monkeypatch):
     """Counted, not timed: the bytes that each search passes over."""
-    looked = 0
+    scanned_bytes = 0
 
     class Counting:
         def __init__(self, real) -> None:
             self.real = real
 
         def search(self, buffer, at):
-            nonlocal looked
-            m = self.real.search(buffer, at)
-            looked += (m.end() if m else len(buffer)) - at
-            return m
+            nonlocal scanned_bytes
+            match = self.real.search(buffer, at)
+            scanned_bytes += (match.end() if match else len(buffer)) - at
+            return match
 
     for name in ("NEXT_IN_STRING", "NEXT_IN_VALUE", "NEXT_BETWEEN_VALUES"):
         monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
@@ -114,27 +115,27 @@
     parser, found = JsonStreamParser(), []
     for at in range(0, len(text), 16):
         found += parser.feed(text[at : at + 16])
-    assert len(found) == 1 and looked == len(text)
+    assert len(found) == 1 and scanned_bytes == len(text)
 
 
 @pytest.mark.parametrize(
     "layout", [{}, {"indent": 2}, {"indent": 0}], ids=["a line", "indented", "no indent"]
 )
-@pytest.mark.parametrize("end", ["heard", "broken off"])
-def test_a_node_s_watch_and_whole_list_come_indented(layout, end):
-    """Every piece a write of its own. Broken off, the change is asked for again from the version before."""
+@pytest.mark.parametrize("end", ["complete", "broken off"])
+def test_a_watch_and_a_full_list_may_come_indented(layout, end):
+    """In many small writes. A change that is broken off is requested again from the version before."""
 
     async def test(w: World) -> None:
         path, watch = await w.catalog.watches.get()
         assert path.endswith(b"after=41")
-        gone = (
+        change = (
             json.dumps(update(42, entry("s0", w.origins[0].address, "terminating")), **layout).encode()
             + b"\n\n"
         )
         if end == "broken off":
-            gone = gone[:-6] + b"\n\n"
-        for at in range(0, len(gone), 7):
-            piece = gone[at : at + 7]
+            change = change[:-6] + b"\n\n"
+        for at in range(0, len(change), 7):
+            piece = change[at : at + 7]
             watch.write(b"%x\r\n%s\r\n" % (len(piece), piece))
             await watch.drain()
             await asyncio.sleep(0)
@@ -158,7 +159,7 @@
     with_node(test, servers=2)
 
 
-def test_a_list_that_dribbles_in_does_not_keep_up_a_watch(monkeypatch):
+def test_a_list_that_comes_in_single_bytes_and_never_ends_does_not_keep_a_watch_open(monkeypatch):
     monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(watch_module, "PARTIAL_UPDATE_TIMEOUT_S", 0.3)
 
@@ -175,28 +176,28 @@
     with_node(test)
 
 
-def test_changes_without_end_are_words_though_each_piece_ends_inside_one():
-    """By a clock of the test's own: half a second passes between two pieces, and half a piece is no word for ever."""
+def test_pieces_that_each_end_within_a_change_are_heartbeats_but_one_endless_change_is_not():
+    """By the test's own clock: half a second passes between two pieces."""
 
     async def test() -> None:
-        told = []
+        updates = []
         watch = SimpleNamespace(
-            update_received=lambda value, first: told.append(value), heartbeat_received=lambda: None
+            update_received=lambda value, first: updates.append(value), heartbeat_received=lambda: None
         )
-        stream = DiscoveryCall(
+        call = DiscoveryCall(
             watch, b"/", SubscriptionSchedule(DiscoveryTerms(), Random(1)), is_watch_call=True
         )
-        stream.http_parser.feed_data(STARTED)
+        call.http_parser.feed_data(STARTED)
         text = b"".join(json.dumps(update(n)).encode() + b"\n" for n in range(100, 150))
         piece, now = len(text) // 50, 0.0
         for at in range(-(piece // 2), len(text) - piece, piece):
             part = text[max(0, at) : at + piece]
-            stream.http_parser.feed_data(b"%x\r\n%s\r\n" % (len(part), part))
-            assert stream.json_parser.has_partial_value and stream.counts_as_heartbeat(now)
+            call.http_parser.feed_data(b"%x\r\n%s\r\n" % (len(part), part))
+            assert call.json_parser.has_partial_value and call.counts_as_heartbeat(now)
             now += 0.5
-        assert len(told) == 49
-        while stream.counts_as_heartbeat(now):
+        assert len(updates) == 49
+        while call.counts_as_heartbeat(now):
             now += 0.5
-        assert now > 20 and now - stream.partial_since == watch_module.PARTIAL_UPDATE_TIMEOUT_S
+        assert now > 20 and now - call.partial_since == watch_module.PARTIAL_UPDATE_TIMEOUT_S
 
     run(test())
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Nothing is sent by a list from before the process's own time: starts, waits and their bounds."""
+"""Nothing is sent by a list that discovery has not confirmed to this process: starts, waits and their bounds."""
 
 import asyncio
 from random import Random
@@ -41,7 +41,7 @@
 
 
 class Starting:
-    """A node that knows servers `a` and `b` from before and whose discovery has not answered."""
+    """A node whose configured list has servers `a` and `b`, and whose discovery has not answered."""
 
     async def begin(self, **settings: object) -> None:
         self.a, self.b = await Origin().start(), await Origin().start()
@@ -80,8 +80,8 @@
     return (await client.answer())[0]
 
 
-def test_what_comes_while_a_node_starts_waits_for_its_own_list(monkeypatch):
-    """The fault of herd days: sent by `known` in the milliseconds before the agent's first line was read."""
+def test_requests_during_a_start_wait_for_the_first_list(monkeypatch):
+    """Nothing is sent by the configured list in the milliseconds before the agent's first line is read."""
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
     async def test(s: Starting) -> None:
@@ -90,7 +90,7 @@
         for client in clients:
             client.send("/put/1", key="k")
         writer = await s.came.get()
-        await asyncio.sleep(0.1)  # a node that did not wait would have sent by now
+        await asyncio.sleep(0.1)  # time enough for a node that does not wait
         assert s.a.arrived.empty() and s.b.links == 0
         writer.write(STARTED + chunk(line(42, entry("a", s.a.address, "terminating"))))
         assert [(await c.answer())[0] for c in clients] == [200] * 2
@@ -99,7 +99,7 @@
     starting(test)
 
 
-def test_a_list_that_comes_late_costs_refusals_at_once_and_health_says_no(monkeypatch):
+def test_until_a_late_list_requests_are_refused_at_once_and_the_health_check_fails(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
 
     async def test(s: Starting) -> None:
@@ -120,7 +120,7 @@
     starting(test)
 
 
-def test_the_door_says_yes_no_sooner_than_the_node_may_send(monkeypatch):
+def test_the_admin_status_is_not_ready_before_the_node_may_send(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(admin_operations, "FIRST_LIST_WAIT_S", 0.0)
 
@@ -134,8 +134,8 @@
     starting(test)
 
 
-def test_a_start_never_waits_for_ever(monkeypatch):
-    """Discovery is down: after the longest wait the list from before will do."""
+def test_a_start_does_not_wait_for_ever(monkeypatch):
+    """Discovery is down: after the longest wait the configured list is used."""
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.2)
 
@@ -151,7 +151,7 @@
     starting(test)
 
 
-def test_a_stop_during_the_wait_is_a_stop(monkeypatch):
+def test_a_stop_during_the_wait_stops_the_node(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
     async def test(s: Starting) -> None:
@@ -161,7 +161,7 @@
     starting(test, classes=[{**SETTINGS["classes"][0], "hard_limit": 100_000}])
 
 
-def test_thirty_nodes_started_at_once_send_nothing_to_servers_that_left_before_during_and_after():
+def test_thirty_nodes_that_start_at_once_send_nothing_to_servers_that_drain_before_during_or_after():
     nodes, servers = 30, 6
 
     async def test() -> None:
@@ -213,10 +213,10 @@
     run(test())
 
 
-# ---- the machine ------------------------------------------------------------------------------------------
+# ---- the states by themselves ------------------------------------------------------------------------
 
 
-def test_the_states_of_a_list():
+def test_freshness_and_readiness_from_the_start_to_a_stale_list():
     schedule, list_readiness = SubscriptionSchedule(DiscoveryTerms(), Random(1)), ListReadiness(100.0, 6.0)
     assert list_readiness.freshness(100.0, schedule) is Freshness.NONE and not list_readiness.may_send(100.0)
     list_readiness.configured_list_loaded()
@@ -231,19 +231,19 @@
     assert list_readiness.freshness(102.5, schedule) is Freshness.CURRENT
     assert list_readiness.freshness(102.7, schedule) is Freshness.STALE
     assert list_readiness.freshness(106.2, schedule) is Freshness.PAST_LIMIT
-    assert list_readiness.may_send(106.2), "once heard, a list serves on"
+    assert list_readiness.may_send(106.2), "a confirmed list is used however old it is"
 
 
-def test_a_wait_ends_by_itself():
+def test_the_wait_ends_once_and_for_all():
     list_readiness = ListReadiness(100.0, 6.0)
     list_readiness.configured_list_loaded()
     assert not list_readiness.may_send(105.99) and list_readiness.may_send(106.0)
-    assert list_readiness.may_send(100.0), "and does not begin again"
+    assert list_readiness.may_send(100.0), "the wait does not begin again"
 
 
 @pytest.mark.parametrize("number", [0, 40, 229])
-def test_the_longest_wait_holds_a_failed_first_call_and_the_second(number):
-    """Arithmetic: a call that discovery fails after its longest time, the pause, any place, the next answer."""
+def test_a_failed_first_call_and_the_second_fit_into_the_longest_wait(number):
+    """The sum of a call that times out, the pause, any position in the round, and the next call."""
     schedule = SubscriptionSchedule(
         DiscoveryTerms(polled=True, instance_count=230, instance_index=number), Random(1)
     )
@@ -257,14 +257,14 @@
     )
     assert max_start_wait_s(DiscoveryTerms()) == MAX_PUSHED_WAIT_S
     assert max_start_wait_s(DiscoveryTerms(), replaces_process=True) < 2.0, (
-        "a new process is to say yes in time"
+        "a new process is to be ready in time"
     )
 
 
-# ---- a herd's start, on the model ---------------------------------------------------------------------------
+# ---- many nodes that start at once, on the model -----------------------------------------------------
 
 
-def herd(nodes: int, seed: int, line: float = 5.0, **more: object) -> Result:
+def start_at_once(nodes: int, seed: int, line: float = 5.0, **more: object) -> Result:
     """Seven in ten nodes start at once in the middle of a release; discovery needs `line` s to answer them all."""
     day = Day(
         nodes=nodes, seed=seed, discovery=Shape(0.7 * nodes / line), trigger="restart", part=0.7, dead=1.5,
@@ -273,29 +273,29 @@
     return Rehearsal(day).run()
 
 
-def test_at_a_herd_s_start_nobody_may_send_by_a_list_that_is_binding_old():
+def test_nodes_that_start_at_once_send_nothing_by_a_list_past_the_staleness_limit():
     for seed in range(200):
-        r = herd(230, seed, line=2.0 + seed % 5, pushed=seed % 4 == 0)
-        assert r.forbidden == 0, seed
-        assert r.ready[-1] <= 15.0 and r.recovered, seed
+        result = start_at_once(230, seed, line=2.0 + seed % 5, pushed=seed % 4 == 0)
+        assert result.forbidden == 0, seed
+        assert result.ready[-1] <= 15.0 and result.recovered, seed
 
 
 @pytest.mark.parametrize("nodes", [40, 230, 1024])
-def test_a_start_waits_for_no_longer_than_arithmetic_on_discovery_s_line_says(nodes):
-    assert herd(nodes, 1, pushed=True).ready[-1] < 0.5, "an agent's list costs no wait"
-    quick = herd(nodes, 1, line=1.5)
+def test_a_start_waits_no_longer_than_discovery_s_queue_takes(nodes):
+    assert start_at_once(nodes, 1, pushed=True).ready[-1] < 0.5, "an agent's list costs no wait"
+    quick = start_at_once(nodes, 1, line=1.5)
     assert quick.ready[-1] < 0.3 + 1.5 + 0.1, "one line"
-    slow = herd(nodes, 1, line=5.0)
+    slow = start_at_once(nodes, 1, line=5.0)
     assert slow.after_start(0.3) < 0.3 + 2.0 + 0.1 and slow.ready[-1] < MAX_POLLED_WAIT_S
-    assert herd(nodes, 1, line=60.0).ready[-1] == MAX_POLLED_WAIT_S, "and never for ever"
+    assert start_at_once(nodes, 1, line=60.0).ready[-1] == MAX_POLLED_WAIT_S, "never for ever"
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_without_the_wait_the_rehearsal_counts_what_was_sent_by_the_list_from_before(pushed, monkeypatch):
+def test_without_the_wait_the_model_counts_sends_by_the_configured_list(pushed, monkeypatch):
     monkeypatch.setattr(readiness, "MAX_POLLED_WAIT_S", 0.0)
     monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.0)
     if pushed:
         monkeypatch.setattr(
             rehearsal, "BOOT", 0.31
         )  # the start took a little longer than the settings' 250 + 50 ms
-    assert herd(230, 1, pushed=pushed).forbidden > 0
+    assert start_at_once(230, 1, pushed=pushed).forbidden > 0
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""When a server process became ready, while wall clocks are wrong or stepped: slow start must hold by real time."""
+"""When a server process became ready, while wall clocks are wrong or stepped: slow start must follow real time."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 
 
 @pytest.mark.parametrize("off", [-HOUR, -5 * SECOND, 0, 5 * SECOND, HOUR])
-def test_a_process_that_appears_is_no_older_than_the_last_list_without_it_whatever_clocks_say(off):
-    """`off`: how far this node's wall clock is ahead."""
-    found = StartTimes(WALL + off)
-    found.listing_complete(100 * SECOND)
+def test_a_new_process_is_no_older_than_the_last_list_without_it_whatever_the_wall_clocks_show(off):
+    """`off`: how far this node's wall clock is ahead, in microseconds."""
+    known_starts = StartTimes(WALL + off)
+    known_starts.listing_complete(100 * SECOND)
     started, now = (WALL + 100 * SECOND + SECOND // 2) // 1000, 101 * SECOND
-    ready_at = found.ready_at("s", started, now)
+    ready_at = known_starts.ready_at("s", started, now)
     assert 100 * SECOND <= ready_at <= now
     if off == 0:
         assert ready_at == 100 * SECOND + SECOND // 2
-    # It stays so, though lists go on, and the server drains and is recalled.
-    found.listing_complete(500 * SECOND)
-    assert found.ready_at("s", started, 501 * SECOND) == ready_at
+    # Later lists do not change it.
+    known_starts.listing_complete(500 * SECOND)
+    assert known_starts.ready_at("s", started, 501 * SECOND) == ready_at
 
 
-def test_of_the_first_list_the_wall_clock_is_all_there_is_and_nobody_starts_in_the_future():
-    found = StartTimes(WALL)
-    assert found.ready_at("warm", 0, 9 * SECOND) == LONG_AGO
-    assert found.ready_at("old", WALL // 1000 - 10**9, 9 * SECOND) == 1
-    assert found.ready_at("cold", (WALL + 8 * SECOND) // 1000, 9 * SECOND) == 8 * SECOND
-    assert found.ready_at("ahead", (WALL + HOUR) // 1000, 9 * SECOND) == 9 * SECOND
+def test_for_the_first_list_the_wall_clock_decides_and_no_process_starts_in_the_future():
+    known_starts = StartTimes(WALL)
+    assert known_starts.ready_at("warm", 0, 9 * SECOND) == LONG_AGO
+    assert known_starts.ready_at("old", WALL // 1000 - 10**9, 9 * SECOND) == 1
+    assert known_starts.ready_at("cold", (WALL + 8 * SECOND) // 1000, 9 * SECOND) == 8 * SECOND
+    assert known_starts.ready_at("ahead", (WALL + HOUR) // 1000, 9 * SECOND) == 9 * SECOND
 
 
-def test_what_is_remembered_is_bounded(monkeypatch):
+def test_remembered_starts_are_bounded(monkeypatch):
     monkeypatch.setattr(start_times, "MAX_START_TIMES", 3)
-    found = StartTimes(0)
+    known_starts = StartTimes(0)
     for i in range(50):
-        found.ready_at(f"s{i}", i + 1, SECOND)
-    assert list(found.by_name) == ["s47", "s48", "s49"]
+        known_starts.ready_at(f"s{i}", i + 1, SECOND)
+    assert list(known_starts.by_name) == ["s47", "s48", "s49"]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -59,44 +59,42 @@
     ),
     st.integers(-HOUR, HOUR),
 )
-def test_no_process_that_appears_is_ever_taken_for_older_than_it_is_by_more_than_a_step_between_lists(
-    starts, off
-):
-    """Each start: when after the last list (ms), how much later it is listed, and how far the server's clock is off."""
-    found, now = StartTimes(WALL + off), 0
+def test_no_new_process_counts_as_older_than_the_last_list_without_it(starts, off):
+    """Each start: how long after the last list, how much later it is listed (ms), and its clock's offset."""
+    known_starts, now = StartTimes(WALL + off), 0
     for i, (after, lag, server_off) in enumerate(starts):
-        found.listing_complete(now)
+        known_starts.listing_complete(now)
         listed_at = now
         began = now + after * 1000
         now = began + lag * 1000
-        ready_at = found.ready_at(f"s{i}", max(1, (WALL + began + server_off) // 1000), now)
+        ready_at = known_starts.ready_at(f"s{i}", max(1, (WALL + began + server_off) // 1000), now)
         assert listed_at <= ready_at <= now
         if off == server_off == 0:
             assert abs(ready_at - began) <= 1000
 
 
 @pytest.mark.parametrize("hours", [-1, 1])
-def test_a_server_that_joins_is_cold_from_its_sighting_on_though_wall_clocks_are_an_hour_apart(hours):
+def test_a_new_server_is_in_slow_start_from_its_first_list_on_though_wall_clocks_are_an_hour_apart(hours):
     async def test(w: World) -> None:
         watch = await w.watch()
         started = int((time.time() + hours * 3600) * 1000)
-        joins = entry("new", w.origins[1].address, startedAtMs=started)
+        new_server = entry("new", w.origins[1].address, startedAtMs=started)
         Catalog.push(watch, b"")
         await asyncio.sleep(0.05)
-        sighted = monotonic_us()
-        Catalog.push(watch, line(42, joins))
+        listed_from = monotonic_us()
+        Catalog.push(watch, line(42, new_server))
         await until(lambda: "new" in w.node.registry.numbers)
         server = w.node.registry.numbers["new"]
         (view,) = [
             v for v in w.node.dispatcher.balancer.endpoint_snapshots(monotonic_us()) if v.server == server
         ]
         assert view.slow_start_factor < 0.7, "it has just started"
-        assert sighted - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
-        # Recalled after a drain, it is the process that it was.
+        assert listed_from - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
+        # Recalled after a drain, it is still the same process.
         ready_at = w.node.registry.listed[server].ready_at
-        Catalog.push(watch, line(43, {**joins, "lifecycle": "terminating"}))
+        Catalog.push(watch, line(43, {**new_server, "lifecycle": "terminating"}))
         await until(lambda: server not in w.node.registry.listed)
-        Catalog.push(watch, line(44, joins))
+        Catalog.push(watch, line(44, new_server))
         await until(lambda: w.node.registry.numbers.get("new") in w.node.registry.listed)
         assert w.node.registry.listed[w.node.registry.numbers["new"]].ready_at == ready_at
 
