--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Lists out of order: versions, restarts of discovery and of the node, and what was decided before a drain."""
+"""Lists out of order: versions, restarts of discovery and of the node, and requests sent before a drain."""
 
 import asyncio
 import sys
@@ -45,14 +45,12 @@
         (7, 1, False, True, VersionOrder.UNUSABLE),
     ],
 )
-def test_versions_of_one_address_never_go_back_unless_discovery_began_anew(
-    newest, version, full, first, order
-):
+def test_an_older_version_is_used_only_if_discovery_has_restarted(newest, version, full, first, order):
     assert compare_versions(newest, version, full=full, first=first) is order
 
 
-def test_a_whole_list_older_than_the_change_before_it_brings_nobody_back():
-    """A call beside the watch: its answer was made before the drain and read after it."""
+def test_a_full_list_older_than_the_last_change_puts_no_server_back():
+    """A poll beside the watch: its response was made before the drain and read after it."""
 
     async def test(w: World) -> None:
         watch = await w.watch()
@@ -70,10 +68,10 @@
     with_node(test, servers=2)
 
 
-def test_a_discovery_that_began_anew_is_believed_once_it_has_settled_and_an_unknown_change_is_asked_for_whole(
+def test_a_restarted_discovery_is_used_once_it_has_settled_and_an_unknown_change_leads_to_a_full_list(
     monkeypatch,
 ):
-    """What it lists may be older than the drain that it told in its life before."""
+    """Its list may be older than the drain that it sent before the restart."""
     monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
     async def test(w: World) -> None:
@@ -99,8 +97,8 @@
     with_node(test, servers=2)
 
 
-def test_a_new_address_counts_its_versions_from_anywhere():
-    """SIGHUP to a discovery whose versions are lower: its first list is asked for whole, and is newer."""
+def test_versions_of_a_new_address_may_be_lower():
+    """The first list after a migration is a full one, and newer whatever its version."""
 
     async def test(w: World) -> None:
         watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
@@ -116,7 +114,7 @@
     with_node(test, servers=2)
 
 
-def test_a_further_attempt_never_goes_to_a_server_that_left_after_the_first():
+def test_a_retry_never_goes_to_a_server_that_drains_since_the_first_attempt():
     async def test(w: World) -> None:
         watch, client = await w.watch(), await w.client()
         client.send("/put/1", key="k")
@@ -137,8 +135,8 @@
     with_node(test, servers=2)
 
 
-def test_a_held_call_goes_by_the_list_at_its_turn():
-    """Below the first tier a call waits for a slot; the server that frees it may have left meanwhile."""
+def test_a_queued_request_is_sent_by_the_list_of_its_turn():
+    """Below the first tier a request waits for a slot; the server that frees it may drain meanwhile."""
 
     async def test(w: World) -> None:
         watch = await w.watch()
@@ -313,8 +311,8 @@
     run(body())
 
 
-def work(what) -> int:
-    """Calls of functions that it takes: the same on any machine."""
+def function_calls(action) -> int:
+    """How many function calls it takes: the same on any machine."""
     calls = 0
 
     def count(frame, event, arg) -> None:
@@ -323,23 +321,23 @@
 
     sys.setprofile(count)
     try:
-        what()
+        action()
     finally:
         sys.setprofile(None)
     return calls
 
 
-def test_a_change_among_a_thousand_servers_costs_a_node_on_a_tenth_of_a_core_next_to_nothing():
-    """250 ms of its time are 25 of a tenth of a core: some 100,000 calls on a slow one."""
+def test_a_change_among_a_thousand_servers_costs_few_function_calls():
+    """A node on a tenth of a core has 25 ms of processor time in 250 ms: some 100,000 calls on a slow machine."""
 
     async def body() -> None:
         peers = [f"127.0.0.1:{1000 + i}" for i in range(1024)]
         node = Node(config_from(config_of("127.0.0.1:1", {"group_size": 1024}, peers=peers)))
         entries = [entry(f"s{i}", f"127.0.0.1:{1000 + i}", cell=i // 8) for i in range(1024)]
-        whole = work(lambda: node.registry.apply(update(1, *entries, reset=True)))
+        full_list = function_calls(lambda: node.registry.apply(update(1, *entries, reset=True)))
         leaves = update(2, {**entries[0], "lifecycle": "terminating"})
-        change = work(lambda: node.registry.apply(leaves))
-        assert whole < 40 * 1024 and change < 2 * 1024, (whole, change)
+        change = function_calls(lambda: node.registry.apply(leaves))
+        assert full_list < 40 * 1024 and change < 2 * 1024, (full_list, change)
         assert len(node.registry.listed) == 1023
 
     run(body())
--- a/tests/test_discovery_races.py
+++ b/tests/test_discovery_races.py
@@ -1,4 +1,4 @@
-"""Lists that go quiet, move or go back while something else happens: what a node knows of in time, on real sockets."""
+"""Watches that fall silent, migrate or fall back while lists change: a node knows in time, on real sockets."""
 
 import asyncio
 
@@ -26,20 +26,20 @@
 )
 
 
-def place(address: str) -> tuple[str, int]:
+def host_and_port(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def asking_nodes(test, nodes: int = 4) -> None:
-    """So many nodes that ask for their lists, each before a discovery that the test answers by hand."""
+def with_polling_nodes(test, nodes: int = 4) -> None:
+    """Runs the test on each of some nodes that poll, each with a discovery that the test answers."""
 
     async def body() -> None:
         rows = []
-        for number in range(nodes):
+        for index in range(nodes):
             address, came = await held_calls()
             known = update(41, entry("s0", "127.0.0.1:1"), reset=True)
-            node = Node(config_from(config_of(address, asked(nodes, number), known=known)))
+            node = Node(config_from(config_of(address, asked(nodes, index), known=known)))
             rows.append((node, came, address, asyncio.create_task(node.run())))
         await asyncio.gather(*(test(*row[:3]) for row in rows))
         for row in rows:
@@ -48,19 +48,19 @@
     run(body())
 
 
-async def begun(came) -> asyncio.StreamWriter:
-    """The first call is answered: nothing has changed."""
+async def answer_first_call(came) -> asyncio.StreamWriter:
+    """Answers the first call: nothing has changed."""
     writer = await came.get()
     writer.write(STARTED + chunk(b""))
     return writer
 
 
-def test_a_watch_that_falls_silent_is_open_again_before_what_it_missed_is_binding():
-    """A quarter of the servers begins to drain right after the silence; each node's place in the round is another."""
+def test_a_silent_watch_is_reopened_before_a_missed_drain_reaches_the_staleness_limit():
+    """The drain begins right after the silence; each node has another position in the round."""
     late = []
 
     async def one(node: Node, came, address: str) -> None:
-        await begun(came)
+        await answer_first_call(came)
         await until(
             lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
         )
@@ -70,21 +70,21 @@
         await until(lambda: not node.registry.listed)
         late.append(node.loop.time() - silent_since - STALENESS_LIMIT_S)
 
-    asking_nodes(one)
+    with_polling_nodes(one)
     assert len(late) == 4 and max(late) < 0
 
 
 @pytest.mark.parametrize("how", ["refused", "503"])
-def test_what_is_listed_as_discovery_comes_back_is_known_before_it_is_binding(how):
+def test_a_drain_listed_as_discovery_comes_back_is_received_before_the_staleness_limit(how):
     late = []
 
     async def one(node: Node, came, address: str) -> None:
-        writer = await begun(came)
+        writer = await answer_first_call(came)
         await until(
             lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
         )
         writer.transport.abort()
-        for _ in range(3):  # down: each call is failed at once
+        for _ in range(3):  # discovery is down, and each call fails at once
             writer = await came.get()
             if how == "503":
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
@@ -96,22 +96,22 @@
         await until(lambda: not node.registry.listed)
         late.append(node.loop.time() - back - STALENESS_LIMIT_S)
 
-    asking_nodes(one)
+    with_polling_nodes(one)
     assert len(late) == 4 and max(late) < 0
 
 
-def test_a_move_to_a_discovery_whose_first_call_nobody_answers_keeps_to_its_four_seconds():
+def test_a_migration_whose_first_call_is_not_answered_keeps_to_the_migration_limit():
     late = []
 
     async def one(node: Node, came, address: str) -> None:
-        await begun(came)
+        await answer_first_call(came)
         await until(
             lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
         )
         other, calls = await held_calls()
         moved = node.loop.time()
-        assert node.discovery.migrate(place(other))
-        await calls.get()  # mute
+        assert node.discovery.migrate(host_and_port(other))
+        await calls.get()  # never answered
         writer = await calls.get()
         whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole))
@@ -120,15 +120,15 @@
             node.loop.time() - moved - subscription_schedule.MIGRATION_STALENESS_LIMIT_S - SEND_STOP_GRACE_S
         )
 
-    asking_nodes(one)
+    with_polling_nodes(one)
     assert len(late) == 4 and max(late) < 0
 
 
-@pytest.mark.parametrize("then", ["it hears", "it starts again", "it says that nothing is new"])
+@pytest.mark.parametrize("then", ["receives the drain", "lists a restart", "sends a heartbeat"])
 @pytest.mark.parametrize("state", ["terminating", "terminated"])
-def test_a_new_discovery_that_has_not_heard_of_a_drain_brings_nobody_back(state, then, monkeypatch):
-    """SIGHUP right after the old watch told of it; the new list was made before."""
-    if then == "it says that nothing is new":
+def test_a_lagging_new_discovery_does_not_put_a_drained_server_back(state, then, monkeypatch):
+    """The migration begins right after the old watch has sent the drain; the new list is older."""
+    if then == "sends a heartbeat":
         monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
         monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
@@ -138,7 +138,7 @@
         await until(lambda: len(w.node.registry.listed) == 1)
         other = await Catalog().start()
         other.whole = line(5, *entries, reset=True)
-        assert w.node.discovery.migrate(place(other.address))
+        assert w.node.discovery.migrate(host_and_port(other.address))
         _, watch = await other.watches.get()
         client = await w.client()
         for _ in range(6):
@@ -146,16 +146,16 @@
             (await w.origins[1].arrived.get()).answer()
             assert (await client.answer())[0] == 200
         assert w.origins[0].links == 0
-        if then == "it hears":
+        if then == "receives the drain":
             Catalog.push(watch, line(6, {**entries[0], "lifecycle": "terminating"}))
             await until(lambda: w.node.discovery.current.generation == 6)
             assert list(w.node.registry.listed) == [w.node.registry.numbers["s1"]]
             assert w.node.discovery.table.state("s0") is process_table.ProcessState.DRAINING
-        elif then == "it starts again":
+        elif then == "lists a restart":
             Catalog.push(watch, line(6, {**entries[0], "startedAtMs": 77}))
             await until(lambda: len(w.node.registry.listed) == 2)
         else:
-            # Time alone brings nobody back: the discovery is silent, and may not have heard.
+            # Time alone does not put it back: a silent discovery may still lag.
             await asyncio.sleep(0.5)
             assert len(w.node.registry.listed) == 1
             Catalog.push(watch, b"")
@@ -164,21 +164,22 @@
     with_node(test, servers=2)
 
 
-def test_a_drain_that_the_old_discovery_writes_after_the_hand_over_counts_and_its_recalls_only_undo_it():
+def test_a_drain_by_the_old_discovery_after_the_migration_counts_until_it_is_recalled_there():
     async def test(w: World) -> None:
         old, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
-        directory = w.node.registry
+        registry = w.node.registry
 
         def used() -> set[str]:
-            return {name for name, number in directory.numbers.items() if number in directory.listed}
+            return {name for name, number in registry.numbers.items() if number in registry.listed}
 
         other = await Catalog().start()
         other.whole = line(5, *entries, reset=True)
-        assert w.node.discovery.migrate(place(other.address))
+        assert w.node.discovery.migrate(host_and_port(other.address))
         _, new = await other.watches.get()
         Catalog.push(old, line(43, {**entries[0], "lifecycle": "terminating"}, entry("s9", "127.0.0.1:9")))
-        await until(lambda: used() == {"s1"})  # s9, which only the old one lists in service, is not used
-        # An old recall, replayed by the new one, does not undo it; its own drains and recalls count at once.
+        # s9, which only the old discovery lists in service, is not used.
+        await until(lambda: used() == {"s1"})
+        # A recall replayed by the new discovery does not undo it; its own drains and recalls count at once.
         Catalog.push(new, line(6, entries[0]))
         Catalog.push(new, line(7, {**entries[1], "lifecycle": "terminating"}))
         await until(lambda: not used())
@@ -188,12 +189,12 @@
         await until(lambda: used() == {"s0", "s1"})
         old.close()
         await until(lambda: not w.node.discovery.retired)
-        assert w.catalog.watches.empty(), "it is not called again"
+        assert w.catalog.watches.empty(), "the old discovery is not called again"
 
     with_node(test, servers=2)
 
 
-def test_moves_in_a_row_leave_a_bounded_number_of_old_watches_and_none_once_caught_up(monkeypatch):
+def test_migrations_in_a_row_leave_a_bounded_number_of_retired_watches_and_none_once_caught_up(monkeypatch):
     monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
     monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
@@ -203,7 +204,7 @@
         for number in range(discovery_client.MAX_RETIRED_WATCHES + 4):
             other = await Catalog().start()
             other.whole = line(5, *entries, reset=True)
-            assert w.node.discovery.migrate(place(other.address))
+            assert w.node.discovery.migrate(host_and_port(other.address))
             _, watch = await other.watches.get()
             assert len(w.node.discovery.retired) == min(number + 1, discovery_client.MAX_RETIRED_WATCHES)
         await asyncio.sleep(0.5)
@@ -214,16 +215,16 @@
     with_node(test, servers=2)
 
 
-def test_a_move_twice_and_back_while_the_first_is_coming_up_leaves_one_watch():
+def test_migrating_twice_and_back_before_the_first_watch_is_ready_leaves_one_watch():
     async def test(w: World) -> None:
         await w.watch()
         first = w.node.discovery.current
-        mute, calls = await held_calls()
+        unanswered, calls = await held_calls()
         third = await Catalog().start()
         third.whole = line(9, entry("s0", w.origins[0].address), reset=True)
-        assert w.node.discovery.migrate(place(mute))
+        assert w.node.discovery.migrate(host_and_port(unanswered))
         call = await calls.get()
-        assert w.node.discovery.migrate(place(w.catalog.address)) and w.node.discovery.pending is None
+        assert w.node.discovery.migrate(host_and_port(w.catalog.address)) and w.node.discovery.pending is None
         assert w.node.discovery.current is first
         whole = line(99, reset=True)
         call.write(
@@ -231,7 +232,8 @@
         )  # too late to count
         await turns()
         assert len(w.node.registry.listed) == 1
-        assert w.node.discovery.migrate(place(mute)) and w.node.discovery.migrate(place(third.address))
+        assert w.node.discovery.migrate(host_and_port(unanswered))
+        assert w.node.discovery.migrate(host_and_port(third.address))
         await third.watches.get()
         assert w.node.discovery.current.generation == 9 and w.node.discovery.pending is None
 
--- a/tests/test_drain_after_migration.py
+++ b/tests/test_drain_after_migration.py
@@ -1,4 +1,7 @@
-"""The incident of 2026-12: new work to servers that drain, 12 s after a node moved to another discovery (SIGHUP)."""
+"""A node process that migrates to another discovery (SIGHUP) sends nothing to servers that drain, however often.
+
+docs/incidents/2026-12-02-sends-after-move.md has the fault that this test reproduces.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 from tests.node_support import Client, Origin, config_of, entry, run, until
 
 SERVERS = 4
-LEAVING = ("s0", "s1")
-SEND_EVERY = 0.01  # seconds
+DRAINED = ("s0", "s1")
+SEND_INTERVAL_S = 0.01
 
 
 class RecordingServer(Origin):
@@ -36,7 +39,7 @@
         self.answering = asyncio.create_task(answer())
 
 
-class Fleet:
+class NodeAndServers:
     """One real node process, its servers and two discoveries; requests are sent without pause."""
 
     def __init__(self, folder: Path) -> None:
@@ -64,19 +67,19 @@
         while True:
             client.send("/put/1", key="k")
             await client.answer()
-            await asyncio.sleep(SEND_EVERY)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
-    async def move(self) -> float:
+    async def migrate(self) -> float:
         """SIGHUP to the new discovery; when it was sent."""
         self.node.path.write_text(self.node.path.read_text().replace(self.old.address, self.new.address))
         self.node.signal(signal.SIGHUP)
-        moved_at = self.loop.time()
+        migrated_at = self.loop.time()
         await until(lambda: any("moved to" in text for text in self.node.said))
-        return moved_at
+        return migrated_at
 
     def sends(self, after: float, before: float) -> list[float]:
-        """Arrivals at the servers that leave, within that span."""
-        return [t for name in LEAVING for t in self.servers[name].times if after < t < before]
+        """When requests arrived at the drained servers, within a time span."""
+        return [t for name in DRAINED for t in self.servers[name].times if after < t < before]
 
     async def end(self) -> None:
         self.sending.cancel()
@@ -84,33 +87,33 @@
 
 
 @asynccontextmanager
-async def fleet_in(folder: Path) -> AsyncIterator[Fleet]:
-    """A fleet that has started; it is ended however the test ends."""
-    fleet = Fleet(folder)
+async def running_node(folder: Path) -> AsyncIterator[NodeAndServers]:
+    """A started node with its servers, which is stopped however the test ends."""
+    world = NodeAndServers(folder)
     try:
-        await fleet.start()
-        yield fleet
+        await world.start()
+        yield world
     finally:
-        await fleet.end()
+        await world.end()
 
 
-def test_a_server_recalled_and_drained_again_gets_nothing_when_the_doubt_of_its_move_ends(tmp_path):
-    """The new discovery's list is older than the drain that the old one told; it recalls the servers, and they drain
-    again. 12 s after the move the entry of that old list was put back over the newer drain."""
+def test_a_server_recalled_and_drained_again_gets_nothing_when_the_new_discovery_has_caught_up(tmp_path):
+    """The new discovery's first list is older than the drain that the old one sent. Then it recalls the servers, and
+    they drain again: the entries of that first list must not come back over the newer drain."""
 
     async def test() -> None:
-        async with fleet_in(tmp_path) as fleet:
-            fleet.old.put(*(fleet.entry(name, "terminating") for name in LEAVING))
+        async with running_node(tmp_path) as world:
+            world.old.put(*(world.entry(name, "terminating") for name in DRAINED))
             await asyncio.sleep(SEND_STOP_GRACE_S)
-            moved_at = await fleet.move()
+            migrated_at = await world.migrate()
             await asyncio.sleep(1.0)
-            fleet.new.put(*(fleet.entry(name) for name in LEAVING))
-            await asyncio.sleep(moved_at + 8.0 - fleet.loop.time())
-            drained_at = fleet.loop.time()
-            fleet.new.put(*(fleet.entry(name, "terminating") for name in LEAVING))
-            await asyncio.sleep(moved_at + 14.0 - fleet.loop.time())
-            assert fleet.sends(moved_at, drained_at), "recalled servers are used again"
-            late = fleet.sends(drained_at + SEND_STOP_GRACE_S, fleet.loop.time())
-            assert not late, f"{len(late)} sends, the first {late[0] - moved_at:.2f} s after the move"
+            world.new.put(*(world.entry(name) for name in DRAINED))
+            await asyncio.sleep(migrated_at + 8.0 - world.loop.time())
+            drained_at = world.loop.time()
+            world.new.put(*(world.entry(name, "terminating") for name in DRAINED))
+            await asyncio.sleep(migrated_at + 14.0 - world.loop.time())
+            assert world.sends(migrated_at, drained_at), "recalled servers are used again"
+            late = world.sends(drained_at + SEND_STOP_GRACE_S, world.loop.time())
+            assert not late, f"{len(late)} sends, the first {late[0] - migrated_at:.2f} s after the migration"
 
     run(test())
