--- a/harecross/follow/attempt_log.py
+++ b/harecross/follow/attempt_log.py
@@ -131,13 +131,13 @@
         statement = transition.statement
         self.write(
             "process",
-            **{"server.id": transition.name, "server.state": transition.after.value},
+            **{"server.id": transition.server, "server.state": transition.after.value},
             before=transition.before.value,
             cause=transition.cause.value,
             said_by=statement.source.address,
             said=statement.lifecycle.value,
             generation=statement.version,
-            age=round(now - statement.at, 3),
+            age=round(now - statement.stated_at, 3),
         )
 
     def attempt_fields(self, attempt: UpstreamAttempt) -> dict[str, object]:
--- a/harecross/follow/late_sends.py
+++ b/harecross/follow/late_sends.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from harecross.discovery.subscription_schedule import BINDING, GRACE
+from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S, STALENESS_LIMIT_S
 from harecross.follow.events import Event
 from harecross.follow.logs import AttemptLogs
 from harecross.follow.requests import LoggedAttempt, LoggedRequest
@@ -43,7 +43,7 @@
     @property
     def notified_ns(self) -> int:
         """When the process that sent counts as notified."""
-        times = [max(self.listed_ns + int(BINDING * NS_PER_S), self.process_started_ns)]
+        times = [max(self.listed_ns + int(STALENESS_LIMIT_S * NS_PER_S), self.process_started_ns)]
         if self.listed_ns < self.process_started_ns:
             times.append(self.process_started_ns)
         if self.read_ns is not None:
@@ -118,14 +118,14 @@
 
 
 def late_sends(logs: AttemptLogs) -> list[LateSend]:
-    """Returns each send whose first byte came later than `GRACE` seconds after the notification, in order of time."""
+    """Returns each send whose first byte came over `SEND_STOP_GRACE_S` after its notification, in time order."""
     announcements = announcements_by_server(logs)
     starts = process_starts(logs)
     found = [
         send
         for request in logs.requests.values()
         for send in sends_to_leaving(logs, request, announcements, starts.get(request.node, []))
-        if send.delay_s > GRACE
+        if send.delay_s > SEND_STOP_GRACE_S
     ]
     return sorted(found, key=lambda send: send.written_ns)
 
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from harecross.discovery.discovery_client import DiscoveryClient
-from harecross.discovery.readiness import Freshness, ListReadiness, longest_wait
+from harecross.discovery.readiness import Freshness, ListReadiness, max_start_wait_s
 from harecross.node.options import AdditionalSources
 from harecross.platform.log import log_line
 
@@ -25,7 +25,7 @@
         self.readiness = readiness
         self.additional_sources = additional_sources
         self.first_list_received = asyncio.Event()
-        discovery.on_word = self.list_received
+        discovery.on_current_list = self.list_received
 
     def watches_platform(self) -> bool:
         """Whether the platform's watch is a source."""
@@ -33,7 +33,7 @@
 
     def has_current_list(self) -> bool:
         """Whether any source has sent its list to this process."""
-        return self.discovery.heard or self.additional_list_is_current()
+        return self.discovery.list_received or self.additional_list_is_current()
 
     def additional_list_is_current(self) -> bool:
         """Whether the list of the additional sources can be relied on."""
@@ -42,7 +42,7 @@
     def list_received(self) -> None:
         """Notes that the present list was received by this process, and not kept from an earlier one."""
         if not self.first_list_received.is_set():
-            self.readiness.told()
+            self.readiness.list_confirmed()
             self.first_list_received.set()
 
     def start(self, known_list: Any) -> None:
@@ -55,35 +55,39 @@
     def use_known_list(self, known_list: Any) -> None:
         """Uses the list of the configuration until a source sends its own."""
         try:
-            self.discovery.begin(known_list)
-            self.readiness.remembered()
+            self.discovery.use_configured_list(known_list)
+            self.readiness.configured_list_loaded()
         except ValueError as error:
             log_line(f"known: {error}")
 
     def start_watch(self, other_processes: int) -> None:
         """Opens the watch where endpoints are pushed, and sets how long a start waits for the first list."""
-        if not self.discovery.asked:
+        if not self.discovery.terms.polled:
             self.subscribe(True)
         if not self.watches_platform():
             self.list_received()  # the lists kept of the additional sources are used from the start
         elif other_processes:
-            self.readiness.until = monotonic() + longest_wait(self.discovery.terms, beside=True)
+            self.readiness.wait_until = monotonic() + max_start_wait_s(
+                self.discovery.terms, replaces_process=True
+            )
 
     def subscribe(self, on: bool) -> None:
         """Opens or closes the platform's watch (`EndpointSubscription`)."""
-        if self.watches_platform() or not on:
-            self.discovery.listen(on)
+        if not on:
+            self.discovery.unsubscribe()
+        elif self.watches_platform():
+            self.discovery.subscribe()
 
     def poll_endpoints(self) -> None:
         """Queries the sources once (`EndpointSubscription`)."""
         if self.additional_sources is None or self.additional_sources.watches:
-            self.discovery.fetch()
+            self.discovery.poll()
         else:
             self.additional_sources.again()
 
     async def stop(self) -> None:
         """Closes the watch and stops the additional sources."""
-        self.discovery.listen(False)
+        self.discovery.unsubscribe()
         if self.additional_sources is not None:
             await self.additional_sources.stop()
 
@@ -92,8 +96,8 @@
         if not self.watches_platform():
             return {}
         now = monotonic()
-        figures = self.discovery.schedule.figures(now)
-        freshness = self.readiness.word(now, self.discovery.schedule)
-        if freshness in (Freshness.NONE, Freshness.KNOWN, Freshness.STALE):
+        figures = self.discovery.schedule.report_fields(now)
+        freshness = self.readiness.freshness(now, self.discovery.schedule)
+        if freshness in (Freshness.NONE, Freshness.CONFIGURED, Freshness.STALE):
             figures[f"list_{freshness.value}"] = 1.0
         return figures
--- a/harecross/node/reload.py
+++ b/harecross/node/reload.py
@@ -25,7 +25,7 @@
     except ConfigError as error:
         log_line(f"configuration not changed: {error}")
         return
-    moves = membership.discovery.move(config.discovery)
+    moves = membership.discovery.migrate(config.discovery)
     text = "configuration read again: " + ("moving to another discovery" if moves else "discovery as before")
     pending = changed_keys(running, config)
     if pending:
@@ -55,7 +55,7 @@
     except (ConfigError, ValueError) as error:
         return f"; sources not changed: {error}"
     if additional_sources.watches and membership.discovery.current is None:
-        membership.discovery.listen(True)
+        membership.discovery.subscribe()
     elif not additional_sources.watches:
-        membership.discovery.listen(False)
+        membership.discovery.unsubscribe()
     return f"; {len(additional_sources.membership.reconciler.sources)} sources"
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -57,7 +57,7 @@
             table.watch_rank if table.watch else None,
             self.now() + FIRST_STATEMENTS_S,
         )
-        registry.resolve, registry.weighted = self.membership.resolve, True
+        registry.resolve_name, registry.uses_listed_weights = self.membership.resolve, True
         self._watch_heard_at = self.now()
         self._clients: dict[tuple[object, ...], Client] = {}
         self.dns_sources: dict[str, DnsSource] = {}
@@ -144,7 +144,7 @@
 
     # ---- the watch ----------------------------------------------------------------------------------------
 
-    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
+    def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
         """Takes a list or change of the watch. ValueError if it is none."""
         if not self.table.watch:
             return
@@ -158,9 +158,9 @@
                 log_line(f"discovery: bad entry {item!r:.200}")
         self._publish_changes()
 
-    def reached(self, good: bool) -> None:
-        """The watch has spoken, or its connection has ended."""
-        if not good or not self.table.watch:
+    def connectivity_changed(self, *, connected: bool) -> None:
+        """The watch has received data, or its connection has ended."""
+        if not connected or not self.table.watch:
             return
         self._watch_heard_at = self.now()
         stale = self.membership.reconciler.sources[WATCH].confidence == Confidence.STALE
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -121,10 +121,11 @@
         """Takes a list or change of the watch. ValueError if it is none."""
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
             raise ValueError("no list of servers")
-        self.watch_endpoints.apply(update, full or cached or bool(update.get("reset")), cached)
+        full = full or cached or bool(update.get("reset"))
+        self.watch_endpoints.apply(update, full=full, cached=cached)
         before, self.watch_lines = (
             self.watch_lines,
-            watch_lines_by_address(self.watch_endpoints.lines.values()),
+            watch_lines_by_address(self.watch_endpoints.entries.values()),
         )
         for where, line in self.watch_lines.items():
             old = before.get(where)
--- a/harecross/xds/publisher_loop.py
+++ b/harecross/xds/publisher_loop.py
@@ -147,7 +147,7 @@
             self._release.offer(name, published)
 
     def _publication(self, cluster: Cluster) -> PublishedCluster:
-        if not cluster.feed.roster.known():
+        if not cluster.feed.roster.is_publishable():
             return PublishedCluster(None)
         views, own_limit = cluster.feed.views()
         if cluster.requests_per_server is None:
--- a/harecross/xds/remembered_lists.py
+++ b/harecross/xds/remembered_lists.py
@@ -48,7 +48,7 @@
         if not self._path or not self._changed:
             return
         self._changed, self._written_at = False, asyncio.get_running_loop().time()
-        lists = {name: feed.roster.memory() for name, feed in feeds.items() if feed.roster.known()}
+        lists = {name: feed.roster.memory() for name, feed in feeds.items() if feed.roster.is_publishable()}
         try:
             temporary = Path(f"{self._path}.new")
             temporary.write_text(json.dumps(lists))
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from harecross.platform.child_process import Child, cause
+from harecross.platform.child_process import ChildProcess, describe_exit
 from harecross.settings import address
 from harecross.xds.load_report_service import SinkOfCluster
 from harecross.xds.published import PublishedCluster
@@ -46,7 +46,7 @@
 
     def __init__(self) -> None:
         self.channel: WorkerChannel | None = None
-        self.process: Child | None = None
+        self.process: ChildProcess | None = None
         self.count = StreamCount(0, 0)
 
     def close_channel(self) -> None:
@@ -117,7 +117,7 @@
         with theirs:
             number = theirs.fileno()
             command = [sys.executable, "-m", "harecross.xds.worker", str(number)]
-            worker.process = Child(command, pass_fds=(number,))
+            worker.process = ChildProcess(command, pass_fds=(number,))
         channel = worker.channel = WorkerChannel(*await asyncio.open_connection(sock=ours))
         channel.send(self._setup)
         try:
@@ -162,7 +162,7 @@
             return "did not start"
         try:
             async with asyncio.timeout(EXIT_TIMEOUT_S):
-                return cause(await worker.process.wait())
+                return describe_exit(await worker.process.wait())
         except TimeoutError:
             worker.process.kill()
             await worker.process.wait()
@@ -189,7 +189,7 @@
             task.cancel()
 
     @staticmethod
-    async def _wait_or_kill(process: Child) -> None:
+    async def _wait_or_kill(process: ChildProcess) -> None:
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
                 await process.wait()
--- a/tests/admin_support.py
+++ b/tests/admin_support.py
@@ -45,7 +45,7 @@
         node = Node(config_from(config), NodeOptions(inherited_listener=inherited, state_folder=self.folder))
         task = asyncio.create_task(node.run())
         await node.started.wait()
-        node.discovery.heard = True  # these tests' discovery speaks only where a test says so
+        node.discovery.list_received = True  # these tests' discovery speaks only where a test says so
         try:
             yield node
         finally:
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -15,13 +15,13 @@
 from support import balancer
 
 from harecross.discovery.process_table import (
-    Lifecycle,
+    DiscoverySource,
     ProcessState,
-    Source,
     Statement,
     Transition,
     TransitionCause,
 )
+from harecross.discovery.wire_format import Lifecycle
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
 from harecross.dns.srv import SrvAnswer, SrvEndpoint
@@ -200,7 +200,7 @@
 def transition(
     before: ProcessState, after: ProcessState, cause: TransitionCause, lifecycle: Lifecycle
 ) -> Transition:
-    said = Statement(lifecycle, Source("10.2.0.1:8500", 1), 97.5, 42, 1_699_999_000_000, {})
+    said = Statement(lifecycle, DiscoverySource("10.2.0.1:8500", 1), 97.5, 42, 1_699_999_000_000, {})
     return Transition("s1", before, after, cause, said)
 
 
@@ -229,7 +229,7 @@
         log.connection_closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
         log.process_changed(
             transition(
-                ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.SAID, Lifecycle.DRAINING
+                ProcessState.IN_SERVICE, ProcessState.DRAINING, TransitionCause.STATED, Lifecycle.DRAINING
             ),
             now=100.0,
         )
--- a/tests/test_admin_operations.py
+++ b/tests/test_admin_operations.py
@@ -26,7 +26,10 @@
             monkeypatch.setattr(durable_file, "sync_folder", failing)
             status, text = await tell(node, "/maintenance/exit", "s0")
             assert status == 500 and b"may undo it" in text
-            assert not node.registry.out and node.admin_operations.store.maintenance.servers == frozenset()
+            assert (
+                not node.registry.in_maintenance
+                and node.admin_operations.store.maintenance.servers == frozenset()
+            )
             monkeypatch.undo()
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
 
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -142,7 +142,7 @@
         assert list(directory.listed) == [d.server] == list(pool.processes)
         for n in range(20):
             directory.apply(update(8 + n, entry(f"e{n}", "127.0.0.1:4", zone=f"z{n}"), reset=True))
-        assert len(pool.processes) == len(directory.numbers) == len(directory.zones.others) == 1
+        assert len(pool.processes) == len(directory.numbers) == len(directory.zones.dynamic) == 1
 
     run(test())
 
@@ -150,7 +150,7 @@
 def test_the_old_discovery_counts_until_the_new_one_has_brought_a_list():
     async def test(w: World) -> None:
         watch, new = await w.watch(), await Catalog().start()
-        assert w.node.discovery.move(("127.0.0.1", 1))  # nobody there
+        assert w.node.discovery.migrate(("127.0.0.1", 1))  # nobody there
         Catalog.push(watch, line(42, entry("s0", w.origins[1].address)))
         while w.node.discovery.current.generation < 42:
             await asyncio.sleep(0)
@@ -160,7 +160,7 @@
         assert (await client.answer())[0] == 200
         host, _, port = new.address.rpartition(":")
         new.whole = line(3, entry("s0", w.origins[0].address), reset=True)
-        assert w.node.discovery.move((host, int(port)))
+        assert w.node.discovery.migrate((host, int(port)))
         assert (await new.watches.get())[0].endswith(b"after=3")
         client.send("/pay/2")
         (await w.origins[0].arrived.get()).answer()
@@ -171,8 +171,8 @@
 
 def test_a_watch_that_never_says_a_word_is_given_up_at_once_and_the_next_one_counts(monkeypatch):
     """Two silent watches in a row outlast the time after which a drain is binding."""
-    monkeypatch.setattr(subscription_schedule, "FIRST_WORD", 0.05)
-    monkeypatch.setattr(subscription_schedule, "BEAT", 4 * WAIT)
+    monkeypatch.setattr(subscription_schedule, "AGENT_RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 4 * WAIT)
 
     async def test() -> None:
         origin = await Origin().start()
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -36,11 +36,11 @@
     async def test(site: Site) -> None:
         async with site.node() as old, site.node() as new:
             await tell(old, "/maintenance/enter", "s0")
-            await until(lambda: "s0" in new.registry.out)
+            await until(lambda: "s0" in new.registry.in_maintenance)
             await tell(new, "/maintenance/exit", "s0")
-            await until(lambda: not old.registry.out)
+            await until(lambda: not old.registry.in_maintenance)
             await tell(new, "/maintenance/enter", "s1")
-            await until(lambda: "s1" in old.registry.out)
+            await until(lambda: "s1" in old.registry.in_maintenance)
 
     with_site(test, tmp_path, servers=2)
 
