--- a/tests/test_accept_filter.py
+++ b/tests/test_accept_filter.py
@@ -29,7 +29,7 @@
     return client, client.connect_ex(address)
 
 
-def test_handshakes_that_have_begun_are_taken_and_later_ones_refused_after_the_close():
+def test_handshakes_that_have_begun_are_accepted_and_later_ones_refused():
     async def test() -> None:
         loop = asyncio.get_running_loop()
         after = socket.socket()
@@ -55,7 +55,7 @@
     run(test())
 
 
-def test_the_filter_holds_for_all_who_share_the_socket_so_a_shared_one_is_never_given_it():
+def test_the_filter_applies_to_every_descriptor_of_the_socket():
     sock = listening_socket()
     other = sock.dup()
     other.setblocking(False)
@@ -68,7 +68,7 @@
         each.close()
 
 
-def test_a_filter_that_the_kernel_has_no_memory_for_is_set_a_moment_later(monkeypatch):
+def test_a_filter_without_kernel_memory_is_set_by_a_later_try(monkeypatch):
     async def test() -> None:
         failures = [OSError(errno.ENOMEM, "Cannot allocate memory")] * 3
 
--- a/tests/test_admin_operations.py
+++ b/tests/test_admin_operations.py
@@ -16,7 +16,7 @@
 from harecross.platform import durable_file
 
 
-def test_what_is_written_but_not_synced_is_in_force_and_is_said_to_be_uncertain(tmp_path, monkeypatch):
+def test_a_change_that_is_written_but_not_synced_is_applied_and_answered_with_500(tmp_path, monkeypatch):
     def failing(folder):
         raise OSError(errno.EIO, os.strerror(errno.EIO))
 
@@ -33,7 +33,7 @@
     with_site(test, tmp_path)
 
 
-def test_a_server_taken_out_gets_nothing_whatever_discovery_says(tmp_path):
+def test_a_server_in_maintenance_gets_no_request_whatever_discovery_lists(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             _, watch = await site.catalog.watches.get()
@@ -54,7 +54,7 @@
     with_site(test, tmp_path, servers=2)
 
 
-def test_a_server_put_back_is_cold_until_discovery_tells_another_start(tmp_path):
+def test_a_server_that_exits_maintenance_warms_up_as_if_just_started(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             server = node.dispatcher.balancer.servers
@@ -79,7 +79,7 @@
     with_site(test, tmp_path)
 
 
-def test_what_is_asked_wrongly_gets_a_no(tmp_path):
+def test_malformed_admin_calls_are_rejected(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             assert (await tell(node, "/maintenance/enter", "s9"))[0] == 404
@@ -97,7 +97,7 @@
     with_site(test, tmp_path)
 
 
-def test_a_server_that_discovery_drains_is_known_and_comes_back_out(tmp_path):
+def test_a_draining_server_can_enter_maintenance_and_is_in_it_when_it_returns(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             _, watch = await site.catalog.watches.get()
@@ -111,7 +111,7 @@
     with_site(test, tmp_path, servers=2)
 
 
-def test_half_calls_do_not_keep_an_operators_call_waiting(tmp_path):
+def test_incomplete_admin_calls_do_not_block_another_call(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             address = node.admin_operations.server.address
@@ -129,7 +129,7 @@
     with_site(test, tmp_path)
 
 
-def test_half_a_call_is_put_out(tmp_path, monkeypatch):
+def test_an_incomplete_admin_call_times_out(tmp_path, monkeypatch):
     monkeypatch.setattr(admin_server, "CALL_TIMEOUT_S", 0.05)
 
     async def test(site: Site) -> None:
@@ -145,7 +145,7 @@
     with_site(test, tmp_path)
 
 
-def test_what_cannot_be_written_is_not_promised(tmp_path):
+def test_a_change_that_cannot_be_written_is_answered_with_500(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             node.admin_operations.store.maintenance_path.with_suffix(".lock").mkdir()
@@ -155,7 +155,7 @@
     with_site(test, tmp_path)
 
 
-def test_a_standby_empties_the_node_and_active_fills_it_again(tmp_path, monkeypatch):
+def test_standby_sends_clients_away_and_active_accepts_them_again(tmp_path, monkeypatch):
     monkeypatch.setattr(connection_manager, "STANDBY_DRAIN_US", 100_000)
 
     async def test(site: Site) -> None:
--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -54,7 +54,9 @@
 
 @every_kind
 @pytest.mark.parametrize("path", ["goes at once", "serves on"])
-def test_a_request_that_crosses_the_end_of_a_kept_connection_at_a_stop(kind, path, monkeypatch):
+def test_a_request_that_crosses_the_close_of_an_idle_connection_at_a_shutdown_is_answered(
+    kind, path, monkeypatch
+):
     if path == "goes at once":
         monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
 
@@ -80,7 +82,7 @@
 
 
 @every_kind
-def test_a_request_that_comes_as_a_stop_closes_the_last_connections(kind):
+def test_a_request_that_comes_as_a_shutdown_closes_the_last_connections_is_answered(kind):
     """A connection that has said nothing yet is kept to the end; its first request lies in the kernel by then."""
 
     async def test(w: World) -> None:
@@ -94,7 +96,7 @@
 
 
 @every_kind
-def test_connections_that_wait_as_the_listener_closes(kind):
+def test_connections_in_the_backlog_as_the_listener_closes_are_answered(kind):
     async def test(w: World) -> None:
         for origin in w.origins:
             origin.answer_all()
@@ -115,7 +117,7 @@
 
 @every_kind
 @pytest.mark.parametrize("group", ["silent", "resting", "half a head"])
-def test_a_request_that_crosses_a_sweep(kind, group, monkeypatch):
+def test_a_request_that_crosses_a_timeout_sweep_is_answered(kind, group, monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 300_000)
@@ -158,7 +160,7 @@
 
 
 @every_kind
-def test_a_request_that_crosses_the_search_for_room(kind):
+def test_a_request_that_crosses_an_eviction_is_answered(kind):
     async def test(w: World) -> None:
         for origin in w.origins:
             origin.answer_all()
@@ -173,7 +175,7 @@
 
 @every_kind
 @pytest.mark.parametrize("what", ["a connect is pending", "a repeat is due", "its server hangs"])
-def test_a_stop_with_a_request_in_the_middle_of_it_answers_in_time(kind, what, monkeypatch):
+def test_a_shutdown_answers_a_request_that_is_in_progress(kind, what, monkeypatch):
     """Late for the kill, it is answered before it; nothing is written for it after its answer."""
     monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.0)
 
@@ -201,7 +203,7 @@
     with_node(test, settings={**QUICK, **allowing(False)})
 
 
-def test_a_caller_that_resets_while_a_stop_looks_for_it_holds_nothing_up():
+def test_a_client_that_resets_during_a_shutdown_does_not_delay_it():
     async def test(w: World) -> None:
         client = Plain(w.node.address)
         await taken(w, 1)
@@ -218,7 +220,7 @@
 
 
 @every_kind
-def test_a_first_request_that_crosses_the_sweep_of_a_standby(kind):
+def test_a_first_request_that_crosses_the_sweep_of_a_standby_is_answered(kind):
     """A silent connection is closed early by a standby, unless its request has come and is only not read yet."""
 
     async def test(w: World) -> None:
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -16,7 +16,7 @@
 
 
 @given(st.integers(16, 2000), st.lists(st.sampled_from(["caller", "server", "gone", "done"]), max_size=400))
-def test_no_side_takes_the_others_least_part_and_both_keep_within_the_whole(total, steps):
+def test_each_side_keeps_its_reserve_and_both_stay_within_the_budget(total, steps):
     budget = DescriptorBudget(total)
     for step in steps:
         if step == "caller" and budget.client_connection_fits():
@@ -47,7 +47,7 @@
     return client
 
 
-def test_half_heads_that_stay_make_room_and_slow_ones_are_served(monkeypatch):
+def test_stalled_heads_are_evicted_and_slow_ones_are_served(monkeypatch):
     monkeypatch.setattr(connection_manager, "STALLED_HEAD_US", 1_000_000)
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
@@ -81,7 +81,7 @@
     with_node(test)
 
 
-def test_a_new_connection_waits_for_a_place_and_is_served(monkeypatch):
+def test_a_new_connection_waits_for_a_descriptor_and_is_served(monkeypatch):
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
     async def test(w) -> None:
@@ -97,7 +97,7 @@
     with_node(test)
 
 
-def test_a_new_connection_does_not_wait_for_good(monkeypatch):
+def test_a_new_connection_without_a_descriptor_is_refused_after_a_while(monkeypatch):
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 30_000)
 
     async def test(w) -> None:
@@ -110,7 +110,7 @@
     with_node(test)
 
 
-def test_a_call_takes_the_place_of_a_caller_that_rests():
+def test_an_upstream_connection_evicts_an_idle_client_connection():
     async def test(w) -> None:
         w.origins[0].answer_all()
         resting = [await w.client() for _ in range(6)]
@@ -125,7 +125,7 @@
     with_node(test)
 
 
-def test_one_new_connection_puts_out_one_caller_that_rests():
+def test_one_new_connection_evicts_one_idle_connection():
     async def test(w) -> None:
         resting = [await w.client() for _ in range(6)]
         for client in resting:
--- a/tests/test_handover_store.py
+++ b/tests/test_handover_store.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_a_store_outlives_its_process_and_two_do_not_undo_each_other(tmp_path):
+def test_two_stores_of_one_node_do_not_undo_each_others_changes(tmp_path):
     one, two = HandoverStore(str(tmp_path), "n/0"), HandoverStore(str(tmp_path), "n/0")
     one.update(lambda held: held.with_server("a"))
     two.update(lambda held: held.with_server("b").with_standby(standby=True))
@@ -27,7 +27,7 @@
     assert HandoverStore(str(tmp_path), "other").refresh() is False
 
 
-def test_a_spoilt_file_changes_nothing(tmp_path, capfd):
+def test_a_malformed_maintenance_file_changes_nothing(tmp_path, capfd):
     store = HandoverStore(str(tmp_path), "n0")
     store.update(lambda held: held.with_server("a"))
     assert store.maintenance_path is not None
@@ -38,7 +38,7 @@
     assert capfd.readouterr().err.count("cannot be read") == 4
 
 
-def test_a_lock_tells_who_lives_and_a_killed_process_does_not(tmp_path):
+def test_process_locks_count_live_processes_and_a_killed_one_is_cleared_away(tmp_path):
     script = (
         "import sys, time; from harecross.node.handover_store import HandoverStore; "
         "s = HandoverStore(sys.argv[1], 'n0'); s.acquire_process_lock(); print('lives', flush=True); time.sleep(60)"
@@ -65,9 +65,7 @@
 
 @pytest.mark.parametrize("call", ["write", "fsync", "replace"])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
-def test_a_change_that_cannot_be_written_is_not_promised_and_leaves_the_old_state(
-    call, error, tmp_path, monkeypatch
-):
+def test_an_update_that_cannot_be_written_raises_and_leaves_the_old_state(call, error, tmp_path, monkeypatch):
     store = HandoverStore(str(tmp_path), "n0")
     store.update(lambda held: held.with_server("a"))
     written = []
@@ -91,7 +89,7 @@
     assert after.refresh() and after.maintenance.servers == {"a", "b"}
 
 
-def test_a_kill_at_any_step_of_a_change_leaves_the_old_state_or_the_new_one(tmp_path):
+def test_a_kill_at_any_step_of_an_update_leaves_the_old_state_or_the_new_one(tmp_path):
     """The process is killed in the write, before the sync, before and after the new name."""
     script = (
         "import os, signal, sys\n"
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("place", list(places(base())), ids=lambda p: ".".join(map(str, p)))
-def test_every_key_with_every_odd_value_is_a_configuration_or_one_line(place):
+def test_any_value_under_any_key_is_a_configuration_or_an_error_of_one_line(place):
     for odd in ODD:
         config = base()
         holder: Any = config
@@ -43,7 +43,7 @@
             assert str(e) and "\n" not in str(e)
 
 
-def test_keys_never_heard_of_are_ignored():
+def test_unknown_keys_are_ignored():
     config = base()
     config["more"] = config["settings"]["more"] = config["settings"]["rules"]["more"] = {"a": [1]}
     assert config_from(config).settings == config_from(base()).settings
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -175,7 +175,7 @@
         assert w.most_out == min(batch, 4), "four of eight stay in use"
 
 
-def test_whatever_fails_nothing_stays_out_unnamed_and_nothing_is_restarted_under_work():
+def test_with_faults_every_server_that_stays_out_is_named_and_none_is_restarted_with_requests_in_flight():
     ends, seen = Counter(), Counter()
     for seed in range(600):
         rng = Random(seed)
@@ -203,7 +203,7 @@
     assert len(seen) == 10 and min(seen.values()) > 2, f"every fault was met: {seen}"
 
 
-def test_nothing_is_done_where_a_server_is_unknown_or_out_or_too_few_would_stay():
+def test_a_release_does_nothing_if_a_server_is_unknown_or_out_or_too_few_would_stay():
     for name, keep, out, why in (
         ("nobody", 0.5, "", "no such server"),
         ("s0", 0.5, "s0", "not in use but out"),
@@ -279,7 +279,7 @@
     run(body())
 
 
-def test_servers_are_taken_out_at_every_node_followed_until_empty_and_put_back():
+def test_the_command_takes_servers_out_at_every_node_waits_until_drained_and_puts_them_back():
     async def test(site: Site) -> None:
         from node_support import Client
 
@@ -324,7 +324,7 @@
     with_site(test)
 
 
-def test_a_release_restarts_each_server_out_of_use_everywhere_and_ends_at_a_failed_one(tmp_path):
+def test_the_release_command_restarts_each_server_and_ends_at_a_failed_restart(tmp_path):
     async def test(site: Site) -> None:
         log = tmp_path / "log"
         restart = f'echo $HARECROSS_SERVER >> {log}; test "$HARECROSS_SERVER" != s2'
--- a/tests/test_shutdown_schedule.py
+++ b/tests/test_shutdown_schedule.py
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("longest", [0.01, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 3.0, 10.0])
 @pytest.mark.parametrize("usual", [0.0, 0.01, 0.1, 0.5, 2.0, 5.0])
-def test_the_times_of_a_stop_come_in_their_order_before_the_kill(longest, usual):
+def test_the_times_of_a_shutdown_are_in_order_and_before_sigkill(longest, usual):
     times = shutdown_schedule(longest, usual)
     assert 0 <= times.drain_connections_s < times.close_listener_s < times.deadline_s
     assert times.close_listener_s > CONNECTIONS_COME
@@ -21,6 +21,6 @@
     assert times.deadline_s <= min(longest, 3.0) + KILL_AFTER - SCHEDULING
 
 
-def test_clients_whose_idle_connections_are_closed_find_the_listener_open_when_they_come_back():
+def test_the_listener_stays_open_after_idle_connections_are_closed():
     times = shutdown_schedule(1.0, 0.1)
     assert times.close_listener_s - times.drain_connections_s >= 0.05 - 1e-9
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_what_is_held_out_outlives_the_process(tmp_path):
+def test_maintenance_state_outlives_the_process(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             await tell(node, "/maintenance/enter", "s0")
@@ -32,7 +32,7 @@
     with_site(test, tmp_path, servers=2)
 
 
-def test_what_one_process_is_told_the_other_follows(tmp_path):
+def test_maintenance_calls_to_one_process_are_applied_by_the_other(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as old, site.node() as new:
             await tell(old, "/maintenance/enter", "s0")
@@ -45,7 +45,7 @@
     with_site(test, tmp_path, servers=2)
 
 
-def test_two_processes_share_the_bounds_of_one(tmp_path):
+def test_two_processes_divide_the_descriptors_of_one_node(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as old:
             whole = old.descriptor_budget.total
@@ -57,7 +57,7 @@
     with_site(test, tmp_path)
 
 
-def test_a_process_that_hands_over_loses_nothing_and_takes_nothing_more(tmp_path):
+def test_a_process_that_hands_over_answers_its_requests_and_accepts_no_more(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as old:
             kept, busy = await site.client(), await site.client()
@@ -88,7 +88,7 @@
     with_site(test, tmp_path)
 
 
-def test_with_nobody_to_hand_over_to_the_process_serves_on(tmp_path):
+def test_a_process_without_a_successor_serves_while_it_shuts_down(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
             node.stop_requested.set()
@@ -115,7 +115,7 @@
         assert heard, "ended"
 
 
-def test_an_inherited_socket_takes_connections_after_a_process_that_served_alone_has_stopped(tmp_path):
+def test_an_inherited_socket_accepts_connections_after_the_only_process_has_stopped(tmp_path):
     """Whoever gave the socket may start the next process on it later."""
 
     async def test(site: Site) -> None:
@@ -137,7 +137,7 @@
     with_site(test, tmp_path)
 
 
-def test_a_program_replaces_another_on_one_socket(tmp_path):
+def test_a_process_replaces_another_on_one_listening_socket(tmp_path):
     async def test(site: Site) -> None:
         fd = site.sock.fileno()
         site.origins[0].answer_all()
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("text", ["nine", "9999", "0"])
-def test_a_descriptor_that_is_no_listening_socket_ends_the_program(tmp_path, text):
+def test_an_inherited_descriptor_that_is_no_listening_socket_ends_the_process(tmp_path, text):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_of("127.0.0.1:1")))
     env = {**os.environ, "LB_CONFIG": str(path), "LB_INHERITED_FD": text}
