--- a/harecross/node/options.py
+++ b/harecross/node/options.py
@@ -25,7 +25,7 @@
 
 
 class AdditionalSources(EndpointListConsumer, Protocol):
-    """Sources of membership beside the platform's watch, which may be one of them (`sources.run.Sources`)."""
+    """Sources of membership beside the platform's watch, which may be one of them (`sources.manager.SourceManager`)."""
 
     @property
     def watches(self) -> bool:
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -23,18 +23,19 @@
     TransitionCause,
 )
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
-from harecross.dispatch.dispatcher import DispatchedRequest, UpstreamAttempt
-from harecross.dns.srv import Endpoint as SrvEndpoint
-from harecross.dns.srv import Found
-from harecross.follow.attempts import AttemptLog
+from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
+from harecross.dns.srv import SrvAnswer, SrvEndpoint
+from harecross.follow.attempt_log import AttemptLog
 from harecross.http.request_parser import ParsedRequest
 from harecross.interface import Endpoint, EndpointUpdateKind, FinalReason, Outcome
 from harecross.node.handover_store import HandoverStore as NodeStore
 from harecross.policy.balancer import Balancer
 from harecross.policy.learned_state import export_learned_state
 from harecross.shifts.controller import Controller
-from harecross.shifts.judge import Try
+from harecross.shifts.eprocess import PoolCounts
+from harecross.shifts.judge import FirstAttempt
 from harecross.shifts.plan import read_plan
+from harecross.shifts.shift import Order
 from harecross.soak import __main__ as soak_main
 from harecross.soak.oracle import Breach, Oracle
 from harecross.soak.plan import Plan
@@ -49,12 +50,11 @@
     SignalRecord,
     ToldRecord,
 )
-from harecross.sources.keep import Kept
-from harecross.sources.keep import write as write_kept
+from harecross.sources.cache_file import CachedSet, write_cache_file
 from harecross.store.store import Store
-from harecross.upstream.exchange import ServerProcess
+from harecross.upstream.connection import ServerProcess
 from harecross.xds.config import ClusterTable, ControlFile, ControlTable
-from harecross.xds.service import Service
+from harecross.xds.service import ControlService
 
 ROOT = Path(__file__).parent.parent
 WALL = 1_700_000_000.0  # Unix seconds: the time of the first thing in each file
@@ -69,15 +69,15 @@
 def write_store(path: Path, keep: int | None = None) -> None:
     """Documents of two kinds with their records, and leases; compacted to `keep` records where that is given."""
     store = Store(str(path))
-    first = store.lease("shift/orders", "controller-a", WALL, 10.0)
+    first = store.acquire_lease("shift/orders", "controller-a", WALL, 10.0)
     assert first is not None
     store.put("shift", "orders", {"state": "running", "step": 0}, WALL + 1, [{"why": "started"}], first)
     store.put(
         "shift", "orders", {"state": "running", "step": 1}, WALL + 2, [{"why": "one"}, {"why": "two"}], first
     )
     store.put("note", "café", {"text": "naïve", "figures": [1, 2.5, None, True]}, WALL + 3.25)
-    store.lease("shift/orders", "controller-b", WALL + 20, 10.0)
-    store.lease("shift/meters", "controller-a", WALL + 21, 30.5)
+    store.acquire_lease("shift/orders", "controller-b", WALL + 20, 10.0)
+    store.acquire_lease("shift/meters", "controller-a", WALL + 21, 30.5)
     if keep is not None:
         store.compact(keep)
     store.close()
@@ -88,22 +88,22 @@
 
 def shift_controller(store: Store, holder: str = "controller-a") -> Controller:
     plan = read_plan(ROOT / "deploy" / "shift.toml")
-    return Controller(plan, ("read",), store, holder, lambda token, share: None, 0.0)
+    return Controller(plan, ("read",), store, holder, lambda fencing_token, share: None, 0.0)
 
 
 def write_shift(path: Path) -> None:
     """A shift that was started, saw some harm, was paused by an operator and resumed."""
     store = Store(str(path))
     controller = shift_controller(store)
-    controller.order(0.0, WALL, "start")
+    controller.order(0.0, WALL, Order.START)
     for second in range(1, 5):
-        tries = [
-            Try(unit, "read", unit >= 20, 0.05, failed=unit == 20 + second, late=unit == second)
+        attempts = [
+            FirstAttempt(unit, "read", unit >= 20, 0.05, failed=unit == 20 + second, late=unit == second)
             for unit in range(30)
         ]
-        controller.step(float(second), WALL + second, tries, (5, 5), 0)
-    controller.order(5.0, WALL + 5, "pause")
-    controller.order(6.0, WALL + 6, "resume")
+        controller.close_window(float(second), WALL + second, attempts, PoolCounts(5, 5), 0)
+    controller.order(5.0, WALL + 5, Order.PAUSE)
+    controller.order(6.0, WALL + 6, Order.RESUME)
     store.close()
 
 
@@ -149,8 +149,8 @@
 # ---- kept DNS sets --------------------------------------------------------------------------------------
 
 KEPT_SETS = {
-    "_readings._tcp.site3.example.org": Kept(
-        Found(
+    "_readings._tcp.site3.example.org": CachedSet(
+        SrvAnswer(
             (
                 SrvEndpoint(0, "a.site3.example.org", "10.3.0.1", 8081, 10),
                 SrvEndpoint(1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
@@ -160,12 +160,12 @@
         WALL,
         WALL + 30.5,
     ),
-    "_empty._tcp.example.org": Kept(Found((), 60.0), WALL + 1, WALL + 61),
+    "_empty._tcp.example.org": CachedSet(SrvAnswer((), 60.0), WALL + 1, WALL + 61),
 }
 
 
 def write_kept_sets(path: Path) -> None:
-    write_kept(str(path), KEPT_SETS)
+    write_cache_file(str(path), KEPT_SETS)
 
 
 # ---- an attempt log -------------------------------------------------------------------------------------
@@ -225,7 +225,7 @@
         log.attempt_sent(kept)
         log.attempt_written(kept, fresh=False, whole=True)
         log.attempt_ended(kept, Outcome.OK, [0.5, 3.0])
-        log.request_answered(good, "served")
+        log.request_answered(good, FinalAnswer.SERVED)
         log.connection_closed(ClosedConnection("client", "", CloseReason.LAST_RESPONSE))
         log.process_changed(
             transition(
@@ -246,7 +246,7 @@
         log.attempt_written(second, fresh=True, whole=True)
         log.connection_closed(ClosedConnection("server", "10.2.0.1:8081", CloseReason.ABANDONED, "late-1"))
         log.attempt_ended(second, Outcome.TIMEOUT, [])
-        log.request_answered(late, "failed", FinalReason.MAY_HAVE_RUN)
+        log.request_answered(late, FinalAnswer.FAILED, FinalReason.MAY_HAVE_RUN)
         unknown = attempt(late, 2, 9)  # a server that no list names any more, and with no address
         unknown.process = None
         unknown.dispatcher = NoServers()  # type: ignore[assignment]
@@ -280,14 +280,14 @@
 }
 
 
-def control_service(path: Path) -> Service:
+def control_service(path: Path) -> ControlService:
     """A control service that remembers its lists in the file. Its one discovery is not there."""
     table = ControlTable(remember=str(path))
-    return Service(path, ControlFile({"orders": ClusterTable(discovery="127.0.0.1:1")}, table))
+    return ControlService(path, ControlFile({"orders": ClusterTable(discovery="127.0.0.1:1")}, table))
 
 
-async def stop_control(service: Service) -> None:
-    for feed in service.press.feeds.values():
+async def stop_control(service: ControlService) -> None:
+    for feed in service.publisher_loop.feeds.values():
         feed.close()
     await asyncio.sleep(0)
 
@@ -295,9 +295,10 @@
 def write_control_lists(path: Path) -> None:
     async def body() -> None:
         service = control_service(path)
-        service.begin("orders")
-        service.press.feeds["orders"].heard(CONTROL_LIST, True, False)
-        service.remember(True)
+        service.start_cluster("orders")
+        feeds = service.publisher_loop.feeds
+        feeds["orders"].endpoints_updated(CONTROL_LIST, True, False)
+        service.remembered_lists.save(feeds)
         await stop_control(service)
 
     asyncio.run(body())
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -18,9 +18,9 @@
 from harecross.node.config import config_from
 from harecross.node.node import Node
 from harecross.node.options import NodeOptions
-from harecross.sources import keep
-from harecross.sources.config import File, SourcesTable, Srv, check
-from harecross.sources.run import Sources
+from harecross.sources.cache_file import CachedSet, read_cache_file, write_cache_file
+from harecross.sources.config import AddressFileConfig, SourcesTable, SrvConfig, check
+from harecross.sources.manager import SourceManager
 from harecross.standins import dns as standin
 from harecross.standins.cluster import with_parent
 from harecross.standins.discovery import Catalog
@@ -87,7 +87,9 @@
     async def serve(self, table: SourcesTable, **more) -> Node:
         check(table)
         config = config_of(self.catalog.address, admin="127.0.0.1:0", **more)
-        self.node = Node(config_from(config), NodeOptions(additional_sources=lambda d: Sources(table, d)))
+        self.node = Node(
+            config_from(config), NodeOptions(additional_sources=lambda d: SourceManager(table, d))
+        )
         self.task = asyncio.create_task(self.node.run())
         ready = asyncio.create_task(self.node.started.wait())
         await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
@@ -131,7 +133,13 @@
 def table(s: Site, **more) -> SourcesTable:
     srv = more.pop("srv", {})
     told = {"resolvers": (s.dns.address,), "step_s": 1.0, "watch_stale_s": 1.0, **more}
-    return SourcesTable(srv=(Srv(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **told)
+    return SourcesTable(srv=(SrvConfig(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **told)
+
+
+def refreshing(node: Node) -> bool:
+    """Whether a DNS query is in progress."""
+    sources = node.membership.additional_sources.dns_sources.values()
+    return any(source.cached_name.refreshing for source in sources)
 
 
 class Load:
@@ -278,13 +286,14 @@
             s.srv(0, 1)
             await s.serve(table(s, keep=path, watch=False))
             await until(lambda: s.up() == {0, 1})
-        assert len(keep.read(path)[NAME].found.endpoints) == 2
+        assert len(read_cache_file(path)[NAME].answer.endpoints) == 2
         async with site(2) as s:
-            sets = keep.read(path)
+            sets = read_cache_file(path)
             moved = [e.__class__(e.priority, e.target, e.address, int(s.boxes[i].port), e.weight)
-                     for i, e in enumerate(sets[NAME].found.endpoints)]  # fmt: skip
-            kept = keep.Kept(sets[NAME].found.__class__(tuple(moved), 1.0), sets[NAME].at, sets[NAME].until)
-            keep.write(path, {NAME: kept})
+                     for i, e in enumerate(sets[NAME].answer.endpoints)]  # fmt: skip
+            answer = sets[NAME].answer.__class__(tuple(moved), 1.0)
+            cached = CachedSet(answer, sets[NAME].answered_at, sets[NAME].expires_at)
+            write_cache_file(path, {NAME: cached})
             s.dns.faults = [standin.silent]
             node = await s.serve(table(s, keep=path, watch=False))
             await until(lambda: s.up() == {0, 1})
@@ -313,16 +322,26 @@
             await until(lambda: s.up() == {0, 1})
             file.write_text(f"{s.boxes[1].address}\n{s.boxes[2].address} weight=2\n")
             s.dns.delay = 0.3
-            await until(lambda: any(a.name.asking for a in node.membership.additional_sources.asked.values()))
-            both = table(s, watch=False, file=(File(str(file)),))
-            node.membership.additional_sources.put(both)
+            await until(
+                lambda: any(
+                    s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
+                )
+            )
+            both = table(s, watch=False, file=(AddressFileConfig(str(file)),))
+            node.membership.additional_sources.configure(both)
             await until(lambda: s.up() == {0, 1, 2})
-            await until(lambda: any(a.name.asking for a in node.membership.additional_sources.asked.values()))
-            node.membership.additional_sources.put(SourcesTable(file=both.file, watch=False, step_s=1.0))
+            await until(
+                lambda: any(
+                    s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
+                )
+            )
+            node.membership.additional_sources.configure(
+                SourcesTable(file=both.file, watch=False, step_s=1.0)
+            )
             await until(lambda: s.up() == {1, 2})
             # A file that is spoilt is stale, and one that is whole again counts.
             file.write_text(f"{s.boxes[2].address} weigth=2\n")
-            await until(lambda: node.membership.additional_sources.files[f"file:{file}"].why)
+            await until(lambda: node.membership.additional_sources.file_sources[f"file:{file}"].problem)
             assert s.up() == {1, 2}
             file.write_text(f"{s.boxes[2].address}\n")
             await until(lambda: s.up() == {2})
@@ -418,7 +437,7 @@
     grpc = pytest.importorskip("grpc")
     from harecross.standins.xds import DRAINING, XdsProxy
     from harecross.xds.config import read_control
-    from harecross.xds.service import Service
+    from harecross.xds.service import ControlService
 
     async def test() -> None:
         async with site(4) as s:
@@ -435,10 +454,10 @@
                 path.write_text(f'{start}srv = {json.dumps(names)}\nresolvers = ["{s.dns.address}"]\n{probe}')
 
             write(NAME)
-            service = Service(path, read_control(path))
+            service = ControlService(path, read_control(path))
             task = asyncio.create_task(service.run())
             await service.ready.wait()
-            channel = grpc.aio.insecure_channel(f"127.0.0.1:{service.control.port}")
+            channel = grpc.aio.insecure_channel(f"127.0.0.1:{service.server.port}")
             proxy = XdsProxy(channel).start()
 
             def has(*which: int):
@@ -462,7 +481,7 @@
             path.write_text(f'{start}srv = "a..b"\nresolvers = ["{s.dns.address}"]\n')
             service.reload()
             await asyncio.sleep(0)
-            assert set(service.press.feeds) == {"readings"}
+            assert set(service.publisher_loop.feeds) == {"readings"}
             await proxy.stop()
             await channel.close()
             service.stop.set()
