--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -93,7 +93,7 @@
     node_name: str, target: str, dispatcher: RequestDispatcher, registry: EndpointRegistry
 ) -> None:
     """Has the dispatcher write its attempts to a file, or to standard error for "-"."""
-    from harecross.follow.attempts import AttemptLog
+    from harecross.follow.attempt_log import AttemptLog
 
     try:
         dispatcher.tracer = AttemptLog(node_name, target, registry.numbers)
@@ -113,7 +113,7 @@
     readiness = ListReadiness(monotonic(), longest_wait(discovery.terms))
     dispatcher.readiness = readiness
     membership = Membership(discovery, readiness, sources)
-    dispatcher.on_watch, dispatcher.on_fetch = membership.set_watch, membership.poll
+    dispatcher.subscription = membership
     return membership
 
 
