--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -56,7 +56,7 @@
     return "\n".join(parts)
 
 
-class Place:
+class ControlSite:
     """Catalogs, servers and one service in this process."""
 
     def __init__(self, folder: Path) -> None:
@@ -104,12 +104,12 @@
 
 
 @asynccontextmanager
-async def place(folder: Path):
-    p = Place(folder)
+async def control_site(folder: Path):
+    site = ControlSite(folder)
     try:
-        yield p
+        yield site
     finally:
-        await p.close()
+        await site.close()
 
 
 def health(proxy: XdsProxy, cluster: str = "orders") -> dict[str, int]:
@@ -118,17 +118,17 @@
 
 def test_a_drain_reaches_the_proxy_in_time_and_a_server_that_goes_leaves_the_list(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders")
-            await p.serve()
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: health(x) == {"orders0": 1, "orders1": 1, "orders2": 1})
-            told = asyncio.get_running_loop().time()
-            catalog.put(entry("orders1", p.servers["orders1"].address, "terminating"))
-            await proxy.until(lambda x: health(x).get("orders1") == DRAINING)
-            assert proxy.told_at("orders", "orders1", DRAINING) - told < DRAIN_GRACE
-            catalog.put(entry("orders1", p.servers["orders1"].address, "terminated"))
-            await proxy.until(lambda x: set(health(x)) == {"orders0", "orders2"})
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders")
+            await site.serve()
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: health(proxy) == {"orders0": 1, "orders1": 1, "orders2": 1})
+            changed_at = asyncio.get_running_loop().time()
+            catalog.put(entry("orders1", site.servers["orders1"].address, "terminating"))
+            await proxy.until(lambda proxy: health(proxy).get("orders1") == DRAINING)
+            assert proxy.told_at("orders", "orders1", DRAINING) - changed_at < DRAIN_GRACE
+            catalog.put(entry("orders1", site.servers["orders1"].address, "terminated"))
+            await proxy.until(lambda proxy: set(health(proxy)) == {"orders0", "orders2"})
             await proxy.stop()
 
     run(body())
@@ -137,23 +137,23 @@
 @pytest.mark.parametrize("kind", ["http", "tcp"])
 def test_a_server_that_stops_answering_probes_is_ejected_and_comes_back(tmp_path, kind):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders", 5)
-            await p.serve(probe=kind)
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 5)
-            server = p.servers["orders0"]
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders", 5)
+            await site.serve(probe=kind)
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 5)
+            server = site.servers["orders0"]
             if kind == "http":
                 server.hung = True
             else:
                 server.stop()
-            await proxy.until(lambda x: health(x)["orders0"] == UNHEALTHY)
+            await proxy.until(lambda proxy: health(proxy)["orders0"] == UNHEALTHY)
             assert sorted(health(proxy).values()) == [1, 1, 1, 1, UNHEALTHY]
             if kind == "http":
                 server.hung = False
             else:
                 await server.start(port=int(server.address.rpartition(":")[2]))
-            await proxy.until(lambda x: health(x)["orders0"] == 1)
+            await proxy.until(lambda proxy: health(proxy)["orders0"] == 1)
             await proxy.stop()
 
     run(body())
@@ -161,16 +161,16 @@
 
 def test_discovery_that_lists_almost_nothing_is_not_believed_at_once(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders", 6)
-            await p.serve()
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 6)
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders", 6)
+            await site.serve()
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 6)
             gone = [e for n, e in catalog.instances.items() if n != "orders0"]
             catalog.put(*({**e, "lifecycle": "terminated"} for e in gone))
             # What comes after it is believed, and shows that the service has read the short list.
-            catalog.put(entry("orders0", p.servers["orders0"].address, "terminating"))
-            await proxy.until(lambda x: health(x)["orders0"] == DRAINING)
+            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
+            await proxy.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
             assert len(health(proxy)) == 6
             await proxy.stop()
 
@@ -179,18 +179,18 @@
 
 def test_discovery_silent_at_the_start_the_remembered_list_is_served_as_old(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders")
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders")
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 0.3'
-            await p.serve(control=memory)
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 3)
+            await site.serve(control=memory)
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
-            await p.leave()
+            await site.leave()
             await catalog.stop()
-            service = await p.serve(control=memory)
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 3)
+            service = await site.serve(control=memory)
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 3)
             roster = service.publisher_loop.feeds["orders"].roster
             assert roster.remembered and not roster.whole
             await proxy.stop()
@@ -201,25 +201,25 @@
 @pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
 def test_a_service_that_knows_no_list_takes_nothing_from_a_proxy(tmp_path, delta):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders")
-            await p.serve(control="wait_s = 0.2")
-            proxy = XdsProxy(p.channel, delta=delta).start()
-            await proxy.until(lambda x: len(health(x)) == 3)
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders")
+            await site.serve(control="wait_s = 0.2")
+            proxy = XdsProxy(site.channel, delta=delta).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
             held = (
                 {t: dict(h) for t, h in proxy.held.items()},
                 {t: dict(v) for t, v in proxy.versions.items()},
             )
-            await p.leave()
+            await site.leave()
             await catalog.stop()
-            await p.serve(control="wait_s = 0.2")
-            again = XdsProxy(p.channel, delta=delta)
+            await site.serve(control="wait_s = 0.2")
+            again = XdsProxy(site.channel, delta=delta)
             again.held, again.versions = held
             again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
             again.start()
-            await again.until(lambda x: x.streams >= 1)
-            while not any(ASSIGNMENT in s.stream.types for s in p.service.server.proxies):
+            await again.until(lambda proxy: proxy.streams >= 1)
+            while not any(ASSIGNMENT in s.stream.types for s in site.service.server.proxies):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
             assert len(health(again)) == 3 and set(again.held[CLUSTER]) == {"orders"}
@@ -236,41 +236,43 @@
 async def process(path: Path) -> tuple[subprocess.Popen, int]:
     """The service in a process of its own, and its port."""
     started = subprocess.Popen([sys.executable, "-c", SERVE, str(path)], stderr=subprocess.PIPE)
-    while b"listening on port" not in (said := await asyncio.to_thread(started.stderr.readline)):
-        assert said, f"the service {cause(started.wait())}"
-    return started, int(said.split(b"port ")[1].split(b",")[0])
+    while b"listening on port" not in (output := await asyncio.to_thread(started.stderr.readline)):
+        assert output, f"the service {cause(started.wait())}"
+    return started, int(output.split(b"port ")[1].split(b",")[0])
 
 
 @pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
 def test_killed_and_restarted_while_the_list_changes_no_proxy_sees_an_empty_cluster(tmp_path, delta):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders", 6)
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders", 6)
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 2'
             # The port is free between two services: on a host of its own nobody else is given it meanwhile.
             host = f"127.78.{os.getpid() >> 8 & 0xFF}.{os.getpid() & 0xFF or 1}"
-            p.path.write_text(text_of(p.catalogs, control=memory).replace("127.0.0.1:0", f"{host}:0"))
-            service, port = await process(p.path)
-            p.path.write_text(p.path.read_text().replace(f"{host}:0", f"{host}:{port}"))
+            site.path.write_text(text_of(site.catalogs, control=memory).replace("127.0.0.1:0", f"{host}:0"))
+            service, port = await process(site.path)
+            site.path.write_text(site.path.read_text().replace(f"{host}:0", f"{host}:{port}"))
             async with grpc.aio.insecure_channel(f"{host}:{port}") as channel:
                 proxy = XdsProxy(channel, delta=delta)
                 seen: list[int] = []
-                proxy.on_response = lambda x, t, names: seen.append(
-                    len(health(x)) if "orders" in x.held[ASSIGNMENT] and "orders" in x.held[CLUSTER] else -1
+                proxy.on_response = lambda proxy, t, names: seen.append(
+                    len(health(proxy))
+                    if "orders" in proxy.held[ASSIGNMENT] and "orders" in proxy.held[CLUSTER]
+                    else -1
                 )
                 proxy.start()
-                await proxy.until(lambda x: len(health(x)) == 6)
+                await proxy.until(lambda proxy: len(health(proxy)) == 6)
                 began = len(seen)
                 for turn in range(3):
                     name = f"orders{turn}"
-                    catalog.put(entry(name, p.servers[name].address, "terminating"))
+                    catalog.put(entry(name, site.servers[name].address, "terminating"))
                     service.send_signal(signal.SIGKILL)
                     await asyncio.to_thread(service.wait)
-                    catalog.put(entry(name, p.servers[name].address, "terminated"))
-                    service, _ = await process(p.path)
-                    await proxy.until(lambda x, n=name: n not in health(x))
-                    catalog.put(entry(name, p.servers[name].address))
-                    await proxy.until(lambda x, n=name: health(x).get(n) == 1)
+                    catalog.put(entry(name, site.servers[name].address, "terminated"))
+                    service, _ = await process(site.path)
+                    await proxy.until(lambda proxy, n=name: n not in health(proxy))
+                    catalog.put(entry(name, site.servers[name].address))
+                    await proxy.until(lambda proxy, n=name: health(proxy).get(n) == 1)
                 assert min(seen[began:], default=6) >= 5 and proxy.streams >= 4
                 service.send_signal(signal.SIGTERM)
                 assert await asyncio.to_thread(service.wait) == 0
@@ -281,20 +283,22 @@
 
 def test_a_cluster_that_leaves_the_file_goes_and_a_bad_file_changes_nothing(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders")
-            await p.cluster("stock", 2)
-            service = await p.serve()
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 3 and len(health(x, "stock")) == 2)
-            good = p.path.read_text()
-            p.path.write_text(good + "\n[nonsense]\n")
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders")
+            await site.cluster("stock", 2)
+            service = await site.serve()
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
+            good = site.path.read_text()
+            site.path.write_text(good + "\n[nonsense]\n")
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.05)
             assert set(service.publisher_loop.feeds) == {"orders", "stock"}
-            p.path.write_text(text_of({"orders": p.catalogs["orders"]}, cluster="cross_zone_price = 0.5"))
+            site.path.write_text(
+                text_of({"orders": site.catalogs["orders"]}, cluster="cross_zone_price = 0.5")
+            )
             os.kill(os.getpid(), signal.SIGHUP)
-            await proxy.until(lambda x: set(x.held[CLUSTER]) == {"orders"})
+            await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
             assert len(health(proxy)) == 3
             await proxy.stop()
 
@@ -306,25 +310,25 @@
     import trustme
 
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders")
-            service = await p.serve()
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 3)
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders")
+            service = await site.serve()
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 3)
             ca = trustme.CA()
             ca.cert_pem.write_to_path(tmp_path / "ca.pem")
             files = "\n".join(f'{k} = "{tmp_path / "ca.pem"}"' for k in ("certificate", "key", "client_ca"))
             rules = f'[tls]\n{files}\n[clients]\n"edge.example" = ["*"]\n[limits]\nstreams = 1'
-            p.path.write_text(text_of(p.catalogs, more=rules))
+            site.path.write_text(text_of(site.catalogs, more=rules))
             os.kill(os.getpid(), signal.SIGHUP)
-            said = ""
-            while "read again" not in said:
+            output = ""
+            while "read again" not in output:
                 await asyncio.sleep(0.01)
-                said += capfd.readouterr().err
-            assert "control, tls, limits, clients will count from the next start" in said
+                output += capfd.readouterr().err
+            assert "control, tls, limits, clients will count from the next start" in output
             assert service.config.tls is None and not service.config.clients
-            late = XdsProxy(p.channel).start()
-            await late.until(lambda x: len(health(x)) == 3)
+            late = XdsProxy(site.channel).start()
+            await late.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
             await late.stop()
 
@@ -336,17 +340,17 @@
 
 def test_workers_share_the_streams_and_one_that_is_killed_is_replaced(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders")
-            await p.cluster("stock", 2)
-            service = await p.serve(control="workers = 2\nload_reports_s = 0.1")
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders")
+            await site.cluster("stock", 2)
+            service = await site.serve(control="workers = 2\nload_reports_s = 0.1")
             pool = service.server
             target = f"127.0.0.1:{pool.port}"
             alone = [("grpc.use_local_subchannel_pool", 1)]
             channels = [grpc.aio.insecure_channel(target, options=alone) for _ in range(16)]
             proxies = [XdsProxy(c, node=f"p{i}", delta=i % 2 == 1).start() for i, c in enumerate(channels)]
-            for x in proxies:
-                await x.until(lambda x: len(health(x)) == 3 and len(health(x, "stock")) == 2)
+            for proxy in proxies:
+                await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
             while pool.count() < 16:
                 await asyncio.sleep(0.02)
             assert all(worker.count.streams for worker in pool.workers), "one worker has them all"
@@ -355,32 +359,35 @@
             assert code == 0 and {r["node"] for r in json.loads(out)["proxies"]} == {
                 f"p{i}" for i in range(16)
             }
-            told = asyncio.get_running_loop().time()
-            catalog.put(entry("orders0", p.servers["orders0"].address, "terminating"))
-            for x in proxies:
-                await x.until(lambda x: health(x)["orders0"] == DRAINING)
-            assert max(x.told_at("orders", "orders0", DRAINING) for x in proxies) - told < DRAIN_GRACE
+            changed_at = asyncio.get_running_loop().time()
+            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
+            for proxy in proxies:
+                await proxy.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
+            assert (
+                max(proxy.told_at("orders", "orders0", DRAINING) for proxy in proxies) - changed_at
+                < DRAIN_GRACE
+            )
             # A worker dies while the list changes; its proxies come back, and all hold the newest.
             seen: list[int] = []
-            for x in proxies:
-                x.on_response = lambda x, t, names: seen.append(
-                    len(health(x)) if "orders" in x.held[CLUSTER] else -1
+            for proxy in proxies:
+                proxy.on_response = lambda proxy, t, names: seen.append(
+                    len(health(proxy)) if "orders" in proxy.held[CLUSTER] else -1
                 )
             dead = pool.workers[0].process
             dead.kill()
-            catalog.put(entry("orders1", p.servers["orders1"].address, "terminating"))
-            for x in proxies:
-                await x.until(lambda x: health(x)["orders1"] == DRAINING)
+            catalog.put(entry("orders1", site.servers["orders1"].address, "terminating"))
+            for proxy in proxies:
+                await proxy.until(lambda proxy: health(proxy)["orders1"] == DRAINING)
             while pool.workers[0].process is dead or pool.count() < 16:
                 await asyncio.sleep(0.02)
             assert set(seen) == {3}
             # Another rule on clusters reaches the workers too.
-            p.path.write_text(text_of({"orders": catalog}, control="workers = 2\nload_reports_s = 0.1"))
+            site.path.write_text(text_of({"orders": catalog}, control="workers = 2\nload_reports_s = 0.1"))
             os.kill(os.getpid(), signal.SIGHUP)
-            for x in proxies:
-                await x.until(lambda x: set(x.held[CLUSTER]) == {"orders"})
-            for x in proxies:
-                await x.stop()
+            for proxy in proxies:
+                await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
+            for proxy in proxies:
+                await proxy.stop()
             for c in channels:
                 await c.close()
 
@@ -389,10 +396,10 @@
 
 def test_workers_end_with_a_service_that_is_killed(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders")
-            p.path.write_text(text_of(p.catalogs, control="workers = 2"))
-            service, port = await process(p.path)
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders")
+            site.path.write_text(text_of(site.catalogs, control="workers = 2"))
+            service, port = await process(site.path)
             service.kill()
             await asyncio.to_thread(service.wait)
             # The port is free once the last of them has gone.
@@ -408,11 +415,11 @@
 
 def test_a_port_in_use_is_not_shared_without_a_word(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders")
-            first = await p.serve(control="workers = 2")
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders")
+            first = await site.serve(control="workers = 2")
             path = tmp_path / "second.toml"
-            path.write_text(p.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
+            path.write_text(site.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
             code, out = await command("control", "--config", path)
             assert code == 2 and "control.listen" in out and "in use" in out
 
@@ -423,15 +430,15 @@
 
 
 def test_the_drain_rule_and_the_cold_rule_hold_over_all_proxies_together(tmp_path):
-    """Eight proxies call by what they are told; calls are counted where they arrive."""
+    """Eight proxies send requests by their assignments; these are counted at the servers."""
 
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("orders", 4)
-            await p.serve(cluster="cold_s = 2.0\ncold_start = 0.2")
-            proxies = [XdsProxy(p.channel, delta=i % 2 == 1, node=f"p{i}").start() for i in range(8)]
-            for x in proxies:
-                await x.until(lambda x: len(health(x)) == 4)
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("orders", 4)
+            await site.serve(cluster="cold_s = 2.0\ncold_start = 0.2")
+            proxies = [XdsProxy(site.channel, delta=i % 2 == 1, node=f"p{i}").start() for i in range(8)]
+            for proxy in proxies:
+                await proxy.until(lambda proxy: len(health(proxy)) == 4)
             loop = asyncio.get_running_loop()
             arrived: list[tuple[float, str]] = []
             rng = Random(5)
@@ -439,29 +446,27 @@
 
             async def call() -> None:
                 while calling:
-                    for x in proxies:
+                    for proxy in proxies:
                         for _ in range(5):
-                            target = pick(rng, x.endpoints("orders"))
+                            target = pick(rng, proxy.endpoints("orders"))
                             arrived.append((loop.time(), target.name))
                     await asyncio.sleep(0.005)
 
             caller = asyncio.create_task(call())
             await asyncio.sleep(0.3)
-            told = loop.time()
-            catalog.put(entry("orders0", p.servers["orders0"].address, "terminating"))
+            drained_at = loop.time()
+            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
             import time as wall
 
             fresh = await StandinServer("fresh", Shape()).start()
-            p.servers["fresh"] = fresh
+            site.servers["fresh"] = fresh
             started = loop.time()
             catalog.put(entry("fresh", fresh.address, startedAtMs=int(wall.time() * 1000)))
             await asyncio.sleep(2.6)
             calling = False
             await caller
-            late = [t - told for t, n in arrived if n == "orders0" and t > told]
-            assert max(late, default=0.0) < DRAIN_GRACE, (
-                f"new work {max(late):.3f} s after the drain was told"
-            )
+            late = [at - drained_at for at, name in arrived if name == "orders0" and at > drained_at]
+            assert max(late, default=0.0) < DRAIN_GRACE, f"new work {max(late):.3f} s after the drain"
             # In each fifth of a second a cold server's calls, against a warm one's, stay within its warmth.
             for k in range(10):
                 at = started + 0.2 * k
@@ -471,8 +476,8 @@
                 assert here.count("fresh") <= 1.3 * warmth * warm + 8, (k, here.count("fresh"), warm, warmth)
             last = [n for t, n in arrived if t > started + 2.4]
             assert last.count("fresh") > 0.5 * last.count("orders1")  # and once warm it has its part
-            for x in proxies:
-                await x.stop()
+            for proxy in proxies:
+                await proxy.stop()
 
     run(body())
 
@@ -485,11 +490,11 @@
     from envoy.service.load_stats.v3 import lrs_pb2
 
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders", 5)
-            await p.serve(control=f"load_reports_s = 0.1\nworkers = {workers}")
-            proxy = XdsProxy(p.channel).start()
-            await proxy.until(lambda x: len(health(x)) == 5)
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders", 5)
+            await site.serve(control=f"load_reports_s = 0.1\nworkers = {workers}")
+            proxy = XdsProxy(site.channel).start()
+            await proxy.until(lambda proxy: len(health(proxy)) == 5)
 
             async def report(channel) -> None:
                 method = channel.stream_stream(
@@ -514,13 +519,13 @@
                     await call.write(request)
                     await asyncio.sleep(0.1)
 
-            target = f"127.0.0.1:{p.service.server.port}"
+            target = f"127.0.0.1:{site.service.server.port}"
             channels = [
                 grpc.aio.insecure_channel(target, options=[("grpc.use_local_subchannel_pool", 1)])
                 for _ in range(3)
             ]
             tasks = [asyncio.create_task(report(c)) for c in channels]
-            await proxy.until(lambda x: health(x)["orders0"] == UNHEALTHY)
+            await proxy.until(lambda proxy: health(proxy)["orders0"] == UNHEALTHY)
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -533,12 +538,12 @@
 
 def test_grpcs_own_client_is_served_from_discovery_and_reports_its_calls(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            catalog = await p.cluster("svc", 0)
+        async with control_site(tmp_path) as site:
+            catalog = await site.cluster("svc", 0)
             made = {f"b{i}": await backend(f"b{i}") for i in range(3)}
             for name, (_, address) in made.items():
                 catalog.put(entry(name, address))
-            service = await p.serve(control="load_reports_s = 0.1", probe="tcp")
+            service = await site.serve(control="load_reports_s = 0.1", probe="tcp")
             reported: Counter[str] = Counter()
             feed = service.publisher_loop.feeds["svc"]
             take = feed.load_reports.take
@@ -577,9 +582,9 @@
     trustme = pytest.importorskip("trustme")
 
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders")
-            await p.cluster("stock", 2)
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders")
+            await site.cluster("stock", 2)
             ours, theirs = trustme.CA(), trustme.CA()
 
             def put(ca) -> None:
@@ -595,24 +600,28 @@
                     pair = (cert.private_key_pem.bytes(), cert.cert_chain_pems[0].bytes())
                 made = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
                 options = [("grpc.use_local_subchannel_pool", 1)]
-                return grpc.aio.secure_channel(f"127.0.0.1:{p.service.server.port}", made, options=options)
+                return grpc.aio.secure_channel(f"127.0.0.1:{site.service.server.port}", made, options=options)
 
             put(ours)
             named = (("certificate", "server.pem"), ("key", "server.key"), ("client_ca", "ca.pem"))
             files = "\n".join(f'{k} = "{tmp_path / f}"' for k, f in named)
-            await p.serve(
+            await site.serve(
                 more=f'[tls]\n{files}\n[clients]\n"*.partner.example" = ["orders"]\n"edge.example" = ["*"]',
                 control=f'status = ["edge.example"]\nworkers = {workers}',
             )
 
             async def sees(ca, name: str | None) -> set[str] | str:
                 async with channel(ca, name) as c:
-                    x = XdsProxy(c).start()
+                    proxy = XdsProxy(c).start()
                     try:
-                        await x.until(lambda x: x.error is not None or bool(x.held[ASSIGNMENT]))
-                        return x.error.code().name if x.error is not None else set(x.held[CLUSTER])
+                        await proxy.until(
+                            lambda proxy: proxy.error is not None or bool(proxy.held[ASSIGNMENT])
+                        )
+                        return (
+                            proxy.error.code().name if proxy.error is not None else set(proxy.held[CLUSTER])
+                        )
                     finally:
-                        await x.stop()
+                        await proxy.stop()
 
             assert await sees(ours, "a.partner.example") == {"orders"}
             assert await sees(ours, "edge.example") == {"orders", "stock"}
@@ -620,16 +629,16 @@
             assert await sees(ours, None) == "UNAVAILABLE"
             assert await sees(theirs, "edge.example") == "UNAVAILABLE"
             # Other rules reach the streams that are open.
-            rules = p.path.read_text()
+            rules = site.path.read_text()
             async with channel(ours, "edge.example") as c:
                 open_one = XdsProxy(c).start()
-                await open_one.until(lambda x: len(x.held[CLUSTER]) == 2)
-                p.path.write_text(rules.replace('"edge.example" = ["*"]', '"edge.example" = ["stock"]'))
+                await open_one.until(lambda proxy: len(proxy.held[CLUSTER]) == 2)
+                site.path.write_text(rules.replace('"edge.example" = ["*"]', '"edge.example" = ["stock"]'))
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda x: set(x.held[CLUSTER]) == {"stock"})
-                p.path.write_text(rules)
+                await open_one.until(lambda proxy: set(proxy.held[CLUSTER]) == {"stock"})
+                site.path.write_text(rules)
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda x: len(x.held[CLUSTER]) == 2 and open_one.streams == 1)
+                await open_one.until(lambda proxy: len(proxy.held[CLUSTER]) == 2 and open_one.streams == 1)
                 await open_one.stop()
             put(theirs)
             assert await sees(theirs, "edge.example") == {"orders", "stock"}
@@ -639,7 +648,7 @@
                 cert.private_key_pem.write_to_path(tmp_path / "me.key")
                 cert.cert_chain_pems[0].write_to_path(tmp_path / "me.pem")
                 code, out = await command(
-                    "control", "status", "--address", f"127.0.0.1:{p.service.server.port}",
+                    "control", "status", "--address", f"127.0.0.1:{site.service.server.port}",
                     "--ca", tmp_path / "ca.pem", "--cert", tmp_path / "me.pem", "--key", tmp_path / "me.key",
                 )  # fmt: skip
                 assert word in out and code == (0 if word == "streams" else 1)
@@ -663,16 +672,16 @@
 
 def test_status_shows_who_holds_what_and_who_refused_and_why(tmp_path):
     async def body() -> None:
-        async with place(tmp_path) as p:
-            await p.cluster("orders")
-            await p.serve()
-            good = XdsProxy(p.channel, node="good").start()
-            bad = XdsProxy(p.channel, node="bad", delta=True)
+        async with control_site(tmp_path) as site:
+            await site.cluster("orders")
+            await site.serve()
+            good = XdsProxy(site.channel, node="good").start()
+            bad = XdsProxy(site.channel, node="bad", delta=True)
             bad.refuse = lambda t, names: "no such locality" if t == ASSIGNMENT else ""
             bad.start()
-            await good.until(lambda x: len(health(x)) == 3)
-            await bad.until(lambda x: any(t == ASSIGNMENT for t, _, _ in x.responses))
-            address = f"127.0.0.1:{p.service.server.port}"
+            await good.until(lambda proxy: len(health(proxy)) == 3)
+            await bad.until(lambda proxy: any(t == ASSIGNMENT for t, _, _ in proxy.responses))
+            address = f"127.0.0.1:{site.service.server.port}"
             while True:
                 code, out = await command("control", "status", "--address", address, "--json", "-")
                 rows = {r["node"]: r for r in json.loads(out)["proxies"]}
@@ -686,7 +695,7 @@
             assert code == 0 and "no such locality" in out and "SYNCED" in out
             await good.stop()
             await bad.stop()
-            await p.leave()
+            await site.leave()
             code, out = await command("control", "status", "--address", address)
             assert code == 1 and "UNAVAILABLE" in out and len(out.splitlines()) <= 2
 
@@ -760,9 +769,9 @@
             assert node.options.embedded_service is beside
             async with grpc.aio.insecure_channel(f"127.0.0.1:{beside.server.port}") as channel:
                 proxy = XdsProxy(channel).start()
-                await proxy.until(lambda x: len(health(x, "mine")) == 3)
+                await proxy.until(lambda proxy: len(health(proxy, "mine")) == 3)
                 catalog.put(entry("s1", servers[1].address, "terminating"))
-                await proxy.until(lambda x: health(x, "mine")["s1"] == DRAINING)
+                await proxy.until(lambda proxy: health(proxy, "mine")["s1"] == DRAINING)
                 await proxy.stop()
         await catalog.stop()
         for s in servers:
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -60,7 +60,7 @@
 
 
 async def gathered(*proxies: XdsProxy) -> None:
-    await asyncio.gather(*(p.stop() for p in proxies))
+    await asyncio.gather(*(proxy.stop() for proxy in proxies))
 
 
 VARIANTS = pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
@@ -72,17 +72,17 @@
         control, address = await started(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
             proxies = [XdsProxy(channel, ["svc"], delta, f"p{i}").start() for i in range(20)]
-            for p in proxies:
-                await p.until(lambda p: len(p.endpoints("svc")) == 2)
+            for proxy in proxies:
+                await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             for weight in range(50, 60):
                 control.publish(of(HERE, weights={0: weight}))
                 await asyncio.sleep(0)
-            told = time.monotonic()
+            changed_at = time.monotonic()
             control.publish(of(HERE, drained=(1,), weights={0: 60}), urgent={"svc"})
-            for p in proxies:
-                await p.until(lambda p: any(t.health == DRAINING for t in p.endpoints("svc")))
+            for proxy in proxies:
+                await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("svc")))
             # Every proxy has it, and the slowest within what the users allow.
-            slowest = max(p.told_at("svc", "s1", DRAINING) for p in proxies) - told
+            slowest = max(proxy.told_at("svc", "s1", DRAINING) for proxy in proxies) - changed_at
             print(f"slowest of 20: {slowest * 1000:.0f} ms")
             assert slowest < DRAIN_GRACE
             await gathered(*proxies)
@@ -96,24 +96,24 @@
     async def body() -> None:
         control, address = await started(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
-            p = XdsProxy(channel, ["svc"], delta, types=(ASSIGNMENT,))
-            p.refuse = lambda type_url, names: "no such locality"
-            p.start()
+            proxy = XdsProxy(channel, ["svc"], delta, types=(ASSIGNMENT,))
+            proxy.refuse = lambda type_url, names: "no such locality"
+            proxy.start()
             while not any(s["types"].get(EDS, {}).get("reason") for s in status_table(control)):
                 await asyncio.sleep(0.005)
             (s,) = status_table(control)
             assert s["node"] == "proxy" and s["types"][EDS]["reason"] == "no such locality"
             control.publish(of(HERE))  # the same content: no loop
             await asyncio.sleep(0.1)
-            assert len(p.responses) == 1
-            p.refuse = lambda type_url, names: ""
+            assert len(proxy.responses) == 1
+            proxy.refuse = lambda type_url, names: ""
             control.publish(of(HERE, drained=(0,)))
-            await p.until(lambda p: len(p.endpoints("svc")) == 2)
+            await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             while status_table(control)[0]["types"][EDS]["reason"]:
                 await asyncio.sleep(0.005)
             state = status_table(control)[0]["types"][EDS]
             assert state["acked"] == state["sent"] != ""
-            await gathered(p)
+            await gathered(proxy)
         await control.stop()
 
     run(body())
@@ -123,12 +123,12 @@
     async def body() -> None:
         control, address = await started()
         async with grpc.aio.insecure_channel(address) as channel:
-            p = XdsProxy(channel).start()
+            proxy = XdsProxy(channel).start()
             await asyncio.sleep(0.2)
-            assert p.streams == 1 and not p.responses
+            assert proxy.streams == 1 and not proxy.responses
             control.publish(of(HERE))
-            await p.until(lambda p: len(p.endpoints("svc")) == 2)
-            await gathered(p)
+            await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
+            await gathered(proxy)
         await control.stop()
 
     run(body())
@@ -141,14 +141,14 @@
         async with grpc.aio.insecure_channel(address) as channel:
             good = XdsProxy(channel, delta=delta).start()
             bad = XdsProxy(channel, ["x"], delta, types=("type.googleapis.com/nonsense",)).start()
-            await good.until(lambda p: len(p.endpoints("svc")) == 2)
-            await bad.until(lambda p: p.error is not None)
+            await good.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
+            await bad.until(lambda proxy: proxy.error is not None)
             assert (
                 bad.error.code() == grpc.StatusCode.INVALID_ARGUMENT
                 and "not served here" in bad.error.details()
             )
             control.publish(snapshot({}))
-            await good.until(lambda p: not p.held[CDS])
+            await good.until(lambda proxy: not proxy.held[CDS])
             assert good.streams == 1
             await gathered(good, bad)
         await control.stop()
@@ -178,16 +178,16 @@
             lazy = [
                 XdsProxy(stuck, ["svc"], delta, f"lazy{i}") for i in range(20)
             ]  # more than there are turns
-            for p in lazy:
-                p.reading.clear()
-                p.start()
-            while sum(p.blocked for p in control.proxies) < len(lazy):
+            for proxy in lazy:
+                proxy.reading.clear()
+                proxy.start()
+            while sum(proxy.blocked for proxy in control.proxies) < len(lazy):
                 await asyncio.sleep(0.02)
             # Another publication gives them no other turn.
             control.publish(of(MANY, weights={0: 50}))
             # They would hold all turns for ten minutes; another one is served all the same.
             good = XdsProxy(fine, ["svc"], delta, "good").start()
-            await good.until(lambda p: len(p.endpoints("svc")) == 3000)
+            await good.until(lambda proxy: len(proxy.endpoints("svc")) == 3000)
             assert control.slow_proxies_dropped == 0
             await gathered(good, *lazy)
         await control.stop()
@@ -200,8 +200,8 @@
     monkeypatch.setattr(stream_service, "UNREAD_TIMEOUT_S", 0.3)
 
     async def body() -> None:
-        said: list[str] = []
-        control, address = await started(of(MANY), said.append)
+        lines: list[str] = []
+        control, address = await started(of(MANY), lines.append)
         narrow = grpc.aio.insecure_channel(address, options=NARROW)
         async with narrow as stuck, grpc.aio.insecure_channel(address) as fine:
             lazy = XdsProxy(stuck, ["svc"], delta, "lazy")
@@ -210,12 +210,14 @@
             good = XdsProxy(fine, ["svc"], delta, "good").start()
             weight = 0
             # By its name: on a machine that stands still for a moment the other one may be let go, and comes back.
-            while not any("lazy let go" in line for line in said):
+            while not any("lazy let go" in line for line in lines):
                 weight += 1
                 control.publish(of(MANY, weights={0: weight}))
-                await good.until(lambda p, w=weight: len(e := p.endpoints("svc")) > 0 and e[0].weight == w)
-            await good.until(lambda p, w=weight: p.endpoints("svc")[0].weight == w)
-            assert {p.node for p in control.proxies} == {"good"} and control.slow_proxies_dropped >= 1
+                await good.until(
+                    lambda proxy, w=weight: len(e := proxy.endpoints("svc")) > 0 and e[0].weight == w
+                )
+            await good.until(lambda proxy, w=weight: proxy.endpoints("svc")[0].weight == w)
+            assert {proxy.node for proxy in control.proxies} == {"good"} and control.slow_proxies_dropped >= 1
             await gathered(good, lazy)
         await control.stop()
 
@@ -228,15 +230,15 @@
     async def body() -> None:
         control, address = await started(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
-            p = XdsProxy(channel, ["svc"], types=(ASSIGNMENT,))
-            p.acks = False
-            p.start()
+            proxy = XdsProxy(channel, ["svc"], types=(ASSIGNMENT,))
+            proxy.acks = False
+            proxy.start()
             weight = 0
             while not control.slow_proxies_dropped:
                 weight += 1
                 control.publish(of(HERE, weights={0: weight}))
                 await asyncio.sleep(0.005)
-            await gathered(p)
+            await gathered(proxy)
         await control.stop()
 
     run(body())
@@ -251,20 +253,20 @@
         control, address = await started(snapshot(many))
         async with grpc.aio.insecure_channel(address) as channel:
             for at in range(1, 5):
-                p = XdsProxy(channel, delta=delta)
+                proxy = XdsProxy(channel, delta=delta)
 
                 def cut(proxy: XdsProxy, type_url: str, names: list[str], at: int = at) -> None:
                     if len(proxy.responses) == at:
                         proxy.cut()
 
-                p.on_response = cut
-                p.start()
-                await p.until(lambda p: p.streams == 2)
+                proxy.on_response = cut
+                proxy.start()
+                await proxy.until(lambda proxy: proxy.streams == 2)
                 now = {**many, "c7": (endpoints([f"127.0.0.1:{at}"], drained=(0,)), 0)}
                 control.publish(snapshot(now), urgent={"c7"})
-                await p.until(lambda p: len(p.held[EDS]) == 8 and len(p.endpoints("c7")) == 1)
-                assert p.held[EDS] == {n: r.body for n, r in control.source.get(EDS).items()}
-                await gathered(p)
+                await proxy.until(lambda proxy: len(proxy.held[EDS]) == 8 and len(proxy.endpoints("c7")) == 1)
+                assert proxy.held[EDS] == {n: r.body for n, r in control.source.get(EDS).items()}
+                await gathered(proxy)
                 control.publish(snapshot(many))
         await control.stop()
 
@@ -280,19 +282,19 @@
         first, address = await started(snapshot(two))
         port = address.rpartition(":")[2]
         async with grpc.aio.insecure_channel(address) as channel:
-            p = XdsProxy(channel, delta=delta).start()
-            await p.until(lambda p: len(p.held[EDS]) == 2)
+            proxy = XdsProxy(channel, delta=delta).start()
+            await proxy.until(lambda proxy: len(proxy.held[EDS]) == 2)
             await first.stop()
             second = ControlServer()
             await second.start(f"127.0.0.1:{port}")
             second.publish(snapshot(two))
-            await p.until(lambda p: p.streams >= 2 and p.error is None)
+            await proxy.until(lambda proxy: proxy.streams >= 2 and proxy.error is None)
             while not any(EDS in s.stream.types for s in second.proxies):
                 await asyncio.sleep(0.005)
             second.publish(snapshot({**two, "b": (endpoints(HERE, drained=(0,)), 0)}))
-            await p.until(lambda p: any(t.health == DRAINING for t in p.endpoints("b")))
-            assert p.resources == 1  # of the four it would be sent anew
-            await gathered(p)
+            await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("b")))
+            assert proxy.resources == 1  # of the four it would be sent anew
+            await gathered(proxy)
         await second.stop()
 
     run(body())
@@ -303,21 +305,21 @@
     async def body() -> None:
         control, address = await started(snapshot({"a": (endpoints(HERE), 0), "b": (endpoints(HERE), 0)}))
         async with grpc.aio.insecure_channel(address) as channel:
-            p = XdsProxy(channel, delta=delta)
-            p.on_response = lambda p, t, names: seen.append(
-                {c: len(p.endpoints(c)) for c in p.held[CDS] if c in p.held[EDS]}
+            proxy = XdsProxy(channel, delta=delta)
+            proxy.on_response = lambda proxy, t, names: seen.append(
+                {c: len(proxy.endpoints(c)) for c in proxy.held[CDS] if c in proxy.held[EDS]}
             )
             seen: list[dict[str, int]] = []
-            p.start()
-            await p.until(lambda p: len(p.held[EDS]) == 2)
+            proxy.start()
+            await proxy.until(lambda proxy: len(proxy.held[EDS]) == 2)
             for turn in range(20):
                 with_b = {"a": (endpoints(HERE), 0), "b": (endpoints(HERE, weights={0: turn + 1}), 0)}
                 control.publish(snapshot(with_b))
                 await asyncio.sleep(0)
                 control.publish(snapshot({"a": (endpoints(HERE), 0)}))
-            await p.until(lambda p: set(p.held[CDS]) == {"a"})
+            await proxy.until(lambda proxy: set(proxy.held[CDS]) == {"a"})
             assert all(count == 2 for held in seen for count in held.values()), seen
-            await gathered(p)
+            await gathered(proxy)
         await control.stop()
 
     run(body())
@@ -329,12 +331,12 @@
         service = "/envoy.service.endpoint.v3.EndpointDiscoveryService/"
         async with grpc.aio.insecure_channel(address) as channel:
             for delta, method in ((False, "StreamEndpoints"), (True, "DeltaEndpoints")):
-                p = XdsProxy(channel, ["svc"], delta, path=service + method, types=(ASSIGNMENT,)).start()
-                await p.until(lambda p: len(p.endpoints("svc")) == 2)
+                proxy = XdsProxy(channel, ["svc"], delta, path=service + method, types=(ASSIGNMENT,)).start()
+                await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
                 wrong = XdsProxy(channel, delta=delta, path=service + method, types=(CDS,)).start()
-                await wrong.until(lambda p: p.error is not None)
+                await wrong.until(lambda proxy: proxy.error is not None)
                 assert "not served by this service" in wrong.error.details()
-                await gathered(p, wrong)
+                await gathered(proxy, wrong)
             fetch = channel.unary_unary(
                 service + "FetchEndpoints",
                 request_serializer=discovery_pb2.DiscoveryRequest.SerializeToString,
@@ -357,22 +359,22 @@
         control.publish(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
             greedy = XdsProxy(channel, list("abcd"), types=(ASSIGNMENT,)).start()
-            await greedy.until(lambda p: p.error is not None)
+            await greedy.until(lambda proxy: proxy.error is not None)
             assert "more than 3 subscriptions" in greedy.error.details()
             await gathered(greedy)
             while control.proxies:
                 await asyncio.sleep(0.005)
             large = XdsProxy(channel, ["x" * 2000], types=(ASSIGNMENT,)).start()
-            await large.until(lambda p: p.error is not None)
+            await large.until(lambda proxy: proxy.error is not None)
             assert large.error.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
             await gathered(large)
             while control.proxies:
                 await asyncio.sleep(0.005)
             two = [XdsProxy(channel).start() for _ in range(2)]
-            for p in two:
-                await p.until(lambda p: p.held[EDS])
+            for proxy in two:
+                await proxy.until(lambda proxy: proxy.held[EDS])
             third = XdsProxy(channel).start()
-            await third.until(lambda p: p.error is not None)
+            await third.until(lambda proxy: proxy.error is not None)
             assert third.error.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
             await gathered(third, *two)
         await control.stop()
@@ -406,13 +408,13 @@
         cut_off = f"127.0.0.1:{between.sockets[0].getsockname()[1]}"
         async with grpc.aio.insecure_channel(cut_off) as channel, grpc.aio.insecure_channel(address) as fine:
             gone, good = XdsProxy(channel, node="gone").start(), XdsProxy(fine, node="good").start()
-            for p in (gone, good):
-                await p.until(lambda p: len(p.endpoints("svc")) == 2)
+            for proxy in (gone, good):
+                await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             through.clear()
-            while {p.node for p in control.proxies} != {"good"}:
+            while {proxy.node for proxy in control.proxies} != {"good"}:
                 await asyncio.sleep(0.01)
             control.publish(of(HERE, drained=(0,)), urgent={"svc"})
-            await good.until(lambda p: any(t.health == DRAINING for t in p.endpoints("svc")))
+            await good.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("svc")))
             through.set()
             await gathered(gone, good)
         between.close()
@@ -425,20 +427,20 @@
 
 def test_a_proxy_prefers_its_own_zone_where_crossing_has_a_price():
     async def body() -> None:
-        told = PublishedCluster(
+        cluster = PublishedCluster(
             tuple(PublishedEndpoint(f"s{i}", a, f"z{i}", Health.HEALTHY, 100) for i, a in enumerate(HERE)),
             7,
             True,
         )
         control, address = await started(
-            PublishedSnapshots(ResourceEncoder(adaptive_concurrency=True), {"svc": told})
+            PublishedSnapshots(ResourceEncoder(adaptive_concurrency=True), {"svc": cluster})
         )
         async with grpc.aio.insecure_channel(address) as channel:
             for zone, near in (("z0", ["s0"]), ("z1", ["s1"]), ("elsewhere", ["s0", "s1"])):
-                p = XdsProxy(channel, zone=zone).start()
-                await p.until(lambda p: len(p.endpoints("svc")) == 2)
-                assert [t.name for t in p.endpoints("svc") if t.priority == 0] == near
-                await gathered(p)
+                proxy = XdsProxy(channel, zone=zone).start()
+                await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
+                assert [t.name for t in proxy.endpoints("svc") if t.priority == 0] == near
+                await gathered(proxy)
         await control.stop()
 
     run(body())
