--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -22,8 +22,8 @@
 import dns.message  # noqa: E402
 import dns.rrset  # noqa: E402
 
-from harecross.dns.frames import Frames, framed  # noqa: E402
-from harecross.dns.message import BadMessage, Question, decode  # noqa: E402
+from harecross.dns.frames import FrameDecoder, frame  # noqa: E402
+from harecross.dns.message import MessageError, Question, decode_reply  # noqa: E402
 from harecross.dns.srv import Resolution, SrvAnswer, SrvEndpoint  # noqa: E402
 from harecross.sources import address_file, cache_file  # noqa: E402
 from harecross.sources.statements import srv_statements  # noqa: E402
@@ -34,7 +34,7 @@
 
 def answer(rng: Random, question: Question) -> bytes:
     """An answer that holds anything that a zone may."""
-    query = dns.message.make_query(question.name, question.kind)
+    query = dns.message.make_query(question.name, question.record_type)
     reply = dns.message.make_response(query)
     for section in (reply.answer, reply.additional, reply.authority):
         for _ in range(rng.randrange(4)):
@@ -71,7 +71,7 @@
 
 
 def read_message(rng: Random) -> None:
-    decode(
+    decode_reply(
         spoilt(rng, answer(rng, Question(NAME, "SRV")))
         if rng.random() < 0.9
         else rng.randbytes(rng.randrange(600))
@@ -80,7 +80,7 @@
 
 def read_stream(rng: Random) -> None:
     messages = [rng.randbytes(rng.randrange(300)) for _ in range(rng.randrange(5))]
-    whole, frames, got = b"".join(framed(m) for m in messages), Frames(), []
+    whole, frames, got = b"".join(frame(m) for m in messages), FrameDecoder(), []
     while whole:
         size = rng.randrange(1, 90)
         got += frames.feed(whole[:size])
@@ -97,11 +97,11 @@
             break
         for question in questions:
             try:
-                resolution.answered(question, decode(spoilt(rng, answer(rng, question))))
-            except BadMessage as e:
-                resolution.could_not(question, str(e))
-    assert resolution.over, "a resolution without end"
-    if not resolution.failed:
+                resolution.receive_reply(question, decode_reply(spoilt(rng, answer(rng, question))))
+            except MessageError as e:
+                resolution.receive_failure(question, str(e))
+    assert resolution.done, "a resolution without end"
+    if not resolution.failure:
         stated = srv_statements(resolution.result().endpoints)
         assert all(0 < s.weight <= 20 for s in stated)
 
@@ -118,7 +118,7 @@
     cache_file.decode(cache_file.VERSION + sha256(body).hexdigest().encode() + b"\n" + body)
 
 
-OWN = (BadMessage, address_file.AddressFileError, cache_file.CacheFileError)
+OWN = (MessageError, address_file.AddressFileError, cache_file.CacheFileError)
 
 
 def main() -> int:
--- a/harecross/dns/__init__.py
+++ b/harecross/dns/__init__.py
@@ -1,4 +1,4 @@
-"""A small resolver for SRV names: lookups, lifetimes and sets as state machines free of I/O, and their sockets.
+"""A small resolver for SRV names: lookups, cached sets and their answers as state machines free of I/O, and sockets.
 
-Needs the extra `dns`; the node's own line imports none of it.
+Needs the extra `dns`; a node without SRV names imports none of it.
 """
--- a/harecross/dns/cli.py
+++ b/harecross/dns/cli.py
@@ -1,15 +1,18 @@
-"""`harecross dns`: what DNS servers say of a name. Status 0 for a set, 1 for none, 2 for wrong use."""
+"""`harecross dns`: what DNS servers answer for a name. Status 0 for a set, 1 for none, 2 for wrong use."""
 
 from __future__ import annotations
 
 import json
 import sys
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Annotated
 
 import typer
 
 from harecross.exits import stop
 
+if TYPE_CHECKING:
+    from harecross.dns.srv import SrvAnswer
+
 dns_app = typer.Typer(no_args_is_help=True, help="The resolver for SRV names.")
 
 
@@ -28,56 +31,84 @@
     as_json: Annotated[bool, typer.Option("--json", help="To standard output.")] = False,
 ) -> None:
     """What a name holds: priority, weight, address and port of each endpoint, and how long it lives."""
-    import asyncio
-    from random import SystemRandom
+    check_resolvers(resolver)
+    answer, queries_sent = resolve(name, resolver)
+    if as_json:
+        print_json(name, answer, queries_sent)
+    else:
+        print_table(name, answer, queries_sent)
+    raise typer.Exit(0 if answer.endpoints else 1)
 
+
+def check_resolvers(resolvers: list[str]) -> None:
+    """Ends the command for a DNS server that is not given by its address."""
     from harecross.dns.servers import server_address
 
-    try:
-        from harecross.dns.client import Client, LookupFailed
-    except ImportError as e:
-        stop(f"dns query needs the extra `dns`: {e}")
-    for server in resolver:
+    for server in resolvers:
         try:
             server_address(server, "--resolver")
-        except ValueError as e:
-            stop(str(e))
+        except ValueError as error:
+            stop(str(error))
+
+
+def resolve(name: str, resolvers: list[str]) -> tuple[SrvAnswer, int]:
+    """What a name has, and how many messages were sent for it; ends the command where there is no answer."""
+    import asyncio
+    from random import SystemRandom
+
+    try:
+        from harecross.dns.client import DnsClient, LookupFailedError
+    except ImportError as error:
+        stop(f"dns query needs the extra `dns`: {error}")
 
-    async def ask() -> tuple[Any, int]:
-        client = Client(resolver, SystemRandom())
+    async def run() -> tuple[SrvAnswer, int]:
+        client = DnsClient(resolvers, SystemRandom())
         try:
-            return await client.resolve(name), client.asked
+            return await client.resolve(name), client.queries_sent
         finally:
             await client.close()
 
     try:
-        found, asked = asyncio.run(ask())
-    except LookupFailed as e:
-        stop(str(e), 1)
-    except ValueError as e:
-        stop(str(e))
+        return asyncio.run(run())
+    except LookupFailedError as error:
+        stop(str(error), 1)
+    except ValueError as error:
+        stop(str(error))
     except KeyboardInterrupt:
         stop("interrupted", 130)
-    if as_json:
-        rows = [
-            {k: getattr(row, k) for k in ("priority", "weight", "target", "address", "port")}
-            for row in found.endpoints
-        ]
-        told = {
-            "name": name, "ttl_s": found.ttl, "endpoints": rows, "empty": found.empty, "unknown": list(found.unknown),
-            "notes": list(found.notes), "messages": asked,
-        }  # fmt: skip
-        print(json.dumps(told, indent=1))
-    else:
-        from harecross.console import out, table
-
-        t = table(f"{name}: {len(found.endpoints)} endpoints for {found.ttl:g} s, {asked} messages",
-                  "target", "address", "port", "priority", "weight")  # fmt: skip
-        for row in found.endpoints:
-            t.add_row(row.target, row.address, str(row.port), str(row.priority), str(row.weight))
-        out.print(t)
-        for note in found.notes:
-            print(note, file=sys.stderr)
-        if found.empty:
-            print(f"harecross: {name}: {found.empty}", file=sys.stderr)
-    raise typer.Exit(0 if found.endpoints else 1)
+
+
+def print_json(name: str, answer: SrvAnswer, queries_sent: int) -> None:
+    """Prints an answer for programs."""
+    keys = ("priority", "weight", "target", "address", "port")
+    document = {
+        "name": name,
+        "ttl_s": answer.ttl,
+        "endpoints": [{key: getattr(endpoint, key) for key in keys} for endpoint in answer.endpoints],
+        "empty": answer.empty,
+        "unknown": list(answer.unknown),
+        "notes": list(answer.notes),
+        "messages": queries_sent,
+    }
+    print(json.dumps(document, indent=1))
+
+
+def print_table(name: str, answer: SrvAnswer, queries_sent: int) -> None:
+    """Prints an answer for people."""
+    from harecross.console import out, table
+
+    title = f"{name}: {len(answer.endpoints)} endpoints for {answer.ttl:g} s, {queries_sent} messages"
+    endpoints = table(title, "target", "address", "port", "priority", "weight")
+    for endpoint in answer.endpoints:
+        endpoints.add_row(
+            endpoint.target,
+            endpoint.address,
+            str(endpoint.port),
+            str(endpoint.priority),
+            str(endpoint.weight),
+        )
+    out.print(endpoints)
+    for note in answer.notes:
+        print(note, file=sys.stderr)
+    if answer.empty:
+        print(f"harecross: {name}: {answer.empty}", file=sys.stderr)
--- a/harecross/dns/client.py
+++ b/harecross/dns/client.py
@@ -1,232 +1,151 @@
-"""The resolver's sockets: one UDP socket for each try, one connection for each server. Decisions are `lookup`'s."""
+"""The resolver's sockets: one UDP socket for each attempt, one connection for each server. Decisions are `lookup`'s."""
 
 from __future__ import annotations
 
 import asyncio
 import ssl
 from collections.abc import Callable, Sequence
-from functools import partial
 from random import Random
-from typing import Any, cast
+from typing import Any
 
-from harecross.dns.frames import Frames, framed
-from harecross.dns.lookup import Lookup, Send
-from harecross.dns.message import Question, Reply, plain
-from harecross.dns.servers import TLS, Servers
+from harecross.dns.connections import AttemptCallbacks, ConnectionCache, UdpProtocol
+from harecross.dns.lookup import Lookup, OutgoingQuery
+from harecross.dns.message import Question, Reply, normalize_name
+from harecross.dns.servers import NameServers
 from harecross.dns.srv import Resolution, SrvAnswer
 from harecross.settings import address
 
-IDLE = 5.0  # seconds after which a connection without a question is closed (RFC 7766, 6.2.3)
-ASK_MOST = 32  # lookups at once for one name's addresses
-SOCKETS_MOST = 16  # lookups at once of one client, each with a socket: descriptors are for callers
+MAX_LOOKUPS_PER_NAME = 32  # at once, for one name's addresses
+MAX_LOOKUPS = 16  # at once, of one client, each with a socket: descriptors are for client connections
 
 
-class LookupFailed(Exception):
+class LookupFailedError(Exception):
     """There is no answer; the text holds each server's reason."""
 
 
-class Datagram(asyncio.DatagramProtocol):
-    """One try. The socket is connected: what comes from another address never arrives."""
-
-    def __init__(self, came: Callable[[bytes], None], broken: Callable[[str], None]) -> None:
-        self.came, self.broken = came, broken
-
-    def datagram_received(self, data: bytes, addr: object) -> None:
-        self.came(data)
-
-    def error_received(self, exc: Exception) -> None:
-        self.broken(f"cannot be reached: {exc}")
-
-
-class Stream(asyncio.Protocol):
-    """A connection to one server, shared by all lookups that need one; questions on it do not wait for each other."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop = loop
-        self.frames = Frames()
-        self.transport: asyncio.Transport | None = None
-        self.waiting: dict[int, list[tuple[Callable[[bytes], None], Callable[[str], None]]]] = {}
-        self.idle: asyncio.TimerHandle | None = None
-        self.closed = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-
-    def ask(self, data: bytes, came: Callable[[bytes], None], broken: Callable[[str], None]) -> None:
-        assert self.transport is not None
-        if self.idle is not None:
-            self.idle.cancel()
-        self.waiting.setdefault(int.from_bytes(data[:2], "big"), []).append((came, broken))
-        self.transport.write(framed(data))
-
-    def data_received(self, data: bytes) -> None:
-        for message in self.frames.feed(data):
-            for came, _ in self.waiting.pop(int.from_bytes(message[:2], "big"), ()):
-                came(message)
-        if not self.waiting and not self.closed:
-            if self.idle is not None:
-                self.idle.cancel()
-            self.idle = self.loop.call_later(IDLE, self.close)
-
-    def close(self) -> None:
-        self.closed = True
-        if self.transport is not None:
-            self.transport.close()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.closed = True
-        if self.idle is not None:
-            self.idle.cancel()
-        waiting, self.waiting = self.waiting, {}
-        for group in waiting.values():
-            for _, broken in group:
-                broken("the connection was cut")
-
-
-class Client:
-    """Asks DNS servers. At most one lookup is out for one question: who asks meanwhile gets the same answer."""
+class DnsClient:
+    """Queries DNS servers. One lookup at a time is in progress for a question; all who ask share its answer."""
 
     def __init__(
         self, servers: Sequence[str], rng: Random, tls: ssl.SSLContext | None = None, tls_name: str = ""
     ) -> None:
         """`servers` are HOST:PORT, by IP address, with `tls://` before it for DNS over TLS. `tls_name` is the name that
-        their certificate must bear in place of their address. ValueError without any server."""
+        their certificate must have in place of their address. ValueError without any server."""
         self.loop = asyncio.get_running_loop()
-        self.servers = Servers(servers, rng)
-        self.rng = rng
-        self.open: dict[Question, asyncio.Task[Reply]] = {}
-        self.streams: dict[str, asyncio.Task[Stream]] = {}
-        self.asked = 0  # messages sent
-        self.room = asyncio.Semaphore(SOCKETS_MOST)
-        self.tls, self.tls_name = tls, tls_name
-
-    async def ask(self, question: Question) -> Reply:
-        """The answer. LookupFailed where there is none; a caller that is cancelled stops no other."""
-        task = self.open.get(question)
-        if task is None:
-            task = self.open[question] = asyncio.create_task(self.lookup(question))
-            task.add_done_callback(lambda done: self.open.pop(question, None))
-        return await asyncio.shield(task)
+        self.queries_sent = 0
+        self._servers = NameServers(servers, rng)
+        self._rng = rng
+        self._lookups: dict[Question, asyncio.Task[Reply]] = {}
+        self._connections = ConnectionCache(tls, tls_name)
+        self._lookup_slots = asyncio.Semaphore(MAX_LOOKUPS)
 
     async def resolve(self, name: str) -> SrvAnswer:
-        """What an SRV name holds. LookupFailed where the name itself has no answer; ValueError for no name."""
-        resolution = Resolution(plain(name))
-        room = asyncio.Semaphore(ASK_MOST)
+        """What an SRV name has. LookupFailedError where the name itself has no answer; ValueError for no name."""
+        resolution = Resolution(normalize_name(name))
+        slots = asyncio.Semaphore(MAX_LOOKUPS_PER_NAME)
 
-        async def one(question: Question) -> None:
-            async with room:
+        async def look_up(question: Question) -> None:
+            async with slots:
                 try:
-                    resolution.answered(question, await self.ask(question))
-                except LookupFailed as e:
-                    resolution.could_not(question, str(e))
-
-        while not resolution.over:
-            await asyncio.gather(*(one(q) for q in resolution.questions()))
-        if resolution.failed:
-            raise LookupFailed(resolution.failed)
+                    resolution.receive_reply(question, await self.query(question))
+                except LookupFailedError as error:
+                    resolution.receive_failure(question, str(error))
+
+        while not resolution.done:
+            await asyncio.gather(*(look_up(question) for question in resolution.questions()))
+        if resolution.failure:
+            raise LookupFailedError(resolution.failure)
         return resolution.result()
 
-    async def lookup(self, question: Question) -> Reply:
-        async with self.room:
-            return await self.look_up(question)
+    async def query(self, question: Question) -> Reply:
+        """The answer. LookupFailedError where there is none; a caller that is cancelled stops no other."""
+        task = self._lookups.get(question)
+        if task is None:
+            task = self._lookups[question] = asyncio.create_task(self._look_up(question))
+            task.add_done_callback(lambda done: self._lookups.pop(question, None))
+        return await asyncio.shield(task)
 
-    async def look_up(self, question: Question) -> Reply:
-        now = self.loop.time
-        lookup = Lookup(question, self.servers, self.rng, now())
-        moved = asyncio.Event()
-        sockets: list[asyncio.DatagramTransport] = []
-        sending: set[asyncio.Task[None]] = set()
+    async def _look_up(self, question: Question) -> Reply:
+        async with self._lookup_slots:
+            lookup = Lookup(question, self._servers, self._rng, self.loop.time())
+            await LookupRun(self, lookup).run()
+        if lookup.reply is None:
+            raise LookupFailedError(f"{question}: {lookup.failure}")
+        return lookup.reply
+
+    async def send(
+        self, query: OutgoingQuery, callbacks: AttemptCallbacks, sockets: list[asyncio.DatagramTransport]
+    ) -> None:
+        """Sends one message, and reports by `callbacks` what comes of it. A new socket is added to `sockets`."""
+        try:
+            if query.transport == "udp":
+                await self._send_datagram(query, callbacks, sockets)
+            else:
+                connection = await self._connections.get(self.loop, query.server)
+                connection.send(query.data, callbacks)
+        except OSError as error:
+            callbacks.failed(f"cannot be reached: {error.strerror or error}")
+
+    async def _send_datagram(
+        self, query: OutgoingQuery, callbacks: AttemptCallbacks, sockets: list[asyncio.DatagramTransport]
+    ) -> None:
+        host, port = address(query.server)
+        transport, _ = await self.loop.create_datagram_endpoint(
+            lambda: UdpProtocol(callbacks), remote_addr=(host.strip("[]"), port)
+        )
+        sockets.append(transport)
+        transport.sendto(query.data)
+
+    async def close(self) -> None:
+        """Ends the lookups in progress, and the connections."""
+        lookups = list(self._lookups.values())
+        for task in lookups:
+            task.cancel()
+        await asyncio.gather(*lookups, return_exceptions=True)
+        await self._connections.close()
 
-        def do(todo: list[Send]) -> None:
-            for send in todo:
-                self.asked += 1
-                task = asyncio.create_task(self.send(send, came, broken, sockets))
-                sending.add(task)
-                task.add_done_callback(sending.discard)
-            moved.set()
 
-        def came(number: int, data: bytes) -> None:
-            do(lookup.received(now(), number, data))
+class LookupRun:
+    """One lookup at work: its messages, its timer and its sockets."""
 
-        def broken(number: int, why: str) -> None:
-            do(lookup.broken(now(), number, why))
+    def __init__(self, client: DnsClient, lookup: Lookup) -> None:
+        self._client = client
+        self._lookup = lookup
+        self._now: Callable[[], float] = client.loop.time
+        self._changed = asyncio.Event()
+        self._sockets: list[asyncio.DatagramTransport] = []
+        self._tasks: set[asyncio.Task[Any]] = set()
 
+    async def run(self) -> None:
+        """Runs the lookup to its end."""
         try:
-            do(lookup.begin(now()))
-            while not lookup.over:
-                moved.clear()
+            self._send(self._lookup.start(self._now()))
+            while not self._lookup.done:
+                self._changed.clear()
                 try:
-                    async with asyncio.timeout_at(lookup.due):
-                        await moved.wait()
+                    async with asyncio.timeout_at(self._lookup.due):
+                        await self._changed.wait()
                 except TimeoutError:
-                    do(lookup.tick(now()))
+                    self._send(self._lookup.check_timeout(self._now()))
         finally:
-            for task in sending:
+            for task in self._tasks:
                 task.cancel()
-            for sock in sockets:
-                sock.close()
-        if lookup.reply is None:
-            raise LookupFailed(f"{question}: {lookup.failed}")
-        return lookup.reply
+            for transport in self._sockets:
+                transport.close()
 
-    async def send(
-        self,
-        send: Send,
-        came: Callable[[int, bytes], None],
-        broken: Callable[[int, str], None],
-        sockets: list[asyncio.DatagramTransport],
-    ) -> None:
-        mine, lost = partial(came, send.number), partial(broken, send.number)
-        try:
-            if send.transport == "udp":
-                host, port = address(send.server)
-                sock, _ = await self.loop.create_datagram_endpoint(
-                    lambda: Datagram(mine, lost), remote_addr=(host.strip("[]"), port)
-                )
-                sockets.append(sock)
-                sock.sendto(send.data)
-            else:
-                stream = await self.stream(send.server)
-                stream.ask(send.data, mine, lost)
-        except OSError as e:
-            lost(f"cannot be reached: {e.strerror or e}")
-
-    async def stream(self, server: str) -> Stream:
-        """The connection to a server, a new one where there is none. OSError where none comes up."""
-        task = self.streams.get(server)
-        if (
-            task is not None
-            and task.done()
-            and (task.cancelled() or task.exception() or task.result().closed)
-        ):
-            task = None
-        if task is None:
-            task = self.streams[server] = asyncio.create_task(self.connect(server))
-        return await asyncio.shield(task)
+    def _send(self, queries: list[OutgoingQuery]) -> None:
+        for query in queries:
+            self._client.queries_sent += 1
+            task = asyncio.create_task(self._client.send(query, self._callbacks(query), self._sockets))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        self._changed.set()
 
-    async def connect(self, server: str) -> Stream:
-        host, port = address(server.removeprefix(TLS))
-        more: dict[str, Any] = {}
-        if server.startswith(TLS):
-            more = {"ssl": self.tls or ssl.create_default_context(), "server_hostname": self.tls_name or host}
-        try:
-            _, stream = await self.loop.create_connection(
-                lambda: Stream(self.loop), host.strip("[]"), port, **more
-            )
-        except ssl.SSLError as e:
-            raise OSError(f"TLS: {e.reason or e}") from None
-        return stream
+    def _callbacks(self, query: OutgoingQuery) -> AttemptCallbacks:
+        def received(data: bytes) -> None:
+            self._send(self._lookup.receive(self._now(), query.attempt, data))
 
-    async def close(self) -> None:
-        """Ends what is out, and the connections."""
-        tasks = [*self.open.values(), *self.streams.values()]
-        for task in tasks:
-            if (
-                task.done()
-                and not task.cancelled()
-                and task.exception() is None
-                and isinstance(task.result(), Stream)
-            ):
-                cast(Stream, task.result()).close()
-            task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
+        def failed(reason: str) -> None:
+            self._send(self._lookup.transport_failed(self._now(), query.attempt, reason))
+
+        return AttemptCallbacks(received, failed)
--- a/harecross/dns/frames.py
+++ b/harecross/dns/frames.py
@@ -2,29 +2,33 @@
 
 from __future__ import annotations
 
+LENGTH_BYTES = 2
+MAX_MESSAGE_BYTES = 0xFFFF
 
-def framed(data: bytes) -> bytes:
-    """A message as it goes out. ValueError for one that is too long."""
-    if len(data) > 0xFFFF:
-        raise ValueError(f"{len(data)} bytes are more than a message may have")
-    return len(data).to_bytes(2, "big") + data
 
+def frame(message: bytes) -> bytes:
+    """A message with its length before it. ValueError for one that is too long."""
+    if len(message) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"{len(message)} bytes are more than a message may have")
+    return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
-class Frames:
-    """Cuts a stream into messages, however it comes."""
+
+class FrameDecoder:
+    """Cuts a stream into messages, in whatever parts it arrives."""
 
     def __init__(self) -> None:
-        self.kept = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are whole now."""
-        self.kept += data
-        found, at = [], 0
-        while len(self.kept) - at >= 2:
-            end = at + 2 + int.from_bytes(self.kept[at : at + 2], "big")
-            if end > len(self.kept):
+        """The messages that are complete now."""
+        self.buffer += data
+        messages, start = [], 0
+        while len(self.buffer) - start >= LENGTH_BYTES:
+            body = start + LENGTH_BYTES
+            end = body + int.from_bytes(self.buffer[start:body], "big")
+            if end > len(self.buffer):
                 break
-            found.append(bytes(self.kept[at + 2 : end]))
-            at = end
-        del self.kept[:at]
-        return found
+            messages.append(bytes(self.buffer[body:end]))
+            start = end
+        del self.buffer[:start]
+        return messages
--- a/harecross/dns/lookup.py
+++ b/harecross/dns/lookup.py
@@ -1,7 +1,7 @@
-"""One question, from the first try to an answer or a failure. Free of I/O.
+"""One question, from the first attempt to an answer or a failure. Free of I/O.
 
-The host sends what `Send` says, each UDP try from a socket of its own (a new random port, RFC 5452), and tells what
-comes back. Only one try is waited for at a time; answers to earlier ones still count.
+The caller sends each `OutgoingQuery`, over UDP from a socket of its own (a new random port, RFC 5452), and reports what
+comes back. One attempt is waited for at a time; answers to earlier ones still count.
 """
 
 from __future__ import annotations
@@ -16,154 +16,162 @@
     NOERROR,
     NOTIMP,
     NXDOMAIN,
-    BadMessage,
+    MessageError,
     Question,
     Reply,
-    decode,
-    encode,
+    decode_reply,
+    encode_query,
 )
-from harecross.dns.servers import EDNS_AGAIN, Server, Servers
+from harecross.dns.servers import EDNS_RETRY_S, NameServer, NameServers
 
-ROUNDS = 3  # times each server is asked at most
-WHOLE = 6.0  # seconds for a lookup
-RCODES = {1: "FORMERR", 2: "SERVFAIL", 4: "NOTIMP", 5: "REFUSED", 16: "BADVERS"}
+MAX_ATTEMPTS_PER_SERVER = 3
+LOOKUP_TIMEOUT_S = 6.0
+TCP_TIMEOUT_FACTOR = 2  # a connection takes a round-trip to come up
+RCODE_NAMES = {1: "FORMERR", 2: "SERVFAIL", 4: "NOTIMP", 5: "REFUSED", 16: "BADVERS"}
 
 Transport = Literal["udp", "tcp"]
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """A message to send. The host tells what comes of it by this number."""
+class OutgoingQuery:
+    """A message to send."""
 
-    number: int
+    attempt: int  # by this number the result is reported
     transport: Transport
     server: str
     data: bytes
 
 
 @dataclass(slots=True)
-class Try:
-    """One message that is out."""
+class Attempt:
+    """One message that was sent."""
 
-    server: Server
+    server: NameServer
     transport: Transport
-    id: int
+    message_id: int
     edns: bool
-    began: float
+    sent_at: float
 
 
 class Lookup:
-    """`reply` or `failed` is set once it has ended. Every method returns what is to be sent now, if anything."""
+    """`reply` or `failure` is set once it has ended. Its methods return what is to be sent now, if anything."""
 
-    def __init__(self, question: Question, servers: Servers, rng: Random, now: float) -> None:
+    def __init__(self, question: Question, servers: NameServers, rng: Random, now: float) -> None:
         self.question = question
-        self.rng = rng
         self.reply: Reply | None = None
-        self.server = ""  # who answered
-        self.failed = ""  # why there is no answer: each server's reason
-        self.reasons: list[str] = []
-        self.ignored = 0  # messages that were not the answer to what was asked
-        self.tries: dict[int, Try] = {}
-        self.sent = 0
-        self.ends_at = now + WHOLE
-        self.times: dict[str, int] = {}
-        self.left = [s for _ in range(ROUNDS) for s in servers.order(now)]
-        self.current = 0  # the number of the try that is waited for
-        self.due = now
+        self.failure = ""  # why there is no answer: each server's reason
+        self.due = now  # when to call `check_timeout`
+        self._rng = rng
+        self._reasons: list[str] = []
+        self._attempts: dict[int, Attempt] = {}
+        self._attempts_by_server: dict[str, int] = {}
+        self._current_attempt = 0  # the number of the one that is waited for
+        self._ends_at = now + LOOKUP_TIMEOUT_S
+        self._remaining = [server for _ in range(MAX_ATTEMPTS_PER_SERVER) for server in servers.in_order(now)]
 
     @property
-    def over(self) -> bool:
-        return self.reply is not None or bool(self.failed)
+    def done(self) -> bool:
+        """Whether it has ended."""
+        return self.reply is not None or bool(self.failure)
 
-    def begin(self, now: float) -> list[Send]:
-        """The first message."""
-        return self.next(now)
+    def start(self, now: float) -> list[OutgoingQuery]:
+        """Begins with the first server."""
+        return self._query_next(now)
 
-    def next(self, now: float) -> list[Send]:
-        """Asks the next server."""
-        if not self.left or now >= self.ends_at:
-            self.failed = "; ".join(dict.fromkeys(self.reasons)) or "no time left"
+    def _query_next(self, now: float) -> list[OutgoingQuery]:
+        if not self._remaining or now >= self._ends_at:
+            self.failure = "; ".join(dict.fromkeys(self._reasons)) or "no time left"
             return []
-        server = self.left.pop(0)
-        return [self.send(now, server, "tcp" if server.stream else "udp")]
-
-    def send(self, now: float, server: Server, transport: Transport) -> Send:
-        self.sent += 1
-        self.current = self.sent
-        edns = now >= server.plain_until
-        number = self.rng.getrandbits(16)
-        self.tries[self.current] = Try(server, transport, number, edns, now)
-        count = self.times.get(server.address, 0)
-        self.times[server.address] = count + 1
-        # A connection takes a round-trip to come up.
-        patience = server.patience(count) * (2 if transport == "tcp" else 1)
-        self.due = min(now + patience, self.ends_at)
-        return Send(self.current, transport, server.address, encode(self.question, number, edns))
-
-    # ---- what happens ---------------------------------------------------------------------------------
-
-    def tick(self, now: float) -> list[Send]:
-        """Time has passed; acts at `due`."""
-        if self.over or now < self.due:
+        server = self._remaining.pop(0)
+        return [self._query(now, server, "tcp" if server.uses_tls else "udp")]
+
+    def _query(self, now: float, server: NameServer, transport: Transport) -> OutgoingQuery:
+        self._current_attempt += 1
+        edns = now >= server.without_edns_until
+        message_id = self._rng.getrandbits(16)
+        self._attempts[self._current_attempt] = Attempt(server, transport, message_id, edns, now)
+        attempts = self._attempts_by_server.get(server.address, 0)
+        self._attempts_by_server[server.address] = attempts + 1
+        timeout_s = server.timeout_s(attempts) * (TCP_TIMEOUT_FACTOR if transport == "tcp" else 1)
+        self.due = min(now + timeout_s, self._ends_at)
+        data = encode_query(self.question, message_id, edns=edns)
+        return OutgoingQuery(self._current_attempt, transport, server.address, data)
+
+    # ---- results ------------------------------------------------------------------------------------------
+
+    def check_timeout(self, now: float) -> list[OutgoingQuery]:
+        """Gives up the current attempt once `due` has come."""
+        if self.done or now < self.due:
             return []
-        return self.give_up(now, self.current, "no answer in time")
+        return self._fail(now, self._current_attempt, "no answer in time")
 
-    def broken(self, now: float, number: int, why: str) -> list[Send]:
-        """A try cannot be answered any more: refused by the network, or a connection that was cut."""
-        return [] if self.over else self.give_up(now, number, why)
+    def transport_failed(self, now: float, attempt: int, reason: str) -> list[OutgoingQuery]:
+        """An attempt cannot be answered any more: the network refused it, or its connection was cut."""
+        return [] if self.done else self._fail(now, attempt, reason)
 
-    def give_up(self, now: float, number: int, why: str) -> list[Send]:
-        """A try has failed; the next one where it was the one that is waited for."""
-        tried = self.tries[number]
-        tried.server.failed(now)
-        self.reasons.append(f"{tried.server.address}: {why}")
-        return self.next(now) if number == self.current else []
+    def _fail(self, now: float, number: int, reason: str) -> list[OutgoingQuery]:
+        """An attempt has failed; the next one follows where it was the current one."""
+        server = self._attempts[number].server
+        server.record_failure(now)
+        self._reasons.append(f"{server.address}: {reason}")
+        return self._query_next(now) if number == self._current_attempt else []
 
-    def received(self, now: float, number: int, data: bytes) -> list[Send]:
-        """A whole message came for a try, from the address it was sent to.
+    def receive(self, now: float, number: int, data: bytes) -> list[OutgoingQuery]:
+        """Takes a whole message that came for an attempt, from the address it was sent to.
 
-        Guards against: a forged answer. One whose id or question differs is passed over, and the true one is
-        still waited for (RFC 5452, 9); over a connection nothing else can follow, and the try has failed.
+        One whose id or question differs may be forged: it is ignored, and the true one still waited for (RFC 5452, 9).
+        On a connection no other can follow, and the attempt has failed.
         """
-        tried = self.tries.get(number)
-        if tried is None or self.over:
+        attempt = self._attempts.get(number)
+        if attempt is None or self.done:
             return []
         try:
-            reply = decode(data)
-            if reply.id != tried.id:
-                raise BadMessage("another id")
-            # A server that cannot read the query may leave its question out.
-            if reply.question != self.question and not (reply.question is None and reply.rcode == FORMERR):
-                raise BadMessage("another question")
-        except BadMessage as e:
-            self.ignored += 1
-            return [] if tried.transport == "udp" else self.give_up(now, number, str(e))
-        server = tried.server
-        if tried.edns and reply.rcode in (FORMERR, NOTIMP, BADVERS):
-            # RFC 6891, 7: it does not know the OPT record. Asked again at once without one.
-            server.plain_until = now + EDNS_AGAIN
-            return [self.send(now, server, tried.transport)]
+            reply = decode_reply(data)
+            self._check_reply(reply, attempt)
+        except MessageError as error:
+            return [] if attempt.transport == "udp" else self._fail(now, number, str(error))
+        return self._take_reply(now, number, attempt, reply)
+
+    def _check_reply(self, reply: Reply, attempt: Attempt) -> None:
+        """MessageError for a reply to another query."""
+        if reply.id != attempt.message_id:
+            raise MessageError("another id")
+        # A server that cannot read the query may leave its question out.
+        unread = reply.question is None and reply.rcode == FORMERR
+        if reply.question != self.question and not unread:
+            raise MessageError("another question")
+
+    def _take_reply(self, now: float, number: int, attempt: Attempt, reply: Reply) -> list[OutgoingQuery]:
+        server = attempt.server
+        if attempt.edns and reply.rcode in (FORMERR, NOTIMP, BADVERS):
+            # RFC 6891, 7: it does not know the OPT record. Queried again at once without one.
+            server.without_edns_until = now + EDNS_RETRY_S
+            return [self._query(now, server, attempt.transport)]
         if reply.truncated:
-            # RFC 7766, 5: a part of a set is no set. Over TCP there is no reason to cut one.
-            if tried.transport == "tcp":
-                return self.give_up(now, number, "truncated over TCP")
-            server.answered(now - tried.began)
-            return [self.send(now, server, "tcp")] if number == self.current else []
+            return self._take_truncated(now, number, attempt)
         if reply.rcode not in (NOERROR, NXDOMAIN):
-            return self.give_up(now, number, RCODES.get(reply.rcode, f"rcode {reply.rcode}"))
-        if lame(reply):
-            return self.give_up(now, number, "lame: it refers to others")
-        server.answered(now - tried.began)
-        self.reply, self.server = reply, server.address
+            return self._fail(now, number, RCODE_NAMES.get(reply.rcode, f"rcode {reply.rcode}"))
+        if is_referral(reply):
+            return self._fail(now, number, "lame: it refers to others")
+        server.record_answer(now - attempt.sent_at)
+        self.reply = reply
         return []
 
+    def _take_truncated(self, now: float, number: int, attempt: Attempt) -> list[OutgoingQuery]:
+        """RFC 7766, 5: a part of a set is not used. Over TCP there is no reason to cut one."""
+        if attempt.transport == "tcp":
+            return self._fail(now, number, "truncated over TCP")
+        attempt.server.record_answer(now - attempt.sent_at)
+        return [self._query(now, attempt.server, "tcp")] if number == self._current_attempt else []
 
-def lame(reply: Reply) -> bool:
-    """Whether a server that should know, or ask for us, points to other servers in place of an answer."""
+
+def is_referral(reply: Reply) -> bool:
+    """Whether a server that should know, or ask for us, refers to other servers in place of an answer."""
+    authority = {record.record_type for record in reply.authority}
     return (
         reply.rcode == NOERROR
         and not reply.answers
         and not reply.authoritative
-        and any(r.kind == "NS" for r in reply.authority)
-        and not any(r.kind == "SOA" for r in reply.authority)
+        and "NS" in authority
+        and "SOA" not in authority
     )
--- a/harecross/dns/servers.py
+++ b/harecross/dns/servers.py
@@ -1,4 +1,7 @@
-"""What is known of each DNS server: round-trips, failures, whether it knows EDNS. Free of I/O."""
+"""What is known of each DNS server: round-trip times, failures, support of EDNS. Free of I/O.
+
+Times are seconds.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,15 @@
 from harecross.settings import address
 
 TLS = "tls://"  # before a server's address: DNS over TLS (RFC 7858)
-FIRST = 0.2  # seconds: the round-trip of a server never asked
-GAIN, DEVIATION_GAIN = 1 / 8, 1 / 4  # RFC 6298, 2
-LEAST, MOST = 0.05, 3.0  # seconds that one try may take
-FAILED = 2.0  # a server that fails stands behind the others for so long, doubling...
-FAILED_MOST = 60.0  # ...up to so long
-EXPLORE = 0.05  # share of lookups that begin with another server than the best
-EDNS_AGAIN = 900.0  # seconds after which a server that did not know EDNS is asked with it again
+INITIAL_RTT_S = 0.2  # of a server that has not been queried
+RTT_GAIN, DEVIATION_GAIN = 1 / 8, 1 / 4  # RFC 6298, 2
+DEVIATIONS = 4  # RFC 6298, 2
+MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.05, 3.0  # of one attempt
+MAX_TIMEOUT_DOUBLINGS = 16
+FIRST_PENALTY_S = 2.0  # a server that fails comes after the others for so long, doubling...
+MAX_PENALTY_S = 60.0  # ...up to so long
+EXPLORATION_SHARE = 0.05  # of lookups that begin with another server than the best
+EDNS_RETRY_S = 900.0  # after which a server that did not know EDNS is queried with it again
 
 
 def server_address(text: str, where: str) -> tuple[str, int]:
@@ -30,54 +35,55 @@
 
 
 @dataclass(slots=True)
-class Server:
-    """One server; times are seconds."""
+class NameServer:
+    """One server."""
 
     address: str  # HOST:PORT, or tls://HOST:PORT
-    srtt: float = FIRST
-    deviation: float = FIRST / 2
+    rtt_s: float = INITIAL_RTT_S  # smoothed
+    rtt_deviation_s: float = INITIAL_RTT_S / 2
     failures: int = 0  # in a row
-    behind_until: float = 0.0
-    plain_until: float = 0.0  # asked without EDNS
+    penalty_until: float = 0.0
+    without_edns_until: float = 0.0
 
     @property
-    def stream(self) -> bool:
-        """Whether it is asked over a connection only (RFC 7858)."""
+    def uses_tls(self) -> bool:
+        """Whether it is queried over TLS connections only (RFC 7858)."""
         return self.address.startswith(TLS)
 
-    def patience(self, tries: int) -> float:
-        """How long a try may take, the `tries`-th of one lookup at this server, from 0."""
-        return min(MOST, max(LEAST, self.srtt + 4 * self.deviation) * float(1 << min(tries, 16)))
+    def timeout_s(self, attempts: int) -> float:
+        """How long an attempt may take after so many of the same lookup at this server."""
+        timeout_s = max(MIN_TIMEOUT_S, self.rtt_s + DEVIATIONS * self.rtt_deviation_s)
+        return min(MAX_TIMEOUT_S, timeout_s * float(1 << min(attempts, MAX_TIMEOUT_DOUBLINGS)))
 
-    def answered(self, took: float) -> None:
-        """An answer came, whatever it said."""
-        self.deviation += DEVIATION_GAIN * (abs(took - self.srtt) - self.deviation)
-        self.srtt += GAIN * (took - self.srtt)
+    def record_answer(self, rtt_s: float) -> None:
+        """An answer came, whatever it says."""
+        self.rtt_deviation_s += DEVIATION_GAIN * (abs(rtt_s - self.rtt_s) - self.rtt_deviation_s)
+        self.rtt_s += RTT_GAIN * (rtt_s - self.rtt_s)
         self.failures = 0
-        self.behind_until = 0.0
+        self.penalty_until = 0.0
 
-    def failed(self, now: float) -> None:
-        """No answer, or one that is of no use."""
+    def record_failure(self, now: float) -> None:
+        """No answer came, or one that is of no use."""
         self.failures += 1
-        self.behind_until = now + min(FAILED_MOST, FAILED * 2 ** (self.failures - 1))
+        self.penalty_until = now + min(MAX_PENALTY_S, FIRST_PENALTY_S * 2 ** (self.failures - 1))
 
 
-class Servers:
-    """All servers that may be asked, and in which order."""
+class NameServers:
+    """All servers that may be queried, and in which order."""
 
     def __init__(self, addresses: Sequence[str], rng: Random) -> None:
         """ValueError without any."""
         if not addresses:
             raise ValueError("no DNS server is named")
-        self.all = [Server(a) for a in dict.fromkeys(addresses)]
-        self.rng = rng
+        self.all = [NameServer(address) for address in dict.fromkeys(addresses)]
+        self._rng = rng
 
-    def order(self, now: float) -> list[Server]:
-        """The best first: those that answer before those that have failed, then by round-trip.
+    def in_order(self, now: float) -> list[NameServer]:
+        """The best first: those that answer before those that have failed, then by round-trip time.
 
-        Guards against: the one server that was slow once is never asked again, and its recovery not seen.
+        Now and then another one is first, or a server that was slow once would not be seen to recover.
         """
-        found = sorted(self.all, key=lambda s: (s.behind_until > now, s.srtt))
-        if len(found) > 1 and self.rng.random() < EXPLORE:
-            found.insert(0, found.pop(self.rng.randrange(1, len(found))))
-        return found
+        servers = sorted(self.all, key=lambda server: (server.penalty_until > now, server.rtt_s))
+        if len(servers) > 1 and self._rng.random() < EXPLORATION_SHARE:
+            servers.insert(0, servers.pop(self._rng.randrange(1, len(servers))))
+        return servers
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -3,221 +3,283 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from harecross.dns.message import NXDOMAIN, Question, Record, Reply
 
-CHAIN_MOST = 8  # aliases followed from one name
-TARGETS_MOST = 10_000  # of one name
-FAMILIES = ("A", "AAAA")
-NEGATIVE = 60.0  # seconds that a negative answer without a SOA lives
+MAX_ALIASES = 8  # followed from one name
+MAX_TARGETS = 10_000  # of one name
+ADDRESS_TYPES = ("A", "AAAA")
+DEFAULT_NEGATIVE_TTL_S = 60.0  # of a negative answer without a SOA
+NO_SERVICE = "."  # the target of a name that offers no service
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SrvEndpoint:
-    """One address of one SRV record; `weight` is the record's own, 0 to 65535."""
+    """One address of one SRV record."""
 
     priority: int
     target: str
     address: str
     port: int
-    weight: int
+    weight: int  # the record's own, 0 to 65535
 
 
 @dataclass(frozen=True, slots=True)
 class SrvAnswer:
-    """What a name holds. `ttl` in seconds; `empty` says why there is nothing; `unknown` are targets whose address
-    could not be looked up; `notes` are for operators."""
+    """What a name has."""
 
     endpoints: tuple[SrvEndpoint, ...]
-    ttl: float
-    empty: str = ""
-    unknown: tuple[str, ...] = ()
-    notes: tuple[str, ...] = ()
+    ttl: float  # seconds
+    empty: str = ""  # why there are no endpoints
+    unknown: tuple[str, ...] = ()  # targets whose address could not be looked up
+    notes: tuple[str, ...] = ()  # for operators
+
+
+class SrvData(NamedTuple):
+    """The data of an SRV record."""
+
+    priority: int
+    weight: int
+    port: int
+    target: str
+
+
+def srv_data(record: Record) -> SrvData:
+    """An SRV record's data."""
+    priority, weight, port, target = record.data
+    return SrvData(int(priority), int(weight), int(port), str(target))
+
+
+class TargetAddresses(NamedTuple):
+    """What is known of a target's addresses."""
+
+    addresses: list[str]
+    ttl: float  # the least
+    failure: str = ""  # why none is known, where a lookup has failed
+
+
+class AddressQuery(NamedTuple):
+    """A lookup of a target's addresses."""
+
+    target: str
+    record_type: str
 
 
 def zone_of(name: str) -> str:
-    """The part of an SRV name below its underscored labels: what its server is believed on."""
+    """The part of an SRV name below its underscored labels: the zone on which its server is believed."""
     labels = name.split(".")
     while len(labels) > 2 and labels[0].startswith("_"):
         labels.pop(0)
     return ".".join(labels)
 
 
-def within(name: str, zone: str) -> bool:
+def is_within(name: str, zone: str) -> bool:
     """Whether a name lies in a zone (its bailiwick)."""
     return name == zone or name.endswith("." + zone)
 
 
 def negative_ttl(reply: Reply) -> float:
-    """How long an answer without records lives (RFC 2308, 5)."""
-    soas = [min(r.ttl, int(r.data[0])) for r in reply.authority if r.kind == "SOA"]
-    return float(min(soas)) if soas else NEGATIVE
+    """How long an answer without records holds (RFC 2308, 5)."""
+    ttls = [min(r.ttl, int(r.data[0])) for r in reply.authority if r.record_type == "SOA"]
+    return float(min(ttls)) if ttls else DEFAULT_NEGATIVE_TTL_S
 
 
-class Chain:
-    """One name with its aliases, asked for records of one kind. Ends with `records`, or with `why` there are none."""
+class AliasChain:
+    """One name with its aliases, queried for one type. Ends with `records`, or with the reason that there are none."""
 
-    def __init__(self, name: str, kind: str) -> None:
-        self.kind = kind
+    def __init__(self, name: str, record_type: str) -> None:
         self.names = [name]
         self.records: list[Record] = []
         self.ttl = float("inf")
-        self.why = ""
+        self.reason = ""
+        self._record_type = record_type
 
     @property
     def question(self) -> Question:
-        """What is to be asked next."""
-        return Question(self.names[-1], self.kind)
+        """What to query next."""
+        return Question(self.names[-1], self._record_type)
 
     @property
-    def over(self) -> bool:
-        return bool(self.records or self.why)
+    def done(self) -> bool:
+        """Whether it has ended."""
+        return bool(self.records or self.reason)
 
-    def read(self, reply: Reply) -> None:
+    def receive(self, reply: Reply) -> None:
         """Follows the aliases in an answer as far as they go."""
         while True:
-            here = self.names[-1]
-            at = [r for r in reply.answers if r.name == here]
-            self.records = [r for r in at if r.kind == self.kind]
-            alias = next((r for r in at if r.kind == "CNAME"), None)
+            name = self.names[-1]
+            records = [record for record in reply.answers if record.name == name]
+            self.records = [record for record in records if record.record_type == self._record_type]
             if self.records:
-                self.ttl = min(self.ttl, *(r.ttl for r in self.records))
+                self.ttl = min(self.ttl, *(record.ttl for record in self.records))
                 return
+            alias = next((record for record in records if record.record_type == "CNAME"), None)
             if alias is None:
-                # Where the answer ends at an alias, what it stands for is asked on its own.
-                if (
-                    reply.rcode == NXDOMAIN
-                    or len(self.names) == 1
-                    or not reply.answers
-                    or asked(reply) == here
-                ):
-                    self.why = "NXDOMAIN" if reply.rcode == NXDOMAIN else "no data"
-                    self.ttl = min(self.ttl, negative_ttl(reply))
+                self._end_of_answer(reply)
                 return
-            target = str(alias.data[0])
-            self.ttl = min(self.ttl, alias.ttl)
-            if target in self.names or len(self.names) > CHAIN_MOST:
-                self.why = "a loop of aliases" if target in self.names else "too many aliases"
-                self.ttl = min(self.ttl, NEGATIVE)
+            if not self._follow(alias):
                 return
-            self.names.append(target)
 
+    def _end_of_answer(self, reply: Reply) -> None:
+        """Ends the chain, or leaves the last name to a query of its own where the answer ends at an alias."""
+        queried = reply.question.name if reply.question is not None else ""
+        at_alias = len(self.names) > 1 and bool(reply.answers) and queried != self.names[-1]
+        if reply.rcode == NXDOMAIN or not at_alias:
+            self.reason = "NXDOMAIN" if reply.rcode == NXDOMAIN else "no data"
+            self.ttl = min(self.ttl, negative_ttl(reply))
+
+    def _follow(self, alias: Record) -> bool:
+        """Follows an alias; False, with a reason, where that leads nowhere."""
+        target = str(alias.data[0])
+        self.ttl = min(self.ttl, alias.ttl)
+        if target in self.names or len(self.names) > MAX_ALIASES:
+            self.reason = "a loop of aliases" if target in self.names else "too many aliases"
+            self.ttl = min(self.ttl, DEFAULT_NEGATIVE_TTL_S)
+            return False
+        self.names.append(target)
+        return True
+
+
+@dataclass(slots=True)
+class Collected:
+    """The endpoints of a name while its records are gone through."""
 
-def asked(reply: Reply) -> str:
-    return reply.question.name if reply.question is not None else ""
+    ttl: float
+    endpoints: set[SrvEndpoint] = field(default_factory=set)
+    unknown: list[str] = field(default_factory=list)
+    notes: list[str] = field(default_factory=list)
 
 
 class Resolution:
-    """One SRV name on its way to endpoints. Ask what `questions` gives; `result` is there once nothing is open."""
+    """One SRV name on its way to endpoints. Query what `questions` returns, until it is `done`."""
 
     def __init__(self, name: str) -> None:
-        self.name = name
-        self.srv = Chain(name, "SRV")
-        self.chains: dict[tuple[str, str], Chain] = {}  # by target and family
-        self.given: dict[str, list[Record]] = {}  # addresses that came with the SRV records
-        self.lost: dict[tuple[str, str], str] = {}  # and why
-        self.failed = ""  # why the name itself has no answer
-        self.notes: list[str] = []
-
-    def open(self) -> list[Chain]:
-        chains = [c for key, c in self.chains.items() if key not in self.lost]
-        return [c for c in (self.srv, *chains) if not c.over]
+        self.failure = ""  # why the name itself has no answer
+        self._srv = AliasChain(name, "SRV")
+        self._chains: dict[AddressQuery, AliasChain] = {}
+        self._failures: dict[AddressQuery, str] = {}
+        self._given: dict[str, list[Record]] = {}  # addresses that came with the SRV records, by target
+        self._notes: list[str] = []
+
+    def _open_chains(self) -> list[AliasChain]:
+        chains = [chain for query, chain in self._chains.items() if query not in self._failures]
+        return [chain for chain in (self._srv, *chains) if not chain.done]
 
     def questions(self) -> list[Question]:
-        """What is to be asked now; the same again until it is answered."""
-        return [] if self.failed else list(dict.fromkeys(c.question for c in self.open()))
+        """What to query now; the same again until it is answered."""
+        if self.failure:
+            return []
+        return list(dict.fromkeys(chain.question for chain in self._open_chains()))
 
     @property
-    def over(self) -> bool:
-        return bool(self.failed) or not self.open()
+    def done(self) -> bool:
+        """Whether nothing is left to query."""
+        return bool(self.failure) or not self._open_chains()
 
-    def could_not(self, question: Question, why: str) -> None:
+    def receive_failure(self, question: Question, reason: str) -> None:
         """A lookup has failed."""
-        if self.srv.question == question and not self.srv.over:
-            self.failed = why
+        if self._srv.question == question and not self._srv.done:
+            self.failure = reason
             return
-        for key, chain in self.chains.items():
-            if chain.question == question and not chain.over:
-                self.lost[key] = why
+        for query, chain in self._chains.items():
+            if chain.question == question and not chain.done:
+                self._failures[query] = reason
 
-    def answered(self, question: Question, reply: Reply) -> None:
-        """An answer to a question."""
-        for chain in self.open():
+    def receive_reply(self, question: Question, reply: Reply) -> None:
+        """A lookup has an answer."""
+        for chain in self._open_chains():
             if chain.question == question:
-                chain.read(reply)
-                if chain is self.srv and chain.over:
-                    self.targets(reply.additional)
-
-    def targets(self, additional: Iterable[Record]) -> None:
-        """The SRV records are there: takes addresses that came along, and asks for the others.
-
-        Guards against: a server that adds an address for a name it has no say in (RFC 2181, 5.4.1).
-        """
-        zone = zone_of(self.srv.names[-1])
-        names = dict.fromkeys(str(r.data[3]) for r in self.srv.records)
-        if len(names) > TARGETS_MOST:
-            self.notes.append(f"{len(names)} targets, of which {TARGETS_MOST} are used")
-        wanted = [n for n in names if n != "."][:TARGETS_MOST]
-        for r in additional:
-            if r.kind in FAMILIES and r.name in names:
-                if within(r.name, zone):
-                    self.given.setdefault(r.name, []).append(r)
-                else:
-                    self.notes.append(
-                        f"{r.name}: the address beside the answer is not believed: outside {zone}"
-                    )
-        for name in wanted:
-            if name not in self.given:
-                for family in FAMILIES:
-                    self.chains[name, family] = Chain(name, family)
+                chain.receive(reply)
+                if chain is self._srv and chain.done:
+                    self._begin_targets(reply.additional)
+
+    def _begin_targets(self, additional: Iterable[Record]) -> None:
+        """The SRV records are there: takes addresses that came with them, and queries the others."""
+        targets = dict.fromkeys(srv_data(record).target for record in self._srv.records)
+        if len(targets) > MAX_TARGETS:
+            self._notes.append(f"{len(targets)} targets, of which {MAX_TARGETS} are used")
+        self._take_additional(additional, targets)
+        for target in [target for target in targets if target != NO_SERVICE][:MAX_TARGETS]:
+            if target not in self._given:
+                for record_type in ADDRESS_TYPES:
+                    query = AddressQuery(target, record_type)
+                    self._chains[query] = AliasChain(target, record_type)
+
+    def _take_additional(self, additional: Iterable[Record], targets: Iterable[str]) -> None:
+        """Takes the targets' addresses within the zone of the name: a server may add an address of a name that it has
+        no say in (RFC 2181, 5.4.1)."""
+        zone = zone_of(self._srv.names[-1])
+        names = set(targets)
+        for record in additional:
+            if record.record_type not in ADDRESS_TYPES or record.name not in names:
+                continue
+            if is_within(record.name, zone):
+                self._given.setdefault(record.name, []).append(record)
+            else:
+                self._notes.append(
+                    f"{record.name}: the address beside the answer is not believed: outside {zone}"
+                )
+
+    # ---- the result -----------------------------------------------------------------------------------------
 
     def result(self) -> SrvAnswer:
-        """What the name holds. ValueError while something is open or where the name itself has no answer."""
-        if not self.over or self.failed:
-            raise ValueError(self.failed or "not over")
-        srv = self.srv
-        if not srv.records:
-            return SrvAnswer((), srv.ttl, empty=srv.why)
-        if all(r.data[3] == "." for r in srv.records):
-            return SrvAnswer((), srv.ttl, empty="no service (target .)")
-        notes, unknown, ttl = list(dict.fromkeys(self.notes)), [], srv.ttl
-        endpoints: set[SrvEndpoint] = set()
-        for r in srv.records:
-            priority, weight, port, target = int(r.data[0]), int(r.data[1]), int(r.data[2]), str(r.data[3])
-            if target == "." or port == 0:
-                notes.append(f"a record with target {target} and port {port} is passed over")
-                continue
-            addresses, least, why = self.addresses(target)
-            ttl = min(ttl, least)
-            if why:
-                unknown.append(target)
-                notes.append(f"{target}: no address: {why}")
-            elif not addresses:
-                notes.append(f"{target}: has no address")
-            chain = self.chains.get((target, "A"))
-            if chain is not None and len(chain.names) > 1:
-                notes.append(f"{target}: is an alias of {chain.names[-1]}, which RFC 2782 forbids; followed")
-            endpoints.update(SrvEndpoint(priority, target, a, port, weight) for a in addresses)
-        empty = "" if endpoints or unknown else "no target has an address"
+        """What the name has. ValueError before it is done, and where the name itself has no answer."""
+        if not self.done or self.failure:
+            raise ValueError(self.failure or "not over")
+        records = [srv_data(record) for record in self._srv.records]
+        if not records:
+            return SrvAnswer((), self._srv.ttl, empty=self._srv.reason)
+        if all(record.target == NO_SERVICE for record in records):
+            return SrvAnswer((), self._srv.ttl, empty="no service (target .)")
+        collected = Collected(self._srv.ttl, notes=list(dict.fromkeys(self._notes)))
+        for record in records:
+            self._collect(record, collected)
+        empty = "" if collected.endpoints or collected.unknown else "no target has an address"
         return SrvAnswer(
-            tuple(sorted(endpoints)), ttl, empty, tuple(dict.fromkeys(unknown)), tuple(dict.fromkeys(notes))
+            tuple(sorted(collected.endpoints)),
+            collected.ttl,
+            empty,
+            tuple(dict.fromkeys(collected.unknown)),
+            tuple(dict.fromkeys(collected.notes)),
         )
 
-    def addresses(self, target: str) -> tuple[list[str], float, str]:
-        """A target's addresses, the least of their lives, and why none is known where a lookup has failed."""
-        if target in self.given:
-            given = self.given[target]
-            return [str(r.data[0]) for r in given], float(min(r.ttl for r in given)), ""
-        found: list[str] = []
-        ttl, why = float("inf"), ""
-        for family in FAMILIES:
-            if (target, family) in self.lost:
-                why = self.lost[target, family]
-                continue
-            chain = self.chains.get((target, family))
-            if chain is not None:
-                found += [str(r.data[0]) for r in chain.records]
-                if chain.records:
-                    ttl = min(ttl, chain.ttl)
-        return found, ttl, "" if found else why
+    def _collect(self, record: SrvData, collected: Collected) -> None:
+        """Adds one record's endpoints."""
+        target = record.target
+        if target == NO_SERVICE or record.port == 0:
+            collected.notes.append(f"a record with target {target} and port {record.port} is passed over")
+            return
+        found = self._addresses(target)
+        collected.ttl = min(collected.ttl, found.ttl)
+        if found.failure:
+            collected.unknown.append(target)
+            collected.notes.append(f"{target}: no address: {found.failure}")
+        elif not found.addresses:
+            collected.notes.append(f"{target}: has no address")
+        chain = self._chains.get(AddressQuery(target, "A"))
+        if chain is not None and len(chain.names) > 1:
+            alias = chain.names[-1]
+            collected.notes.append(f"{target}: is an alias of {alias}, which RFC 2782 forbids; followed")
+        collected.endpoints.update(
+            SrvEndpoint(record.priority, target, address, record.port, record.weight)
+            for address in found.addresses
+        )
+
+    def _addresses(self, target: str) -> TargetAddresses:
+        if target in self._given:
+            given = self._given[target]
+            ttl = float(min(record.ttl for record in given))
+            return TargetAddresses([str(record.data[0]) for record in given], ttl)
+        addresses: list[str] = []
+        ttl, failure = float("inf"), ""
+        for record_type in ADDRESS_TYPES:
+            query = AddressQuery(target, record_type)
+            if query in self._failures:
+                failure = self._failures[query]
+            elif query in self._chains:
+                chain = self._chains[query]
+                addresses += [str(record.data[0]) for record in chain.records]
+                ttl = min(ttl, chain.ttl) if chain.records else ttl
+        return TargetAddresses(addresses, ttl, "" if addresses else failure)
--- a/harecross/sources/config.py
+++ b/harecross/sources/config.py
@@ -120,10 +120,10 @@
 def srv_query_name(text: str, where: str) -> str:
     """An SRV name in the form in which it is queried. ValueError, with `where`, for one that cannot be."""
     try:
-        from harecross.dns.message import plain
+        from harecross.dns.message import normalize_name
     except ImportError as error:
         raise ValueError(f"{where}: needs the extra `dns`: {error}") from None
     try:
-        return plain(text)
+        return normalize_name(text)
     except ValueError as error:
         raise ValueError(f"{where}: {error}") from None
--- a/harecross/sources/dns_source.py
+++ b/harecross/sources/dns_source.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from harecross.dns.client import Client, LookupFailed
+from harecross.dns.client import DnsClient, LookupFailedError
 from harecross.dns.lifetime import CachedName, CacheLimits, CacheStatus, CacheView
 from harecross.platform.log import log_exception, log_line
 from harecross.sources.cache_file import CachedSet
@@ -41,7 +41,7 @@
         name: str,
         config: SrvConfig,
         cached_name: CachedName,
-        client: Client,
+        client: DnsClient,
         publisher: MembershipPublisher,
         clock: Callable[[], float],
         log_prefix: str,
@@ -57,7 +57,7 @@
         self._published: PublishedState | None = None
         self._logged_notes: frozenset[str] = frozenset()
 
-    def configure(self, config: SrvConfig, client: Client) -> None:
+    def configure(self, config: SrvConfig, client: DnsClient) -> None:
         """Takes new settings; the cached set stays."""
         if self.config != config:
             self.config, self.cached_name.limits, self._published = config, cache_limits(config), None
@@ -67,7 +67,7 @@
         """Resolves the name."""
         try:
             answer = await self.client.resolve(srv_query_name(self.config.name, self.name))
-        except LookupFailed as error:
+        except LookupFailedError as error:
             self.cached_name.receive_failure(self._clock(), str(error))
         except Exception:
             log_exception(self.name)
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     # The extra `dns` is needed only where SRV names are configured.
-    from harecross.dns.client import Client
+    from harecross.dns.client import DnsClient
     from harecross.sources.cache_file import CachedSet
     from harecross.sources.dns_source import DnsSource
 
@@ -59,7 +59,7 @@
         )
         registry.resolve, registry.weighted = self.membership.resolve, True
         self._watch_heard_at = self.now()
-        self._clients: dict[tuple[object, ...], Client] = {}
+        self._clients: dict[tuple[object, ...], DnsClient] = {}
         self.dns_sources: dict[str, DnsSource] = {}
         self.file_sources: dict[str, FileSource] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -129,9 +129,9 @@
             source.due = self.now() + POLL_INTERVAL_S
             self.membership.update_source(self.now(), name, statements)
 
-    def _client(self, servers: Sequence[str]) -> Client:
+    def _client(self, servers: Sequence[str]) -> DnsClient:
         """The DNS client of these servers; names with the same servers share one."""
-        from harecross.dns.client import Client
+        from harecross.dns.client import DnsClient
         from harecross.dns.servers import TLS
 
         key = (tuple(servers), self.table.tls_ca, self.table.tls_name)
@@ -139,7 +139,7 @@
             context = None
             if any(server.startswith(TLS) for server in servers):
                 context = ssl.create_default_context(cafile=self.table.tls_ca or None)
-            self._clients[key] = Client(servers, self.rng, context, self.table.tls_name)
+            self._clients[key] = DnsClient(servers, self.rng, context, self.table.tls_name)
         return self._clients[key]
 
     # ---- the watch ----------------------------------------------------------------------------------------
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -30,12 +30,12 @@
 import pycares  # noqa: E402
 import trustme  # noqa: E402
 
-from harecross.dns.client import Client, LookupFailed  # noqa: E402
-from harecross.dns.frames import Frames, framed  # noqa: E402
+from harecross.dns.client import DnsClient, LookupFailedError  # noqa: E402
+from harecross.dns.frames import FrameDecoder, frame  # noqa: E402
 from harecross.dns.lifetime import CachedName, CacheLimits, CacheStatus  # noqa: E402
-from harecross.dns.lookup import WHOLE, Lookup  # noqa: E402
-from harecross.dns.message import BadMessage, Question, decode, plain  # noqa: E402
-from harecross.dns.servers import Servers  # noqa: E402
+from harecross.dns.lookup import LOOKUP_TIMEOUT_S, Lookup  # noqa: E402
+from harecross.dns.message import MessageError, Question, decode_reply, normalize_name  # noqa: E402
+from harecross.dns.servers import NameServers  # noqa: E402
 from harecross.dns.srv import Resolution, SrvAnswer, SrvEndpoint  # noqa: E402
 from harecross.standins import dns as standin  # noqa: E402
 from harecross.standins.dns import DnsServer  # noqa: E402
@@ -50,8 +50,8 @@
 @given(st.binary(max_size=300))
 @example(b"\x00\x01\x80\x00\x00\x01\x00\x00\x00\x00\x00\x00\xc0\x0c\x00\x21\x00\x01")
 def test_any_bytes_are_an_answer_or_the_protocol_error(data):
-    with suppress(BadMessage):
-        decode(data)
+    with suppress(MessageError):
+        decode_reply(data)
 
 
 @settings(max_examples=200)
@@ -64,25 +64,25 @@
     wire = bytearray(reply.to_wire())
     for _ in range(data.draw(st.integers(1, 4))):
         wire[data.draw(st.integers(0, len(wire) - 1))] = data.draw(st.integers(0, 255))
-    with suppress(BadMessage):
-        decode(bytes(wire[: data.draw(st.integers(0, len(wire)))]))
+    with suppress(MessageError):
+        decode_reply(bytes(wire[: data.draw(st.integers(0, len(wire)))]))
 
 
 @given(st.lists(st.binary(max_size=80), max_size=6), st.data())
 def test_any_split_of_a_stream_gives_the_same_messages(messages, data):
-    whole, frames, found = b"".join(map(framed, messages)), Frames(), []
+    whole, frames, found = b"".join(map(frame, messages)), FrameDecoder(), []
     while whole:
         cut = data.draw(st.integers(1, len(whole)))
         found += frames.feed(whole[:cut])
         whole = whole[cut:]
-    assert found == messages and not frames.kept
+    assert found == messages and not frames.buffer
 
 
 @pytest.mark.parametrize("bad", ["", ".", "a..b", "x" * 64 + ".org", "a." * 200])
 def test_what_is_no_name_is_refused(bad):
     with pytest.raises(ValueError):
-        plain(bad)
-    assert plain("_A._tcp.Site3.example.ORG") == "_a._tcp.site3.example.org."
+        normalize_name(bad)
+    assert normalize_name("_A._tcp.Site3.example.ORG") == "_a._tcp.site3.example.org."
 
 
 # ---- one lookup, against servers that fail on a clock of their own -------------------------------------------
@@ -147,31 +147,31 @@
     for seed in range(1200):
         rng = Random(seed)
         faults = Faults(rng, rng.choice([0.0, 0.3, 0.8]))
-        servers = Servers([f"10.0.0.{i}:53" for i in range(rng.choice([1, 2, 3]))], rng)
+        servers = NameServers([f"10.0.0.{i}:53" for i in range(rng.choice([1, 2, 3]))], rng)
         now, queue = 0.0, []
         lookup = Lookup(Question(NAME, "SRV"), servers, rng, now)
 
         def do(now, todo, queue=queue, faults=faults):
             for send in todo:
                 after, what, data = faults.draw(send)
-                queue.append((now + after, send.number, what, data))
+                queue.append((now + after, send.attempt, what, data))
 
-        do(now, lookup.begin(now))
-        while not lookup.over:
+        do(now, lookup.start(now))
+        while not lookup.done:
             due = min([lookup.due, *(q[0] for q in queue)])
-            assert due <= WHOLE + 0.01, seed
+            assert due <= LOOKUP_TIMEOUT_S + 0.01, seed
             now = max(now, due)
             for item in sorted(q for q in queue if q[0] <= now):
                 queue.remove(item)
                 _, number, what, data = item
                 do(
                     now,
-                    lookup.received(now, number, data)
+                    lookup.receive(now, number, data)
                     if what == "data"
-                    else lookup.broken(now, number, "cut"),
+                    else lookup.transport_failed(now, number, "cut"),
                 )
-            do(now, lookup.tick(now))
-        assert now <= WHOLE + 0.01
+            do(now, lookup.check_timeout(now))
+        assert now <= LOOKUP_TIMEOUT_S + 0.01
         if lookup.reply is not None:
             assert len(lookup.reply.answers) == 2, "a part of a set is no set"
             assert lookup.reply.question == lookup.question
@@ -184,16 +184,16 @@
 
 def test_a_server_that_failed_stands_behind_and_comes_back():
     rng = Random(1)
-    servers = Servers(["a:1", "b:1"], rng)
+    servers = NameServers(["a:1", "b:1"], rng)
     first = servers.all[0]
-    first.failed(0.0)
-    assert Counter(servers.order(1.0)[0].address for _ in range(200))["b:1"] > 180
+    first.record_failure(0.0)
+    assert Counter(servers.in_order(1.0)[0].address for _ in range(200))["b:1"] > 180
     for _ in range(9):
-        first.failed(0.0)
-    assert first.behind_until == 60.0
+        first.record_failure(0.0)
+    assert first.penalty_until == 60.0
     for _ in range(30):
-        servers.all[1].answered(1.0)
-    assert Counter(servers.order(61.0)[0].address for _ in range(200))["a:1"] > 180
+        servers.all[1].record_answer(1.0)
+    assert Counter(servers.in_order(61.0)[0].address for _ in range(200))["a:1"] > 180
 
 
 # ---- from records to endpoints --------------------------------------------------------------------------------
@@ -201,16 +201,18 @@
 
 def resolved(server: DnsServer, name: str = NAME, fail: frozenset[str] = frozenset()) -> SrvAnswer:
     """The set that a server's records make, without sockets."""
-    resolution = Resolution(plain(name))
+    resolution = Resolution(normalize_name(name))
     for _ in range(100):
-        if resolution.over:
+        if resolution.done:
             return resolution.result()
         for q in resolution.questions():
             if q.name in fail:
-                resolution.could_not(q, "no answer")
+                resolution.receive_failure(q, "no answer")
                 continue
-            (data,) = server.answer(dns.message.make_query(q.name, q.kind, use_edns=0, payload=1232), "tcp")
-            resolution.answered(q, decode(data))
+            (data,) = server.answer(
+                dns.message.make_query(q.name, q.record_type, use_edns=0, payload=1232), "tcp"
+            )
+            resolution.receive_reply(q, decode_reply(data))
     raise AssertionError("it never ends")
 
 
@@ -368,7 +370,7 @@
 def with_servers(test, count: int = 1) -> None:
     async def body() -> None:
         servers = [await DnsServer().start() for _ in range(count)]
-        client = Client([s.address for s in servers], Random(7))
+        client = DnsClient([s.address for s in servers], Random(7))
         try:
             await test(client, *servers)
         finally:
@@ -391,7 +393,7 @@
 
 
 def test_a_large_set_comes_whole_over_tcp_and_the_connection_is_used_again():
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         for count in (3, 400):
             wanted = fill(server, count)
             assert pairs(await client.resolve(NAME)) == wanted
@@ -407,7 +409,7 @@
 
 @pytest.mark.parametrize("fault", ["forged", "no_edns", "always_truncated"])
 def test_servers_with_faults_that_can_be_lived_with_give_the_whole_set(fault):
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         wanted = fill(server, 5)
         server.faults.append(getattr(standin, fault))
         assert pairs(await client.resolve(NAME)) == wanted
@@ -421,7 +423,7 @@
 
 @pytest.mark.parametrize("fault", ["silent", "servfail", "refused", "lame", "loop", "cut", "dead"])
 def test_a_second_server_answers_for_one_that_fails_and_alone_it_is_a_failure(fault):
-    async def test(client: Client, bad: DnsServer, good: DnsServer) -> None:
+    async def test(client: DnsClient, bad: DnsServer, good: DnsServer) -> None:
         wanted = fill(good, 4)
         fill(bad, 4)
         made = {
@@ -434,9 +436,9 @@
             bad.faults.append(made)
         bad.cut_tcp = 20
         assert pairs(await client.resolve(NAME)) == wanted
-        alone = Client([bad.address], Random(1))
+        alone = DnsClient([bad.address], Random(1))
         try:
-            with pytest.raises(LookupFailed, match=bad.address):
+            with pytest.raises(LookupFailedError, match=bad.address):
                 await alone.resolve(NAME)
         finally:
             await alone.close()
@@ -445,7 +447,7 @@
 
 
 def test_a_client_that_is_not_ours_reads_the_same_sets():
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         host, port = server.address.split(":")
 
         def theirs() -> set[tuple[str, int]]:
@@ -486,7 +488,7 @@
 
 
 def test_c_ares_reads_the_same_sets_over_udp_and_tcp():
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         for count in (1, 7, 90):
             wanted = fill(server, count)
             assert (
@@ -506,21 +508,21 @@
 def test_a_set_larger_than_any_message_is_a_failure_and_one_that_just_fits_comes_whole():
     """Some 40 bytes each: 64 KiB, the most that DNS carries in one message, hold some 1,600."""
 
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         server.additional = False
         shared = [f"0 1 {1 + i} t.{ZONE}" for i in range(2000)]
         server.put(f"t.{ZONE}", "A", "10.0.0.1")
         server.put(NAME, "SRV", *shared[:1500])
         assert len(pairs(await client.resolve(NAME))) == 1500
         server.put(NAME, "SRV", *shared)
-        with pytest.raises(LookupFailed, match="truncated over TCP|no answer in time"):
+        with pytest.raises(LookupFailedError, match="truncated over TCP|no answer in time"):
             await client.resolve(NAME)
 
     with_servers(test)
 
 
 def test_two_servers_that_differ_give_one_set_or_the_other_never_a_mix():
-    async def test(client: Client, one: DnsServer, two: DnsServer) -> None:
+    async def test(client: DnsClient, one: DnsServer, two: DnsServer) -> None:
         a = fill(one, 6)
         two.put(NAME, "SRV", *(f"0 1 {2000 + i} u{i}.{ZONE}" for i in range(6)))
         for i in range(6):
@@ -538,7 +540,7 @@
 def test_a_set_that_changes_between_its_names_and_their_addresses_keeps_what_is_known():
     """The SRV records of one version, the addresses of the next: the one that went has none, and is said."""
 
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         wanted = fill(server, 4)
         server.additional = False
 
@@ -556,18 +558,18 @@
 
 
 def test_without_descriptors_a_lookup_fails_in_time_and_the_next_one_is_whole(monkeypatch):
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         wanted = fill(server, 3)
 
         async def none(*args, **more):
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
         loop = asyncio.get_running_loop()
-        short = Client([server.address], Random(3))
+        short = DnsClient([server.address], Random(3))
         monkeypatch.setattr(short, "loop", SimpleNamespace(
             time=loop.time, create_datagram_endpoint=none, create_connection=none, call_later=loop.call_later,
         ))  # fmt: skip
-        with pytest.raises(LookupFailed, match="Too many open files"):
+        with pytest.raises(LookupFailedError, match="Too many open files"):
             await short.resolve(NAME)
         short.loop = loop
         assert pairs(await short.resolve(NAME)) == wanted
@@ -588,12 +590,12 @@
                                       (stranger, "resolver.example.org", False)):  # fmt: skip
             trust = ssl.create_default_context()
             authority.configure_trust(trust)
-            client = Client([server.tls_address], Random(1), trust, name)
+            client = DnsClient([server.tls_address], Random(1), trust, name)
             if good:
                 assert pairs(await client.resolve(NAME)) == wanted
                 assert server.asked.total() > 0 and not any(t == "udp" for _, _, t in server.asked)
             else:
-                with pytest.raises(LookupFailed, match="(?i)tls|certificate"):
+                with pytest.raises(LookupFailedError, match="(?i)tls|certificate"):
                     await client.resolve(NAME)
             await client.close()
         server.stop()
@@ -602,7 +604,7 @@
 
 
 def test_the_command_tells_the_set_and_why_there_is_none():
-    async def test(client: Client, server: DnsServer) -> None:
+    async def test(client: DnsClient, server: DnsServer) -> None:
         fill(server, 2)
 
         async def query(*words: str) -> tuple[int, str, str]:
