--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -96,9 +96,12 @@
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             sock.listen(backlog)
         self.listener = Listener(
-            sock, lambda waiting: ClientConnection(self, waiting), self.accept, self.heartbeat
+            sock,
+            lambda waiting: ClientConnection(self, waiting),
+            self.accept,
+            self.heartbeat,
+            self.connection_setup_failed,
         )
-        self.listener.on_setup_failed = self.connection_setup_failed
 
     def start_accepting(self) -> None:
         """Accepts connections from now on."""
--- a/harecross/downstream/listener.py
+++ b/harecross/downstream/listener.py
@@ -35,14 +35,18 @@
         protocol_factory: Callable[[WaitingSocket], asyncio.Protocol],
         on_ready: Callable[[], object],
         heartbeat: Heartbeat | None = None,
+        on_setup_failed: Callable[[], None] = lambda: None,
     ) -> None:
-        """`sock` is bound and listens; `protocol_factory` makes the protocol of one connection."""
+        """`sock` is bound and listens; `protocol_factory` makes the protocol of one connection.
+
+        `on_setup_failed` is called for an accepted connection that could not be set up.
+        """
         sock.setblocking(False)
         self.loop = asyncio.get_running_loop()
         self.sock = sock
         self.protocol_factory = protocol_factory
         self.on_ready = on_ready
-        self.on_setup_failed: Callable[[], None] = lambda: None  # for an accepted connection
+        self.on_setup_failed = on_setup_failed
         self.setup_tasks: set[asyncio.Task[None]] = set()
         self.resume_timer: asyncio.TimerHandle | None = None
         self.shortage_logged = False
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -146,5 +146,5 @@
     operations = AdminOperations(store, registry, client_connections, membership.has_current_list)
     if membership.additional_sources is not None:
         operations.add_sources_call(membership.additional_sources.explain)
-        membership.additional_sources.follow(operations.apply_maintenance)
+        membership.additional_sources.on_names_changed(operations.apply_maintenance)
     return operations
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -29,7 +29,7 @@
 
     def watches_platform(self) -> bool:
         """Whether the platform's watch is a source."""
-        return self.additional_sources is None or self.additional_sources.watches
+        return self.additional_sources is None or self.additional_sources.includes_watch
 
     def has_current_list(self) -> bool:
         """Whether any source has sent its list to this process."""
@@ -37,7 +37,7 @@
 
     def additional_list_is_current(self) -> bool:
         """Whether the list of the additional sources can be relied on."""
-        return self.additional_sources is not None and self.additional_sources.heard
+        return self.additional_sources is not None and self.additional_sources.list_is_current
 
     def list_received(self) -> None:
         """Notes that the present list was received by this process, and not kept from an earlier one."""
@@ -80,10 +80,10 @@
 
     def poll_endpoints(self) -> None:
         """Queries the sources once (`EndpointSubscription`)."""
-        if self.additional_sources is None or self.additional_sources.watches:
+        if self.additional_sources is None or self.additional_sources.includes_watch:
             self.discovery.poll()
         else:
-            self.additional_sources.again()
+            self.additional_sources.republish()
 
     async def stop(self) -> None:
         """Closes the watch and stops the additional sources."""
--- a/harecross/node/options.py
+++ b/harecross/node/options.py
@@ -28,21 +28,21 @@
     """Sources of membership beside the platform's watch, which may be one of them (`sources.manager.SourceManager`)."""
 
     @property
-    def watches(self) -> bool:
+    def includes_watch(self) -> bool:
         """Whether the platform's watch is one of the sources."""
 
     @property
-    def heard(self) -> bool:
+    def list_is_current(self) -> bool:
         """Whether the list that the sources make up can be relied on."""
 
     def start(self) -> None:
         """Starts to query the sources."""
 
-    def again(self) -> None:
-        """Queries the sources once more; called when a poll is asked for and there is no watch."""
+    def republish(self) -> None:
+        """Publishes the whole list once more; called when a poll is asked for and there is no watch."""
 
-    def follow(self, moved: Callable[[], None]) -> None:
-        """`moved` is called before an endpoint with a new name is announced."""
+    def on_names_changed(self, callback: Callable[[], None]) -> None:
+        """`callback` is called before endpoints with new names are published."""
 
     def explain(self, box: str) -> dict[str, Any]:
         """What each source states of one endpoint, or of all for an empty name."""
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """Settings from the operators' file, and what the parent process passes on."""
+    """Settings of the operators' file, and what the parent process passes on."""
 
     report_interval_s: float = DEFAULT_REPORT_INTERVAL_S
     listen_backlog: int = DEFAULT_LISTEN_BACKLOG
--- a/harecross/node/reload.py
+++ b/harecross/node/reload.py
@@ -54,8 +54,8 @@
         additional_sources.configure(operators_file.sources)
     except (ConfigError, ValueError) as error:
         return f"; sources not changed: {error}"
-    if additional_sources.watches and membership.discovery.current is None:
+    if additional_sources.includes_watch and membership.discovery.current is None:
         membership.discovery.subscribe()
-    elif not additional_sources.watches:
+    elif not additional_sources.includes_watch:
         membership.discovery.unsubscribe()
     return f"; {len(additional_sources.membership.reconciler.sources)} sources"
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -169,20 +169,20 @@
             self._wake.set()
 
     @property
-    def heard(self) -> bool:
+    def list_is_current(self) -> bool:
         """Whether the registry has a whole list, from sources that are fresh."""
         return self.membership.full_list_published
 
     @property
-    def watches(self) -> bool:
+    def includes_watch(self) -> bool:
         """Whether the platform's watch is a source."""
         return self.table.watch
 
-    def follow(self, moved: Callable[[], None]) -> None:
-        """`moved` is called before endpoints with new names are published."""
-        self._host.on_names_changed(moved)
+    def on_names_changed(self, callback: Callable[[], None]) -> None:
+        """`callback` is called before endpoints with new names are published."""
+        self._host.on_names_changed(callback)
 
-    def again(self) -> None:
+    def republish(self) -> None:
         """Publishes the whole list once more, soon."""
         published = self.membership.published
         self.loop.call_soon(
