--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -118,7 +118,7 @@
     Mutation(
         "an unsafe request that may have run is sent again",
         "policy/balancer.py",
-        "repeatable = r.idempotency == Idempotency.IDEMPOTENT or (",
+        "repeatable = request.idempotency == Idempotency.IDEMPOTENT or (",
         "repeatable = True or (",
     ),
     Mutation(
@@ -136,8 +136,8 @@
     Mutation(
         "a cold server gets what a warm one does",
         "policy/endpoint_picker.py",
-        "        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
-        "        return True\n        rate = self.warm_server_rate * self.slow_start_factor(now, srv)\n",
+        "        rate = self.warm_rate * self.factor(now, server)\n",
+        "        return True\n        rate = self.warm_rate * self.factor(now, server)\n",
     ),
 ]
 
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -200,7 +200,7 @@
     def typical_response_time_s(self) -> float:
         """Seconds within which nearly every request is answered; the longest aim at most."""
         b, aim = self.balancer, max(c.latency_objective for c in self.settings.classes)
-        usual = max(m + 4 * d for m, d in zip(b.mean_rtt, b.rtt_deviation, strict=True))
+        usual = max(m + 4 * d for m, d in zip(b.traffic.mean_rtt, b.traffic.deviation, strict=True))
         return min(usual, aim) / 1e6
 
     def in_flight_by_server(self) -> Counter[int]:
--- a/harecross/fleet/sums.py
+++ b/harecross/fleet/sums.py
@@ -1,6 +1,6 @@
 """What a fleet's nodes add up to at each server: connections, handshakes, calls of a pass, calls to cold servers.
 
-Each node decides by `harecross.policy.fleet_limits`, from its own count of servers and nodes; here hundreds of them
+Each node decides by `harecross.fleet_limits`, from its own count of servers and nodes; here hundreds of them
 call the same servers, with uneven traffic, at a quiet time or at an event, in virtual time and from one seed. Beside
 each sum stands the bound that arithmetic gives, from the fleet's own figures and not from `fleet_limits`: a limit that
 lacks its division by nodes exceeds it. There are no health checks: the decision module recovers by real calls.
@@ -14,7 +14,7 @@
 from math import ceil, sqrt
 from random import Random
 
-from harecross.policy import fleet_limits
+from harecross import fleet_limits
 
 EVENTS = ("calm", "herd", "lost", "replaced", "returned")
 DEVIATIONS = 6  # of a Poisson count that a bound leaves to chance: passed less than once in a billion
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -11,13 +11,13 @@
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.endpoint_status import endpoint_status_rows
 from harecross.downstream.connection_manager import ConnectionManager
+from harecross.node import learned_state
 from harecross.node.admin_server import AdminAnswer, AdminServer
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, difference
 from harecross.platform.clock import monotonic_us
 from harecross.platform.durable_file import UnsyncedReplace
 from harecross.platform.log import log_line
-from harecross.policy import learned_state
 
 LOOK_EVERY = 0.05  # seconds between two looks at what another process was told
 LEARN_EVERY = 1.0  # seconds between two writings of what was learned
--- a/harecross/policy/__init__.py
+++ b/harecross/policy/__init__.py
@@ -1,6 +1,5 @@
-"""Every decision of harecross, free of I/O. The interface (types, events, actions) is in harecross/interface.py.
+"""Every decision of harecross, free of I/O; its interface is harecross/interface.py. Times are microseconds.
 
-A copy's calls pass one gradient controller (limit on calls in flight, refusal at the limit) and then go
-to the less busy of two random members of a bounded random subset of the servers. docs/design.md tells
-what was kept of the source, what was changed and why. Times are integer microseconds.
+A request passes the concurrency limit of a gradient controller and goes to the less loaded of two random
+members of the node's subset. docs/design.md tells what was kept of the source, what was changed and why.
 """
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -17,6 +17,7 @@
 from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
 from google.protobuf.message import Message
 
+from harecross.fleet_limits import MIN_CONCURRENCY
 from harecross.policy.balancer import RETRY_BUDGET_RATIO
 from harecross.policy.controller import (
     JITTER,
@@ -26,7 +27,6 @@
     SAMPLE_PERCENTILE,
     WINDOW_US,
 )
-from harecross.policy.fleet_limits import MIN_CONCURRENCY
 from harecross.xds.cache import CDS, EDS, LDS, RDS, Resource, Snapshot
 from harecross.xds.publish import PublishedEndpoint, Told, priority
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from harecross.fleet_limits import MAX_INITIAL_FACTOR, MIN_CONCURRENCY, MIN_RTT_FLOORS
 from harecross.policy.controller import (
     MAX_BURST,
     MAX_HEADROOM_FRACTION,
@@ -14,7 +15,6 @@
     GradientController,
     percentile,
 )
-from harecross.policy.fleet_limits import MAX_INITIAL_FACTOR, MIN_CONCURRENCY, MIN_RTT_FLOORS
 
 
 def controller(allowance: int = 100_000, members: int = 5, **state) -> GradientController:
