--- a/tests/test_admin_operations.py
+++ b/tests/test_admin_operations.py
@@ -60,7 +60,7 @@
 def test_a_server_that_exits_maintenance_warms_up_as_if_just_started(tmp_path):
     async def test(site: Site) -> None:
         async with site.node() as node:
-            server = node.dispatcher.balancer.servers
+            server = node.dispatcher.balancer.subset.servers
             number = node.registry.numbers["s0"]
             assert server[number].slow_start_until == 0
             await tell(node, "/maintenance/enter", "s0")
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -140,7 +140,7 @@
 def test_a_body_on_its_way_holds_no_slot_and_takes_no_time():
     node, recorder = balancer(servers=1)
     _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
-    srv, ctl = node.servers[server], node.controller
+    srv, ctl = node.subset.servers[server], node.controller
     assert (srv.in_flight, ctl.in_flight) == (1, 1)
     node.uploading(1000, request, True)
     node.uploading(1000, request, True)
@@ -280,7 +280,7 @@
             await client.answer()
         await until(lambda: not (w.node.dispatcher.requests))
         assert len(asked) == 1 and w.node.dispatcher.statistics.final_answers["failed"] == 1
-        assert max(s.failure_rate for s in w.node.dispatcher.balancer.servers.values()) > 0
+        assert max(s.failure_rate for s in w.node.dispatcher.balancer.subset.servers.values()) > 0
 
     with_peers(test, breaks, breaks)
 
@@ -461,7 +461,7 @@
             while len(heads) <= i:
                 await asyncio.sleep(0.005)
             (open_request,) = w.node.dispatcher.requests.values()
-            while not (held := w.node.dispatcher.balancer.requests[open_request.id]).upload_parked:
+            while not (held := w.node.dispatcher.balancer.requests[open_request.id]).uploading:
                 await asyncio.sleep(0.005)
             assert held.server.in_flight == 0 and len(bodies) == i  # a slow caller takes no slot
             client.writer.write(text[150_000:])
