--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -63,22 +63,22 @@
     def start_watch(self, other_processes: int) -> None:
         """Opens the watch where endpoints are pushed, and sets how long a start waits for the first list."""
         if not self.discovery.terms.polled:
-            self.set_watch(True)
+            self.subscribe(True)
         if not self.watches_platform():
             self.list_received()  # the lists kept of the additional sources are used from the start
         elif other_processes:
             max_wait_s = max_start_wait_s(self.discovery.terms, replaces_process=True)
             self.readiness.wait_until = monotonic() + max_wait_s
 
-    def set_watch(self, enabled: bool) -> None:
-        """Opens or closes the platform's watch."""
-        if not enabled:
+    def subscribe(self, on: bool) -> None:
+        """Opens or closes the platform's watch (`EndpointSubscription`)."""
+        if not on:
             self.discovery.unsubscribe()
         elif self.watches_platform():
             self.discovery.subscribe()
 
-    def poll(self) -> None:
-        """Queries the sources once."""
+    def poll_endpoints(self) -> None:
+        """Queries the sources once (`EndpointSubscription`)."""
         if self.additional_sources is None or self.additional_sources.watches:
             self.discovery.poll()
         else:
--- a/harecross/node/operators_file.py
+++ b/harecross/node/operators_file.py
@@ -48,14 +48,14 @@
     """The xDS service of `[xds]`, not started yet."""
     try:
         from harecross.xds.config import listen_address
-        from harecross.xds.inside import Inside
+        from harecross.xds.embedded import EmbeddedControlService
     except ImportError as error:
         raise ConfigError(f"{path}: xds.listen needs the extra `xds`: {error}") from None
     try:
         listen_address(table.listen, table.plaintext == "anywhere")
     except ValueError as error:
         raise ConfigError(f"{path}: xds.listen: {error}") from None
-    return Inside(table.listen, table.cluster)
+    return EmbeddedControlService(table.listen, table.cluster)
 
 
 class AdditionalSourcesFactory:
@@ -67,9 +67,9 @@
 
     def __call__(self, registry: EndpointRegistry) -> AdditionalSources:
         """ConfigError for sources that cannot be used."""
-        from harecross.sources.run import Sources
+        from harecross.sources.manager import SourceManager
 
         try:
-            return Sources(self.table, registry)
+            return SourceManager(self.table, registry)
         except ValueError as error:
             raise ConfigError(f"{self.path}: {error}") from None
--- a/harecross/node/reload.py
+++ b/harecross/node/reload.py
@@ -46,16 +46,16 @@
 
 def reload_sources(membership: Membership, additional_sources: AdditionalSources) -> str:
     """Reads `[sources]` of the operators' file again; returns the result for the log."""
-    from harecross.sources.run import Sources
+    from harecross.sources.manager import SourceManager
 
-    assert isinstance(additional_sources, Sources)
+    assert isinstance(additional_sources, SourceManager)
     try:
         operators_file = read_operators_file(os.environ.get("HARECROSS_CONFIG", ""))
-        additional_sources.put(operators_file.sources)
+        additional_sources.configure(operators_file.sources)
     except (ConfigError, ValueError) as error:
         return f"; sources not changed: {error}"
     if additional_sources.watches and membership.discovery.current is None:
         membership.discovery.subscribe()
     elif not additional_sources.watches:
         membership.discovery.unsubscribe()
-    return f"; {len(additional_sources.membership.ledger.sources)} sources"
+    return f"; {len(additional_sources.membership.reconciler.sources)} sources"
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -1,7 +1,7 @@
 """What operators type and read, literally: commands, the door's calls, the report line, the words of log lines.
 
 What other tests pin already is not repeated: bad input of `trace`, `replay` and `node` (`test_cli.py`), of `follow`
-(`test_follow.py`), the answers to wrong calls at the door (`test_operations.py`).
+(`test_follow.py`), the answers to wrong calls at the door (`test_admin_operations.py`).
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import pytest
 import typer
+from admin_support import Site, tell, with_site
 from support import Recorder, balancer
-from test_operations import Site, tell, with_site
 from typer.testing import CliRunner
 
 from harecross.cli import app
@@ -190,10 +190,12 @@
     async def test(site: Site) -> None:
         async with site.node() as node:
             host, asking = node.dispatcher, node.discovery.schedule
-            host.outcomes = [1] * len(Outcome)
-            host.final_reasons.update([("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)])
-            host.close_reasons.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
-            host.shed_without_list = 1
+            host.statistics.outcomes = [1] * len(Outcome)
+            host.statistics.final_reasons.update(
+                [("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)]
+            )
+            host.statistics.close_reasons.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
+            host.statistics.shed_without_list = 1
             asking.last_heartbeat_at, asking.consecutive_failures = 0.0, 1
             capfd.readouterr()
             host.report({0: 1, 400: 2}, 3, asking.report_fields(1e9))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,10 +25,11 @@
 from harecross.discovery.process_table import ProcessState, TransitionCause
 from harecross.discovery.wire_format import Lifecycle
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
+from harecross.dispatch.request import FinalAnswer
 from harecross.fleet.file import read_fleet
-from harecross.follow.attempts import AttemptLog
-from harecross.follow.leaving import late_sends
-from harecross.follow.reader import read as read_logs
+from harecross.follow.attempt_log import AttemptLog
+from harecross.follow.late_sends import late_sends
+from harecross.follow.logs import read_logs
 from harecross.interface import (
     ClassSettings,
     DeduplicationScope,
@@ -44,10 +45,11 @@
 from harecross.node.maintenance import MaintenanceState
 from harecross.operators import OperatorsFile, read_toml
 from harecross.policy.learned_state import import_learned_state
-from harecross.shifts.plan import place, read_plan
-from harecross.shifts.shift import State as ShiftState
-from harecross.sources.keep import read as read_kept
-from harecross.store.store import Lease, Store
+from harecross.shifts.plan import read_plan, unit_position
+from harecross.shifts.shift import ShiftState
+from harecross.sources.cache_file import read_cache_file
+from harecross.store.leases import Lease
+from harecross.store.store import Store
 from harecross.xds.config import TlsTable, read_control
 
 ROOT = Path(__file__).parent.parent
@@ -127,10 +129,10 @@
 @pytest.mark.parametrize("name", STORE_FILES)
 def test_leases_of_a_stored_file_are_read_and_fence_as_they_did(tmp_path, name):
     store = Store(str(stored(name, tmp_path)))
-    assert store.held("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
-    assert store.held("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
-    assert store.lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
-    assert store.lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).token == 3
+    assert store.current_lease("shift/orders") == Lease("shift/orders", "controller-b", 2, 1_700_000_030.0)
+    assert store.current_lease("shift/meters") == Lease("shift/meters", "controller-a", 1, 1_700_000_051.5)
+    assert store.acquire_lease("shift/orders", "controller-c", 1_700_000_029.0, 10.0) is None
+    assert store.acquire_lease("shift/orders", "controller-c", 1_700_000_031.0, 10.0).fencing_token == 3
     store.close()
 
 
@@ -248,9 +250,11 @@
 def test_a_stored_shift_and_its_records_hold_these_keys_and_values(tmp_path):
     store = Store(str(stored("shift", tmp_path)))
     document = store.get("shift", "readings-2")
-    assert (document.version, document.at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
+    assert (document.version, document.changed_at, document.body) == (3, 1_700_000_006.0, SHIFT_STATE)
     assert [record.body for record in store.records("shift", "readings-2")] == SHIFT_RECORDS
-    assert store.held("shift/readings-2") == Lease("shift/readings-2", "controller-a", 1, 1_700_000_016.0)
+    assert store.current_lease("shift/readings-2") == Lease(
+        "shift/readings-2", "controller-a", 1, 1_700_000_016.0
+    )
     store.close()
 
 
@@ -258,16 +262,18 @@
     """Its plan counts as unchanged, or the shift would stand paused until an operator resumed it."""
     store = Store(str(stored("shift", tmp_path)))
     controller = states.shift_controller(store, "controller-b")
-    assert controller.lead(50.0, states.WALL + 60)
+    assert controller.renew_lease(50.0, states.WALL + 60)
     shift = controller.shift
-    assert (shift.state, shift.cause, shift.step, shift.in_step, shift.units, shift.share, shift.why) == (
+    assert (
+        shift.state, shift.cause, shift.step, shift.step_running_s, shift.step_units, shift.share, shift.reason,
+    ) == (
         ShiftState.RUNNING, None, 0, 4.0, 40, 0.05, "resumed by an operator",
     )  # fmt: skip
-    errors, late = shift.judge.bets["read", "errors"], shift.judge.bets["read", "late"]
-    assert (errors.windows, errors.at_risk, errors.harmed) == (4, [80, 34], [0, 4])
-    assert errors.starts == [[0.7002, 1.5616, 2.6791, 3.7041]]
-    assert (late.windows, late.at_risk, late.harmed) == (4, [74, 40], [4, 0])
-    assert controller.lease is not None and controller.lease.token == 2
+    errors, late = shift.judge.tests["read", "errors"], shift.judge.tests["read", "late"]
+    assert (errors.windows, list(errors.at_risk), list(errors.events)) == (4, [80, 34], [0, 4])
+    assert errors.log_wealths == [[0.7002, 1.5616, 2.6791, 3.7041]]
+    assert (late.windows, list(late.at_risk), list(late.events)) == (4, [74, 40], [4, 0])
+    assert controller.lease is not None and controller.lease.fencing_token == 2
     store.close()
 
 
@@ -281,7 +287,7 @@
 def test_a_shifts_units_stay_in_their_pools():
     """Every node works it out for itself, the old program's and the new one's among them."""
     units = (b"captain-1", b"captain-2", b"")
-    assert [place("readings-2", unit) for unit in units] == [
+    assert [unit_position("readings-2", unit) for unit in units] == [
         0.11079125463425318,
         0.4079752999256648,
         0.4433288467854551,
@@ -388,16 +394,16 @@
 
 
 def test_stored_dns_sets_are_read():
-    sets = read_kept(str(DATA / "kept-dns-sets"))
+    sets = read_cache_file(str(DATA / "kept-dns-sets"))
     assert list(sets) == ["_readings._tcp.site3.example.org", "_empty._tcp.example.org"]
     first, empty = sets.values()
-    assert (first.at, first.until, first.found.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
-    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.found.endpoints] == [
+    assert (first.answered_at, first.expires_at, first.answer.ttl) == (1_700_000_000.0, 1_700_000_030.5, 30.0)
+    assert [(e.priority, e.target, e.address, e.port, e.weight) for e in first.answer.endpoints] == [
         (0, "a.site3.example.org", "10.3.0.1", 8081, 10),
         (1, "b.site3.example.org", "2001:db8::2", 8082, 65535),
     ]
-    assert (empty.at, empty.until, empty.found.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
-    assert empty.found.endpoints == ()
+    assert (empty.answered_at, empty.expires_at, empty.answer.ttl) == (1_700_000_001.0, 1_700_000_061.0, 60.0)
+    assert empty.answer.endpoints == ()
 
 
 def test_dns_sets_are_written_with_the_same_bytes(tmp_path):
@@ -436,8 +442,8 @@
 
     async def body() -> None:
         service = states.control_service(path)
-        service.begin("orders", service.remembered()["orders"])
-        feed = service.press.feeds["orders"]
+        service.start_cluster("orders", service.remembered_lists.load()["orders"])
+        feed = service.publisher_loop.feeds["orders"]
         assert (
             feed.roster.has_remembered_list and not feed.roster.has_full_list and feed.roster.is_publishable()
         )
@@ -454,7 +460,7 @@
         number = feed.registry.numbers["s1"]
         assert list(feed.registry.listed) == [number] and list(feed.registry.draining) == ["s2"]
         # What it remembers of them has the same bytes again.
-        service.remember(True)
+        service.remembered_lists.save(service.publisher_loop.feeds)
         await states.stop_control(service)
 
     asyncio.run(body())
@@ -492,22 +498,22 @@
 def test_the_requests_in_a_stored_attempt_log_are_read():
     logs = read_logs([DATA / "attempts.log"])
     good, late = logs.requests.values()
-    assert (good.id, good.node, good.klass, good.answer) == ("good-1", "n3", "0", "served")
-    assert (late.id, late.node, late.klass, late.answer) == ("late-1", "n3", "2", "failed")
+    assert (good.id, good.node, good.request_class, good.answer) == ("good-1", "n3", "0", "served")
+    assert (late.id, late.node, late.request_class, late.answer) == ("late-1", "n3", "2", "failed")
     second = 1_000_000_000
     start = 1_700_000_000 * second
-    assert (good.taken, good.until, good.answered) == (
+    assert (good.admitted_ns, good.deadline_ns, good.answered_ns) == (
         start + 2 * second,
         start + 4 * second,
         start + 6 * second,
     )
-    assert (late.taken, late.until) == (start + 10 * second, start + 10 * second + 1_500_000_000)
-    assert [(a.number, a.server, a.cause) for a in late.attempts] == [
+    assert (late.admitted_ns, late.deadline_ns) == (start + 10 * second, start + 10 * second + 1_500_000_000)
+    assert [(a.number, a.server, a.error_type) for a in late.attempts] == [
         (0, "s2", "rejected"),
         (1, "s1", "timeout"),
     ]
     (only,) = good.attempts
-    assert (only.sent, only.written, only.ended, only.cause) == (
+    assert (only.sent_ns, only.written_ns, only.ended_ns, only.error_type) == (
         start + 3 * second,
         start + 4 * second,
         start + 5 * second,
@@ -516,8 +522,8 @@
 
 
 def test_what_is_no_requests_in_a_stored_attempt_log_is_read():
-    told = read_logs([DATA / "attempts.log"]).told["n3"]
-    assert [(event.what, event.fields) for event in told] == [
+    told = read_logs([DATA / "attempts.log"]).node_events["n3"]
+    assert [(event.name, event.fields) for event in told] == [
         ("start", {"process.uptime": 0.25}),
         ("list", {"kind": "cached", "generation": 41, "came": ["s1", "s2"], "left": []}),
         ("closed", {"side": "client", "reason": "last_answer"}),
@@ -540,15 +546,20 @@
 
 def test_a_late_send_in_a_stored_attempt_log_is_found():
     (late,) = late_sends(read_logs([DATA / "attempts.log"]))
-    assert (late.request, late.node, late.server, late.by) == ("late-1", "n3", "s1", "n3")
+    assert (late.request_id, late.node, late.server, late.listed_by) == ("late-1", "n3", "s1", "n3")
     start = 1_700_000_000_000_000_000
-    assert (late.listed - start, late.sent - start, late.written - start, start - late.started) == (
+    assert (
+        late.listed_ns - start,
+        late.sent_ns - start,
+        late.written_ns - start,
+        start - late.process_started_ns,
+    ) == (
         9_000_000_000,
         14_000_000_000,
         15_000_000_000,
         250_000_000,
     )
-    assert late.state is not None and late.state.fields["server.state"] == "draining"
+    assert late.state_change is not None and late.state_change.fields["server.state"] == "draining"
 
 
 def test_an_attempt_log_is_written_with_the_same_bytes(tmp_path, monkeypatch):
@@ -598,7 +609,7 @@
 def test_the_log_has_the_same_words_for_why_requests_and_connections_end(tmp_path):
     log = AttemptLog("n3", str(tmp_path / "log"), states.SERVER_NAMES)
     for reason in FinalReason:
-        log.request_answered(states.request("one"), "refused", reason)
+        log.request_answered(states.request("one"), FinalAnswer.SHED, reason)
     for close_reason in CloseReason:
         log.connection_closed(ClosedConnection("client", "", close_reason))
     log.stream.close()
