--- a/harecross/follow/late_sends.py
+++ b/harecross/follow/late_sends.py
@@ -118,7 +118,7 @@
 
 
 def late_sends(logs: AttemptLogs) -> list[LateSend]:
-    """Returns each send whose first byte came over `SEND_STOP_GRACE_S` after the notification, in order of time."""
+    """Returns each send whose first byte came over `SEND_STOP_GRACE_S` after its notification, in time order."""
     announcements = announcements_by_server(logs)
     starts = process_starts(logs)
     found = [
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -67,8 +67,9 @@
         if not self.watches_platform():
             self.list_received()  # the lists kept of the additional sources are used from the start
         elif other_processes:
-            max_wait_s = max_start_wait_s(self.discovery.terms, replaces_process=True)
-            self.readiness.wait_until = monotonic() + max_wait_s
+            self.readiness.wait_until = monotonic() + max_start_wait_s(
+                self.discovery.terms, replaces_process=True
+            )
 
     def subscribe(self, on: bool) -> None:
         """Opens or closes the platform's watch (`EndpointSubscription`)."""
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -290,8 +290,9 @@
     endpoints.apply({"instances": [line("a")]}, full=True, cached=False)
     restarted = ListedEndpoints()
     restarted.apply(endpoints.memory(), full=True, cached=True)
-    assert restarted.is_publishable() and not restarted.has_full_list
-    assert restarted.entries == endpoints.entries
+    assert (
+        restarted.is_publishable() and not restarted.has_full_list and restarted.entries == endpoints.entries
+    )
 
 
 def test_an_empty_remembered_list_is_not_known():
