--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -17,33 +17,36 @@
 from harecross.upstream.connection_pool import ConnectionPool
 
 STATE_OF_LIFECYCLE = {
-    Lifecycle.IN_SERVICE: EndpointState.READY,
     Lifecycle.DRAINING: EndpointState.DRAINING,
     Lifecycle.GONE: EndpointState.GONE,
 }
 MAX_SLOW_START_US = 60_000_000  # no server is in slow start for longer
 
 
-class NameIndex:
+class NameIndex(dict[str, int]):
     """Numbers for names: those of the settings keep theirs, others have one for as long as they are in use."""
 
     def __init__(self, names: Sequence[str]) -> None:
-        self.fixed = {name: index for index, name in enumerate(names)}
-        self.dynamic: dict[str, int] = {}
+        super().__init__({name: index for index, name in enumerate(names)})
+        self.fixed_count = len(names)
         self.next_index = len(names)
 
-    def index_of(self, name: str) -> int:
-        """The name's number; a new one where it has none."""
-        if name in self.fixed:
-            return self.fixed[name]
-        if name not in self.dynamic:
-            self.dynamic[name] = self.next_index
-            self.next_index += 1
-        return self.dynamic[name]
+    def __missing__(self, name: str) -> int:
+        """A new number, for a name that has none."""
+        index = self[name] = self.next_index
+        self.next_index += 1
+        return index
+
+    @property
+    def dynamic(self) -> dict[str, int]:
+        """The names that are not in the settings."""
+        return {name: index for name, index in self.items() if index >= self.fixed_count}
 
     def retain(self, used: set[int]) -> None:
-        """Drops the names whose numbers are not in use."""
-        self.dynamic = {name: index for name, index in self.dynamic.items() if index in used}
+        """Drops the names that are neither in the settings nor in use."""
+        for name, index in self.dynamic.items():
+            if index not in used:
+                del self[name]
 
 
 class ListedEndpoint(NamedTuple):
@@ -172,10 +175,10 @@
         KeyError, TypeError or ValueError for an entry that cannot be used.
         """
         name, lifecycle = wire_format.name_and_lifecycle(entry)
-        state = STATE_OF_LIFECYCLE[lifecycle]
-        self.draining.discard(name)
-        if state != EndpointState.READY:
-            return self.use_leaving_entry(name, state)
+        if name in self.draining:
+            self.draining.remove(name)
+        if lifecycle is not Lifecycle.IN_SERVICE:
+            return self.use_leaving_entry(name, STATE_OF_LIFECYCLE[lifecycle])
         listed = self.listed_endpoint(name, entry)
         if name in self.in_maintenance:
             self.in_maintenance[name] = listed
@@ -199,8 +202,8 @@
         endpoint = Endpoint(
             server=self.number_of(name),
             cell=fields.cell,
-            zone=self.zones.index_of(fields.zone),
-            machine_type=self.machine_types.index_of(fields.machine_type),
+            zone=self.zones[fields.zone],
+            machine_type=self.machine_types[fields.machine_type],
             weight=fields.weight,
             ready_at=ready_at,
         )
