--- a/harecross/discovery/listed_endpoints.py
+++ b/harecross/discovery/listed_endpoints.py
@@ -51,7 +51,7 @@
 
     def memory(self) -> dict[str, Any]:
         """The list to begin with after a restart, in discovery's form."""
-        return {wire_format.RESET: True, wire_format.INSTANCES: list(self.entries.values())}
+        return wire_format.full_list(self.entries.values())
 
 
 def is_readable(entry: Any) -> bool:
--- a/harecross/discovery/process_table.py
+++ b/harecross/discovery/process_table.py
@@ -97,7 +97,7 @@
 
 def no_update() -> TableUpdate:
     """Nothing to use and no transition."""
-    return TableUpdate({wire_format.INSTANCES: []}, [])
+    return TableUpdate(wire_format.change([]), [])
 
 
 STATE_OF_LIFECYCLE = {
@@ -179,7 +179,7 @@
                 transitions.append(self.transition(name, state, TransitionCause.STATED_BY_EARLIER_SOURCE))
             if self.effective_entry(name) != entry:
                 used.append(self.effective_entry(name))
-        return TableUpdate({wire_format.INSTANCES: used}, transitions)
+        return TableUpdate(wire_format.change(used), transitions)
 
     def absent_from_earlier(
         self, now: float, source: DiscoverySource, stated: Mapping[str, Statement]
@@ -264,7 +264,7 @@
             if state is ProcessState.QUARANTINED
         ]
         entries = [self.current_statements[name].entry for name in overridden]
-        return TableUpdate({wire_format.INSTANCES: entries}, transitions)
+        return TableUpdate(wire_format.change(entries), transitions)
 
     # ---- states and entries that follow from the records ------------------------------------------------
 
--- a/harecross/discovery/wire_format.py
+++ b/harecross/discovery/wire_format.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from enum import Enum
 from typing import Any, NamedTuple
 
@@ -63,6 +63,16 @@
     return bool(update.get(RESET))
 
 
+def full_list(entries: Iterable[Entry]) -> dict[str, Any]:
+    """A full list: servers without an entry are gone."""
+    return {RESET: True, INSTANCES: list(entries)}
+
+
+def change(entries: Iterable[Entry]) -> dict[str, Any]:
+    """A change: other servers stay as they are."""
+    return {INSTANCES: list(entries)}
+
+
 # ---- entries that may be anything -----------------------------------------------------------------------
 
 
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -11,6 +11,7 @@
 from random import Random, SystemRandom
 from typing import TYPE_CHECKING, Any
 
+from harecross.discovery import wire_format
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.platform.log import log_exception, log_line
 from harecross.sources.address_file import AddressFileError
@@ -149,11 +150,11 @@
         if not self.table.watch:
             return
         self.membership.update_watch(self.now(), self.wall(), update, cached, full)
-        for item in update["instances"]:
+        for item in update[wire_format.INSTANCES]:
             # What cannot be used is logged; but a bad line of a server that is removed does no harm.
             if not isinstance(item, dict) or (
-                item.get("lifecycle") == "in_service"
-                and item.get("hostPort") not in self.membership.watch_lines
+                item.get(wire_format.LIFECYCLE) == wire_format.IN_SERVICE
+                and item.get(wire_format.HOST_PORT) not in self.membership.watch_lines
             ):
                 log_line(f"discovery: bad entry {item!r:.200}")
         self._publish_changes()
@@ -185,9 +186,7 @@
     def again(self) -> None:
         """Publishes the whole list once more, soon."""
         published = self.membership.published
-        self.loop.call_soon(
-            lambda: self.registry.apply({"reset": True, "instances": list(published.values())}, full=True)
-        )
+        self.loop.call_soon(lambda: self.registry.apply(wire_format.full_list(published.values()), full=True))
 
     def explain(self, box: str = "") -> dict[str, Any]:
         """What each source says, and how each endpoint came to be in service or not."""
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Protocol
 
+from harecross.discovery import wire_format
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.sources.priorities import Health, PriorityOverflow
 from harecross.sources.reconciler import MembershipReconciler, MergedEndpoint
@@ -119,9 +120,8 @@
 
     def update_watch(self, now: float, wall: float, update: Any, cached: bool, full: bool) -> None:
         """Takes a list or change of the watch. ValueError if it is none."""
-        if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
-            raise ValueError("no list of servers")
-        full = full or cached or bool(update.get("reset"))
+        wire_format.entries_of(update)  # ValueError
+        full = full or cached or wire_format.is_reset(update)
         self.watch_endpoints.apply(update, full=full, cached=cached)
         before, self.watch_lines = (
             self.watch_lines,
@@ -129,10 +129,12 @@
         )
         for where, line in self.watch_lines.items():
             old = before.get(where)
-            replaced = old is not None and old.get("instanceId") != line.get("instanceId")
+            replaced = old is not None and old.get(wire_format.INSTANCE_ID) != line.get(
+                wire_format.INSTANCE_ID
+            )
             if replaced and not watch_started_at_ms(line):
                 # Another server at the address has just started, and must not count as warmed up.
-                self.watch_lines[where] = {**line, "startedAtMs": int(wall * 1000)}
+                self.watch_lines[where] = {**line, wire_format.STARTED_AT_MS: int(wall * 1000)}
         self._update_from_watch(now)
         if cached:
             self.reconciler.set_confidence(WATCH, Confidence.STALE)
@@ -159,7 +161,10 @@
 
     def remember(self, lines: Iterable[dict[str, Any]]) -> None:
         """Lines that this program published before its start: used until the sources have spoken."""
-        self.remembered = {str(line["hostPort"]): {**line, "instanceId": line["hostPort"]} for line in lines}
+        self.remembered = {
+            str(line[wire_format.HOST_PORT]): {**line, wire_format.INSTANCE_ID: line[wire_format.HOST_PORT]}
+            for line in lines
+        }
 
     def resolve(self, name: str) -> str:
         """The address of the endpoint of that name; the name itself where it is none, or that of several."""
@@ -207,7 +212,13 @@
             endpoint = self.reconciler.endpoints.get(where)
             if endpoint is None:
                 if self.published.pop(where, None) is not None:
-                    lines.append({"instanceId": where, "hostPort": where, "lifecycle": "terminated"})
+                    lines.append(
+                        {
+                            wire_format.INSTANCE_ID: where,
+                            wire_format.HOST_PORT: where,
+                            wire_format.LIFECYCLE: wire_format.TERMINATED,
+                        }
+                    )
                 self.derived_starts.pop(where, None)
                 continue
             line = self._line(now, wall, endpoint)
@@ -219,14 +230,14 @@
     def _publish(self, now: float, lines: list[dict[str, Any]]) -> None:
         if self.full_list_published:
             if lines:
-                self.host.apply({"instances": lines})
+                self.host.apply(wire_format.change(lines))
         elif self._sources_complete(now):
             self.full_list_published, self.remembered = True, {}
-            self.host.apply({"reset": True, "instances": list(self.published.values())}, full=True)
+            self.host.apply(wire_format.full_list(self.published.values()), full=True)
         elif lines or self.remembered:
             # The first source to answer after a restart must not remove what only the others list.
             known = {**self.remembered, **self.published}
-            self.host.apply({"reset": True, "instances": list(known.values())}, cached=True)
+            self.host.apply(wire_format.full_list(known.values()), cached=True)
 
     def _sources_complete(self, now: float) -> bool:
         """Whether a source is fresh, and every source has spoken or has had its time."""
@@ -239,15 +250,15 @@
         """An endpoint as discovery would list it. One in a priority that is not in use drains."""
         watch_line, statement = self.watch_lines.get(endpoint.address), endpoint.statement
         in_service = endpoint.eligible and statement.priority in self.priorities_in_use
-        watch_zone = str(watch_line.get("zone", "")) if watch_line else ""
+        watch_zone = str(watch_line.get(wire_format.ZONE, "")) if watch_line else ""
         return {
             **(watch_line or {}),
-            "instanceId": endpoint.address,
-            "hostPort": endpoint.address,
-            "lifecycle": "in_service" if in_service else "terminating",
-            "zone": statement.zone or watch_zone,
-            "weight": statement.weight,
-            "startedAtMs": self._started_at_ms(now, wall, endpoint, watch_line),
+            wire_format.INSTANCE_ID: endpoint.address,
+            wire_format.HOST_PORT: endpoint.address,
+            wire_format.LIFECYCLE: wire_format.IN_SERVICE if in_service else wire_format.TERMINATING,
+            wire_format.ZONE: statement.zone or watch_zone,
+            wire_format.WEIGHT: statement.weight,
+            wire_format.STARTED_AT_MS: self._started_at_ms(now, wall, endpoint, watch_line),
         }
 
     def _started_at_ms(
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
+from harecross.discovery import wire_format
 from harecross.settings import address
 from harecross.sources.source import Statement
 
@@ -12,7 +13,7 @@
     from harecross.dns.srv import SrvEndpoint
 
 MIN_WEIGHT, MAX_WEIGHT = 0.05, 20.0  # of a record, in mean weights of its priority
-DRAINING_BY_LIFECYCLE = {"in_service": False, "terminating": True}
+DRAINING_BY_LIFECYCLE = {wire_format.IN_SERVICE: False, wire_format.TERMINATING: True}
 
 
 class WeightedEndpoint(NamedTuple):
@@ -67,7 +68,7 @@
     young the one that drains. Lines without a usable address are left out."""
     by_address: dict[str, Mapping[str, Any]] = {}
     for line in lines:
-        where = str(line.get("hostPort", ""))
+        where = str(line.get(wire_format.HOST_PORT, ""))
         try:
             address(where)
         except ValueError:
@@ -80,12 +81,12 @@
 
 def _youth(line: Mapping[str, Any]) -> tuple[int, bool]:
     """Sorts lines of one address: later starts last, and drains after the rest."""
-    return watch_started_at_ms(line), line.get("lifecycle") != "in_service"
+    return watch_started_at_ms(line), line.get(wire_format.LIFECYCLE) != wire_format.IN_SERVICE
 
 
 def watch_started_at_ms(line: Mapping[str, Any]) -> int:
     """When the server started, in Unix milliseconds; 0 where the watch does not say."""
-    started_at_ms = line.get("startedAtMs")
+    started_at_ms = line.get(wire_format.STARTED_AT_MS)
     return started_at_ms if isinstance(started_at_ms, int) else 0
 
 
@@ -96,8 +97,8 @@
     """
     return Statement(
         address=where,
-        name=str(line.get("instanceId", where)),
-        draining=DRAINING_BY_LIFECYCLE.get(str(line.get("lifecycle")), True),
-        zone=str(line.get("zone", "")),
+        name=str(line.get(wire_format.INSTANCE_ID, where)),
+        draining=DRAINING_BY_LIFECYCLE.get(str(line.get(wire_format.LIFECYCLE)), True),
+        zone=str(line.get(wire_format.ZONE, "")),
         started_at_ms=watch_started_at_ms(line),
     )
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from harecross.discovery import wire_format
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.dispatch.dispatcher import RequestDispatcher
@@ -47,8 +48,8 @@
         }
         views = []
         for name, line in self.roster.entries.items():
-            where, zone = str(line.get("hostPort", "")), str(line.get("zone", ""))
-            draining = line["lifecycle"] != "in_service"
+            where, zone = str(line.get(wire_format.HOST_PORT, "")), str(line.get(wire_format.ZONE, ""))
+            draining = line[wire_format.LIFECYCLE] != wire_format.IN_SERVICE
             number = self.registry.numbers.get(name, 0)
             if not is_address(where):
                 continue  # the registry has logged it
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -7,6 +7,7 @@
 from random import Random
 from typing import Any
 
+from harecross.discovery import wire_format
 from harecross.discovery.discovery_client import DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.dispatch.dispatcher import RequestDispatcher
@@ -90,7 +91,7 @@
         if remembered is not None:
             try:
                 if self.sources is not None:
-                    self.sources.membership.remember(remembered["instances"])
+                    self.sources.membership.remember(remembered[wire_format.INSTANCES])
                 self.registry.apply(remembered, cached=True)
             except (ValueError, KeyError, TypeError) as error:
                 log_line(f"{self.name}: remembered list: {error}")
