--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,7 +1,8 @@
-"""Who listens again when, by ways to wait and by discovery's load: `python benchmarks/fleet.py [--nodes 40]`.
+"""How fast a fleet recovers, by schedule and by discovery's capacity: `python benchmarks/fleet.py [--nodes 40]`.
 
-Every watch falls silent at one instant, behind the line of a common start. A row: half, nine in ten and all of the
-nodes, seconds after the trigger, means over seeds; "-" where some seed's nodes were still out after 300 s.
+Every watch falls silent at one instant, with the backlog of a common start. A line: when half, nine in ten and all of
+the nodes are subscribed again, in seconds after the trigger, means over seeds; "-" where a seed's nodes were not after
+300 s.
 """
 
 from __future__ import annotations
@@ -11,32 +12,42 @@
 from statistics import mean
 from time import perf_counter
 
-from harecross.fleet.discovery import Shape
-from harecross.fleet.rehearsal import Day, Rehearsal, bound
-from harecross.fleet.waits import WAITS
+from harecross.fleet.discovery import DiscoveryCapacity
+from harecross.fleet.rehearsal import Rehearsal
+from harecross.fleet.scenario import Scenario
+from harecross.fleet.schedules import SCHEDULES
+
+
+def scenarios(nodes: int, seeds: int, round_s: float) -> list[Scenario]:
+    """One for each seed; discovery serves one call of each node in `round_s` seconds."""
+    capacity = DiscoveryCapacity(nodes / round_s)
+    return [Scenario(nodes, seed, capacity, backlog=0.85 * round_s, duration=310.0) for seed in range(seeds)]
+
+
+def measure(played: list[Scenario], schedule: str) -> str:
+    """The figures of one schedule."""
+    nodes = played[0].nodes
+    results = [Rehearsal(scenario, SCHEDULES[schedule]).run() for scenario in played]
+    times = [[result.recovery_time(fraction) for result in results] for fraction in (0.5, 0.9, 1.0)]
+    text = ", ".join("-" if inf in row else f"{mean(row):.1f}" for row in times)
+    calls = mean(sum(result.calls.values()) for result in results) / nodes
+    late = mean(result.late_drains for result in results) / nodes
+    return f"{schedule:9s} {text}; {calls:.1f} calls a node, a drain known late by {late:.0%}"
 
 
 def main() -> None:
+    """Measures all schedules at several capacities."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, default=40)
     parser.add_argument("--seeds", type=int, default=20)
-    told = parser.parse_args()
+    options = parser.parse_args()
     began = perf_counter()
-    for seconds in (2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 16.0):
-        shape = Shape(told.nodes / seconds)
-        for name, waits in WAITS.items():
-            days = [
-                Day(told.nodes, seed, shape, backlog=0.85 * seconds, length=310.0)
-                for seed in range(told.seeds)
-            ]
-            results = [Rehearsal(day, waits).run() for day in days]
-            times = [[r.share(part) for r in results] for part in (0.5, 0.9, 1.0)]
-            text = ", ".join("-" if inf in t else f"{mean(t):.1f}" for t in times)
-            calls = mean(sum(r.calls.values()) for r in results) / told.nodes
-            late = mean(r.late for r in results) / told.nodes
+    for round_s in (2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 16.0):
+        played = scenarios(options.nodes, options.seeds, round_s)
+        bound = played[0].earliest_recovery_s
+        for schedule in SCHEDULES:
             print(
-                f"{seconds:4.0f} s a round of calls (bound {bound(days[0]):.1f}): {name:9s} {text}; "
-                f"{calls:.1f} calls a node, a drain known late by {late:.0%}",
+                f"{round_s:4.0f} s a round of calls (bound {bound:.1f}): {measure(played, schedule)}",
                 flush=True,
             )
     print(f"{perf_counter() - began:.1f} s")
--- a/harecross/fleet/discovery.py
+++ b/harecross/fleet/discovery.py
@@ -1,7 +1,7 @@
-"""A model of discovery where lists are asked for, free of I/O: one service that works through calls in turn.
+"""A model of a discovery service without I/O: one queue of calls, served in order at a fixed rate.
 
-A call that has waited `timeout` is failed, and is worked through all the same; a call that would wait longer than
-`overbook` time-outs is turned away at once and costs nothing (BENCH, "[discovery]").
+A call that has waited for the call timeout fails, and is processed all the same. A call that would wait longer than
+`max_queue_timeouts` timeouts is rejected at once and takes no capacity.
 """
 
 from __future__ import annotations
@@ -10,51 +10,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """What discovery can do. Times in seconds. ValueError where that cannot be."""
+class DiscoveryCapacity:
+    """What a discovery service can do. ValueError for a value that is not above 0."""
 
-    rate: float = 8.0  # calls a second
-    timeout: float = 2.0
-    overbook: float = 3.0  # time-outs of work that may stand in line
+    calls_per_second: float = 8.0
+    call_timeout_s: float = 2.0
+    max_queue_timeouts: float = 3.0  # the longest queue, as a multiple of the call timeout
 
     def __post_init__(self) -> None:
-        if self.rate <= 0 or self.timeout <= 0 or self.overbook <= 0:
-            raise ValueError("a discovery's rate, time-out and overbooking are above 0")
+        for name in self.__slots__:
+            if getattr(self, name) <= 0:
+                raise ValueError(f"{name}: {getattr(self, name)!r} is not above 0")
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """When a call gets its word, or is failed."""
-
-    at: float
-    good: bool
-
-
-class Desk:
-    """The line in front of discovery."""
-
-    __slots__ = ("shape", "free_at", "taken", "turned_away", "in_vain")
-
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
-        self.free_at = 0.0  # when what stands in line now has been worked through
-        self.taken = 0
-        self.turned_away = 0
-        self.in_vain = 0  # worked through after its caller had been failed
-
-    def backlog(self, now: float) -> float:
-        """Seconds of work that stand in line."""
-        return max(0.0, self.free_at - now)
-
-    def call(self, now: float) -> Reply:
-        """A call comes."""
-        s = self.shape
-        if self.backlog(now) > s.overbook * s.timeout:
-            self.turned_away += 1
-            return Reply(now, False)
-        self.taken += 1
-        self.free_at = max(now, self.free_at) + 1 / s.rate
-        if self.free_at - now <= s.timeout:
-            return Reply(self.free_at, True)
-        self.in_vain += 1
-        return Reply(now + s.timeout, False)
+class CallResult:
+    """When a call ends, and whether it gets a list."""
+
+    ended_at: float
+    succeeded: bool
+
+
+class DiscoveryQueue:
+    """The calls that wait for a discovery service."""
+
+    __slots__ = ("capacity", "idle_at", "accepted", "rejected", "wasted")
+
+    def __init__(self, capacity: DiscoveryCapacity) -> None:
+        self.capacity = capacity
+        self.idle_at = 0.0  # when all calls that wait now have been processed
+        self.accepted = 0
+        self.rejected = 0
+        self.wasted = 0  # calls processed after they had failed
+
+    def backlog_s(self, now: float) -> float:
+        """Seconds of work that wait."""
+        return max(0.0, self.idle_at - now)
+
+    def call(self, now: float) -> CallResult:
+        """Adds a call to the queue, and returns how it will end."""
+        capacity = self.capacity
+        if self.backlog_s(now) > capacity.max_queue_timeouts * capacity.call_timeout_s:
+            self.rejected += 1
+            return CallResult(now, succeeded=False)
+        self.accepted += 1
+        self.idle_at = max(now, self.idle_at) + 1 / capacity.calls_per_second
+        if self.idle_at - now <= capacity.call_timeout_s:
+            return CallResult(self.idle_at, succeeded=True)
+        self.wasted += 1
+        return CallResult(now + capacity.call_timeout_s, succeeded=False)
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -1,17 +1,15 @@
-"""A rehearsal: nodes that listen, one discovery, a trigger, and who knew what when. One seed, the same day every time.
+"""A rehearsal in virtual time: nodes with watches, one discovery, a trigger. A seed gives the same events each time.
 
-At the trigger every watch falls silent, breaks or ends, or nodes that were killed start again by the list they last
-had; discovery may be down for a while. Changes are listed at stated times, and reach the nodes whose watch is open.
-A drain that a node has not heard of when it becomes binding is counted (PROTOCOL, "Figures"), and so is the time
-for which a node may send all the same.
+At the trigger every watch falls silent, breaks or ends, or stopped nodes restart from the list that they last had;
+discovery may be down for a while. Drains are listed at stated times, and reach the nodes whose watch is open. The
+result counts the drains that a node had not received within the staleness limit, and the time in which a node might
+still send.
 """
 
 from __future__ import annotations
 
 import heapq
-from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from math import ceil, inf
 from random import Random
 
@@ -25,301 +23,255 @@
     SubscriptionSchedule,
     SubscriptionState,
 )
-from harecross.fleet.discovery import Desk, Reply, Shape
-
-TRIGGERS = ("silent", "ended", "broken", "restart", "down")
-BOOT = 0.3  # from a process's start to its first call
-Build = Callable[[DiscoveryTerms, Random], SubscriptionSchedule]
-
-
-@dataclass(frozen=True, slots=True)
-class Day:
-    """What is rehearsed. Times in seconds from the start. ValueError where it cannot be."""
-
-    nodes: int = 40
-    seed: int = 1
-    discovery: Shape = Shape()
-    within: float = 10.0  # the longest silence allowed to a node without a watch
-    trigger: str = "silent"
-    at: float = 10.0  # when the trigger comes
-    backlog: float = 0.0  # seconds of work that stand in discovery's line at that moment
-    down: float = 5.0  # trigger "down": discovery refuses calls for so long
-    spoilt: float = 0.0  # share of answers that break off or cannot be read
-    change: float = 0.5  # a drain is listed so long after the trigger...
-    more: float = 0.0  # ...and again this far apart, where it is above 0
-    part: float = 1.0  # trigger "restart": the share of nodes that start again
-    dead: float = 0.0  # and for how long they had been dead then
-    before: float = 0.0  # a drain is listed so long before the trigger too, where it is above 0
-    pushed: bool = False  # an agent on each node's machine has the list, and answers at once
-    length: float = 120.0
-
-    def __post_init__(self) -> None:
-        if self.nodes < 1:
-            raise ValueError("nodes: 1 or more")
-        if self.trigger not in TRIGGERS:
-            raise ValueError(f"trigger: {self.trigger!r} is none of {', '.join(TRIGGERS)}")
-        if not 0 <= self.spoilt < 1:
-            raise ValueError("spoilt: 0 or more, and under 1")
-        for key in ("within", "length"):
-            if getattr(self, key) <= 0:
-                raise ValueError(f"{key}: above 0")
-        if not 0 < self.part <= 1:
-            raise ValueError("part: above 0, and 1 at most")
-        if self.before > self.at or self.dead > self.at:
-            raise ValueError("before, dead: no longer than `at`")
-        for key in ("at", "backlog", "down", "change", "more", "dead", "before"):
-            if getattr(self, key) < 0:
-                raise ValueError(f"{key}: 0 or more")
-
-
-@dataclass(slots=True)
-class Result:
-    """A rehearsal played. Times in seconds after the trigger; inf for what never came."""
-
-    day: Day
-    back: list[float]  # when each node listened again, in order
-    knew: list[float]  # how long after the first drain was listed each node knew
-    calls: Counter[int] = field(default_factory=Counter)  # calls that came to discovery, by second
-    answered: Counter[int] = field(default_factory=Counter)
-    line: dict[int, float] = field(default_factory=dict)  # seconds of work in line, by second
-    late: int = 0  # drains that were binding at a node before it knew, all nodes and drains together
-    forbidden: float = 0.0  # seconds for which nodes might send by a list that was binding-old, all together
-    waited: float = 0.0  # seconds for which nodes that had started sent nothing, all together
-    ready: list[float] = field(default_factory=list)  # how long after its start each might send, in order
-    in_vain: int = 0
-    turned_away: int = 0
-
-    def share(self, part: float) -> float:
-        """When that part of the nodes listened again."""
-        return self.back[ceil(part * len(self.back)) - 1]
-
-    def after_start(self, part: float) -> float:
-        """How long after its start that part of the nodes that started might send."""
-        return self.ready[ceil(part * len(self.ready)) - 1]
-
-    @property
-    def recovered(self) -> bool:
-        """Whether every node listened again by the end."""
-        return self.back[-1] < inf
-
-
-def bound(day: Day) -> float:
-    """The soonest that every node can have been answered after a trigger that all notice at once, by arithmetic.
-
-    Calls divided by rate, behind what stood in line, from the moment a silence can be known.
-    """
-    known = (
-        WATCH_HEARTBEAT_TIMEOUT_S if day.trigger == "silent" else day.down if day.trigger == "down" else 0.0
-    )
-    return known + max(0.0, day.backlog - known) + day.nodes / day.discovery.rate
-
-
-def merged(spans: list[tuple[float, float]]) -> list[tuple[float, float]]:
-    """The same times, none of them twice."""
-    found: list[tuple[float, float]] = []
-    for begin, end in sorted(spans):
-        if found and begin <= found[-1][1]:
-            found[-1] = (found[-1][0], max(found[-1][1], end))
+from harecross.fleet.discovery import CallResult, DiscoveryQueue
+from harecross.fleet.result import RehearsalResult
+from harecross.fleet.scenario import Scenario, Trigger
+
+PROCESS_START_S = 0.3  # from a process's start to its first call
+ScheduleFactory = Callable[[DiscoveryTerms, Random], SubscriptionSchedule]
+EventHandler = Callable[[float], None]  # called with the time
+
+
+def merge_intervals(intervals: list[tuple[float, float]]) -> list[tuple[float, float]]:
+    """The same times as intervals that do not overlap, in order."""
+    merged: list[tuple[float, float]] = []
+    for begin, end in sorted(intervals):
+        if merged and begin <= merged[-1][1]:
+            merged[-1] = (merged[-1][0], max(merged[-1][1], end))
         else:
-            found.append((begin, end))
-    return found
+            merged.append((begin, end))
+    return merged
 
 
-class Node:
+class NodeModel:
     """One node of the rehearsal."""
 
-    __slots__ = ("schedule", "version", "turn", "back", "readiness", "dead", "began", "opened", "learned")
+    __slots__ = (
+        "schedule", "readiness", "stopped", "started_at", "ready_at", "subscribed_at", "change_times", "generation",
+    )  # fmt: skip
 
     def __init__(self, schedule: SubscriptionSchedule) -> None:
-        self.readiness: ListReadiness | None = None  # of a process that began within the day
-        self.dead = False
-        self.began = -inf
-        self.opened = -inf  # when it might send
-        self.learned: list[float] = []  # by change: when it knew of it
         self.schedule = schedule
-        self.version = 0  # changes that it knows
-        self.turn = 0  # of its events: what was planned before the last change of state is void
-        self.back = inf
+        self.readiness: ListReadiness | None = None  # of a process that started within the rehearsal
+        self.stopped = False
+        self.started_at = -inf
+        self.ready_at = -inf  # when it might send
+        self.subscribed_at = inf  # after the trigger
+        self.change_times: list[float] = []  # by change: when the node received it
+        self.generation = 0  # of its events; an event of an earlier generation is void
 
 
 class Rehearsal:
-    """The day's events in order."""
-
-    def __init__(self, day: Day, build: Build = SubscriptionSchedule) -> None:
-        self.day = day
-        self.rng = Random(day.seed)
-        self.desk = Desk(day.discovery)
-        self.nodes = [
-            Node(build(DiscoveryTerms(True, day.nodes, i, day.within), Random(self.rng.getrandbits(64))))
-            for i in range(day.nodes)
-        ]
-        self.events: list[tuple[float, int, Callable[[float], None]]] = []
-        self.count = 0
-        self.version = 0  # changes listed so far
-        self.listed: list[float] = []
-        self.knew: list[list[float]] = []  # by change: when each node knew of it
-        self.result = Result(day, [], [])
-
-    def later(self, at: float, what: Callable[[float], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (at, self.count, what))
-
-    def run(self) -> Result:
-        day = self.day
-        for place, node in enumerate(self.nodes, 1):
-            # A fleet that has run since a common start, whose line each node remembers as it found it: every watch
-            # is open, and was spoken to within one beat.
-            schedule, stood = node.schedule, place / day.discovery.rate
-            schedule.start(0.0)
-            schedule.call_started(0.0)
-            if stood > day.discovery.timeout:
-                schedule.call_ended(day.discovery.timeout, CallEnd.FAILED)
-                schedule.call_started(day.at)
-            schedule.heartbeat_received(min(stood, day.discovery.timeout))
-            schedule.update_applied()
-            schedule.heartbeat_received(day.at)
-        if day.trigger == "restart" and day.dead > 0:
-            self.later(day.at - day.dead, self.kill)
-        if day.before > 0:
-            self.later(day.at - day.before, self.change)
-        self.later(day.at, self.trigger)
-        at = day.at + day.change
-        while at < day.length:
-            self.later(at, self.change)
-            at = at + day.more if day.more > 0 else inf
-        while self.events and self.events[0][0] <= day.length:
-            now, _, what = heapq.heappop(self.events)
-            what(now)
-        return self.close()
-
-    def close(self) -> Result:
-        r, day = self.result, self.day
-        r.back = sorted(node.back - day.at for node in self.nodes)
-        for node in self.nodes:
-            if node.readiness is not None:
-                opened = min(node.opened, max(node.readiness.wait_until, node.began))
-                r.ready.append(opened - node.began)
-                r.waited += min(opened, day.length) - node.began
-                r.forbidden += self.sent_late(node, opened)
-        r.ready.sort()
-        for at, knew in zip(self.listed, self.knew, strict=True):
-            took = sorted(t - at for t in knew) + [inf] * (len(self.nodes) - len(knew))
-            if not r.knew:
-                r.knew = took
-            if at + STALENESS_LIMIT_S <= day.length:
-                r.late += sum(t > STALENESS_LIMIT_S for t in took)
-        r.in_vain, r.turned_away = self.desk.in_vain, self.desk.turned_away
-        return r
-
-    def sent_late(self, node: Node, opened: float) -> float:
-        """For how long a process might send that had not heard of a change which was binding.
-
-        What an agent has counts as told from the process's first moment on, what is listed 6 s later.
-        """
-        late: list[tuple[float, float]] = []
-        for version, at in enumerate(self.listed):
-            told = max(at, node.began) if self.day.pushed else max(at + STALENESS_LIMIT_S, node.began)
-            knew = node.learned[version] if version < len(node.learned) else inf
-            begin, end = max(told + SEND_STOP_GRACE_S, opened), min(knew, self.day.length)
-            if begin < end:
-                late.append((begin, end))
-        return sum(end - begin for begin, end in merged(late))
+    """The events of a scenario in order."""
+
+    def __init__(self, scenario: Scenario, schedule_factory: ScheduleFactory = SubscriptionSchedule) -> None:
+        self.scenario = scenario
+        self.rng = Random(scenario.seed)
+        self.discovery = DiscoveryQueue(scenario.discovery)
+        self.nodes = [NodeModel(self._new_schedule(schedule_factory, i)) for i in range(scenario.nodes)]
+        self.result = RehearsalResult(scenario, [], [])
+        self._events: list[tuple[float, int, EventHandler]] = []
+        self._event_count = 0
+        self._listed_at: list[float] = []  # by change
+        self._received_at: list[list[float]] = []  # by change: when each node received it
+
+    def _new_schedule(self, schedule_factory: ScheduleFactory, index: int) -> SubscriptionSchedule:
+        terms = DiscoveryTerms(True, self.scenario.nodes, index, self.scenario.max_poll_interval)
+        return schedule_factory(terms, Random(self.rng.getrandbits(64)))
+
+    def run(self) -> RehearsalResult:
+        """Plays the scenario to its end."""
+        for position, node in enumerate(self.nodes, 1):
+            self._subscribe_at_start(node, position)
+        self._schedule_scenario()
+        while self._events and self._events[0][0] <= self.scenario.duration:
+            now, _, handler = heapq.heappop(self._events)
+            handler(now)
+        return self._finish()
+
+    def _subscribe_at_start(self, node: NodeModel, position: int) -> None:
+        """A node of a fleet that started at once: it remembers the queue that it met, and its watch is open."""
+        scenario, schedule = self.scenario, node.schedule
+        call_timeout = scenario.discovery.call_timeout_s
+        queued_s = position / scenario.discovery.calls_per_second
+        schedule.start(0.0)
+        schedule.call_started(0.0)
+        if queued_s > call_timeout:
+            schedule.call_ended(call_timeout, CallEnd.FAILED)
+            schedule.call_started(scenario.trigger_at)
+        schedule.heartbeat_received(min(queued_s, call_timeout))
+        schedule.update_applied()
+        schedule.heartbeat_received(scenario.trigger_at)
+
+    def _schedule_scenario(self) -> None:
+        scenario = self.scenario
+        if scenario.trigger is Trigger.RESTART and scenario.stopped_before > 0:
+            self._add_event(scenario.trigger_at - scenario.stopped_before, self._stop_nodes)
+        if scenario.earlier_drain > 0:
+            self._add_event(scenario.trigger_at - scenario.earlier_drain, self._list_drain)
+        self._add_event(scenario.trigger_at, self._pull_trigger)
+        drain_at = scenario.trigger_at + scenario.drain_delay
+        while drain_at < scenario.duration:
+            self._add_event(drain_at, self._list_drain)
+            drain_at = drain_at + scenario.drain_interval if scenario.drain_interval > 0 else inf
+
+    def _add_event(self, at: float, handler: EventHandler) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (at, self._event_count, handler))
 
     # ---- events -------------------------------------------------------------------------------------------
 
-    def hit(self) -> list[Node]:
-        """The nodes that restart: a front's part of the fleet, the same all day."""
-        return self.nodes[: ceil(self.day.part * len(self.nodes))]
-
-    def kill(self, now: float) -> None:
-        for node in self.hit():
-            node.turn += 1
-            node.dead = True
-
-    def trigger(self, now: float) -> None:
-        day = self.day
-        self.desk.free_at = now + day.backlog
-        end = {"silent": CallEnd.SILENT, "broken": CallEnd.MALFORMED}.get(day.trigger, CallEnd.ENDED)
-        hit = self.hit() if day.trigger == "restart" else self.nodes
-        for node in self.nodes[len(hit) :]:
-            node.back = now  # its watch was never lost
-        for node in hit:
-            node.turn += 1
-            if day.trigger == "restart":
-                node.schedule = type(node.schedule)(node.schedule.terms, Random(self.rng.getrandbits(64)))
-                node.schedule.start(now + BOOT)
-                node.readiness = ListReadiness(now, max_start_wait_s(node.schedule.terms))
-                node.dead, node.began, node.opened = False, now, inf
-                self.plan(node)
-            elif end is CallEnd.SILENT:
-                # The last word came up to a beat ago; all heard it at once, as the beats of one service come.
-                self.later(now + WATCH_HEARTBEAT_TIMEOUT_S, self.ends(node, end))
+    def _restarted_nodes(self) -> list[NodeModel]:
+        """The same part of the nodes in the whole rehearsal."""
+        return self.nodes[: ceil(self.scenario.restart_fraction * len(self.nodes))]
+
+    def _stop_nodes(self, now: float) -> None:
+        for node in self._restarted_nodes():
+            node.generation += 1
+            node.stopped = True
+
+    def _pull_trigger(self, now: float) -> None:
+        trigger = self.scenario.trigger
+        self.discovery.idle_at = now + self.scenario.backlog
+        affected = self._restarted_nodes() if trigger is Trigger.RESTART else self.nodes
+        for node in self.nodes[len(affected) :]:
+            node.subscribed_at = now  # its watch stays open
+        for node in affected:
+            node.generation += 1
+            if trigger is Trigger.RESTART:
+                self._restart(node, now)
+            elif trigger is Trigger.SILENT:
+                # Heartbeats of one service come to all nodes at once, the last one at the trigger.
+                self._add_event(now + WATCH_HEARTBEAT_TIMEOUT_S, self._call_end_handler(node, CallEnd.SILENT))
             else:
-                self.ends(node, end)(now)
-
-    def change(self, now: float) -> None:
-        self.version += 1
-        self.listed.append(now)
-        self.knew.append([])
+                end = CallEnd.MALFORMED if trigger is Trigger.BROKEN else CallEnd.ENDED
+                self._call_end_handler(node, end)(now)
+
+    def _restart(self, node: NodeModel, now: float) -> None:
+        terms = node.schedule.terms
+        node.schedule = type(node.schedule)(terms, Random(self.rng.getrandbits(64)))
+        node.schedule.start(now + PROCESS_START_S)
+        node.readiness = ListReadiness(now, max_start_wait_s(terms))
+        node.stopped, node.started_at, node.ready_at = False, now, inf
+        self._schedule_call(node)
+
+    def _list_drain(self, now: float) -> None:
+        self._listed_at.append(now)
+        self._received_at.append([])
         for node in self.nodes:
-            listens = now < self.day.at or node.back < inf
-            if node.schedule.state is SubscriptionState.SUBSCRIBED and listens and not node.dead:
-                self.learn(node, now)
-
-    def learn(self, node: Node, now: float) -> None:
-        for version in range(node.version, self.version):
-            self.knew[version].append(now)
-            node.learned.append(now)
-        node.version = self.version
-
-    def ends(self, node: Node, end: CallEnd) -> Callable[[float], None]:
-        turn = node.turn
-
-        def event(now: float) -> None:
-            if node.turn == turn:
+            watch_open = now < self.scenario.trigger_at or node.subscribed_at < inf
+            if node.schedule.state is SubscriptionState.SUBSCRIBED and watch_open and not node.stopped:
+                self._receive_changes(node, now)
+
+    def _receive_changes(self, node: NodeModel, now: float) -> None:
+        """The node receives all changes that it does not have yet."""
+        for received_at in self._received_at[len(node.change_times) :]:
+            received_at.append(now)
+            node.change_times.append(now)
+
+    def _call_end_handler(self, node: NodeModel, end: CallEnd) -> EventHandler:
+        """Ends the node's present call and schedules the next, unless its state has changed by then."""
+        generation = node.generation
+
+        def handler(now: float) -> None:
+            if node.generation == generation:
                 node.schedule.call_ended(now, end)
-                self.plan(node)
+                self._schedule_call(node)
 
-        return event
+        return handler
 
-    def plan(self, node: Node) -> None:
-        node.turn += 1
-        turn = node.turn
+    def _schedule_call(self, node: NodeModel) -> None:
+        node.generation += 1
+        generation = node.generation
 
-        def event(now: float) -> None:
-            if node.turn == turn:
-                self.call(node, now)
+        def handler(now: float) -> None:
+            if node.generation == generation:
+                self._call(node, now)
 
-        self.later(node.schedule.next_call_at, event)
+        self._add_event(node.schedule.next_call_at, handler)
 
-    def call(self, node: Node, now: float) -> None:
-        day, r = self.day, self.result
+    def _call(self, node: NodeModel, now: float) -> None:
+        scenario = self.scenario
+        second = int(now - scenario.trigger_at)
         node.schedule.call_started(now)
-        r.calls[int(now - day.at)] += 1
-        if day.trigger == "down" and now < day.at + day.down:
-            self.ends(node, CallEnd.FAILED)(now)
+        self.result.calls[second] += 1
+        if scenario.trigger is Trigger.DOWN and now < scenario.trigger_at + scenario.outage:
+            self._call_end_handler(node, CallEnd.FAILED)(now)
             return
-        reply = Reply(now, True) if day.pushed else self.desk.call(now)
-        r.line[int(now - day.at)] = self.desk.backlog(now)
-        if not reply.good:
-            self.later(reply.at, self.ends(node, CallEnd.FAILED))
+        result = CallResult(now, succeeded=True) if scenario.local_agent else self.discovery.call(now)
+        self.result.backlog_s[second] = self.discovery.backlog_s(now)
+        if not result.succeeded:
+            self._add_event(result.ended_at, self._call_end_handler(node, CallEnd.FAILED))
             return
-        spoilt = self.rng.random() < day.spoilt
-        turn = node.turn
+        self._add_event(result.ended_at, self._list_handler(node))
 
-        def word(at: float) -> None:
-            if node.turn != turn:
-                return
-            node.schedule.heartbeat_received(at)
-            if spoilt:
-                self.ends(node, CallEnd.MALFORMED)(at)
+    def _list_handler(self, node: NodeModel) -> EventHandler:
+        """The node receives the full list, or the malformed part of one."""
+        malformed = self.rng.random() < self.scenario.malformed_fraction
+        generation = node.generation
+
+        def handler(now: float) -> None:
+            if node.generation != generation:
                 return
-            node.schedule.update_applied()
-            r.answered[int(at - day.at)] += 1
-            node.back = at
-            if node.readiness is not None:
-                node.readiness.list_confirmed()
-                node.opened = min(node.opened, at)
-            self.learn(node, at)
+            node.schedule.heartbeat_received(now)
+            if malformed:
+                self._call_end_handler(node, CallEnd.MALFORMED)(now)
+            else:
+                self._apply_list(node, now)
+
+        return handler
+
+    def _apply_list(self, node: NodeModel, now: float) -> None:
+        node.schedule.update_applied()
+        self.result.answers[int(now - self.scenario.trigger_at)] += 1
+        node.subscribed_at = now
+        if node.readiness is not None:
+            node.readiness.list_confirmed()
+            node.ready_at = min(node.ready_at, now)
+        self._receive_changes(node, now)
 
-        self.later(reply.at, word)
+    # ---- the result ---------------------------------------------------------------------------------------
+
+    def _finish(self) -> RehearsalResult:
+        result = self.result
+        result.recovery_times = sorted(node.subscribed_at - self.scenario.trigger_at for node in self.nodes)
+        for node in self.nodes:
+            if node.readiness is not None:
+                self._add_start(node, node.readiness)
+        result.ready_times.sort()
+        for listed_at, received_at in zip(self._listed_at, self._received_at, strict=True):
+            self._add_drain(listed_at, received_at)
+        result.wasted_calls, result.rejected_calls = self.discovery.wasted, self.discovery.rejected
+        return result
+
+    def _add_start(self, node: NodeModel, readiness: ListReadiness) -> None:
+        """Adds the figures of a node that restarted."""
+        ready_at = min(node.ready_at, max(readiness.wait_until, node.started_at))
+        self.result.ready_times.append(ready_at - node.started_at)
+        self.result.start_wait_s += min(ready_at, self.scenario.duration) - node.started_at
+        self.result.stale_send_s += self._stale_send_s(node, ready_at)
+
+    def _add_drain(self, listed_at: float, received_at: list[float]) -> None:
+        """Adds the figures of one drain. A node that never received it counts with an infinite delay."""
+        delays = sorted(at - listed_at for at in received_at)
+        delays += [inf] * (len(self.nodes) - len(received_at))
+        if not self.result.first_drain_delays:
+            self.result.first_drain_delays = delays
+        if listed_at + STALENESS_LIMIT_S <= self.scenario.duration:
+            self.result.late_drains += sum(delay > STALENESS_LIMIT_S for delay in delays)
+
+    def _stale_send_s(self, node: NodeModel, ready_at: float) -> float:
+        """How long a restarted node might send without a change that it counts as notified of, in seconds.
+
+        It counts as notified of a change that its agent has from its start on, of any other after the staleness limit.
+        """
+        limit = 0.0 if self.scenario.local_agent else STALENESS_LIMIT_S
+        intervals: list[tuple[float, float]] = []
+        for change, listed_at in enumerate(self._listed_at):
+            notified_at = max(listed_at + limit, node.started_at)
+            received_at = node.change_times[change] if change < len(node.change_times) else inf
+            begin = max(notified_at + SEND_STOP_GRACE_S, ready_at)
+            end = min(received_at, self.scenario.duration)
+            if begin < end:
+                intervals.append((begin, end))
+        return sum(end - begin for begin, end in merge_intervals(intervals))
--- a/harecross/policy/fleet_limits.py
+++ b/harecross/policy/fleet_limits.py
@@ -1,7 +1,7 @@
 """What one node of many takes for itself: pure functions of the numbers of servers, members and nodes.
 
 Headroom that is harmless in one node adds up over hundreds: these figures are divided by the nodes that call
-the tier (`Settings.instance_count`). `fleet/sums.py` adds them up over a fleet.
+the tier (`Settings.instance_count`). `fleet/tier_load.py` adds them up over a fleet.
 """
 
 from __future__ import annotations
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -11,7 +11,7 @@
 from typer.testing import CliRunner
 
 from harecross.cli import app
-from harecross.fleet.file import FleetFile, read_fleet
+from harecross.fleet.fleet_file import FleetFile, read_fleet
 from harecross.fleet.rehearsal import Rehearsal
 
 ROOT = Path(__file__).parent.parent
@@ -45,7 +45,7 @@
     played = []
 
     def run(self):
-        played.append(self.day.seed)
+        played.append(self.scenario.seed)
         if len(played) == 3:
             raise KeyboardInterrupt
         return whole(self)
--- a/tests/test_fleet_rehearsal.py
+++ b/tests/test_fleet_rehearsal.py
@@ -10,88 +10,101 @@
     MIN_CALL_DELAY_S,
     WATCH_HEARTBEAT_TIMEOUT_S,
 )
-from harecross.fleet.discovery import Desk, Shape
-from harecross.fleet.rehearsal import Day, Rehearsal, bound
-from harecross.fleet.waits import WAITS
+from harecross.fleet.discovery import DiscoveryCapacity, DiscoveryQueue
+from harecross.fleet.rehearsal import Rehearsal
+from harecross.fleet.result import RehearsalResult
+from harecross.fleet.scenario import Scenario, Trigger
+from harecross.fleet.schedules import SCHEDULES
 
 
 def test_discovery_processes_calls_that_it_has_already_failed():
-    desk = Desk(Shape(rate=2.0, timeout=2.0, overbook=2.0))
-    replies = [desk.call(0.0) for _ in range(12)]
-    assert [r.at for r in replies[:4]] == [0.5, 1.0, 1.5, 2.0] and all(r.good for r in replies[:4])
-    assert [(r.at, r.good) for r in replies[4:9]] == [(2.0, False)] * 5 and desk.in_vain == 5
-    assert replies[9].at == 0.0 and desk.turned_away == 3 and desk.backlog(0.0) == 4.5
-    assert not desk.call(2.4).good and desk.call(4.6).good
+    queue = DiscoveryQueue(
+        DiscoveryCapacity(calls_per_second=2.0, call_timeout_s=2.0, max_queue_timeouts=2.0)
+    )
+    results = [queue.call(0.0) for _ in range(12)]
+    assert [result.ended_at for result in results[:4]] == [0.5, 1.0, 1.5, 2.0]
+    assert all(result.succeeded for result in results[:4])
+    assert [(result.ended_at, result.succeeded) for result in results[4:9]] == [(2.0, False)] * 5
+    assert queue.wasted == 5
+    assert results[9].ended_at == 0.0 and queue.rejected == 3 and queue.backlog_s(0.0) == 4.5
+    assert not queue.call(2.4).succeeded and queue.call(4.6).succeeded
 
 
-def fleet(nodes: int, seconds: float, waits: str = "turns", **more):
+def rehearse(nodes: int, seconds: float, schedule: str = "turns", **changes) -> RehearsalResult:
     """Nodes and a discovery that serves one call of each in `seconds`, with the queue that a common start leaves."""
-    shape = Shape(nodes / seconds)
-    day = Day(**{"nodes": nodes, "discovery": shape, "backlog": 0.85 * seconds, "length": 130.0, **more})
-    return Rehearsal(day, WAITS[waits]).run()
+    values = {
+        "nodes": nodes, "discovery": DiscoveryCapacity(nodes / seconds), "backlog": 0.85 * seconds, "duration": 130.0,
+    }  # fmt: skip
+    return Rehearsal(Scenario(**values | changes), SCHEDULES[schedule]).run()
 
 
 @pytest.mark.parametrize("nodes", [40, 2000])
 def test_after_all_watches_fall_silent_staggered_rounds_recover_and_the_former_backoff_never_does(nodes):
     for seconds, last in ((2.0, 2.0), (4.9, 1.2), (6.0, 1.8), (8.0, 3.4)):
-        result = fleet(nodes, seconds)
-        assert result.recovered and result.back[-1] <= last * bound(result.day), (
+        result = rehearse(nodes, seconds)
+        assert result.recovered and result.recovery_times[-1] <= last * result.scenario.earliest_recovery_s, (
             seconds,
-            result.back[-1],
-            bound(result.day),
+            result.recovery_times[-1],
+            result.scenario.earliest_recovery_s,
         )
         assert sum(result.calls.values()) <= 5 * nodes
     for seconds in (6.0, 8.0):
-        former = fleet(nodes, seconds, "former")
-        assert former.share(0.5) == inf and sum(former.answered.values()) < 0.2 * nodes
+        former = rehearse(nodes, seconds, "former")
+        assert former.recovery_time(0.5) == inf and sum(former.answers.values()) < 0.2 * nodes
         # In the last minute no call was answered, and the queue never got shorter.
-        assert sum(n for second, n in former.answered.items() if second > 60) == 0
-        assert min(length for second, length in former.line.items() if second > 20) > 2.0
+        assert sum(count for second, count in former.answers.items() if second > 60) == 0
+        assert min(backlog for second, backlog in former.backlog_s.items() if second > 20) > 2.0
 
 
 def test_without_round_positions_the_fleet_calls_at_once_and_fails_at_once():
-    mutant, turns = fleet(40, 4.9, "together"), fleet(40, 4.9)
-    assert turns.recovered and turns.in_vain < 10
-    assert mutant.in_vain > 2 * turns.in_vain and mutant.back[-1] > 2 * turns.back[-1]
+    mutant, turns = rehearse(40, 4.9, "together"), rehearse(40, 4.9)
+    assert turns.recovered and turns.wasted_calls < 10
+    assert (
+        mutant.wasted_calls > 2 * turns.wasted_calls
+        and mutant.recovery_times[-1] > 2 * turns.recovery_times[-1]
+    )
 
 
 def test_two_nodes_recover_within_one_round():
-    result = fleet(2, 2.0, backlog=0.0)
+    result = rehearse(2, 2.0, backlog=0.0)
     assert (
-        result.back[-1] <= WATCH_HEARTBEAT_TIMEOUT_S + MIN_CALL_DELAY_S + LONG_QUEUE_ROUND_S + 2.0
-        and result.in_vain == 0
+        result.recovery_times[-1] <= WATCH_HEARTBEAT_TIMEOUT_S + MIN_CALL_DELAY_S + LONG_QUEUE_ROUND_S + 2.0
+        and result.wasted_calls == 0
     )
 
 
-@pytest.mark.parametrize("trigger", ["ended", "broken", "restart", "down"])
+@pytest.mark.parametrize("trigger", [Trigger.ENDED, Trigger.BROKEN, Trigger.RESTART, Trigger.DOWN])
 def test_the_fleet_recovers_from_every_other_trigger(trigger):
     for seconds in (2.0, 4.9, 8.0):
-        result = fleet(40, seconds, trigger=trigger, backlog=0.0)
-        assert result.recovered and result.back[-1] <= 4 * bound(result.day) + FAILED_CALL_PAUSE_S
+        result = rehearse(40, seconds, trigger=trigger, backlog=0.0)
+        assert (
+            result.recovered
+            and result.recovery_times[-1] <= 4 * result.scenario.earliest_recovery_s + FAILED_CALL_PAUSE_S
+        )
 
 
 def test_a_fleet_too_large_for_the_longest_poll_interval_still_recovers():
     """Most nodes have no heartbeat for longer than the staleness limit, but none for good."""
-    result = fleet(200, 16.0, within=10.0)
-    assert result.recovered and result.late > 0 and result.knew[-1] < 130
+    result = rehearse(200, 16.0, max_poll_interval=10.0)
+    assert result.recovered and result.late_drains > 0 and result.first_drain_delays[-1] < 130
 
 
 def test_malformed_responses_do_not_prevent_recovery():
-    result = fleet(40, 4.9, spoilt=0.3)
-    assert result.recovered and result.back[-1] < 4 * bound(result.day)
+    result = rehearse(40, 4.9, malformed_fraction=0.3)
+    assert result.recovered and result.recovery_times[-1] < 4 * result.scenario.earliest_recovery_s
 
 
 def test_a_thousand_seeds_recover_and_replay_exactly():
     worst = 0.0
     for seed in range(1000):
-        result = fleet(40, 4.9, seed=seed, length=60.0)
+        result = rehearse(40, 4.9, seed=seed, duration=60.0)
         assert result.recovered
-        worst = max(worst, result.back[-1] / bound(result.day))
+        worst = max(worst, result.recovery_times[-1] / result.scenario.earliest_recovery_s)
     assert worst < 1.9
-    assert fleet(40, 4.9, seed=77).back == fleet(40, 4.9, seed=77).back
+    assert rehearse(40, 4.9, seed=77).recovery_times == rehearse(40, 4.9, seed=77).recovery_times
 
 
 def test_with_enough_discovery_capacity_no_drain_passes_the_staleness_limit_unnoticed():
     for seed in range(200):
-        result = fleet(40, 2.0, seed=seed, change=2.5, more=1.0, length=40.0, backlog=0.0)
-        assert result.recovered and result.late == 0
+        result = rehearse(40, 2.0, seed=seed, drain_delay=2.5, drain_interval=1.0, duration=40.0, backlog=0.0)
+        assert result.recovered and result.late_drains == 0
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -15,8 +15,10 @@
 )
 from harecross.discovery.subscription_schedule import CallEnd, DiscoveryTerms, SubscriptionSchedule
 from harecross.fleet import rehearsal
-from harecross.fleet.discovery import Shape
-from harecross.fleet.rehearsal import Day, Rehearsal, Result
+from harecross.fleet.discovery import DiscoveryCapacity
+from harecross.fleet.rehearsal import Rehearsal
+from harecross.fleet.result import RehearsalResult
+from harecross.fleet.scenario import Scenario, Trigger
 from harecross.node import admin_operations
 from harecross.node import node as node_module
 from harecross.node.config import config_from
@@ -264,38 +266,38 @@
 # ---- many nodes that start at once, on the model -----------------------------------------------------
 
 
-def start_at_once(nodes: int, seed: int, line: float = 5.0, **more: object) -> Result:
-    """Seven in ten nodes start at once in the middle of a release; discovery needs `line` s to answer them all."""
-    day = Day(
-        nodes=nodes, seed=seed, discovery=Shape(0.7 * nodes / line), trigger="restart", part=0.7, dead=1.5,
-        before=0.7, change=0.5, more=1.1, length=50.0, **more,
+def start_at_once(nodes: int, seed: int, queue_s: float = 5.0, **changes: object) -> RehearsalResult:
+    """Seven in ten nodes start at once in the middle of a release; discovery needs `queue_s` s to answer them all."""
+    scenario = Scenario(
+        nodes=nodes, seed=seed, discovery=DiscoveryCapacity(0.7 * nodes / queue_s), trigger=Trigger.RESTART,
+        restart_fraction=0.7, stopped_before=1.5, earlier_drain=0.7, drain_delay=0.5, drain_interval=1.1, duration=50.0,
+        **changes,
     )  # fmt: skip
-    return Rehearsal(day).run()
+    return Rehearsal(scenario).run()
 
 
 def test_nodes_that_start_at_once_send_nothing_by_a_list_past_the_staleness_limit():
     for seed in range(200):
-        result = start_at_once(230, seed, line=2.0 + seed % 5, pushed=seed % 4 == 0)
-        assert result.forbidden == 0, seed
-        assert result.ready[-1] <= 15.0 and result.recovered, seed
+        result = start_at_once(230, seed, queue_s=2.0 + seed % 5, local_agent=seed % 4 == 0)
+        assert result.stale_send_s == 0, seed
+        assert result.ready_times[-1] <= 15.0 and result.recovered, seed
 
 
 @pytest.mark.parametrize("nodes", [40, 230, 1024])
 def test_a_start_waits_no_longer_than_discovery_s_queue_takes(nodes):
-    assert start_at_once(nodes, 1, pushed=True).ready[-1] < 0.5, "an agent's list costs no wait"
-    quick = start_at_once(nodes, 1, line=1.5)
-    assert quick.ready[-1] < 0.3 + 1.5 + 0.1, "one line"
-    slow = start_at_once(nodes, 1, line=5.0)
-    assert slow.after_start(0.3) < 0.3 + 2.0 + 0.1 and slow.ready[-1] < MAX_POLLED_WAIT_S
-    assert start_at_once(nodes, 1, line=60.0).ready[-1] == MAX_POLLED_WAIT_S, "never for ever"
+    assert start_at_once(nodes, 1, local_agent=True).ready_times[-1] < 0.5, "an agent's list costs no wait"
+    quick = start_at_once(nodes, 1, queue_s=1.5)
+    assert quick.ready_times[-1] < 0.3 + 1.5 + 0.1, "one queue"
+    slow = start_at_once(nodes, 1, queue_s=5.0)
+    assert slow.ready_time(0.3) < 0.3 + 2.0 + 0.1 and slow.ready_times[-1] < MAX_POLLED_WAIT_S
+    assert start_at_once(nodes, 1, queue_s=60.0).ready_times[-1] == MAX_POLLED_WAIT_S, "never for ever"
 
 
-@pytest.mark.parametrize("pushed", [True, False])
-def test_without_the_wait_the_model_counts_sends_by_the_configured_list(pushed, monkeypatch):
+@pytest.mark.parametrize("local_agent", [True, False])
+def test_without_the_wait_the_model_counts_sends_by_the_configured_list(local_agent, monkeypatch):
     monkeypatch.setattr(readiness, "MAX_POLLED_WAIT_S", 0.0)
     monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.0)
-    if pushed:
-        monkeypatch.setattr(
-            rehearsal, "BOOT", 0.31
-        )  # the start took a little longer than the settings' 250 + 50 ms
-    assert start_at_once(230, 1, pushed=pushed).forbidden > 0
+    if local_agent:
+        # The start took a little longer than the settings' 250 + 50 ms.
+        monkeypatch.setattr(rehearsal, "PROCESS_START_S", 0.31)
+    assert start_at_once(230, 1, local_agent=local_agent).stale_send_s > 0
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -26,7 +26,7 @@
 from harecross.discovery.wire_format import Lifecycle
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
 from harecross.dispatch.request import FinalAnswer
-from harecross.fleet.file import read_fleet
+from harecross.fleet.fleet_file import read_fleet
 from harecross.follow.attempt_log import AttemptLog
 from harecross.follow.late_sends import late_sends
 from harecross.follow.logs import read_logs
--- a/tests/test_sums.py
+++ b/tests/test_tier_load.py
@@ -1,4 +1,4 @@
-"""What nodes add up to at each server: within bounds for any seed, and over them where a division is left out."""
+"""What nodes add up to at each server: within bounds for any seed, and above them without a division by nodes."""
 
 import json
 
@@ -6,33 +6,45 @@
 from typer.testing import CliRunner
 
 from harecross.cli import app
-from harecross.fleet.sums import EVENTS, Fleet, Sums
+from harecross.fleet.tier_load import TierLoad
+from harecross.fleet.tier_scenario import TierEvent, TierScenario
 from harecross.policy import fleet_limits
 
 
-def over(**fleet: object) -> dict[str, float]:
-    """What is over its bound, and how many times."""
-    return {k: s.most / s.bound for k, s in Sums(Fleet(**fleet)).run().items() if not s.kept}
+def exceeded(**scenario: object) -> dict[str, float]:
+    """The sums over their bounds, as multiples of these."""
+    sums = TierLoad(TierScenario(**scenario)).run()
+    return {name: entry.highest / entry.bound for name, entry in sums.items() if not entry.within_bound}
 
 
 def test_two_hundred_seeds_keep_within_the_bounds():
     for seed in range(200):
-        assert not over(nodes=40, servers=30 + seed % 40, event=EVENTS[seed % 5], seed=seed, length=3.0), seed
+        assert not exceeded(
+            nodes=40, servers=30 + seed % 40, event=list(TierEvent)[seed % 5], seed=seed, duration=3.0
+        ), seed
 
 
-@pytest.mark.parametrize("event", EVENTS)
+@pytest.mark.parametrize("event", TierEvent)
 @pytest.mark.parametrize("nodes, servers", [(36, 115), (200, 120), (2000, 1000)])
 def test_the_bounds_hold_at_any_size(nodes, servers, event):
-    assert not over(nodes=nodes, servers=servers, event=event, length=6.0 if nodes < 1000 else 2.0)
+    assert not exceeded(nodes=nodes, servers=servers, event=event, duration=6.0 if nodes < 1000 else 2.0)
 
 
-def test_uneven_traffic_and_a_mass_restart_of_all_servers_push_no_cold_server_over():
+def test_uneven_traffic_and_a_restart_of_all_servers_overload_no_server_that_warms_up():
     for seed in range(3):
-        assert not over(nodes=200, servers=70, uneven=10.0, event="replaced", part=1.0, seed=seed, length=4.0)
+        assert not exceeded(
+            nodes=200,
+            servers=70,
+            traffic_skew=10.0,
+            event=TierEvent.REPLACED,
+            event_fraction=1.0,
+            seed=seed,
+            duration=4.0,
+        )
 
 
 @pytest.mark.parametrize(
-    "name, wrong, what",
+    "name, wrong, exceeded_sum",
     [
         ("subset_size", lambda servers, nodes, most=0: servers, "connections"),
         ("limit_floor", lambda servers, nodes: 3.0 * servers, "calls that nobody refuses"),
@@ -40,17 +52,17 @@
         ("min_rtt_limit", lambda members, servers, nodes: 3.0 * members, "calls of a pass"),
     ],
 )
-def test_without_the_division_by_nodes_the_sums_are_over(name, wrong, what, monkeypatch):
+def test_without_the_division_by_nodes_a_sum_exceeds_its_bound(name, wrong, exceeded_sum, monkeypatch):
     monkeypatch.setattr(fleet_limits, name, wrong)
-    assert what in over(nodes=400, servers=120, length=1.0)
+    assert exceeded_sum in exceeded(nodes=400, servers=120, duration=1.0)
 
 
-def test_without_slow_start_cold_servers_are_pushed_over(monkeypatch):
-    monkeypatch.setattr(Sums, "may_send", lambda self, node, server, at: True)
-    assert over(event="returned", load=0.95, multiple=1.2, seed=3)
+def test_without_slow_start_servers_that_warm_up_are_overloaded(monkeypatch):
+    monkeypatch.setattr(TierLoad, "may_send", lambda self, node, server, at: True)
+    assert exceeded(event=TierEvent.RETURNED, utilization=0.95, overload_multiple=1.2, seed=3)
 
 
-def test_sizes_are_those_of_one_node_of_many():
+def test_limits_are_divided_by_the_number_of_nodes():
     assert [fleet_limits.subset_size(120, nodes) for nodes in (1, 40, 200, 2000)] == [24, 24, 10, 10]
     assert fleet_limits.subset_size(4, 1) == 4 and fleet_limits.subset_size(1000, 1, most=300) == 300
     for nodes in (1, 40, 200, 2000):
@@ -68,27 +80,35 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"event": "x"}, {"nodes": 0}, {"rate": 0.0}, {"uneven": 0.5}, {"part": 0.0}, {"cold_from": 1.5}]
+    "wrong",
+    [
+        {"event": "x"},
+        {"nodes": 0},
+        {"requests_per_second": 0.0},
+        {"traffic_skew": 0.5},
+        {"event_fraction": 0.0},
+        {"slow_start_capacity": 1.5},
+    ],  # fmt: skip
 )
-def test_a_fleet_that_cannot_be_is_refused(wrong):
+def test_a_scenario_with_a_value_that_cannot_be_is_rejected(wrong):
     with pytest.raises(ValueError, match=next(iter(wrong))):
-        Fleet(**wrong)
+        TierScenario(**wrong)
 
 
-def test_the_command_shows_sums_and_bounds_and_says_when_one_is_over(tmp_path, monkeypatch):
-    def run(*words: str):
-        return CliRunner().invoke(app, ["fleet", "sums", *words])
+def test_the_command_shows_sums_and_bounds_and_exits_1_when_one_is_exceeded(tmp_path, monkeypatch):
+    def run(*arguments: str):
+        return CliRunner().invoke(app, ["fleet", "sums", *arguments])
 
     shown = run("--nodes", "40", "--servers", "30", "--event", "herd", "--seeds", "2", "--json")
     rows = json.loads(shown.stdout)
-    assert shown.exit_code == 0 and [r["seed"] for r in rows] == [1, 2]
-    assert all(s["most"] <= s["bound"] * 1.001 for r in rows for s in r["sums"].values())
+    assert shown.exit_code == 0 and [row["seed"] for row in rows] == [1, 2]
+    assert all(entry["most"] <= entry["bound"] * 1.001 for row in rows for entry in row["sums"].values())
     table = run("--nodes", "40", "--servers", "30")
     assert table.exit_code == 0 and "handshakes a second" in table.output
     monkeypatch.setattr(fleet_limits, "limit_floor", lambda servers, nodes: 1e6)
     assert run("--nodes", "40", "--servers", "30").exit_code == 1
     bad = tmp_path / "fleet.toml"
     bad.write_text("[tier]\nuneven = 0.1\n")
-    for words, says in (((str(bad),), "tier.uneven"), (("--event", "x"), "one of calm, herd")):
-        wrong = run(*words)
-        assert wrong.exit_code == 2 and says in wrong.output and len(wrong.output.splitlines()) == 1
+    for arguments, message in (((str(bad),), "tier.uneven"), (("--event", "x"), "one of calm, herd")):
+        wrong = run(*arguments)
+        assert wrong.exit_code == 2 and message in wrong.output and len(wrong.output.splitlines()) == 1
