--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -132,8 +132,8 @@
 
     server = await DnsServer().start()
     name = "_r._tcp.example.org"
-    server.put("box.example.org.", "A", "127.0.0.1", ttl=ttl)
-    server.put(f"{name}.", "SRV", "0 1 1000 box.example.org.", ttl=ttl)
+    server.set_records("box.example.org.", "A", "127.0.0.1", ttl=ttl)
+    server.set_records(f"{name}.", "SRV", "0 1 1000 box.example.org.", ttl=ttl)
     table = SourcesTable(srv=(SrvConfig(name),), resolvers=(server.address,), watch=False)
     node = Node(
         config_from(config_of("127.0.0.1:1")),
@@ -147,7 +147,7 @@
     for i in range(rounds):
         await asyncio.sleep(rng.uniform(0, ttl))
         began = loop.time()
-        server.put(
+        server.set_records(
             f"{name}.", "SRV", "0 1 1000 box.example.org.", f"0 1 {1001 + i} box.example.org.", ttl=ttl
         )
         while f"127.0.0.1:{1001 + i}" not in node.registry.numbers:
--- a/harecross/standins/dns.py
+++ b/harecross/standins/dns.py
@@ -1,4 +1,4 @@
-"""A DNS server over UDP and TCP on loopback that says what its script says, faults included. RFC 1035."""
+"""A scripted DNS server over UDP, TCP and TLS on loopback, with faults. RFC 1035, 7766, 7858."""
 
 from __future__ import annotations
 
@@ -7,235 +7,286 @@
 import struct
 from collections import Counter
 from collections.abc import Callable
-from typing import cast
+from typing import NamedTuple, cast
 
 import dns.flags
 import dns.message
 import dns.name
-import dns.opcode
 import dns.rcode
 import dns.rdatatype
 import dns.rrset
 
-Fault = Callable[["DnsServer", dns.message.Message, dns.message.Message, str], "list[bytes] | None"]
+MAX_MESSAGE_BYTES = 65_535
+MAX_UDP_BYTES = 512  # without EDNS
+MIN_RECORD_BYTES = 30  # of an SRV record
+MAX_ALIASES = 20
+CUT_NEVER = -1
+
+
+class Exchange(NamedTuple):
+    """One query and the reply that the records make. A fault may change the reply."""
+
+    server: DnsServer
+    query: dns.message.Message
+    reply: dns.message.Message
+    transport: str  # udp or tcp
+
+
+# Returns the messages to send, none for no answer, or None to leave the reply to the next fault.
+Fault = Callable[[Exchange], list[bytes] | None]
+
+
+class RecordSet(NamedTuple):
+    """The records of one name and type."""
+
+    ttl: int  # seconds
+    data: list[str]  # in the form of zone files
 
 
 class DnsServer:
-    """`records` maps (name, kind) to lines of data with a TTL; `faults` are tried in order on each answer.
+    """A DNS server. Its `faults` are tried in order on each reply."""
 
-    A fault gets the server, the query, the honest answer and the transport. It returns the messages to send, none
-    at all to say nothing, or None to leave the answer to the next fault.
-    """
+    tcp_listener: asyncio.Server
+    udp_transport: asyncio.DatagramTransport
 
     def __init__(self) -> None:
-        self.records: dict[tuple[str, str], tuple[int, list[str]]] = {}
+        self.records: dict[tuple[str, str], RecordSet] = {}  # by name and type
         self.faults: list[Fault] = []
-        self.delay = 0.0  # seconds before each answer
-        self.cut_tcp = -1  # bytes of an answer over TCP after which the connection is cut; -1 for none
-        self.additional = True  # addresses of SRV targets come along
-        self.negative_ttl = 2
-        self.asked: Counter[tuple[str, str, str]] = Counter()  # name, kind, transport
+        self.reply_delay_s = 0.0
+        self.tcp_bytes_before_close = (
+            CUT_NEVER  # bytes of a reply over TCP after which the connection is closed
+        )
+        self.sends_additional = True  # whether the addresses of SRV targets come along
+        self.negative_ttl = 2  # seconds
+        self.queries: Counter[tuple[str, str, str]] = Counter()  # by name, type and transport
         self.connections = 0
-        self.address = self.tls_address = ""
-        self.tls: asyncio.Server | None = None
+        self.address = ""
+        self.tls_address = ""
+        self.tls_listener: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", tls: ssl.SSLContext | None = None) -> DnsServer:
-        """Listens on one port over both transports; with `tls` on another one too, at `tls_address` (RFC 7858)."""
-        loop = asyncio.get_running_loop()
+        """Listens on one port over UDP and TCP; with `tls` on another port too, at `tls_address` (RFC 7858)."""
         if tls is not None:
-            self.tls = await asyncio.start_server(self.serve, host, 0, ssl=tls)
-            self.tls_address = f"tls://{host}:{self.tls.sockets[0].getsockname()[1]}"
+            self.tls_listener = await asyncio.start_server(self._serve_connection, host, 0, ssl=tls)
+            self.tls_address = f"tls://{host}:{self.tls_listener.sockets[0].getsockname()[1]}"
+        port = await self._listen(host)
+        self.address = f"{host}:{port}"
+        return self
+
+    async def _listen(self, host: str) -> int:
+        """Listens on a port that is free over both transports, and returns it."""
+        loop = asyncio.get_running_loop()
         while True:
-            self.tcp = await asyncio.start_server(self.serve, host, 0)
-            port = self.tcp.sockets[0].getsockname()[1]
+            self.tcp_listener = await asyncio.start_server(self._serve_connection, host, 0)
+            port: int = self.tcp_listener.sockets[0].getsockname()[1]
             try:
-                self.udp, _ = await loop.create_datagram_endpoint(lambda: Udp(self), local_addr=(host, port))
-                break
+                self.udp_transport, _ = await loop.create_datagram_endpoint(
+                    lambda: UdpProtocol(self), local_addr=(host, port)
+                )
             except OSError:
-                self.tcp.close()  # the port is another's over UDP
-        self.address = f"{host}:{port}"
-        return self
+                self.tcp_listener.close()  # the port is in use over UDP
+            else:
+                return port
 
     def stop(self) -> None:
-        self.tcp.close()
-        if self.tls is not None:
-            self.tls.close()
-        self.udp.close()
-
-    def put(self, name: str, kind: str, *data: str, ttl: int = 5) -> None:
-        """Sets what a name holds of a kind."""
-        self.records[name, kind] = (ttl, list(data))
+        """Closes the listening sockets."""
+        self.tcp_listener.close()
+        if self.tls_listener is not None:
+            self.tls_listener.close()
+        self.udp_transport.close()
 
-    def remove(self, name: str, kind: str) -> None:
-        self.records.pop((name, kind), None)
+    def set_records(self, name: str, record_type: str, *data: str, ttl: int = 5) -> None:
+        """Sets the records of a name and type."""
+        self.records[name, record_type] = RecordSet(ttl, list(data))
 
-    # ---- answers --------------------------------------------------------------------------------------
+    def remove_records(self, name: str, record_type: str) -> None:
+        """Removes the records of a name and type."""
+        self.records.pop((name, record_type), None)
 
-    def rrset(self, name: str, kind: str) -> dns.rrset.RRset | None:
-        held = self.records.get((name, kind))
-        return dns.rrset.from_text(name, held[0], "IN", kind, *held[1]) if held is not None else None
+    # ---- replies ------------------------------------------------------------------------------------------
 
     def answer(self, query: dns.message.Message, transport: str) -> list[bytes]:
-        """The messages to send; none where the script says so."""
-        asked = query.question[0]
-        name, kind = asked.name.canonicalize().to_text(), dns.rdatatype.to_text(asked.rdtype)
-        self.asked[name, kind, transport] += 1
+        """The messages to send for a query; none where a fault sends none."""
+        question = query.question[0]
+        name, record_type = question.name.canonicalize().to_text(), dns.rdatatype.to_text(question.rdtype)
+        self.queries[name, record_type, transport] += 1
         reply = dns.message.make_response(query, recursion_available=True)
         reply.flags |= dns.flags.AA
-        for _ in range(20):
-            found = self.rrset(name, kind)
-            alias = self.rrset(name, "CNAME")
-            if found is not None or alias is None:
+        self._fill_reply(reply, name, record_type)
+        exchange = Exchange(self, query, reply, transport)
+        for fault in self.faults:
+            messages = fault(exchange)
+            if messages is not None:
+                return messages
+        udp_bytes = query.payload if query.edns >= 0 else MAX_UDP_BYTES
+        return [to_wire(reply, MAX_MESSAGE_BYTES if transport == "tcp" else udp_bytes)]
+
+    def _fill_reply(self, reply: dns.message.Message, name: str, record_type: str) -> None:
+        """Adds the aliases and records of a name, or a negative answer."""
+        for _ in range(MAX_ALIASES):
+            rrset = self._rrset(name, record_type)
+            alias = self._rrset(name, "CNAME")
+            if rrset is not None or alias is None:
                 break
             reply.answer.append(alias)
             name = alias[0].target.to_text()
-        if found is not None:
-            reply.answer.append(found)
-            if kind == "SRV" and self.additional:
-                for target in dict.fromkeys(item.target.to_text() for item in found):
-                    extra = (self.rrset(target, "A"), self.rrset(target, "AAAA"))
-                    reply.additional.extend(r for r in extra if r is not None)
+        if rrset is not None:
+            reply.answer.append(rrset)
+            if record_type == "SRV" and self.sends_additional:
+                self._add_target_addresses(reply, rrset)
         elif not reply.answer or alias is None:
-            if not any(n == name for n, _ in self.records):
-                reply.set_rcode(dns.rcode.NXDOMAIN)
-            soa = f"ns. admin. 1 60 60 60 {self.negative_ttl}"
-            reply.authority.append(dns.rrset.from_text("example.org.", self.negative_ttl, "IN", "SOA", soa))
-        for fault in self.faults:
-            said = fault(self, query, reply, transport)
-            if said is not None:
-                return said
-        size = 65_535 if transport == "tcp" else (query.payload if query.edns >= 0 else 512)
-        return [wire(reply, size)]
-
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            self._add_negative_answer(reply, name)
+
+    def _rrset(self, name: str, record_type: str) -> dns.rrset.RRset | None:
+        records = self.records.get((name, record_type))
+        if records is None:
+            return None
+        return dns.rrset.from_text(name, records.ttl, "IN", record_type, *records.data)
+
+    def _add_target_addresses(self, reply: dns.message.Message, rrset: dns.rrset.RRset) -> None:
+        for target in dict.fromkeys(record.target.to_text() for record in rrset):
+            for record_type in ("A", "AAAA"):
+                addresses = self._rrset(target, record_type)
+                if addresses is not None:
+                    reply.additional.append(addresses)
+
+    def _add_negative_answer(self, reply: dns.message.Message, name: str) -> None:
+        if not any(known_name == name for known_name, _ in self.records):
+            reply.set_rcode(dns.rcode.NXDOMAIN)
+        soa = f"ns. admin. 1 60 60 60 {self.negative_ttl}"
+        reply.authority.append(dns.rrset.from_text("example.org.", self.negative_ttl, "IN", "SOA", soa))
+
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            while True:
-                (size,) = struct.unpack("!H", await reader.readexactly(2))
-                said = self.answer(dns.message.from_wire(await reader.readexactly(size)), "tcp")
-                await asyncio.sleep(self.delay)
-                whole = b"".join(struct.pack("!H", len(data)) + data for data in said)
-                if 0 <= self.cut_tcp < len(whole):
-                    writer.write(whole[: self.cut_tcp])
-                    await writer.drain()
-                    break
-                writer.write(whole)
+            while await self._serve_query(reader, writer):
+                pass
         except (asyncio.IncompleteReadError, ConnectionError, ssl.SSLError):
             pass
         writer.close()
 
+    async def _serve_query(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Answers one query; False where the connection is to be closed."""
+        (size,) = struct.unpack("!H", await reader.readexactly(2))
+        messages = self.answer(dns.message.from_wire(await reader.readexactly(size)), "tcp")
+        await asyncio.sleep(self.reply_delay_s)
+        data = b"".join(struct.pack("!H", len(message)) + message for message in messages)
+        if 0 <= self.tcp_bytes_before_close < len(data):
+            writer.write(data[: self.tcp_bytes_before_close])
+            await writer.drain()
+            return False
+        writer.write(data)
+        return True
+
 
-class Udp(asyncio.DatagramProtocol):
-    """The server's UDP side."""
+class UdpProtocol(asyncio.DatagramProtocol):
+    """The UDP socket of a server."""
 
     def __init__(self, server: DnsServer) -> None:
-        self.server = server
+        self._server = server
+        self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
+        """The socket is open."""
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        for answer in self.server.answer(dns.message.from_wire(data), "udp"):
-            asyncio.get_running_loop().call_later(self.server.delay, self.transport.sendto, answer, addr)
+        """Answers a query, after the server's delay."""
+        assert self._transport is not None
+        loop = asyncio.get_running_loop()
+        for message in self._server.answer(dns.message.from_wire(data), "udp"):
+            loop.call_later(self._server.reply_delay_s, self._transport.sendto, message, addr)
 
 
-def wire(reply: dns.message.Message, size: int = 65_535) -> bytes:
-    """The message, cut at whole records with TC set where it is larger than `size`; additional records go first."""
+def to_wire(reply: dns.message.Message, max_bytes: int = MAX_MESSAGE_BYTES) -> bytes:
+    """The message; where it is larger than `max_bytes`, without additional records, and then truncated."""
     try:
-        return reply.to_wire(max_size=size)
+        return reply.to_wire(max_size=max_bytes)
     except dns.exception.TooBig:
         reply.additional.clear()
     try:
-        return reply.to_wire(max_size=size)
+        return reply.to_wire(max_size=max_bytes)
     except dns.exception.TooBig:
-        pass
-    short = dns.message.Message(reply.id)
-    short.flags, short.question = reply.flags | dns.flags.TC, reply.question
-    # As many servers do: what fits of the set stays, and only TC tells that it is not whole.
-    count = min(len(reply.answer[0]) - 1, size // 30) if reply.answer else 0
+        return truncated_to_wire(reply, max_bytes)
+
+
+def truncated_to_wire(reply: dns.message.Message, max_bytes: int) -> bytes:
+    """The message with TC set, and with as many of the answer's first records as fit, as many servers send it."""
+    truncated = dns.message.Message(reply.id)
+    truncated.flags, truncated.question = reply.flags | dns.flags.TC, reply.question
+    count = min(len(reply.answer[0]) - 1, max_bytes // MIN_RECORD_BYTES) if reply.answer else 0
     while count:
-        short.answer = [part(reply.answer[0], count)]
+        truncated.answer = [first_records(reply.answer[0], count)]
         try:
-            return short.to_wire(max_size=size)
+            return truncated.to_wire(max_size=max_bytes)
         except dns.exception.TooBig:
             count = count * 4 // 5
-    short.answer = []
-    return short.to_wire(max_size=size)
+    truncated.answer = []
+    return truncated.to_wire(max_size=max_bytes)
 
 
-def part(rrset: dns.rrset.RRset, count: int) -> dns.rrset.RRset:
+def first_records(rrset: dns.rrset.RRset, count: int) -> dns.rrset.RRset:
     """The first records of a set."""
     return dns.rrset.from_rdata_list(rrset.name, rrset.ttl, list(rrset)[:count])
 
 
-# ---- faults ---------------------------------------------------------------------------------------------
+# ---- faults -----------------------------------------------------------------------------------------------
 
 
-def silent(
-    server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-) -> list[bytes]:
-    """Says nothing."""
+def silent(exchange: Exchange) -> list[bytes]:
+    """Sends no answer."""
     return []
 
 
-def rcode(code: int) -> Fault:
-    """Every answer is this error."""
+def error_reply(rcode: int) -> Fault:
+    """A fault: every answer is this error."""
 
-    def fault(
-        server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-    ) -> list[bytes]:
-        empty = dns.message.make_response(query)
-        empty.set_rcode(dns.rcode.Rcode(code))
-        return [wire(empty)]
+    def fault(exchange: Exchange) -> list[bytes]:
+        error = dns.message.make_response(exchange.query)
+        error.set_rcode(dns.rcode.Rcode(rcode))
+        return [to_wire(error)]
 
     return fault
 
 
-def no_edns(
-    server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-) -> list[bytes] | None:
+def no_edns(exchange: Exchange) -> list[bytes] | None:
     """Does not know the OPT record: FORMERR without a question."""
-    if query.edns < 0:
+    if exchange.query.edns < 0:
         return None
-    error = dns.message.Message(query.id)
+    error = dns.message.Message(exchange.query.id)
     error.flags = dns.flags.QR
     error.set_rcode(dns.rcode.FORMERR)
     return [error.to_wire()]
 
 
-def forged(
-    server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-) -> list[bytes] | None:
-    """Over UDP an answer with another id comes first, the honest one behind it."""
-    if transport != "udp":
+def forged(exchange: Exchange) -> list[bytes] | None:
+    """Over UDP, sends an answer with another id before the true one."""
+    if exchange.transport != "udp":
         return None
-    data = wire(reply)
+    data = to_wire(exchange.reply)
     return [bytes([data[0] ^ 0xFF, *data[1:]]), data]
 
 
-def lame(
-    server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-) -> list[bytes]:
-    """Points to other servers in place of an answer."""
-    other = dns.message.make_response(query)
-    other.authority.append(dns.rrset.from_text("example.org.", 60, "IN", "NS", "ns.other.example."))
-    return [wire(other)]
+def lame(exchange: Exchange) -> list[bytes]:
+    """Refers to other servers in place of an answer."""
+    referral = dns.message.make_response(exchange.query)
+    referral.authority.append(dns.rrset.from_text("example.org.", 60, "IN", "NS", "ns.other.example."))
+    return [to_wire(referral)]
 
 
-def always_truncated(
-    server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-) -> list[bytes] | None:
-    """Over UDP one record of each set comes, and TC."""
-    if transport != "udp":
+def always_truncated(exchange: Exchange) -> list[bytes] | None:
+    """Over UDP, sends one record of each set, with TC set."""
+    if exchange.transport != "udp":
         return None
-    reply.answer = [part(rrset, 1) for rrset in reply.answer]
+    reply = exchange.reply
+    reply.answer = [first_records(rrset, 1) for rrset in reply.answer]
     reply.flags |= dns.flags.TC
-    return [wire(reply)]
+    return [to_wire(reply)]
 
 
-def compression_loop(
-    server: DnsServer, query: dns.message.Message, reply: dns.message.Message, transport: str
-) -> list[bytes]:
-    """A name that points to itself."""
-    head = struct.pack("!HHHHHH", query.id, 0x8580, 1, 1, 0, 0)
-    return [head + b"\xc0\x0c" + struct.pack("!HH", 33, 1) + b"\xc0\x0c" + struct.pack("!HHIH", 33, 1, 5, 0)]
+def compression_loop(exchange: Exchange) -> list[bytes]:
+    """Sends a compressed name that points to itself."""
+    header = struct.pack("!HHHHHH", exchange.query.id, 0x8580, 1, 1, 0, 0)
+    pointer = b"\xc0\x0c"
+    question = pointer + struct.pack("!HH", 33, 1)
+    return [header + question + pointer + struct.pack("!HHIH", 33, 1, 5, 0)]
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -68,7 +68,7 @@
         self.catalog = await Catalog().start()
         self.boxes = [await Box(f"box{i}").start() for i in range(boxes)]
         for i in range(boxes):
-            self.dns.put(f"box{i}.{ZONE}", "A", "127.0.0.1", ttl=1)
+            self.dns.set_records(f"box{i}.{ZONE}", "A", "127.0.0.1", ttl=1)
 
     def srv(
         self, *which: int, ttl: int = 1, weights: dict[int, int] | None = None, second: tuple = ()
@@ -78,7 +78,7 @@
             f"{20 if i in second else 10} {(weights or {}).get(i, 1)} {self.boxes[i].port} box{i}.{ZONE}"
             for i in (*which, *second)
         ]
-        self.dns.put(f"{NAME}.", "SRV", *rows, ttl=ttl)
+        self.dns.set_records(f"{NAME}.", "SRV", *rows, ttl=ttl)
 
     def line(self, *which: int, draining: tuple[int, ...] = ()) -> list[dict]:
         states = {i: "terminating" if i in draining else "in_service" for i in which}
@@ -187,11 +187,11 @@
                     await asyncio.sleep(0.02)
 
             # Truncated over UDP, and cut over TCP too: never a set, so what holds goes on.
-            s.dns.faults, s.dns.cut_tcp = [standin.always_truncated], 30
+            s.dns.faults, s.dns.tcp_bytes_before_close = [standin.always_truncated], 30
             await steady(0.8, {0, 1, 2})
-            s.dns.faults, s.dns.cut_tcp = [], -1
+            s.dns.faults, s.dns.tcp_bytes_before_close = [], -1
             # NXDOMAIN in a restart of the DNS server, for less than the doubt.
-            s.dns.remove(f"{NAME}.", "SRV")
+            s.dns.remove_records(f"{NAME}.", "SRV")
             await steady(0.4, {0, 1, 2})
             # The watch begins to speak: it lists another box too, and drains one.
             s.srv(0, 1, 2)
@@ -202,7 +202,7 @@
             s.srv(0, 1)
             await steady(1.5, {0, 2, 3})
             # DNS dies: its set grows stale, and nothing goes.
-            s.dns.faults = [standin.rcode(2)]
+            s.dns.faults = [standin.error_reply(2)]
             await steady(1.5, {0, 2, 3})
             code, told = await s.door("GET /sources")
             rows = {r["source"]: r for r in json.loads(told)["sources"]}
@@ -321,7 +321,7 @@
             node = await s.serve(table(s, watch=False))
             await until(lambda: s.up() == {0, 1})
             file.write_text(f"{s.boxes[1].address}\n{s.boxes[2].address} weight=2\n")
-            s.dns.delay = 0.3
+            s.dns.reply_delay_s = 0.3
             await until(
                 lambda: any(
                     s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
@@ -443,7 +443,7 @@
         async with site(4) as s:
             s.srv(0, 1)
             other = "_more._tcp.site3.example.org"
-            s.dns.put(
+            s.dns.set_records(
                 f"{other}.", "SRV", f"0 1 {s.boxes[1].port} box1.{ZONE}", f"0 1 {s.boxes[2].port} box2.{ZONE}"
             )
             path = tmp_path / "control.toml"
