--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -42,7 +42,7 @@
 
 
 class RequestDispatcher(RequestTable):
-    """Admits requests, carries out the balancer's actions and tells it what comes of them.
+    """Admits requests, carries out the balancer's actions and notifies it of what comes of them.
 
     An exception in the balancer is logged and ends one request at most.
     """
@@ -167,7 +167,7 @@
             # The balancer no longer decides on a streamed response, or on a body whose first bytes are gone.
             if attempt.response_begun or attempt.deadline_us == NO_DEADLINE_US or not attempt.is_sent():
                 self.pool.abandon(attempt, Outcome.CANCELLED)
-        self.notify_uploading(request, False)
+        self.notify_upload_ended(request)
         self.notify_client_disconnected(request)
 
     def deadline_passed(self, request: DispatchedRequest) -> None:
@@ -181,31 +181,38 @@
     # ---- the balancer's events ------------------------------------------------------------------------
 
     def notify_client_disconnected(self, request: DispatchedRequest) -> None:
-        """Tells the balancer that nobody waits for a request any more."""
+        """Notifies the balancer that nobody waits for a request any more."""
         try:
             self.balancer.client_disconnected(monotonic_us(), request.id)
         except Exception:
             log_exception("client_disconnected")
 
-    def notify_uploading(self, request: DispatchedRequest, on: bool) -> None:
-        """Tells the balancer whether the request's body is still on its way to a server."""
+    def notify_upload_started(self, request: DispatchedRequest) -> None:
+        """Notifies the balancer that the request's body is on its way to a server, if it still is."""
         upload = request.parsed.upload
-        if upload is None:
-            return
-        if on and (not request.in_flight or request.in_flight[0].finished or upload.complete):
+        if upload is None or not request.in_flight or request.in_flight[0].finished or upload.complete:
             return
+        self.notify_uploading(request, on=True)
+
+    def notify_upload_ended(self, request: DispatchedRequest) -> None:
+        """Notifies the balancer that the request's body, if it was streamed, is no longer on its way to a server."""
+        if request.parsed.upload is not None:
+            self.notify_uploading(request, on=False)
+
+    def notify_uploading(self, request: DispatchedRequest, *, on: bool) -> None:
+        """See `notify_upload_started` and `notify_upload_ended`."""
         try:
             self.balancer.uploading(monotonic_us(), request.id, on)
         except Exception:
             log_exception("uploading")
 
     def notify_outcome(
-        self, attempt: UpstreamAttempt, outcome: Outcome, final: bool, report: Sequence[float]
+        self, attempt: UpstreamAttempt, outcome: Outcome, report: Sequence[float], *, final: bool
     ) -> None:
-        """Tells the balancer how an attempt ended; `final`: the request has its final answer."""
+        """Notifies the balancer how an attempt ended; `final`: the request has its final answer."""
         self.statistics.outcomes[outcome] += 1
         request, now = attempt.request, monotonic_us()
-        self.notify_uploading(request, False)
+        self.notify_upload_ended(request)
         latency = now - attempt.started_us
         try:
             self.balancer.outcome(
@@ -216,14 +223,14 @@
             self.fail_request(request, FinalReason.INTERNAL)
 
     def endpoint_update(self, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
-        """Tells the balancer of a new endpoint list, or of changes to it."""
+        """Notifies the balancer of a new endpoint list, or of changes to it."""
         try:
             self.balancer.endpoint_update(monotonic_us(), kind, entries)
         except Exception:
             log_exception("endpoint_update")
 
     def timer(self, token: int) -> None:
-        """Tells the balancer that a timer it has set is due."""
+        """Notifies the balancer that a timer it has set is due."""
         try:
             self.balancer.timer(monotonic_us(), token)
         except Exception:
@@ -231,10 +238,10 @@
 
     # ---- attempts and health checks -------------------------------------------------------------------
 
-    def attempt_written(self, attempt: UpstreamAttempt, fresh: bool, whole: bool) -> None:
+    def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
         """An attempt was written to a connection."""
         if self.tracer is not None:
-            self.tracer.attempt_written(attempt, fresh, whole)
+            self.tracer.attempt_written(attempt, fresh=fresh, whole=whole)
 
     def response_begins(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
         """A streamed response begins; returns whether its client still waits.
@@ -251,13 +258,13 @@
             connection.set_read_paused if connection is not None else lambda on: None
         )
         request.response_writer.begin_response(length, set_paused)
-        self.notify_outcome(attempt, Outcome.OK, True, report)
+        self.notify_outcome(attempt, Outcome.OK, report, final=True)
         return True
 
     def attempt_ended(
         self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]
     ) -> None:
-        """An attempt has its outcome; a good response goes to the client before the balancer is told."""
+        """An attempt has its outcome; a good response goes to the client before the balancer is notified."""
         assert isinstance(exchange, UpstreamAttempt)
         request = exchange.request
         request.in_flight.remove(exchange)
@@ -273,7 +280,7 @@
             self.send_final_answer(request, FinalAnswer.SERVED, body=body)
         else:
             self.forget_if_done(request)
-        self.notify_outcome(exchange, outcome, request.response_writer is None, report)
+        self.notify_outcome(exchange, outcome, report, final=request.response_writer is None)
 
     def streamed_response_ended(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
         """The end of a response whose outcome the balancer has; one that broke off still counts against its server."""
@@ -332,7 +339,7 @@
         still_uploading = attempt.deadline_us == NO_DEADLINE_US
         self.pool.send(attempt)
         if still_uploading:
-            self.loop.call_soon(self.notify_uploading, request, True)
+            self.loop.call_soon(self.notify_upload_started, request)
 
     def cancel(self, request_number: int, attempt_number: int) -> None:
         """Ends an attempt; its outcome follows after this call."""
--- a/harecross/dispatch/request.py
+++ b/harecross/dispatch/request.py
@@ -57,10 +57,10 @@
     def response_begins(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
         """A streamed response begins; returns whether its client still waits."""
 
-    def notify_uploading(self, request: DispatchedRequest, on: bool) -> None:
-        """The request's body is on its way to a server, or is not any longer."""
+    def notify_upload_ended(self, request: DispatchedRequest) -> None:
+        """The request's body is no longer on its way to a server."""
 
-    def attempt_written(self, attempt: UpstreamAttempt, fresh: bool, whole: bool) -> None:
+    def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
         """The request was written to a connection, see `Exchange.request_written`."""
 
 
@@ -88,15 +88,15 @@
 
     def upload_sent(self) -> None:
         """See `Exchange`."""
-        self.dispatcher.notify_uploading(self.request, False)
+        self.dispatcher.notify_upload_ended(self.request)
 
     def request_id(self) -> str:
         """See `Exchange`."""
         return self.request.parsed.request_id.decode("latin-1")
 
-    def request_written(self, fresh: bool, whole: bool) -> None:
+    def request_written(self, *, fresh: bool, whole: bool) -> None:
         """See `Exchange`."""
-        self.dispatcher.attempt_written(self, fresh, whole)
+        self.dispatcher.attempt_written(self, fresh=fresh, whole=whole)
 
 
 class DispatchedRequest:
--- a/harecross/dispatch/statistics.py
+++ b/harecross/dispatch/statistics.py
@@ -54,7 +54,9 @@
         fields["open"] = upstream.open_connections
         fields["reports"] = upstream.load_reports
         fields["spoilt"] = upstream.malformed_responses
-        fields.update({o.name.lower(): self.outcomes[o] for o in Outcome if self.outcomes[o]})
+        fields.update(
+            {outcome.name.lower(): self.outcomes[outcome] for outcome in Outcome if self.outcomes[outcome]}
+        )
         for (answer, final_reason), count in sorted(self.final_reasons.items()):
             fields[f"{answer}_{final_reason}"] = count
         fields.update({key: round(value, 2) for key, value in balancer.items()})
--- a/harecross/dispatch/tracer.py
+++ b/harecross/dispatch/tracer.py
@@ -20,7 +20,7 @@
     def attempt_sent(self, attempt: UpstreamAttempt) -> None:
         """The balancer has chosen a server for an attempt."""
 
-    def attempt_written(self, attempt: UpstreamAttempt, fresh: bool, whole: bool) -> None:
+    def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
         """The request was written to a connection, see `Exchange.request_written`."""
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
--- a/harecross/follow/attempt_log.py
+++ b/harecross/follow/attempt_log.py
@@ -95,7 +95,7 @@
         fields = {} if outcome is None else {"retry.cause": outcome.name.lower()}
         self.write_of(attempt.request, "sent", **self.attempt_fields(attempt), **fields)
 
-    def attempt_written(self, attempt: UpstreamAttempt, fresh: bool, whole: bool) -> None:
+    def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
         """See `RequestTracer`."""
         fields = self.attempt_fields(attempt)
         self.write_of(attempt.request, "written", **fields, fresh=fresh, whole=whole)
--- a/harecross/follow/cli.py
+++ b/harecross/follow/cli.py
@@ -109,6 +109,7 @@
     """Prints one send with its times, in seconds since `begin_ns`."""
 
     def seconds(time_ns: int | None) -> str:
+        """Seconds with three decimals."""
         return "never" if time_ns is None else f"{(time_ns - begin_ns) / 1e9:.3f}"
 
     typer.echo(
--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -110,14 +110,11 @@
         timeout_us = parse_timeout_us(values.get(b"x-timeout", b""))
         request_id = values.get(b"x-request-id")
         if timeout_us is None or request_id is None:
-            raise BadRequestError(400, "X-Timeout or X-Request-ID is missing or malformed")
+            raise BadRequestError(400, f"X-Timeout {values.get(b'x-timeout')!r}, X-Request-ID {request_id!r}")
         has_body = bool(body) or upload is not None
         check_idempotency(class_settings.idempotency, method, values, has_body=has_body)
         length = len(body) if upload is None else upload.length
-        if length is None:
-            lines.append(b"Transfer-Encoding: chunked\r\n")
-        elif class_settings.idempotency != Idempotency.IDEMPOTENT:
-            lines.append(b"Content-Length: %d\r\n" % length)
+        lines.append(framing_header(class_settings.idempotency, length))
         return ParsedRequest(
             request_id=request_id,
             request_class=request_class,
@@ -177,3 +174,12 @@
         raise BadRequestError(400, "Idempotency-Key is missing, or not one of this class")
     if idempotent and has_body:
         raise BadRequestError(400, "a GET with a body")
+
+
+def framing_header(idempotency: Idempotency, length: int | None) -> bytes:
+    """Returns the header that says where the body ends; `length`: None for one that is not known yet."""
+    if length is None:
+        return b"Transfer-Encoding: chunked\r\n"
+    if idempotency == Idempotency.IDEMPOTENT:
+        return b""
+    return b"Content-Length: %d\r\n" % length
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -189,7 +189,7 @@
         self.transport.write(b"%sX-Timeout: %du\r\n\r\n%s" % (exchange.head, timeout_us, exchange.body))
         if self.transport.is_closing():
             self.sent = False
-        exchange.request_written(self.idle_since_us == 0, self.sent)
+        exchange.request_written(fresh=self.idle_since_us == 0, whole=self.sent)
 
     def write_upload(self) -> None:
         """Writes what there is of the upload."""
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -330,7 +330,8 @@
         """
         now = monotonic_us()
         self.resize_stream_buffers()
-        for connection in [c for c in self.streaming if now - c.progress_us > STALL_TIMEOUT_US]:
+        oldest_progress = now - STALL_TIMEOUT_US
+        for connection in [each for each in self.streaming if each.progress_us < oldest_progress]:
             waits_for_server = connection.write_blocked or not connection.upload_unfinished
             if connection.exchange is not None and not connection.read_paused and waits_for_server:
                 connection.fail_exchange(CloseReason.STALLED)
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -101,7 +101,7 @@
     def upload_sent(self) -> None:
         """The last byte of the upload has left this process."""
 
-    def request_written(self, fresh: bool, whole: bool) -> None:
+    def request_written(self, *, fresh: bool, whole: bool) -> None:
         """It was written to a new connection (`fresh`) or a kept one; `whole`: all of it has left this process."""
 
     def request_id(self) -> str:
