--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from harecross.upstream import connection
 
 
-# Which connection comes next is asked right after an answer; how long one rests is in test_crossings_servers.py.
+# Which connection is used next is checked right after a response; its rest is in test_upstream_connection_races.py.
 @pytest.fixture
 def no_rest(monkeypatch):
     """A kept connection may be used again at once."""
--- /dev/null
+++ b/tests/streaming_support.py
@@ -0,0 +1,68 @@
+"""Servers that send and read bodies of any framing, for tests of streamed bodies."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+from collections.abc import Awaitable, Callable
+
+from node_support import entry, with_node
+
+from harecross.standins.http import read_message
+
+BIG = bytes(i * 7 % 251 for i in range(300_000))
+
+
+def chunked(body: bytes, size: int) -> bytes:
+    parts = [body[i : i + size] for i in range(0, len(body), size)]
+    return b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n"
+
+
+FORMS = {
+    "length": lambda body: b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body),
+    "chunks": lambda body: b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked \r\n\r\n" + chunked(body, 999),
+    "close": lambda body: b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
+}
+
+
+Peer = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+def with_peers(test, *peers: Peer, **more) -> None:
+    """A node before servers that each do what their function says on every connection."""
+
+    async def inside(world) -> None:
+        listening = [await asyncio.start_server(p, "127.0.0.1", 0, limit=1 << 20) for p in peers]
+        world.addresses = ["{}:{}".format(*s.sockets[0].getsockname()) for s in listening]
+        known = [entry(f"s{i}", a) for i, a in enumerate(world.addresses)]
+        world.node.registry.apply({"reset": True, "instances": known})
+        try:
+            await test(world)
+        finally:
+            for server in listening:
+                server.close()
+
+    with_node(inside, **more)
+
+
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    linger = struct.pack("ii", 1, 0)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    writer.transport.abort()
+
+
+def server_that_sends(text: bytes, close: bool = False) -> Peer:
+    async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            while True:
+                await read_message(reader)
+                writer.write(text)
+                await writer.drain()
+                if close:
+                    writer.close()
+                    return
+        except (asyncio.IncompleteReadError, ConnectionError):
+            writer.close()
+
+    return peer
--- a/tests/test_crossings_left.py
+++ b/tests/test_client_disconnect_races.py
@@ -14,145 +14,147 @@
 BEHIND = {"tier": 1, "layers": ["front", "store"]}  # calls wait for a slot there
 
 
-def at_servers(w: World) -> int:
-    return sum(o.arrived.qsize() for o in w.origins)
+def requests_at_servers(world: World) -> int:
+    return sum(o.arrived.qsize() for o in world.origins)
 
 
-def nothing_is_counted(w: World) -> None:
-    balancer = w.node.dispatcher.balancer
-    assert not w.node.dispatcher.requests and not balancer.requests and balancer.controller.in_flight == 0
-    assert all(srv.in_flight == 0 for srv in balancer.subset.servers.values())
+def assert_nothing_counted(world: World) -> None:
+    balancer = world.node.dispatcher.balancer
+    assert not world.node.dispatcher.requests and not balancer.requests and balancer.controller.in_flight == 0
+    assert all(server_state.in_flight == 0 for server_state in balancer.subset.servers.values())
 
 
 @every_kind
 @cancels
 @pytest.mark.parametrize("order", ["before it is up", "after it is up"])
-def test_a_client_that_leaves_while_its_connection_comes_up(kind, cancel, order):
-    async def test(w: World) -> None:
-        held, client = HeldConnects(w.node.pool), await w.client()
+def test_a_client_that_disconnects_while_the_upstream_connection_is_opened(kind, cancel, order):
+    async def test(world: World) -> None:
+        held, client = HeldConnects(world.node.pool), await world.client()
         client.send(kind[0], key=kind[1])
         await held.begun.get()
         if order == "before it is up":
             client.writer.close()
-            await until(lambda: w.node.dispatcher.statistics.final_answers["left"])
+            await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
             held.release()
-            await until(lambda: not w.node.pool.connect_tasks)
+            await until(lambda: not world.node.pool.connect_tasks)
             await turns()
-            assert at_servers(w) == 0 and w.node.pool.open_connections == 1  # kept for others
-            nothing_is_counted(w)
+            assert (
+                requests_at_servers(world) == 0 and world.node.pool.open_connections == 1
+            )  # kept for others
+            assert_nothing_counted(world)
         else:
             held.release()
-            at = await w.origins[0].arrived.get()
+            received = await world.origins[0].arrived.get()
             client.writer.close()
-            await until(lambda: w.node.dispatcher.statistics.final_answers["left"])
+            await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
             await turns()
             assert (
-                at.gone.is_set() == cancel
+                received.gone.is_set() == cancel
             )  # it may run: closing is a cancel, and that is for settings to allow
             if not cancel:
-                at.answer()
-            await until(lambda: not w.node.dispatcher.requests)
-            nothing_is_counted(w)
+                received.answer()
+            await until(lambda: not world.node.dispatcher.requests)
+            assert_nothing_counted(world)
 
     with_node(test, settings=allowing(cancel))
 
 
 @every_kind
 @cancels
-def test_a_client_whose_end_came_with_the_connection_and_has_not_been_read(kind, cancel):
+def test_a_client_whose_disconnect_is_unread_when_the_upstream_connection_is_open(kind, cancel):
     """The connection to the server comes up in the turn in which the caller's end lies in the kernel."""
 
-    async def test(w: World) -> None:
-        held, client = HeldConnects(w.node.pool), Plain(w.node.address)
-        await taken(w, 1)
+    async def test(world: World) -> None:
+        held, client = HeldConnects(world.node.pool), Plain(world.node.address)
+        await taken(world, 1)
         client.send(*kind)
         await held.begun.get()
-        w.node.loop.call_soon(client.leave)  # in the turn that lets the connection up
+        world.node.loop.call_soon(client.leave)  # in the turn that lets the connection up
         held.release()
-        await until(lambda: w.node.dispatcher.statistics.final_answers["left"])
+        await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
         await turns()
-        assert at_servers(w) == 0
-        nothing_is_counted(w)
+        assert requests_at_servers(world) == 0
+        assert_nothing_counted(world)
 
     with_node(test, settings=allowing(cancel))
 
 
 @every_kind
-def test_a_client_whose_end_lies_behind_its_request(kind):
-    async def test(w: World) -> None:
-        await warm(w)
-        client = Plain(w.node.address)
-        await taken(w, 1)
+def test_a_client_whose_disconnect_was_received_with_its_request(kind):
+    async def test(world: World) -> None:
+        await warm(world)
+        client = Plain(world.node.address)
+        await taken(world, 1)
         client.send(*kind)
         client.leave()
-        await until(lambda: not w.node.client_connections.open)
+        await until(lambda: not world.node.client_connections.open)
         await turns()
-        assert at_servers(w) == 0
-        nothing_is_counted(w)
+        assert requests_at_servers(world) == 0
+        assert_nothing_counted(world)
 
     with_node(test)
 
 
 @every_kind
-def test_a_client_that_sends_much_at_once_and_goes(kind):
+def test_a_client_that_disconnects_after_many_requests_at_once(kind):
     """Behind the first request nothing is read, the client's end as little."""
 
-    async def test(w: World) -> None:
-        await warm(w)
-        client = Plain(w.node.address)
-        await taken(w, 1)
+    async def test(world: World) -> None:
+        await warm(world)
+        client = Plain(world.node.address)
+        await taken(world, 1)
         client.send(kind[0], key=kind[1], times=5)
-        at = await first(*w.origins)
+        received = await first(*world.origins)
         client.leave()
-        at.answer()
-        await until(lambda: not w.node.client_connections.open)
+        received.answer()
+        await until(lambda: not world.node.client_connections.open)
         await turns()
-        assert at_servers(w) == 0
-        nothing_is_counted(w)
+        assert requests_at_servers(world) == 0
+        assert_nothing_counted(world)
 
     with_node(test)
 
 
 @every_kind
 @cancels
-def test_a_client_that_leaves_before_the_next_attempt(kind, cancel):
+def test_a_client_that_disconnects_before_a_retry(kind, cancel):
     """Turned away unseen, the request would go to the other server; its client's end lies behind what is not read."""
 
-    async def test(w: World) -> None:
-        await warm(w)
-        client = Plain(w.node.address)
-        await taken(w, 1)
+    async def test(world: World) -> None:
+        await warm(world)
+        client = Plain(world.node.address)
+        await taken(world, 1)
         client.send(kind[0], key=kind[1], times=2)
-        at = await first(*w.origins)
+        received = await first(*world.origins)
         client.leave()
-        at.answer(503, extra=b"X-Not-Processed: 1\r\n")
-        await until(lambda: not w.node.client_connections.open)
+        received.answer(503, extra=b"X-Not-Processed: 1\r\n")
+        await until(lambda: not world.node.client_connections.open)
         await turns()
-        assert at_servers(w) == 0
-        nothing_is_counted(w)
+        assert requests_at_servers(world) == 0
+        assert_nothing_counted(world)
 
     with_node(test, servers=2, settings=allowing(cancel))
 
 
 @pytest.mark.parametrize("seen", [True, False], ids=["its end is read", "more lies before its end"])
-def test_a_client_that_leaves_while_its_call_waits_for_a_slot(seen):
-    async def test(w: World) -> None:
+def test_a_client_that_disconnects_while_its_request_is_queued(seen):
+    async def test(world: World) -> None:
         clients = []
-        while not w.node.dispatcher.balancer.queue:
-            clients.append(Plain(w.node.address))
-            await taken(w, len(clients))
+        while not world.node.dispatcher.balancer.queue:
+            clients.append(Plain(world.node.address))
+            await taken(world, len(clients))
             clients[-1].send("/put/1", key=f"k{len(clients)}", times=1 if seen else 2)
             await turns(3)
-        at = [o.arrived.get_nowait() for o in w.origins for _ in range(o.arrived.qsize())]
+        received = [o.arrived.get_nowait() for o in world.origins for _ in range(o.arrived.qsize())]
         clients.pop().leave()
         if seen:
-            await until(lambda: w.node.dispatcher.statistics.final_answers["left"] == 1)
-        at[0].answer()
-        await until(lambda: w.node.dispatcher.statistics.final_answers["left"] == 1)
+            await until(lambda: world.node.dispatcher.statistics.final_answers["left"] == 1)
+        received[0].answer()
+        await until(lambda: world.node.dispatcher.statistics.final_answers["left"] == 1)
         await turns()
         # Behind the answered one the same caller's second request comes; of who has left nothing does.
-        assert at_servers(w) == (0 if seen else 1)
-        assert not w.node.dispatcher.balancer.queue
+        assert requests_at_servers(world) == (0 if seen else 1)
+        assert not world.node.dispatcher.balancer.queue
 
     with_node(test, servers=2, settings=BEHIND)
 
@@ -161,20 +163,20 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_request_is_begun_after_its_client_left(seed):
+def test_no_attempt_is_sent_after_its_client_has_disconnected(seed):
     """Many callers leave at seeded moments; counted at the servers 0.3 s after each left, and at once.
 
     Before the mend 287 requests of the 240 callers of the six seeds were begun later than that.
     """
     rng, counted = Random(seed), dict.fromkeys(MOMENTS, 0)
 
-    async def test(w: World) -> None:
+    async def test(world: World) -> None:
         left: dict[str, int] = {}
-        held = HeldConnects(w.node.pool)
+        held = HeldConnects(world.node.pool)
         callers: list[tuple[str, Plain, str]] = []
         for n in range(40):
             moment = rng.choice(MOMENTS)
-            caller, name = Plain(w.node.address), f"c{n}"
+            caller, name = Plain(world.node.address), f"c{n}"
             await turns(2)
             path, key = rng.choice(KINDS)
             times = 3 if moment in ("queued", "between") else 1
@@ -187,7 +189,7 @@
                 await turns(2)
         await turns()
         if any(moment == "stopping" for moment, *_ in callers):
-            w.node.stop_requested.set()
+            world.node.stop_requested.set()
         rng.shuffle(callers)
         for moment, caller, name in callers:
             if moment == "unread":
@@ -201,15 +203,15 @@
         held.release()
         over = monotonic_us() + 300_000
         while monotonic_us() < over:
-            for origin in w.origins:
+            for origin in world.origins:
                 while origin.arrived.qsize():
-                    at = origin.arrived.get_nowait()
-                    name = at.head.split(b" ")[1].split(b"/")[3].decode()
-                    late = at.came - left[name] > 300_000
+                    received = origin.arrived.get_nowait()
+                    name = received.head.split(b" ")[1].split(b"/")[3].decode()
+                    late = received.came - left[name] > 300_000
                     counted[next(m for m, _, n in callers if n == name)] += late
-                    if not at.writer.transport.is_closing():
+                    if not received.writer.transport.is_closing():
                         unseen = rng.random() < 0.5
-                        at.answer(503, extra=b"X-Not-Processed: 1\r\n") if unseen else at.answer()
+                        received.answer(503, extra=b"X-Not-Processed: 1\r\n") if unseen else received.answer()
             await turns(2)
         assert counted == dict.fromkeys(MOMENTS, 0)
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("connection", ["kept", "new"])
-def test_a_process_that_was_held_up_passes_on_what_is_left_and_sends_nothing_for_who_has_run_out(
+def test_a_process_that_was_stopped_forwards_the_time_left_and_sends_nothing_after_the_deadline(
     connection, tmp_path
 ):
     async def test() -> None:
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_the_time_of_a_body_in_pieces_counts_from_its_last_byte_however_late_that_is_read(tmp_path):
+def test_the_timeout_of_a_streamed_body_counts_from_when_its_last_byte_arrived(tmp_path):
     async def test() -> None:
         async with node_and_origin(tmp_path) as (node, origin):
             client = await Client.open(node.address)
@@ -100,7 +100,7 @@
     run(test())
 
 
-def test_what_waited_in_the_backlog_while_the_node_started_has_so_much_less_time(tmp_path):
+def test_time_in_the_listen_backlog_counts_against_the_timeout(tmp_path):
     async def test() -> None:
         origin = await Origin().start()
         address, calls = await held_calls()
@@ -142,7 +142,7 @@
     return [int(row[1].rpartition(":")[2], 16) for row in rows if row[3] == "0A" and row[9] in inodes]
 
 
-def test_who_stands_far_behind_in_a_crowd_has_waited_since_the_crowd_came():
+def test_time_behind_many_other_connections_counts_against_the_timeout():
     """Connections are taken a few in a turn; those behind have waited for all turns since nothing was waiting."""
 
     async def test() -> None:
@@ -195,14 +195,14 @@
         (300, 9000, 300),
     ],
 )
-def test_the_loops_own_delay_bounds_what_the_kernel_says(held, kernel, waited):
+def test_the_delay_of_the_event_loop_limits_the_kernel_s_figure(held, kernel, waited):
     heartbeat = Heartbeat()
     heartbeat.due = 1_000_000
     found = ReadDelay(heartbeat).of(1_000_000 + held * MS, Kernel(kernel))
     assert found == waited * MS
 
 
-def test_a_new_connection_that_speaks_at_once_has_waited_with_its_listener():
+def test_a_new_connection_with_a_request_has_waited_with_its_listener():
     heartbeat = Heartbeat()
     heartbeat.due = 10_000_000
     delay = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -18,36 +18,38 @@
 S = 1_000_000_000
 
 
-def line(node: str, request: str, at: float, event: str, **more: object) -> str:
+def log_line(node: str, request: str, at_s: float, event: str, **more: object) -> str:
     fields = {
-        "timeUnixNano": int(at * S),
+        "timeUnixNano": int(at_s * S),
         "service.instance.id": node,
         "event.name": event,
         "request.id": request,
         **{name.replace("__", "."): value for name, value in more.items()},
     }
-    return f"{at:.3f} attempt {json.dumps(fields)}\n"
+    return f"{at_s:.3f} attempt {json.dumps(fields)}\n"
 
 
-def tried(
-    node: str, request: str, at: float, took: float, server: str, number: int = 0, cause: str = ""
+def attempt_lines(
+    node: str, request: str, at_s: float, took: float, server: str, number: int = 0, cause: str = ""
 ) -> str:
     """An attempt: sent, written and ended."""
     place = {"http__request__resend_count": number, "server__id": server}
     more = {"error__type": cause} if cause else {}
     return (
-        line(node, request, at, "sent", **place)
-        + line(node, request, at, "written", fresh=False, whole=True, **place)
-        + line(node, request, at + took, "ended", **place, **more)
+        log_line(node, request, at_s, "sent", **place)
+        + log_line(node, request, at_s, "written", fresh=False, whole=True, **place)
+        + log_line(node, request, at_s + took, "ended", **place, **more)
     )
 
 
-def served(node: str, request: str, at: float, took: float, server: str, klass: str = "0") -> str:
-    taken = line(node, request, at, "taken", request__class=klass, time_left=2_000_000)
+def served_request_lines(
+    node: str, request: str, at_s: float, took: float, server: str, klass: str = "0"
+) -> str:
+    taken = log_line(node, request, at_s, "taken", request__class=klass, time_left=2_000_000)
     return (
         taken
-        + tried(node, request, at, took, server)
-        + line(node, request, at + took, "final", answer="served")
+        + attempt_lines(node, request, at_s, took, server)
+        + log_line(node, request, at_s + took, "final", answer="served")
     )
 
 
@@ -55,23 +57,23 @@
     return CliRunner().invoke(app, ["follow", *map(str, words)])
 
 
-def logs(tmp_path: Path, **texts: str) -> list[Path]:
+def write_logs(tmp_path: Path, **texts: str) -> list[Path]:
     for name, text in texts.items():
         (tmp_path / name).write_text(text)
     return [tmp_path / name for name in texts]
 
 
-def test_a_node_writes_what_becomes_of_a_request(tmp_path, monkeypatch):
+def test_a_node_logs_a_request_with_its_attempts(tmp_path, monkeypatch):
     # A kept connection rests for a part of what its last exchange took: longer on a busy machine than the retry waits.
     monkeypatch.setattr(connection, "MAX_REST_US", 0)
     path = tmp_path / "n0.log"
 
-    async def test(w: World) -> None:
-        w.node.dispatcher.tracer = AttemptLog("n0", str(path), w.node.registry.numbers)
-        client = await w.client()
+    async def test(world: World) -> None:
+        world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
+        client = await world.client()
         client.send("/put/1", key="k", body=b"x", X_Request_ID="one")
-        (await w.origins[0].arrived.get()).answer(500)
-        (await w.origins[0].arrived.get()).answer()
+        (await world.origins[0].arrived.get()).answer(500)
+        (await world.origins[0].arrived.get()).answer()
         assert (await client.answer())[0] == 200
 
     with_node(test)
@@ -91,37 +93,39 @@
     """Calls have ids of their own: the node beside a server is learned from when it takes."""
     front = beside = other = ""
     for i in range(6):
-        front += served("n0", f"f{i}", 10.0 * i, 1.0, "s1") + served("n0", f"g{i}", 10.0 * i + 5, 1.0, "s2")
-        beside += served("n1", f"c{i}", 10.0 * i + 0.3, 0.4, "t1")
-        other += served("n2", f"d{i}", 10.0 * i + 5.3, 0.4, "t1")
-    paths = logs(tmp_path, a=front, b=beside, c=other)
+        front += served_request_lines("n0", f"f{i}", 10.0 * i, 1.0, "s1") + served_request_lines(
+            "n0", f"g{i}", 10.0 * i + 5, 1.0, "s2"
+        )
+        beside += served_request_lines("n1", f"c{i}", 10.0 * i + 0.3, 0.4, "t1")
+        other += served_request_lines("n2", f"d{i}", 10.0 * i + 5.3, 0.4, "t1")
+    paths = write_logs(tmp_path, a=front, b=beside, c=other)
     assert read_logs(paths).neighbours == {"s1": "n1", "s2": "n2"}
     out = run("f3", *paths).output
     assert "n1 c3 taken" in out and "d3" not in out and "c2" not in out and "another one" not in out
     assert out.index("f3 written") < out.index("c3 taken") < out.index("f3 ended")
 
 
-def test_those_that_ended_badly_are_listed(tmp_path):
-    twice = line("n", "twice", 1.0, "taken", request__class="0", time_left=2_000_000)
-    twice += tried("n", "twice", 1.0, 0.2, "s1", cause="reset") + tried(
+def test_requests_that_ended_badly_are_listed(tmp_path):
+    twice = log_line("n", "twice", 1.0, "taken", request__class="0", time_left=2_000_000)
+    twice += attempt_lines("n", "twice", 1.0, 0.2, "s1", cause="reset") + attempt_lines(
         "n", "twice", 1.3, 0.2, "s2", number=1
     )
-    never_ran = line("n", "again", 1.0, "taken", request__class="0", time_left=2_000_000)
-    never_ran += tried("n", "again", 1.0, 0.2, "s1", cause="rejected") + tried(
+    never_ran = log_line("n", "again", 1.0, "taken", request__class="0", time_left=2_000_000)
+    never_ran += attempt_lines("n", "again", 1.0, 0.2, "s1", cause="rejected") + attempt_lines(
         "n", "again", 1.3, 0.2, "s2", number=1
     )
-    path = logs(
+    path = write_logs(
         tmp_path,
         n=twice
-        + line("n", "twice", 1.5, "final", answer="served")
+        + log_line("n", "twice", 1.5, "final", answer="served")
         + never_ran
-        + line("n", "again", 1.5, "final", answer="served")
-        + served("n", "good", 1.0, 1.9, "s1")
-        + served("n", "late", 1.0, 2.6, "s1")
-        + line("n", "gone", 1.0, "taken", request__class="0", time_left=1_000_000)
-        + line("n", "gone", 9.0, "final", answer="left")
-        + line("n", "never", 1.0, "taken", request__class="0", time_left=1_000_000)
-        + line("n", "young", 9.0, "taken", request__class="0", time_left=1_000_000),
+        + log_line("n", "again", 1.5, "final", answer="served")
+        + served_request_lines("n", "good", 1.0, 1.9, "s1")
+        + served_request_lines("n", "late", 1.0, 2.6, "s1")
+        + log_line("n", "gone", 1.0, "taken", request__class="0", time_left=1_000_000)
+        + log_line("n", "gone", 9.0, "final", answer="left")
+        + log_line("n", "never", 1.0, "taken", request__class="0", time_left=1_000_000)
+        + log_line("n", "young", 9.0, "taken", request__class="0", time_left=1_000_000),
     )
     found = run("--ended-badly", *path)
     assert found.exit_code == 1
@@ -136,54 +140,64 @@
 @pytest.mark.parametrize(
     ("words", "text", "said"),
     [
-        (["other"], served("n", "r", 1.0, 1.0, "s"), "no request other in 1 logs"),
+        (["other"], served_request_lines("n", "r", 1.0, 1.0, "s"), "no request other in 1 logs"),
         (["r"], "nothing of the kind\n", "no attempt log"),
-        (["r"], "attempt {\n" + served("n", "r", 1.0, 1.0, "s"), "line 1: not an event"),
-        (["r"], 'attempt {"timeUnixNano":1}\n' + served("n", "r", 1.0, 1.0, "s"), "line 1: not an event"),
-        (["--ended-badly", "--effect", "0=harmless"], served("n", "r", 1.0, 1.0, "s"), "--effect 0=harmless"),
+        (["r"], "attempt {\n" + served_request_lines("n", "r", 1.0, 1.0, "s"), "line 1: not an event"),
+        (
+            ["r"],
+            'attempt {"timeUnixNano":1}\n' + served_request_lines("n", "r", 1.0, 1.0, "s"),
+            "line 1: not an event",
+        ),
+        (
+            ["--ended-badly", "--effect", "0=harmless"],
+            served_request_lines("n", "r", 1.0, 1.0, "s"),
+            "--effect 0=harmless",
+        ),
     ],
 )
 def test_bad_input_is_one_line_and_status_2(tmp_path, words, text, said):
-    result = run(*words, *logs(tmp_path, n=text))
+    result = run(*words, *write_logs(tmp_path, n=text))
     assert result.exit_code == 2
     assert len(result.stderr.splitlines()) == 1 and said in result.stderr
 
 
-def test_a_log_that_begins_in_the_middle_of_a_request_is_read(tmp_path):
-    whole = served("n", "r", 1.0, 9.0, "s").splitlines(keepends=True)
-    paths = logs(tmp_path, n="".join(whole[2:]) + served("n", "other", 20.0, 1.0, "s"))
+def test_a_log_that_begins_within_a_request_is_read(tmp_path):
+    whole = served_request_lines("n", "r", 1.0, 9.0, "s").splitlines(keepends=True)
+    paths = write_logs(tmp_path, n="".join(whole[2:]) + served_request_lines("n", "other", 20.0, 1.0, "s"))
     shown = run("r", *paths)
     assert shown.exit_code == 0 and shown.output.splitlines()[0].startswith("   0.0000 n r written")
     assert run("--ended-badly", *paths).output == "0 of 2 requests ended badly\n"
 
 
-def test_a_missing_file_is_one_line_and_a_torn_last_line_is_passed_over(tmp_path):
+def test_a_missing_file_is_bad_input_and_a_torn_last_line_is_skipped(tmp_path):
     assert run("r", tmp_path / "none").exit_code == 2
     assert run("r").exit_code == 2
-    whole = served("n", "r", 1.0, 1.0, "s")
-    result = run("r", *logs(tmp_path, n=whole + whole[:40]))
+    whole = served_request_lines("n", "r", 1.0, 1.0, "s")
+    result = run("r", *write_logs(tmp_path, n=whole + whole[:40]))
     assert result.exit_code == 0 and "torn, passed over" in result.stderr
 
 
-def told(
-    node: str, at: float, kind: str = "changes", came: tuple[str, ...] = (), left: tuple[str, ...] = ()
+def list_line(
+    node: str, at_s: float, kind: str = "changes", came: tuple[str, ...] = (), left: tuple[str, ...] = ()
 ) -> str:
-    return line(node, "", at, "list", kind=kind, generation=1, came=list(came), left=list(left))
+    return log_line(node, "", at_s, "list", kind=kind, generation=1, came=list(came), left=list(left))
 
 
-def started(node: str, at: float, uptime: float) -> str:
-    return line(node, "", at, "start", **{"process.uptime": uptime})
+def start_line(node: str, at_s: float, uptime: float) -> str:
+    return log_line(node, "", at_s, "start", **{"process.uptime": uptime})
 
 
-def test_what_went_to_a_server_announced_as_leaving_is_listed_with_its_times(tmp_path):
+def test_sends_to_a_server_announced_as_leaving_are_listed_with_their_times(tmp_path):
     """The case of a herd day: a process serves by the list from before, its start takes most of the 300 ms."""
-    first = started("n0", 1.0, 0.2) + told("n0", 5.0, left=("s1",))
-    herd = started("n1", 8.27, 0.27) + told("n1", 8.28, "cached", came=("s1", "s2"))
-    herd += served("n1", "late", 8.301, 0.4, "s1") + served("n1", "other", 8.31, 0.4, "s2")
-    herd += told("n1", 8.32, left=("s1",)) + served("n1", "later", 9.0, 0.4, "s1")
-    herd += told("n1", 10.0, came=("s1",)) + served("n1", "back", 12.0, 0.4, "s1")
-    silent = started("n2", 1.0, 0.0) + served("n2", "unheard", 11.4, 0.4, "s2")
-    shown = run("--leaving", *logs(tmp_path, a=first, b=herd, c=silent))
+    first = start_line("n0", 1.0, 0.2) + list_line("n0", 5.0, left=("s1",))
+    herd = start_line("n1", 8.27, 0.27) + list_line("n1", 8.28, "cached", came=("s1", "s2"))
+    herd += served_request_lines("n1", "late", 8.301, 0.4, "s1") + served_request_lines(
+        "n1", "other", 8.31, 0.4, "s2"
+    )
+    herd += list_line("n1", 8.32, left=("s1",)) + served_request_lines("n1", "later", 9.0, 0.4, "s1")
+    herd += list_line("n1", 10.0, came=("s1",)) + served_request_lines("n1", "back", 12.0, 0.4, "s1")
+    silent = start_line("n2", 1.0, 0.0) + served_request_lines("n2", "unheard", 11.4, 0.4, "s2")
+    shown = run("--leaving", *write_logs(tmp_path, a=first, b=herd, c=silent))
     assert shown.exit_code == 1
     late, later, total = shown.output.splitlines()
     assert late.startswith("late node=n1 server=s1: 0.301 s after") and "read=never" in late
@@ -192,31 +206,31 @@
     assert total == "2 sends to servers announced as leaving"
 
 
-def test_a_late_send_names_the_last_change_of_its_servers_state_and_whose_word_it_was(tmp_path):
-    def state(node: str, at: float, server: str, after: str, cause: str) -> str:
+def test_a_late_send_shows_the_last_state_change_of_its_server_and_who_stated_it(tmp_path):
+    def state(node: str, at_s: float, server: str, after: str, cause: str) -> str:
         more = {"server.id": server, "server.state": after, "before": "held", "cause": cause}
-        return line(
-            node, "", at, "process", said_by="d:1", said="in service", generation=42, age=11.9, **more
+        return log_line(
+            node, "", at_s, "process", said_by="d:1", said="in service", generation=42, age=11.9, **more
         )
 
-    n0 = started("n0", 1.0, 0.0) + told("n0", 5.0, left=("s1",))
-    n1 = started("n1", 1.0, 0.0) + told("n1", 5.0, left=("s1",))
+    n0 = start_line("n0", 1.0, 0.0) + list_line("n0", 5.0, left=("s1",))
+    n1 = start_line("n1", 1.0, 0.0) + list_line("n1", 5.0, left=("s1",))
     n1 += state("n1", 6.0, "s2", "in service", "said") + state("n1", 7.0, "s1", "in service", "caught up")
-    n1 += served("n1", "late", 8.0, 0.4, "s1") + state("n1", 9.0, "s1", "draining", "said")
-    shown = run("--leaving", *logs(tmp_path, a=n0, b=n1))
+    n1 += served_request_lines("n1", "late", 8.0, 0.4, "s1") + state("n1", 9.0, "s1", "draining", "said")
+    shown = run("--leaving", *write_logs(tmp_path, a=n0, b=n1))
     late, state_line, total = shown.output.splitlines()
     assert late.startswith("late node=n1 server=s1") and total.startswith("1 sends")
     assert state_line == "  at 6.000 held -> in service, caught up: d:1 v42 said in service, 11.9 s before"
 
 
-def test_a_node_writes_each_change_of_a_servers_state_with_whose_word_it_was(tmp_path):
+def test_a_node_logs_each_state_change_of_a_server_and_who_stated_it(tmp_path):
     path = tmp_path / "n0.log"
 
-    async def test(w: World) -> None:
-        w.node.dispatcher.tracer = AttemptLog("n0", str(path), w.node.registry.numbers)
-        watch = await w.watch()
-        Catalog.push(watch, update_line(42, entry("s0", w.origins[0].address, "terminating")))
-        await until(lambda: not w.node.registry.listed)
+    async def test(world: World) -> None:
+        world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
+        watch = await world.watch()
+        Catalog.push(watch, update_line(42, entry("s0", world.origins[0].address, "terminating")))
+        await until(lambda: not world.node.registry.listed)
 
     with_node(test)
     changes = [e for events in read_logs([path]).node_events.values() for e in events if e.name == "process"]
@@ -227,14 +241,14 @@
     ]  # fmt: skip
 
 
-def test_a_node_that_hears_nothing_may_send_for_six_seconds_more(tmp_path):
-    a = started("n0", 1.0, 0.0) + told("n0", 5.0, left=("s1",))
+def test_a_node_that_is_not_notified_may_send_for_six_seconds_more(tmp_path):
+    a = start_line("n0", 1.0, 0.0) + list_line("n0", 5.0, left=("s1",))
     b = (
-        started("n1", 1.0, 0.0)
-        + served("n1", "just", 11.29, 0.4, "s1")
-        + served("n1", "late", 11.31, 0.4, "s1")
+        start_line("n1", 1.0, 0.0)
+        + served_request_lines("n1", "just", 11.29, 0.4, "s1")
+        + served_request_lines("n1", "late", 11.31, 0.4, "s1")
     )
-    shown = run("--leaving", *logs(tmp_path, a=a, b=b))
+    shown = run("--leaving", *write_logs(tmp_path, a=a, b=b))
     assert shown.exit_code == 1 and shown.output.startswith("late ") and "1 sends" in shown.output
 
 
@@ -247,8 +261,10 @@
     ],
 )
 def test_wrong_use_of_leaving_is_one_line_and_status_2(tmp_path, monkeypatch, words, says):
-    torn = line("n0", "", 1.0, "list", kind="changes", left="s1")
-    logs(tmp_path, a=started("n0", 1.0, 0.0), old=served("n0", "r", 1.0, 0.5, "s1"), torn=torn)
+    torn = log_line("n0", "", 1.0, "list", kind="changes", left="s1")
+    write_logs(
+        tmp_path, a=start_line("n0", 1.0, 0.0), old=served_request_lines("n0", "r", 1.0, 0.5, "s1"), torn=torn
+    )
     monkeypatch.chdir(tmp_path)
     shown = run(*words)
     assert shown.exit_code == 2 and says in shown.output and len(shown.output.splitlines()) == 1
--- /dev/null
+++ b/tests/test_http_bodies.py
@@ -0,0 +1,111 @@
+"""Buffers of bodies and the response parser, free of I/O."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from streaming_support import BIG, FORMS
+
+from harecross.http.body_buffer import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_STREAM_BUFFER_BYTES,
+    MIN_STREAM_BUFFER_BYTES,
+    Upload,
+    stream_buffer_bytes,
+)
+from harecross.http.response_parser import ReadResult, ResponseParser
+
+
+@given(st.lists(st.one_of(st.integers(1, 40_000), st.none()), max_size=30))
+def test_an_upload_gives_every_byte_once_and_in_order(steps):
+    upload, sent, taken = Upload(None), b"", b""
+    upload.attach(lambda: None)
+    for step in steps:
+        if step is None:
+            taken += upload.read()
+            assert upload.replayable == (len(sent) <= MAX_BUFFERED_BODY_BYTES)
+            assert upload.replayable or not upload.buffered
+        else:
+            data = BIG[len(sent) : len(sent) + step]
+            sent += data
+            upload.feed(data)
+        assert upload.size == len(sent)
+    assert taken + upload.read() == sent
+
+
+@given(st.integers(0, 2 * MAX_BUFFERED_BODY_BYTES), st.integers(0, 2 * MAX_BUFFERED_BODY_BYTES))
+def test_an_upload_can_be_read_again_only_while_its_first_bytes_are_kept(before, after):
+    upload = Upload(None)
+    upload.attach(lambda: None)
+    upload.feed(BIG[:before])
+    upload.read()
+    upload.detach()
+    upload.feed(BIG[before : before + after])
+    if before > MAX_BUFFERED_BODY_BYTES:
+        with pytest.raises(ValueError):
+            upload.attach(lambda: None)
+    else:
+        upload.attach(lambda: None)
+        assert upload.read() == BIG[: before + after]
+
+
+def test_a_discarded_upload_keeps_nothing():
+    upload = Upload(None)
+    upload.feed(BIG)
+    upload.discard()
+    upload.feed(BIG)
+    assert not upload.buffered and not upload.full
+
+
+def parse_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[ReadResult, bytes, ResponseParser]:
+    """What an answer says of a text that comes in pieces, and of the connection's end."""
+    answer, body, reading = ResponseParser(), b"", ReadResult.INCOMPLETE
+    marks = [0, *sorted(cuts), len(text)]
+    for a, b in zip(marks, marks[1:], strict=False):
+        if reading == ReadResult.INCOMPLETE and b > a:
+            reading = answer.feed(text[a:b])
+            if answer.streaming:
+                body += answer.read_body()
+    if reading == ReadResult.INCOMPLETE and end:
+        reading = answer.feed_eof()
+    return reading, body + answer.body, answer
+
+
+@settings(deadline=None)
+@given(st.sampled_from(sorted(FORMS)), st.sampled_from([0, 700, 20_000, 70_000, 300_000]), st.data())
+def test_a_response_cut_anywhere_is_complete_or_known_to_be_incomplete(form, size, data):
+    text = FORMS[form](BIG[:size])
+    cuts = data.draw(st.lists(st.integers(1, len(text)), max_size=12))
+    reading, body, answer = parse_in_pieces(text, cuts, end=True)
+    assert (reading, body) == (ReadResult.COMPLETE, BIG[:size])
+    assert answer.streaming == (size > (MAX_BUFFERED_BODY_BYTES if form == "length" else 1 << 14))
+    short = text[: data.draw(st.integers(0, len(text) - 1))]
+    reading, body, _ = parse_in_pieces(short, [c for c in cuts if c < len(short)], end=True)
+    if form == "close" and b"\r\n\r\n" in short:
+        assert (reading, body) == (ReadResult.COMPLETE, short.partition(b"\r\n\r\n")[2])  # nobody could tell
+    else:
+        assert reading == ReadResult.MALFORMED
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"HTTP/1.1 200 OK\r\n\r\nsome",  # does not say that it ends with its connection
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort",
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
+        b"HTTP/1.1 500 Error\r\nContent-Length: %d\r\n\r\n" % (MAX_BUFFERED_BODY_BYTES + 1),
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 9000,
+    ],
+)
+def test_a_response_that_cannot_be_forwarded_is_malformed(text):
+    assert parse_in_pieces(text, [], end=True)[0] == ReadResult.MALFORMED
+
+
+@given(st.integers(0, 1 << 40), st.integers(0, 5000))
+def test_the_buffer_of_a_stream_is_its_part_of_the_budget_within_limits(budget, streams):
+    buffer = stream_buffer_bytes(budget, streams)
+    assert MIN_STREAM_BUFFER_BYTES <= buffer <= MAX_STREAM_BUFFER_BYTES
+    assert buffer == MIN_STREAM_BUFFER_BYTES or 2 * buffer * streams <= budget
+    assert stream_buffer_bytes(budget, streams + 1) <= buffer <= stream_buffer_bytes(budget + 1, streams)
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -16,9 +16,9 @@
 from harecross.policy.balancer import Balancer
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_request_is_forwarded_unchanged_and_its_response_returned():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send(
             "/put/user-7?x=1",
             body=b"\x00body",
@@ -27,13 +27,15 @@
             X_Tenant_Id="acme",
             X_Request_ID="r1",
         )
-        at = await w.origins[0].arrived.get()
-        assert at.head.startswith(b"POST /put/user-7?x=1 HTTP/1.1\r\n") and at.body == b"\x00body"
-        assert (at.header(b"X-Request-ID"), at.header(b"Idempotency-Key")) == (b"r1", b"k1")
-        assert b"Cookie" not in at.head and b"Not-Processed" not in at.head  # servers get what they know
-        left = at.header(b"X-Timeout")
+        received = await world.origins[0].arrived.get()
+        assert received.head.startswith(b"POST /put/user-7?x=1 HTTP/1.1\r\n") and received.body == b"\x00body"
+        assert (received.header(b"X-Request-ID"), received.header(b"Idempotency-Key")) == (b"r1", b"k1")
+        assert (
+            b"Cookie" not in received.head and b"Not-Processed" not in received.head
+        )  # servers get what they know
+        left = received.header(b"X-Timeout")
         assert left.endswith(b"u") and 0 < int(left[:-1]) < 20_000_000
-        at.answer(body=b"\xffanswer", extra=b"X-Server-Load: util=0.5,eps=0\r\n")
+        received.answer(body=b"\xffanswer", extra=b"X-Server-Load: util=0.5,eps=0\r\n")
         status, _, body = await client.answer()
         assert (status, body) == (200, b"\xffanswer")
 
@@ -41,39 +43,39 @@
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_a_request_in_single_bytes_and_two_at_once():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_requests_may_come_in_single_bytes_or_two_at_once():
+    async def test(world: World) -> None:
+        client = await world.client()
         text = b"GET /read/%d HTTP/1.1\r\nX-Request-ID: r%d\r\nX-Timeout: 20s\r\n\r\n".replace(
             b"20s", b"20000m"
         )
         for i in text % (1, 1):
             client.writer.write(bytes([i]))
             await client.writer.drain()
-        (await w.origins[0].arrived.get()).answer(body=b"one")
+        (await world.origins[0].arrived.get()).answer(body=b"one")
         assert (await client.answer())[2] == b"one"
         client.writer.write(text % (2, 2) + text % (3, 3))
-        first = await w.origins[0].arrived.get()
-        assert b"/read/2" in first.head and w.origins[0].arrived.empty()
+        first = await world.origins[0].arrived.get()
+        assert b"/read/2" in first.head and world.origins[0].arrived.empty()
         first.answer(body=b"two")
-        second = await w.origins[0].arrived.get()
+        second = await world.origins[0].arrived.get()
         second.answer(body=b"three")
         assert [(await client.answer())[2] for _ in "ab"] == [b"two", b"three"]
-        assert w.origins[0].links == 1
+        assert world.origins[0].links == 1
 
     with_node(test)
 
 
-def test_chunked_bodies_both_ways():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_chunked_bodies_are_forwarded_both_ways():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.writer.write(
             b"POST /pay/1 HTTP/1.1\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
-        at = await w.origins[0].arrived.get()
-        assert at.body == b"abcde" and b"chunked" not in at.head
-        at.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwxyz\r\n0\r\n\r\n")
+        received = await world.origins[0].arrived.get()
+        assert received.body == b"abcde" and b"chunked" not in received.head
+        received.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwxyz\r\n0\r\n\r\n")
         assert (await client.answer())[2] == b"wxyz"
 
     with_node(test)
@@ -119,30 +121,30 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_bad_input_gets_its_status_and_reaches_nobody(name):
+def test_a_bad_request_gets_its_status_and_reaches_no_server(name):
     text, status = BAD[name]
 
-    async def test(w: World) -> None:
-        client = await w.client()
+    async def test(world: World) -> None:
+        client = await world.client()
         client.writer.write(text)
         got, head, _ = await client.answer()
         assert got == status and b"Connection: close" in head
-        assert w.node.dispatcher.last_request_number == 0 and w.origins[0].links == 0
+        assert world.node.dispatcher.last_request_number == 0 and world.origins[0].links == 0
         assert await client.reader.read() == b""
-        client = await w.client()
+        client = await world.client()
         client.send()
-        (await w.origins[0].arrived.get()).answer()
+        (await world.origins[0].arrived.get()).answer()
         assert (await client.answer())[0] == 200
 
     with_node(test)
 
 
-def test_requests_one_after_another_are_no_flood_and_no_large_head():
+def test_limits_on_one_request_do_not_add_up_over_a_connection():
     """What counts is one message: a long life on one connection must not run into its bounds."""
 
-    async def test(w: World) -> None:
-        client = await w.client()
-        w.origins[0].answer_all()
+    async def test(world: World) -> None:
+        client = await world.client()
+        world.origins[0].answer_all()
         for i in range(60):
             client.send("/pay/1", body=b"x" * 8192)
             if i % 2:
@@ -151,99 +153,99 @@
     with_node(test)
 
 
-def test_the_id_of_an_open_request_is_turned_away():
+def test_the_id_of_an_open_request_gets_409():
     """Passed on it would be a second copy; refused, the answer would promise that a retry does no harm."""
 
-    async def test(w: World) -> None:
-        first, second = await w.client(), await w.client()
+    async def test(world: World) -> None:
+        first, second = await world.client(), await world.client()
         first.send("/pay/1", X_Request_ID="same")
-        at = await w.origins[0].arrived.get()
+        received = await world.origins[0].arrived.get()
         second.send("/pay/1", X_Request_ID="same")
         assert (await second.answer())[0] == 409
-        at.answer()
+        received.answer()
         assert (await first.answer())[0] == 200
-        assert w.origins[0].links == 1 and not w.node.dispatcher.open_request_ids
+        assert world.origins[0].links == 1 and not world.node.dispatcher.open_request_ids
         first.send("/pay/1", X_Request_ID="same")  # it is over: the id is free
-        (await w.origins[0].arrived.get()).answer()
+        (await world.origins[0].arrived.get()).answer()
         assert (await first.answer())[0] == 200
 
     with_node(test)
 
 
-def test_health():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_the_health_check_of_a_running_node_gets_200():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/_health")
         assert (await client.answer())[0] == 200
 
     with_node(test)
 
 
-def test_times_with_their_units():
+def test_x_timeout_is_parsed_with_its_unit():
     assert [parse_timeout_us(t) for t in (b"480m", b"250u", b"1.5m", b" 3m ")] == [480_000, 250, 1500, 3000]
     assert [parse_timeout_us(t) for t in (b"", b"5", b"-5m", b"5s", b"m")] == [None] * 5
 
 
-def test_a_client_that_leaves_ends_its_attempt():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_client_that_disconnects_ends_its_attempt():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send()
-        at = await w.origins[0].arrived.get()
+        received = await world.origins[0].arrived.get()
         client.writer.close()
-        await at.gone.wait()
-        while w.node.dispatcher.requests:
+        await received.gone.wait()
+        while world.node.dispatcher.requests:
             await asyncio.sleep(0)
-        assert w.node.dispatcher.statistics.final_answers["left"] == 1
+        assert world.node.dispatcher.statistics.final_answers["left"] == 1
 
     with_node(test)
 
 
-def test_a_silent_server_costs_the_client_no_more_than_its_time():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_server_that_does_not_answer_fails_the_request_at_its_deadline():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1", left="300m")
-        at = await w.origins[0].arrived.get()
+        received = await world.origins[0].arrived.get()
         assert (await client.answer())[0] == 502
-        await at.gone.wait()  # an answer that came later would meet the next request
-        assert not w.node.dispatcher.requests
+        await received.gone.wait()  # an answer that came later would meet the next request
+        assert not world.node.dispatcher.requests
 
     with_node(test)
 
 
-def forget(self, *args):
+def ignore_request(self, *args):
     """A module that takes a request and does nothing."""
 
 
-def burst(self, *args):
+def raise_error(self, *args):
     raise RuntimeError("boom")
 
 
-@pytest.mark.parametrize("fault", [forget, burst])
-def test_whatever_the_module_does_an_answer_goes_out(monkeypatch, fault):
-    async def test(w: World) -> None:
-        client = await w.client()
+@pytest.mark.parametrize("fault", [ignore_request, raise_error])
+def test_a_balancer_that_ignores_a_request_or_fails_leaves_no_client_without_an_answer(monkeypatch, fault):
+    async def test(world: World) -> None:
+        client = await world.client()
         with monkeypatch.context() as m:
             m.setattr(Balancer, "request", fault)
             client.send(left="300m")
             assert (await client.answer())[0] == 502
-        assert not w.node.dispatcher.requests
+        assert not world.node.dispatcher.requests
         client.send()
-        (await w.origins[0].arrived.get()).answer()
+        (await world.origins[0].arrived.get()).answer()
         assert (await client.answer())[0] == 200
 
     with_node(test)
 
 
-def test_an_exception_at_an_outcome_ends_that_request_only(monkeypatch):
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_an_exception_at_an_outcome_fails_that_request_alone(monkeypatch):
+    async def test(world: World) -> None:
+        client = await world.client()
         with monkeypatch.context() as m:
-            m.setattr(Balancer, "outcome", burst)
+            m.setattr(Balancer, "outcome", raise_error)
             client.send("/pay/1")
-            (await w.origins[0].arrived.get()).answer(500)
+            (await world.origins[0].arrived.get()).answer(500)
             assert (await client.answer())[0] == 502
         client.send()
-        (await w.origins[0].arrived.get()).answer()
+        (await world.origins[0].arrived.get()).answer()
         assert (await client.answer())[0] == 200
 
     with_node(test)
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -26,25 +26,25 @@
 def test_a_kept_connection_that_breaks_under_a_request_may_have_run():
     """It looks like a connection that never came up; sent again, the request could run twice."""
 
-    async def test(w: World) -> None:
-        client = await w.client()
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1")
-        (await w.origins[0].arrived.get()).answer()
+        (await world.origins[0].arrived.get()).answer()
         assert (await client.answer())[0] == 200
         client.send("/pay/2")
-        at = await w.origins[0].arrived.get()
-        at.writer.close()
+        received = await world.origins[0].arrived.get()
+        received.writer.close()
         assert (await client.answer())[0] == 502  # failed: no promise
-        assert at.link == 0 and all(o.arrived.empty() for o in w.origins)
+        assert received.link == 0 and all(o.arrived.empty() for o in world.origins)
 
     with_node(test)
 
 
-def test_a_server_s_error_fails_a_request_that_must_not_run_twice():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_an_error_response_fails_a_non_idempotent_request():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1")
-        (await w.origins[0].arrived.get()).answer(500)
+        (await world.origins[0].arrived.get()).answer(500)
         assert (await client.answer())[0] == 502
 
     with_node(test)
@@ -56,7 +56,7 @@
 NEVER = b"X-Not-Processed: 1\r\n"
 
 
-SPOILT = {
+MALFORMED = {
     "noise": b"\x00\x01\x02\r\n\r\n",
     "another protocol": OK.replace(b"HTTP/1.1", b"ICY"),
     "odd status": OK.replace(b"200", b"2x0"),
@@ -76,24 +76,24 @@
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
-def test_a_spoilt_answer_may_have_run_and_is_shown_to_nobody(name):
+@pytest.mark.parametrize("name", MALFORMED)
+def test_a_malformed_response_fails_a_request_and_is_not_forwarded(name):
     """Unsafe: neither sent again nor refused. The connection is closed, for it holds who knows what."""
 
-    async def test(w: World) -> None:
-        client = await w.client()
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1")
-        at = await w.origins[0].arrived.get()
-        at.writer.write(SPOILT[name])
+        received = await world.origins[0].arrived.get()
+        received.writer.write(MALFORMED[name])
         status, _, body = await client.answer()
-        assert (status, body) == (502, b"") and w.origins[0].arrived.empty()
+        assert (status, body) == (502, b"") and world.origins[0].arrived.empty()
         if name != "never run, says another answer":
-            await at.gone.wait()
+            await received.gone.wait()
 
     with_node(test)
 
 
-EXTRA = {  # and whether the connection may be used again
+GOOD_WITH_EXTRA = {  # and whether the connection may be used again
     "a second copy": (OK + OK, False),
     "noise": (OK + b"\x00\x01\x02\r\n\r\n", False),
     "early answers": (b"HTTP/1.1 103 X\r\n" + NEVER + b"\r\nHTTP/1.1 102 X\r\n\r\n" + OK, True),
@@ -102,21 +102,21 @@
 }
 
 
-@pytest.mark.parametrize("name", EXTRA)
+@pytest.mark.parametrize("name", GOOD_WITH_EXTRA)
 @pytest.mark.usefixtures("no_rest")
-def test_a_good_answer_counts_whatever_comes_with_it(name):
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_good_response_counts_whatever_comes_with_it(name):
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1")
-        at = await w.origins[0].arrived.get()
-        text, usable = EXTRA[name]
-        at.writer.write(text)
+        received = await world.origins[0].arrived.get()
+        text, usable = GOOD_WITH_EXTRA[name]
+        received.writer.write(text)
         assert (await client.answer())[::2] == (200, b"good")
-        assert w.node.pool.load_reports == 0
+        assert world.node.pool.load_reports == 0
         if not usable:
-            await at.gone.wait()
+            await received.gone.wait()
         client.send("/pay/1")
-        again = await w.origins[0].arrived.get()
+        again = await world.origins[0].arrived.get()
         again.answer(body=b"next")
         assert again.link == (0 if usable else 1)
         assert (await client.answer())[2] == b"next"
@@ -124,11 +124,11 @@
     with_node(test)
 
 
-def test_what_was_turned_away_unseen_is_sent_again():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_rejected_attempt_is_retried():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1")
-        origin = w.origins[0]
+        origin = world.origins[0]
         (await origin.arrived.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
         (await origin.arrived.get()).answer(504, extra=b"x-not-processed: 1\r\n")
         (await origin.arrived.get()).answer(200, body=b"done")
@@ -137,27 +137,27 @@
     with_node(test)
 
 
-def test_being_turned_away_unseen_is_not_paid_for_with_retries():
+def test_rejected_attempts_do_not_use_up_the_retry_budget():
     """Each such answer took a retry from the budget, and after a few of them requests were refused."""
 
-    async def test(w: World) -> None:
-        client = await w.client()
+    async def test(world: World) -> None:
+        client = await world.client()
         for _ in range(6):
             client.send("/pay/1")
             for _ in range(2):
-                (await w.origins[0].arrived.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
-            (await w.origins[0].arrived.get()).answer(body=b"done")
+                (await world.origins[0].arrived.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
+            (await world.origins[0].arrived.get()).answer(body=b"done")
             assert (await client.answer())[2] == b"done"
 
     with_node(test)
 
 
-def test_a_keyed_request_whose_answer_is_lost_is_sent_again_to_its_cell():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_request_with_an_idempotency_key_is_retried_in_its_cell():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/put/1", key="k")
-        (await w.origins[0].arrived.get()).writer.write(b"\x00 noise\r\n\r\n")
-        again = await w.origins[0].arrived.get()
+        (await world.origins[0].arrived.get()).writer.write(b"\x00 noise\r\n\r\n")
+        again = await world.origins[0].arrived.get()
         assert again.header(b"Idempotency-Key") == b"k"
         again.answer(body=b"once")
         assert (await client.answer())[2] == b"once"
@@ -165,22 +165,22 @@
     with_node(test)
 
 
-def test_a_plain_503_may_have_run():
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_503_without_x_not_processed_may_have_run():
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/pay/1")
-        (await w.origins[0].arrived.get()).answer(503)
+        (await world.origins[0].arrived.get()).answer(503)
         assert (await client.answer())[0] == 502
-        assert w.origins[0].arrived.empty()
+        assert world.origins[0].arrived.empty()
 
     with_node(test)
 
 
-def test_a_refused_connection_is_a_refusal_at_once_with_advice():
-    async def test(w: World) -> None:
-        w.origins[0].server.close()
-        await w.origins[0].server.wait_closed()
-        client = await w.client()
+def test_a_refused_connection_sheds_the_request_with_retry_after():
+    async def test(world: World) -> None:
+        world.origins[0].server.close()
+        await world.origins[0].server.wait_closed()
+        client = await world.client()
         client.send("/pay/1")
         status, head, _ = await client.answer()
         assert status == 503 and b"Retry-After: 1.500\r\n" in head
@@ -189,21 +189,21 @@
 
 
 @pytest.mark.parametrize("how", ["close", "stray", "early"])
-def test_a_connection_in_doubt_is_not_used_again(how):
-    async def test(w: World) -> None:
-        client = await w.client()
+def test_a_connection_with_stray_bytes_or_an_early_response_is_not_used_again(how):
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send()
-        at = await w.origins[0].arrived.get()
+        received = await world.origins[0].arrived.get()
         if how == "stray":
-            at.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n")
+            received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n")
         else:
-            at.answer(extra=b"Connection: close\r\n" if how == "close" else b"")
+            received.answer(extra=b"Connection: close\r\n" if how == "close" else b"")
         assert (await client.answer())[2] == b"ok"
         if how == "early":
-            at.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
-        await at.gone.wait()
+            received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
+        await received.gone.wait()
         client.send()
-        again = await w.origins[0].arrived.get()
+        again = await world.origins[0].arrived.get()
         again.answer(body=b"right")
         assert again.link == 1 and (await client.answer())[2] == b"right"
 
@@ -212,33 +212,33 @@
 
 @pytest.mark.usefixtures("no_rest")
 def test_the_connection_used_last_is_used_first():
-    async def test(w: World) -> None:
-        clients = [await w.client() for _ in "ab"]
+    async def test(world: World) -> None:
+        clients = [await world.client() for _ in "ab"]
         for client in clients:
             client.send()
-        held = [await w.origins[0].arrived.get() for _ in clients]
-        for at in held:
-            at.answer()
+        held = [await world.origins[0].arrived.get() for _ in clients]
+        for received in held:
+            received.answer()
         for client in clients:
             await client.answer()
-        (target,) = w.node.pool.processes.values()
+        (target,) = world.node.pool.processes.values()
         last = target.idle[-1]
         clients[0].send()
-        at = await w.origins[0].arrived.get()
+        received = await world.origins[0].arrived.get()
         assert last.exchange is not None and len(target.idle) == 1
-        at.answer()
+        received.answer()
         await clients[0].answer()
         # An idle connection is dropped before the server would close it.
         for conn in target.idle:
             conn.idle_since_us -= 14_000_000
-        w.node.pool.sweep()
-        assert {await w.origins[0].closed.get() for _ in clients} == {0, 1}
+        world.node.pool.sweep()
+        assert {await world.origins[0].closed.get() for _ in clients} == {0, 1}
 
     with_node(test)
 
 
 @pytest.mark.parametrize("what", ["drains", "late", "given up", "up"])
-def test_the_list_and_the_clock_are_looked_at_again_after_a_connect(what, monkeypatch):
+def test_after_a_connect_the_endpoint_list_and_the_deadline_are_checked_again(what, monkeypatch):
     """A connection may take a while to come up; what has changed meanwhile holds for its first byte."""
 
     async def test() -> None:
@@ -289,7 +289,7 @@
     run(test())
 
 
-def test_load_reports_under_either_name():
+def test_load_reports_are_read_under_either_name_and_only_whole():
     places = report_positions(["load_share", "err_ps"])
     assert list(parse_load_report(b"inflight=7,util=0.5, eps=2", places, 2)) == [0.5, 2.0]
     assert list(parse_load_report(b"load_share=0.25,err_ps=0", places, 2)) == [0.25, 0.0]
@@ -305,37 +305,37 @@
         assert parse_load_report(text, places, 2) == ()
 
 
-def test_near_the_descriptor_limit_work_is_refused(monkeypatch):
+def test_without_free_descriptors_requests_are_shed(monkeypatch):
     monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
 
-    async def test(w: World) -> None:
-        clients = [await w.client() for _ in range(4)]
-        await until(lambda: w.node.descriptor_budget.client_connections == 4)
-        w.node.descriptor_budget.total = 6
+    async def test(world: World) -> None:
+        clients = [await world.client() for _ in range(4)]
+        await until(lambda: world.node.descriptor_budget.client_connections == 4)
+        world.node.descriptor_budget.total = 6
         held = []
         for client in clients[:2]:
             client.send()
-            held.append(await w.origins[0].arrived.get())
+            held.append(await world.origins[0].arrived.get())
         clients[2].send()
         assert (await clients[2].answer())[0] == 503
-        for at in held:
-            at.answer()
+        for received in held:
+            received.answer()
         assert {(await c.answer())[0] for c in clients[:2]} == {200}
         clients[3].send()
-        (await w.origins[0].arrived.get()).answer()
-        assert (await clients[3].answer())[0] == 200 and w.origins[0].links == 2
+        (await world.origins[0].arrived.get()).answer()
+        assert (await clients[3].answer())[0] == 200 and world.origins[0].links == 2
 
     with_node(test)
 
 
-def test_probes():
-    async def test(w: World) -> None:
+def test_a_health_check_reads_the_load_report():
+    async def test(world: World) -> None:
         seen: asyncio.Queue[tuple] = asyncio.Queue()
-        w.node.dispatcher.balancer.health_checked = lambda *args: seen.put_nowait(args[1:])
-        w.node.dispatcher.health_check(1)
-        at = await w.origins[0].arrived.get()
-        assert at.head.startswith(b"GET /_load ")
-        at.answer(body=b"util=0.5,eps=1")
+        world.node.dispatcher.balancer.health_checked = lambda *args: seen.put_nowait(args[1:])
+        world.node.dispatcher.health_check(1)
+        received = await world.origins[0].arrived.get()
+        assert received.head.startswith(b"GET /_load ")
+        received.answer(body=b"util=0.5,eps=1")
         server, ok, _, report = await seen.get()
         assert (server, ok, list(report)) == (1, True, [0.5, 1.0])
 
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -47,82 +47,82 @@
     return getattr(value, "__name__", str(value))
 
 
-async def served(w: World, **more: str) -> None:
-    client = await w.client()
+async def served(world: World, **more: str) -> None:
+    client = await world.client()
     client.send(**more)
-    (await w.origins[0].arrived.get()).answer()
+    (await world.origins[0].arrived.get()).answer()
     assert (await client.answer())[0] == 200
 
 
 # ---- connections of clients -------------------------------------------------------------------------------
 
 
-async def client_leaves(w: World) -> None:
-    (await w.client()).writer.close()
+async def client_disconnects(world: World) -> None:
+    (await world.client()).writer.close()
 
 
-async def client_asks_for_the_end(w: World) -> None:
-    await served(w, Connection="close")
+async def client_asks_for_close(world: World) -> None:
+    await served(world, Connection="close")
 
 
-async def client_says_nothing(w: World) -> None:
-    client = await w.client()
+async def client_sends_nothing(world: World) -> None:
+    client = await world.client()
     await client.reader.read()
 
 
-async def client_sends_noise(w: World) -> None:
-    client = await w.client()
+async def client_sends_noise(world: World) -> None:
+    client = await world.client()
     client.writer.write(b"\x00\x01\r\n\r\n")
     await client.reader.read()
 
 
-async def client_rests(w: World) -> None:
-    client = await w.client()
+async def client_is_idle(world: World) -> None:
+    client = await world.client()
     client.send("/_health")
     await client.answer()
     await client.reader.read()
 
 
-async def node_stops(w: World) -> None:
-    client = await w.client()
+async def node_shuts_down(world: World) -> None:
+    client = await world.client()
     client.send("/_health")
     await client.answer()
-    w.node.stop_requested.set()
+    world.node.stop_requested.set()
     await client.reader.read()
 
 
-async def place_is_wanted(w: World) -> None:
-    client = await w.client()
+async def descriptor_is_needed(world: World) -> None:
+    client = await world.client()
     client.send("/_health")
     await client.answer()
-    assert w.node.client_connections.evict_one()
+    assert world.node.client_connections.evict_one()
     await client.reader.read()
 
 
 @pytest.mark.parametrize(
     "happens, reason",
     [
-        (client_leaves, CloseReason.PEER),
-        (client_asks_for_the_end, CloseReason.LAST_RESPONSE),
-        (client_says_nothing, CloseReason.REQUEST_TIMEOUT),
+        (client_disconnects, CloseReason.PEER),
+        (client_asks_for_close, CloseReason.LAST_RESPONSE),
+        (client_sends_nothing, CloseReason.REQUEST_TIMEOUT),
         (client_sends_noise, CloseReason.BAD_REQUEST),
-        (client_rests, CloseReason.IDLE),
-        (node_stops, CloseReason.SHUTDOWN),
-        (place_is_wanted, CloseReason.DESCRIPTOR_SHORTAGE),
+        (client_is_idle, CloseReason.IDLE),
+        (node_shuts_down, CloseReason.SHUTDOWN),
+        (descriptor_is_needed, CloseReason.DESCRIPTOR_SHORTAGE),
     ],
     ids=name_of,
 )
-def test_the_end_of_a_client_s_connection_has_its_reason(happens, reason, tmp_path, monkeypatch):
+def test_a_closed_client_connection_has_its_reason(happens, reason, tmp_path, monkeypatch):
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 500_000)
     if reason is CloseReason.IDLE:
         monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
-    async def test(w: World) -> None:
-        logged = Logged(w, tmp_path / "log")
-        await happens(w)
+    async def test(world: World) -> None:
+        logged = Logged(world, tmp_path / "log")
+        await happens(world)
         event = await logged.closing("client")
         assert event.fields["reason"] == reason.value
-        assert w.node.dispatcher.statistics.close_reasons[reason] >= 1
+        assert world.node.dispatcher.statistics.close_reasons[reason] >= 1
 
     with_node(test)
 
@@ -130,68 +130,68 @@
 # ---- connections to servers -------------------------------------------------------------------------------
 
 
-async def server_closes(w: World) -> None:
-    client = await w.client()
+async def server_closes(world: World) -> None:
+    client = await world.client()
     client.send("/pay/1", X_Request_ID="lost")
-    (await w.origins[0].arrived.get()).writer.close()
+    (await world.origins[0].arrived.get()).writer.close()
     assert (await client.answer())[0] == 502
 
 
-async def server_ends_with_its_answer(w: World) -> None:
-    client = await w.client()
+async def server_closes_with_its_response(world: World) -> None:
+    client = await world.client()
     client.send(X_Request_ID="last")
-    (await w.origins[0].arrived.get()).answer(extra=b"Connection: close\r\n")
+    (await world.origins[0].arrived.get()).answer(extra=b"Connection: close\r\n")
     assert (await client.answer())[0] == 200
 
 
-async def server_answers_noise(w: World) -> None:
-    client = await w.client()
+async def server_sends_noise(world: World) -> None:
+    client = await world.client()
     client.send("/pay/1", X_Request_ID="lost")
-    (await w.origins[0].arrived.get()).writer.write(b"\x00\x01\x02\r\n\r\n")
+    (await world.origins[0].arrived.get()).writer.write(b"\x00\x01\x02\r\n\r\n")
     assert (await client.answer())[0] == 502
 
 
-async def server_is_silent(w: World) -> None:
-    client = await w.client()
+async def server_does_not_answer(world: World) -> None:
+    client = await world.client()
     client.send("/pay/1", left="100m", X_Request_ID="lost")
     assert (await client.answer())[0] == 502
 
 
-async def server_drains(w: World) -> None:
-    watch = await w.watch()
-    await served(w)
-    Catalog.push(watch, line(42, entry("s0", w.origins[0].address, "terminating")))
+async def server_drains(world: World) -> None:
+    watch = await world.watch()
+    await served(world)
+    Catalog.push(watch, line(42, entry("s0", world.origins[0].address, "terminating")))
 
 
-async def connection_rests(w: World) -> None:
-    await served(w)
-    w.node.pool.idle_time = 0
-    w.node.pool.sweep()
+async def connection_is_idle(world: World) -> None:
+    await served(world)
+    world.node.pool.idle_time = 0
+    world.node.pool.sweep()
 
 
 @pytest.mark.parametrize(
     "happens, reason, request_id",
     [
         (server_closes, CloseReason.PEER, "lost"),
-        (server_ends_with_its_answer, CloseReason.LAST_RESPONSE, "last"),
-        (server_answers_noise, CloseReason.MALFORMED_RESPONSE, "lost"),
-        (server_is_silent, CloseReason.ABANDONED, "lost"),
+        (server_closes_with_its_response, CloseReason.LAST_RESPONSE, "last"),
+        (server_sends_noise, CloseReason.MALFORMED_RESPONSE, "lost"),
+        (server_does_not_answer, CloseReason.ABANDONED, "lost"),
         (server_drains, CloseReason.SERVER_OUT_OF_SERVICE, ""),
-        (connection_rests, CloseReason.IDLE, ""),
+        (connection_is_idle, CloseReason.IDLE, ""),
     ],
     ids=name_of,
 )
-def test_the_end_of_a_connection_to_a_server_has_its_reason_and_its_request(
+def test_a_closed_upstream_connection_has_its_reason_and_its_request(
     happens, reason, request_id, tmp_path, monkeypatch
 ):
     monkeypatch.setattr(connection, "MAX_REST_US", 0)
 
-    async def test(w: World) -> None:
-        logged = Logged(w, tmp_path / "log")
-        await happens(w)
+    async def test(world: World) -> None:
+        logged = Logged(world, tmp_path / "log")
+        await happens(world)
         event = await logged.closing("server")
         assert event.fields["reason"] == reason.value
-        assert event.fields["server.address"] == w.origins[0].address
+        assert event.fields["server.address"] == world.origins[0].address
         assert event.request_id == request_id
 
     with_node(test)
@@ -200,38 +200,38 @@
 # ---- answers and retries ----------------------------------------------------------------------------------
 
 
-async def one(w: World, path: str = "/pay/1", left: str = "25000m") -> asyncio.Task:
+async def start_request(world: World, path: str = "/pay/1", left: str = "25000m") -> asyncio.Task:
     """A request on its way: the task of its answer."""
-    client = await w.client()
+    client = await world.client()
     client.send(path, left=left)
     return asyncio.create_task(client.answer())
 
 
-async def unsafe_one_fails(w: World) -> None:
-    waiting = await one(w)
-    (await w.origins[0].arrived.get()).answer(500)
+async def non_idempotent_request_fails(world: World) -> None:
+    waiting = await start_request(world)
+    (await world.origins[0].arrived.get()).answer(500)
     await waiting
 
 
-async def no_answer_in_time(w: World) -> None:
-    await (await one(w, left="60m"))
+async def no_answer_in_time(world: World) -> None:
+    await (await start_request(world, left="60m"))
 
 
-async def nobody_is_listed(w: World) -> None:
-    Catalog.push(await w.watch(), line(42, entry("s0", w.origins[0].address, "terminated")))
-    await until(lambda: not w.node.registry.listed)
-    await (await one(w))
+async def no_endpoint_is_listed(world: World) -> None:
+    Catalog.push(await world.watch(), line(42, entry("s0", world.origins[0].address, "terminated")))
+    await until(lambda: not world.node.registry.listed)
+    await (await start_request(world))
 
 
-async def limit_is_reached(w: World) -> None:
-    w.node.dispatcher.balancer.controller.admits = lambda *args: False
-    await (await one(w))
+async def limit_is_reached(world: World) -> None:
+    world.node.dispatcher.balancer.controller.admits = lambda *args: False
+    await (await start_request(world))
 
 
-async def attempts_are_used_up(w: World) -> None:
-    waiting = await one(w, "/read/1")
+async def attempts_are_used_up(world: World) -> None:
+    waiting = await start_request(world, "/read/1")
     while not waiting.done():
-        arrived = asyncio.ensure_future(w.origins[0].arrived.get())
+        arrived = asyncio.ensure_future(world.origins[0].arrived.get())
         await asyncio.wait([arrived, waiting], return_when=asyncio.FIRST_COMPLETED)
         if arrived.done():
             arrived.result().answer(503, extra=b"X-Not-Processed: 1\r\n")
@@ -239,45 +239,45 @@
             arrived.cancel()
 
 
-async def module_breaks(w: World) -> None:
-    w.node.dispatcher.balancer.request = None  # not to be called
-    await (await one(w))
+async def balancer_raises(world: World) -> None:
+    world.node.dispatcher.balancer.request = None  # not to be called
+    await (await start_request(world))
 
 
 @pytest.mark.parametrize(
     "happens, answer, reason",
     [
-        (unsafe_one_fails, "failed", FinalReason.MAY_HAVE_RUN),
+        (non_idempotent_request_fails, "failed", FinalReason.MAY_HAVE_RUN),
         (no_answer_in_time, "failed", None),
-        (nobody_is_listed, "refused", FinalReason.NO_SERVER),
+        (no_endpoint_is_listed, "refused", FinalReason.NO_SERVER),
         (limit_is_reached, "refused", FinalReason.AT_LIMIT),
         (attempts_are_used_up, "refused", FinalReason.ATTEMPTS_USED),
-        (module_breaks, "failed", FinalReason.INTERNAL),
+        (balancer_raises, "failed", FinalReason.INTERNAL),
     ],
     ids=name_of,
 )
-def test_an_answer_that_is_no_server_s_has_its_reason(happens, answer, reason, tmp_path, capfd):
-    async def test(w: World) -> None:
-        logged = Logged(w, tmp_path / "log")
-        await happens(w)
+def test_a_shed_or_failed_request_has_its_reason(happens, answer, reason, tmp_path, capfd):
+    async def test(world: World) -> None:
+        logged = Logged(world, tmp_path / "log")
+        await happens(world)
         (final,) = logged.events("final")
         assert final.fields["answer"] == answer
         # At the end of its time either the attempt's end or the request's own comes first.
         expected = {reason} if reason else {FinalReason.DEADLINE, FinalReason.MAY_HAVE_RUN}
         assert FinalReason(final.fields["reason"]) in expected
-        w.node.dispatcher.report()
+        world.node.dispatcher.report()
         assert f" {answer}_{final.fields['reason']}=1" in capfd.readouterr().err
 
     with_node(test)
 
 
-def test_a_retry_says_how_the_attempt_before_it_ended(tmp_path):
-    async def test(w: World) -> None:
-        logged = Logged(w, tmp_path / "log")
-        waiting = await one(w, "/read/1")
-        (await w.origins[0].arrived.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
-        (await w.origins[0].arrived.get()).answer(500)
-        (await w.origins[0].arrived.get()).answer()
+def test_a_retry_is_logged_with_the_outcome_of_the_attempt_before_it(tmp_path):
+    async def test(world: World) -> None:
+        logged = Logged(world, tmp_path / "log")
+        waiting = await start_request(world, "/read/1")
+        (await world.origins[0].arrived.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
+        (await world.origins[0].arrived.get()).answer(500)
+        (await world.origins[0].arrived.get()).answer()
         assert (await waiting)[0] == 200
         causes = [e.fields.get("retry.cause") for e in logged.events("sent")]
         assert causes == [None, "rejected", "error"]
--- /dev/null
+++ b/tests/test_streamed_responses.py
@@ -0,0 +1,208 @@
+"""Responses larger than what is buffered, over loopback sockets: slow, stalling and broken peers."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from node_support import until
+from streaming_support import BIG, FORMS, reset_connection, server_that_sends, with_peers
+
+from harecross.downstream import connection_manager
+from harecross.http.body_buffer import (
+    MAX_STREAM_BUFFER_BYTES,
+    MIN_STREAM_BUFFER_BYTES,
+)
+from harecross.standins.http import read_message
+from harecross.upstream import connection_pool
+
+
+@pytest.mark.parametrize("form", sorted(FORMS))
+@pytest.mark.parametrize("size", [700, 300_000])
+def test_a_response_of_any_framing_reaches_the_client(form, size):
+    async def test(world) -> None:
+        client = await world.client()
+        for _ in range(2):
+            client.send()
+            status, head, body = await client.answer()
+            assert (status, body) == (200, BIG[:size])
+            assert b"close" not in head
+        assert world.node.dispatcher.statistics.final_answers["served"] == 2
+
+    with_peers(test, server_that_sends(FORMS[form](BIG[:size]), close=form == "close"))
+
+
+def test_an_http_1_0_client_gets_a_chunked_response_up_to_the_close():
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
+        text = await client.reader.read()
+        assert b"chunked" not in text and text.partition(b"\r\n\r\n")[2] == BIG
+
+    with_peers(test, server_that_sends(FORMS["chunks"](BIG)))
+
+
+def test_a_streamed_response_goes_on_past_the_deadline():
+    async def test(world) -> None:
+        client = await world.client()
+        client.send(left="150m")
+        status, _, body = await client.answer()
+        assert (status, body) == (200, BIG)
+        assert not world.node.dispatcher.requests
+
+    async def slow(reader, writer) -> None:
+        await read_message(reader)
+        text = FORMS["length"](BIG)
+        for i in range(10):
+            writer.write(text[i * 30_100 : (i + 1) * 30_100])
+            await asyncio.sleep(0.04)
+
+    with_peers(test, slow)
+
+
+def test_a_streamed_response_that_breaks_off_fails_and_is_not_retried():
+    asked = []
+
+    async def breaks(reader, writer) -> None:
+        await read_message(reader)
+        asked.append(1)
+        writer.write(FORMS["length"](BIG)[:200_000])
+        await writer.drain()
+        writer.close()
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.send()
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+            await client.answer()
+        await until(lambda: not (world.node.dispatcher.requests))
+        assert len(asked) == 1 and world.node.dispatcher.statistics.final_answers["failed"] == 1
+        assert max(s.failure_rate for s in world.node.dispatcher.balancer.subset.servers.values()) > 0
+
+    with_peers(test, breaks, breaks)
+
+
+def test_an_http_1_0_client_sees_a_reset_when_a_response_breaks_off():
+    async def breaks(reader, writer) -> None:
+        await read_message(reader)
+        writer.write(FORMS["chunks"](BIG)[:200_000])
+        await writer.drain()
+        writer.close()
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
+        with pytest.raises(ConnectionError):
+            await client.reader.read()
+
+    with_peers(test, breaks)
+
+
+def test_a_response_without_length_that_is_reset_is_retried():
+    async def resets(reader, writer) -> None:
+        await read_message(reader)
+        writer.write(FORMS["close"](b"half"))
+        await writer.drain()
+        reset_connection(writer)
+
+    async def test(world) -> None:
+        client = await world.client()
+        for _ in range(6):
+            client.send()
+            status, _, body = await client.answer()
+            assert (status, body) == (200, b"good")
+
+    good = server_that_sends(FORMS["length"](b"good"))
+    with_peers(test, resets, good, good, good, good)
+
+
+def test_a_response_that_stalls_at_its_server_is_abandoned(monkeypatch):
+    monkeypatch.setattr(connection_pool, "STALL_TIMEOUT_US", 50_000)
+
+    async def stalls(reader, writer) -> None:
+        await read_message(reader)
+        writer.write(FORMS["length"](BIG)[:100_000])
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.send()
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+            await client.answer()
+        await until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
+        assert not world.node.pool.streaming
+
+    with_peers(test, stalls)
+
+
+def test_a_client_that_does_not_read_pauses_the_server_and_is_closed(monkeypatch):
+    monkeypatch.setattr(connection_manager, "SLOW_READER_TIMEOUT_US", 300_000)
+    written, stopped = [0], asyncio.Event()
+
+    async def pours(reader, writer) -> None:
+        await read_message(reader)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 33000000\r\n\r\n")
+        try:
+            for _ in range(500):
+                writer.write(b"x" * 66_000)
+                await writer.drain()
+                written[0] += 66_000
+        except ConnectionError:
+            stopped.set()
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.send()
+        await asyncio.sleep(0)
+        await stopped.wait()
+        # What waits lies in the kernel's buffers, the test's own among them, and not in the node.
+        assert written[0] < 12_000_000
+        await until(lambda: not (world.node.client_connections.open))
+        assert not world.node.dispatcher.requests and not world.node.dispatcher.open_request_ids
+        client.writer.close()
+
+    with_peers(test, pours)
+
+
+def test_many_slow_clients_get_small_buffers_and_a_single_one_a_full_buffer():
+    async def pours(reader, writer) -> None:
+        try:
+            while True:
+                await read_message(reader)
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + b"x" * 3_000_000)
+                await writer.drain()
+        except (asyncio.IncompleteReadError, ConnectionError):
+            writer.close()
+
+    async def test(world) -> None:
+        pool = world.node.pool
+        pool.set_streaming_budget(1 << 20)
+        assert pool.first_buffer_bytes == MIN_STREAM_BUFFER_BYTES
+        clients = []
+        for _ in range(40):
+            client = await world.client()
+            client.send()
+            clients.append(client)
+        held = list(pool.streaming)
+        while len(held) < 15 or not all(c.read_paused for c in held):
+            await asyncio.sleep(0.01)
+            held = list(pool.streaming)
+        here = [
+            c.transport.get_write_buffer_size()
+            for c in world.node.client_connections.open
+            if c.transport is not None
+        ]
+        assert (
+            max(here) <= 3 * MIN_STREAM_BUFFER_BYTES and pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
+        )
+        for client in clients:
+            client.writer.transport.abort()
+        await until(lambda: not pool.streaming)
+        pool.sweep()
+        assert pool.stream_buffer_bytes == MAX_STREAM_BUFFER_BYTES
+        # With room for it a single answer has the whole buffer again, and comes whole.
+        client = await world.client()
+        client.send()
+        assert len((await client.answer())[2]) == 3_000_000
+        client.writer.close()
+
+    with_peers(test, pours, pours)
--- /dev/null
+++ b/tests/test_streamed_uploads.py
@@ -0,0 +1,274 @@
+"""Request bodies larger than what is buffered, over loopback sockets: slow, stalling and broken peers."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from node_support import entry, until
+from streaming_support import BIG, FORMS, Peer, chunked, with_peers
+from support import ask, balancer, end
+
+from harecross.downstream import connection_manager, request_receiver
+from harecross.interface import Outcome
+from harecross.node.resource_shares import request_body_bytes
+from harecross.standins.http import read_body
+
+
+def test_an_attempt_counts_as_in_flight_and_runs_out_of_time_only_once_its_body_is_sent():
+    node, recorder = balancer(servers=1)
+    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    server_state, controller = node.subset.servers[server], node.controller
+    assert (server_state.in_flight, controller.in_flight) == (1, 1)
+    node.uploading(1000, request, True)
+    node.uploading(1000, request, True)
+    assert (server_state.in_flight, controller.in_flight) == (0, 0)
+    node.uploading(9_000_000, request, False)
+    assert (server_state.in_flight, controller.in_flight) == (1, 1)
+    r = node.requests[request]
+    assert r.sent_at == 9_000_000 and r.deadline > 9_000_000
+    end(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
+    assert (server_state.in_flight, controller.in_flight) == (0, 0) and not node.requests
+    node.uploading(9_200_000, request, True)  # nothing to park
+    assert (server_state.in_flight, controller.in_flight) == (0, 0)
+
+
+def test_no_per_try_timeout_while_the_body_is_being_sent():
+    node, recorder = balancer(servers=2)
+    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    node.uploading(1000, request, True)
+    node.per_try_timeout(2_900_000, node.requests[request])
+    assert not recorder.take("cancel", "set_timer")
+
+
+@pytest.mark.parametrize("first", [None, Outcome.RESET])
+def test_a_request_without_its_first_bytes_is_shed_only_if_no_attempt_may_have_run(first):
+    node, recorder = balancer(servers=2)
+    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    attempt = 0
+    if first is not None:  # an attempt before this one may have run
+        ((_, _, server, _),) = end(node, recorder, 2000, request, 0, server, first)
+        attempt = 1
+    node.response_started(3000, request, attempt, server, 0)
+    (action,) = end(node, recorder, 4000, request, attempt, server, Outcome.NOT_SENT)
+    assert action[0] == ("shed" if first is None else "fail")
+
+
+def test_two_processes_of_a_node_share_the_memory_for_bodies():
+    for whole in (0, 7, 20 << 20):
+        together = request_body_bytes(whole, 1, shared=True) + request_body_bytes(whole, 2, shared=True)
+        assert together <= whole == request_body_bytes(whole, 1, shared=False)
+
+
+def server_that_stores(heads: list[bytes], bodies: list[bytes], reply: bytes = b"ok") -> Peer:
+    async def peer(reader, writer) -> None:
+        try:
+            while True:
+                head = await reader.readuntil(b"\r\n\r\n")
+                heads.append(head)
+                body = await read_body(reader, head)
+                bodies.append(body)
+                writer.write(FORMS["length"](reply))
+        except (asyncio.IncompleteReadError, ConnectionError):
+            writer.close()
+
+    return peer
+
+
+PUT = b"POST /put/1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: r%d\r\nX-Timeout: 20000m\r\nIdempotency-Key: k\r\n"
+
+
+@pytest.mark.parametrize("form", ["length", "chunks"])
+def test_a_large_body_is_sent_while_it_is_received(form):
+    heads: list[bytes] = []
+    bodies: list[bytes] = []
+
+    async def test(world) -> None:
+        client = await world.client()
+        for i in range(2):
+            if form == "length":
+                client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(BIG))
+                text = BIG
+            else:
+                client.writer.write(PUT % i + b"Transfer-Encoding: chunked\r\n\r\n")
+                text = chunked(BIG, 5000)
+            client.writer.write(text[:150_000])
+            while len(heads) <= i:
+                await asyncio.sleep(0.005)
+            (open_request,) = world.node.dispatcher.requests.values()
+            while not (held := world.node.dispatcher.balancer.requests[open_request.id]).uploading:
+                await asyncio.sleep(0.005)
+            assert held.server.in_flight == 0 and len(bodies) == i  # a slow caller takes no slot
+            client.writer.write(text[150_000:])
+            assert (await client.answer())[0] == 200
+        assert bodies == [BIG, BIG]
+        assert world.node.dispatcher.balancer.controller.in_flight == 0
+        assert world.node.client_connections.buffered_body_bytes == 0
+
+    with_peers(test, server_that_stores(heads, bodies))
+
+
+def test_a_client_that_expects_100_continue_gets_it():
+    bodies: list[bytes] = []
+
+    async def test(world) -> None:
+        client = await world.client()
+        for i, size in enumerate((5, 200_000)):
+            client.writer.write(PUT % i + b"Expect: 100-continue\r\nContent-Length: %d\r\n\r\n" % size)
+            assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+            client.writer.write(BIG[:size])
+            assert (await client.answer())[0] == 200
+            assert bodies[i] == BIG[:size]
+        # One whose turn has not come is told after the answer before it.
+        client.writer.write(PUT % 7 + b"Content-Length: 1\r\n\r\nx")
+        client.writer.write(PUT % 8 + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
+        assert (await client.answer())[0] == 200
+        assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
+        client.writer.write(b"y")
+        assert (await client.answer())[0] == 200
+        assert bodies[-1] == b"y"
+
+    with_peers(test, server_that_stores([], bodies))
+
+
+def test_a_server_that_fails_early_in_a_body_is_replaced_and_a_later_failure_is_final():
+    heads: list[bytes] = []
+    bodies: list[bytes] = []
+    cut = [10_000]
+
+    async def dies(reader, writer) -> None:
+        try:
+            await reader.readuntil(b"\r\n\r\n")
+            await reader.readexactly(cut[0])
+        except asyncio.IncompleteReadError:
+            pass
+        writer.transport.abort()
+
+    async def test(world) -> None:
+        # Its beginning is still there: whoever was tried first, the other one has all of it.
+        for i in range(4):
+            client = await world.client()
+            client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:20_000])
+            await asyncio.sleep(0.05)
+            client.writer.write(BIG[20_000:])
+            assert (await client.answer())[0] == 200
+            client.writer.close()
+        assert bodies == [BIG] * 4
+        # It is gone, and the call cannot have run: the caller is told when to come back, nothing is sent again.
+        cut[0] = 250_000
+        world.node.registry.enter_maintenance("s1")
+        before = len(heads)
+        client = await world.client()
+        client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:280_000])
+        status, head, _ = await client.answer()
+        assert status == 503 and b"Retry-After: " in head and len(heads) == before
+        # The rest of that body is read and thrown away, and the connection goes on.
+        client.writer.write(BIG[280_000:])
+        client.send("/_health")
+        assert (await client.answer())[0] == 200
+        client.writer.close()
+
+    with_peers(test, dies, server_that_stores(heads, bodies))
+
+
+def test_a_body_that_stops_half_way_gets_408(monkeypatch):
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 100_000)
+    heads: list[bytes] = []
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
+        status, head, _ = await client.answer()
+        assert status == 408 and b"Connection: close" in head
+        await until(lambda: not (world.node.pool.open_connections))
+        assert (
+            not world.node.dispatcher.requests
+            and world.node.dispatcher.statistics.final_answers["served"] == 0
+        )
+        assert (
+            world.node.dispatcher.balancer.controller.in_flight == 0
+            and world.node.client_connections.buffered_body_bytes == 0
+        )
+
+    with_peers(test, server_that_stores(heads, []))
+
+
+def test_a_body_that_comes_too_slowly_gets_408(monkeypatch):
+    monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 60_000)
+    monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 60_000)
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(PUT % 1 + b"Content-Length: 1000\r\n\r\n")
+
+        async def trickle() -> None:
+            for _ in range(900):
+                client.writer.write(b"x")
+                await asyncio.sleep(0.02)
+
+        task = asyncio.create_task(trickle())
+        assert (await client.answer())[0] == 408
+        task.cancel()
+
+    with_peers(test, server_that_stores([], []))
+
+
+def test_a_body_with_a_broken_chunk_is_not_run():
+    bodies: list[bytes] = []
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(BIG, 5000)[:200_000])
+        await asyncio.sleep(0.02)
+        client.writer.write(b"\r\nno chunk\r\n" * 2000)
+        assert (await client.answer())[0] == 400
+        await until(lambda: not (world.node.pool.open_connections))
+        assert not bodies and not world.node.dispatcher.requests
+
+    with_peers(test, server_that_stores([], bodies))
+
+
+def test_a_shed_body_is_read_to_its_end_and_the_connection_is_kept():
+    bodies: list[bytes] = []
+
+    async def test(world) -> None:
+        client = await world.client()
+        world.node.registry.enter_maintenance("s0")  # nobody to send to
+        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:1000])
+        assert (await client.answer())[0] == 503
+        world.node.registry.in_maintenance.clear()
+        world.node.registry.apply({"instances": [entry("s0", world.addresses[0])]})
+        client.writer.write(BIG[1000:])
+        client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
+        assert (await client.answer())[0] == 200
+        assert bodies == [b"hi"] and world.node.client_connections.buffered_body_bytes == 0
+
+    with_peers(test, server_that_stores([], bodies))
+
+
+def test_a_body_above_the_maximum_gets_413(monkeypatch):
+    monkeypatch.setattr(request_receiver, "MAX_BODY_BYTES", 200_000)
+    bodies: list[bytes] = []
+
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(BIG, 5000))
+        assert (await client.answer())[0] == 413
+        await until(lambda: not (world.node.pool.open_connections))
+        assert not bodies
+
+    with_peers(test, server_that_stores([], bodies))
+
+
+def test_a_client_that_disconnects_within_its_body_leaves_no_state():
+    async def test(world) -> None:
+        client = await world.client()
+        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
+        await until(lambda: world.node.pool.streaming)
+        client.writer.transport.abort()
+        await until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
+        assert world.node.dispatcher.balancer.controller.in_flight == 0
+        assert world.node.dispatcher.statistics.outcomes[Outcome.OK] == 0
+
+    with_peers(test, server_that_stores([], []))
