--- a/tests/streaming_support.py
+++ b/tests/streaming_support.py
@@ -15,6 +15,7 @@
 
 
 def chunked(body: bytes, size: int) -> bytes:
+    """Encodes a body in chunks of `size` bytes."""
     parts = [body[i : i + size] for i in range(0, len(body), size)]
     return b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\n\r\n"
 
@@ -30,7 +31,7 @@
 
 
 def with_peers(test, *peers: Peer, **more) -> None:
-    """A node before servers that each do what their function says on every connection."""
+    """Runs a test on a node whose servers each run one function for every connection."""
 
     async def inside(world) -> None:
         listening = [await asyncio.start_server(p, "127.0.0.1", 0, limit=1 << 20) for p in peers]
@@ -47,12 +48,15 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Closes a connection by a reset."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
 
 def server_that_sends(text: bytes, close: bool = False) -> Peer:
+    """A server that answers each request with the same bytes."""
+
     async def peer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -11,7 +11,7 @@
 
 every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
 cancels = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
-BEHIND = {"tier": 1, "layers": ["front", "store"]}  # calls wait for a slot there
+BEHIND = {"tier": 1, "layers": ["front", "store"]}  # requests are queued there
 
 
 def requests_at_servers(world: World) -> int:
@@ -40,7 +40,7 @@
             await turns()
             assert (
                 requests_at_servers(world) == 0 and world.node.pool.open_connections == 1
-            )  # kept for others
+            )  # the connection is kept for other requests
             assert_nothing_counted(world)
         else:
             held.release()
@@ -50,7 +50,7 @@
             await turns()
             assert (
                 received.gone.is_set() == cancel
-            )  # it may run: closing is a cancel, and that is for settings to allow
+            )  # it may run: to close is to cancel, which the settings must allow
             if not cancel:
                 received.answer()
             await until(lambda: not world.node.dispatcher.requests)
@@ -62,14 +62,14 @@
 @every_kind
 @cancels
 def test_a_client_whose_disconnect_is_unread_when_the_upstream_connection_is_open(kind, cancel):
-    """The connection to the server comes up in the turn in which the caller's end lies in the kernel."""
+    """The upstream connection is opened in the turn of the loop in which the disconnect is still in the kernel."""
 
     async def test(world: World) -> None:
         held, client = HeldConnects(world.node.pool), Plain(world.node.address)
         await taken(world, 1)
         client.send(*kind)
         await held.begun.get()
-        world.node.loop.call_soon(client.leave)  # in the turn that lets the connection up
+        world.node.loop.call_soon(client.leave)  # in the turn in which the connection is opened
         held.release()
         await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
         await turns()
@@ -97,7 +97,7 @@
 
 @every_kind
 def test_a_client_that_disconnects_after_many_requests_at_once(kind):
-    """Behind the first request nothing is read, the client's end as little."""
+    """Nothing after the first request is read while that has no answer, not even the end of the connection."""
 
     async def test(world: World) -> None:
         await warm(world)
@@ -118,7 +118,7 @@
 @every_kind
 @cancels
 def test_a_client_that_disconnects_before_a_retry(kind, cancel):
-    """Turned away unseen, the request would go to the other server; its client's end lies behind what is not read."""
+    """A rejected attempt would be retried at the other server; the disconnect comes after bytes that are not read."""
 
     async def test(world: World) -> None:
         await warm(world)
@@ -152,7 +152,7 @@
         received[0].answer()
         await until(lambda: world.node.dispatcher.statistics.final_answers["left"] == 1)
         await turns()
-        # Behind the answered one the same caller's second request comes; of who has left nothing does.
+        # After the first answer the same client's second request is sent; nothing of the client that has gone is.
         assert requests_at_servers(world) == (0 if seen else 1)
         assert not world.node.dispatcher.balancer.queue
 
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_attempt_is_sent_after_its_client_has_disconnected(seed):
-    """Many callers leave at seeded moments; counted at the servers 0.3 s after each left, and at once.
+    """Many clients disconnect at seeded moments; counted at the servers 0.3 s after each, and at once.
 
     Before the mend 287 requests of the 240 callers of the six seeds were begun later than that.
     """
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -22,7 +22,7 @@
 from tests.node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 SLACK = 0.15  # seconds
-HELD = 0.35  # seconds that the process does not run
+HELD = 0.35  # seconds for which the process is stopped
 MS = 1000
 
 
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def node_and_origin(folder: Path) -> AsyncIterator[tuple[NodeProcess, Origin]]:
-    """One real node process before one server."""
+    """One node process before one server."""
     origin, catalog = await Origin().start(), await Catalog().start()
     catalog.put(entry("s0", origin.address))
     node = NodeProcess("n0", folder, config_of(catalog.address, known=catalog.whole()))
@@ -82,7 +82,7 @@
                 b"POST /put/1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: r\r\nIdempotency-Key: k\r\nX-Timeout: 800m\r\n"
                 b"Content-Length: 8\r\n\r\n1234"
             )
-            await asyncio.sleep(0.2)  # of a client that writes slowly: none of its time has passed
+            await asyncio.sleep(0.2)  # a client that writes slowly: its timeout has not begun
             node.signal(signal.SIGSTOP)
             client.writer.write(b"56")
             await asyncio.sleep(0.1)
@@ -108,7 +108,7 @@
         node = NodeProcess("n0", tmp_path, config_of(address, known=known))
         starting = asyncio.create_task(node.start(None))
         try:
-            watch = await calls.get()  # the node listens, and waits for the first word of its list
+            watch = await calls.get()  # the node listens, and waits for its first endpoint list
             await asyncio.sleep(0.1)
             client = None
             for port in listening_ports(node):
@@ -130,7 +130,7 @@
 
 
 def listening_ports(node: NodeProcess) -> list[int]:
-    """Where the process listens, as the kernel has it."""
+    """Returns the ports on which the process listens, as the kernel reports them."""
     assert node.process is not None
     inodes = set()
     for name in os.listdir(f"/proc/{node.process.pid}/fd"):
@@ -143,7 +143,7 @@
 
 
 def test_time_behind_many_other_connections_counts_against_the_timeout():
-    """Connections are taken a few in a turn; those behind have waited for all turns since nothing was waiting."""
+    """A few connections are accepted in each turn of the loop; the others have waited since the backlog was empty."""
 
     async def test() -> None:
         sock = socket.socket()
@@ -173,7 +173,7 @@
 
 
 class Kernel:
-    """A socket of which the kernel says how long ago its last bytes came; None where it does not say."""
+    """A socket for which the kernel reports when its last bytes were received; None if it does not."""
 
     def __init__(self, age: int | None) -> None:
         self.age = age
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""The attempt log of a real node, and what `harecross follow` makes of several."""
+"""The attempt log of a node, and `harecross follow`, which reads several."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def attempt_lines(
     node: str, request: str, at_s: float, took: float, server: str, number: int = 0, cause: str = ""
 ) -> str:
-    """An attempt: sent, written and ended."""
+    """The lines of an attempt: sent, written and ended."""
     place = {"http__request__resend_count": number, "server__id": server}
     more = {"error__type": cause} if cause else {}
     return (
@@ -64,7 +64,7 @@
 
 
 def test_a_node_logs_a_request_with_its_attempts(tmp_path, monkeypatch):
-    # A kept connection rests for a part of what its last exchange took: longer on a busy machine than the retry waits.
+    # A kept connection rests for a part of what its last exchange took: on a busy machine longer than the retry waits.
     monkeypatch.setattr(connection, "MAX_REST_US", 0)
     path = tmp_path / "n0.log"
 
@@ -90,7 +90,7 @@
 
 
 def test_a_request_is_followed_into_the_tier_below(tmp_path):
-    """Calls have ids of their own: the node beside a server is learned from when it takes."""
+    """Calls to the tier below have ids of their own: the node beside a server is learned from their times."""
     front = beside = other = ""
     for i in range(6):
         front += served_request_lines("n0", f"f{i}", 10.0 * i, 1.0, "s1") + served_request_lines(
@@ -188,7 +188,7 @@
 
 
 def test_sends_to_a_server_announced_as_leaving_are_listed_with_their_times(tmp_path):
-    """The case of a herd day: a process serves by the list from before, its start takes most of the 300 ms."""
+    """A process starts with a cached list that still has the server; its start takes most of the 300 ms."""
     first = start_line("n0", 1.0, 0.2) + list_line("n0", 5.0, left=("s1",))
     herd = start_line("n1", 8.27, 0.27) + list_line("n1", 8.28, "cached", came=("s1", "s2"))
     herd += served_request_lines("n1", "late", 8.301, 0.4, "s1") + served_request_lines(
--- a/tests/test_http_bodies.py
+++ b/tests/test_http_bodies.py
@@ -60,7 +60,7 @@
 
 
 def parse_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[ReadResult, bytes, ResponseParser]:
-    """What an answer says of a text that comes in pieces, and of the connection's end."""
+    """Parses a response that comes in pieces, and the end of its connection."""
     answer, body, reading = ResponseParser(), b"", ReadResult.INCOMPLETE
     marks = [0, *sorted(cuts), len(text)]
     for a, b in zip(marks, marks[1:], strict=False):
@@ -84,7 +84,10 @@
     short = text[: data.draw(st.integers(0, len(text) - 1))]
     reading, body, _ = parse_in_pieces(short, [c for c in cuts if c < len(short)], end=True)
     if form == "close" and b"\r\n\r\n" in short:
-        assert (reading, body) == (ReadResult.COMPLETE, short.partition(b"\r\n\r\n")[2])  # nobody could tell
+        assert (reading, body) == (
+            ReadResult.COMPLETE,
+            short.partition(b"\r\n\r\n")[2],
+        )  # it cannot be known to be incomplete
     else:
         assert reading == ReadResult.MALFORMED
 
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -20,7 +20,7 @@
 
 
 def test_some_malformed_responses_do_not_count_as_overload():
-    """One answer in eight spoilt counted as twice too late, and halved the limit of a node in good health."""
+    """Otherwise one malformed response in eight would halve the concurrency limit of a healthy node."""
 
     async def test(world: World) -> None:
         controller = world.node.dispatcher.balancer.controller
@@ -40,7 +40,7 @@
 
 
 async def arrivals(world: World) -> tuple[int, Arrived]:
-    """The next request at any server, and the server's number."""
+    """Returns the number of the server that gets the next request, and the request."""
     while True:
         for number, origin in enumerate(world.origins):
             if not origin.arrived.empty():
@@ -49,7 +49,7 @@
 
 
 async def learn_quick_round_trips(world: World, client: Client) -> None:
-    """So many answers at once that the node expects them at once."""
+    """Sends so many requests that are answered at once that the node expects short round-trips."""
     for _ in range(200):
         client.send()
         (await arrivals(world))[1].answer()
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("how", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_a_silent_connection_takes_a_part_of_the_timeout_and_leaves_time_for_a_retry(how):
-    """It cost the whole: after the time-out nothing was left for a further attempt."""
+    """A per-try timeout ends the attempt long before the request's deadline."""
 
     async def test(world: World) -> None:
         unsafe, client = await world.client(), await world.client()
@@ -68,7 +68,7 @@
         client.send()
         first, lost = await arrivals(world)
         lost.writer.write(how)
-        # In what is left of its time; its own time-out would come first otherwise, and end it with 429.
+        # The retry must come before the answer: at the request's own deadline there would be an answer and no retry.
         answer = asyncio.create_task(client.answer())
         again = asyncio.create_task(arrivals(world))
         await asyncio.wait([answer, again], return_when=asyncio.FIRST_COMPLETED)
@@ -78,7 +78,7 @@
         await lost.gone.wait()
         received.answer()
         assert (await answer)[0] == 200 and world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
-        # What must not run twice keeps its time.
+        # A non-idempotent request keeps its whole timeout.
         assert not kept.gone.is_set()
         kept.answer()
         assert (await unsafe.answer())[0] == 200
@@ -87,14 +87,14 @@
 
 
 def set_round_trips(node: Balancer, mean: float, deviation: float, late: float) -> None:
-    """What the module knows of round-trips, and how many calls are late."""
+    """Sets the measured round-trips of all classes, and the part of the attempts that are late."""
     node.traffic.mean_rtt[:] = [mean] * 3
     node.traffic.deviation[:] = [deviation] * 3
     node.controller.late_fraction = late
 
 
 def test_no_per_try_timeout_while_all_attempts_are_slow(monkeypatch):
-    """Calls that were slow with all the others ran twice, at servers that had nothing to spare."""
+    """Otherwise slow attempts would run twice, at servers that are at their limit."""
     past = asyncio.Event()
     asked = Balancer.per_try_timeout
 
@@ -110,7 +110,7 @@
         set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.2)
         client.send()
         _, received = await arrivals(world)
-        await past.wait()  # three times as long as the longest that a call may be out when few are late
+        await past.wait()  # three times the longest per-try timeout when few attempts are late
         assert not received.gone.is_set()
         received.answer()
         assert (await client.answer())[0] == 200
@@ -121,7 +121,7 @@
 
 
 def test_an_attempt_times_out_once_a_later_one_is_answered(monkeypatch):
-    """The server's own word cuts it off, long before the time at which silence alone would."""
+    """The later response ends it long before its own per-try timeout."""
     monkeypatch.setattr(balancer, "LOST_DEVIATIONS", 10**6)
 
     async def test(world: World) -> None:
@@ -139,14 +139,14 @@
             assert (await clients[1].answer())[0] == 200
         assert (await clients[0].answer())[0] == 200
         await lost.gone.wait()
-        assert world.node.dispatcher.loop.time() - sent < 20  # its own time would be up after 25 s
+        assert world.node.dispatcher.loop.time() - sent < 20  # its own per-try timeout would come after 25 s
         assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
 
     with_node(test)
 
 
 def test_early_per_try_timeouts_do_not_eject_a_zone():
-    """The first slow call to a zone, cut off before the others' answers were due, took out its servers."""
+    """Attempts whose responses are not due yet say nothing on the zone."""
 
     async def test(world: World) -> None:
         first = await world.client()
@@ -171,7 +171,7 @@
 
 
 def test_lost_attempts_do_not_count_as_overload(monkeypatch):
-    """A few calls in a hundred, lost on servers in good health, counted as late and halved the limit."""
+    """Otherwise a few lost attempts in a hundred would halve the concurrency limit of a healthy node."""
     seen: list[int] = []
     sample = GradientController.record_sample
     monkeypatch.setattr(
@@ -182,7 +182,7 @@
 
     async def test(world: World) -> None:
         clients = [await world.client() for _ in "ab"]
-        # Silent from first to last, then with an answer to what was sent later.
+        # First without any response, then with a response to a later attempt.
         for i, good in enumerate((False, True)):
             clients[0].send("/pay/1", left="1500m")
             await world.origins[0].arrived.get()
@@ -200,7 +200,7 @@
 
 
 def test_resets_do_not_count_as_overload():
-    """Servers that close kept connections reset one call in eight, and the limit fell as if they drowned."""
+    """Servers that close idle connections reset attempts without being overloaded."""
 
     async def test(world: World) -> None:
         controller = world.node.dispatcher.balancer.controller
@@ -221,11 +221,11 @@
 
 
 def test_a_crowded_server_of_the_own_zone_is_no_longer_preferred():
-    """Its one near server held nearly all a node's calls while it slowed down and others stood idle."""
+    """Otherwise the one server of the zone would get nearly all requests while the others are idle."""
 
     async def test(world: World) -> None:
         balancer = world.node.dispatcher.balancer
-        balancer.on_window_end = lambda now: None  # the share that leaves the zone stays at nothing
+        balancer.on_window_end = lambda now: None  # the cross-zone fraction stays at 0
         balancer.zone_preference.fraction = 0.0
         balancer.controller.end_min_rtt_window(monotonic_us())
         balancer.controller.limit = 12.0
@@ -233,13 +233,13 @@
         for client in clients:
             client.send("/pay/1")
         held = [await arrivals(world) for _ in clients]
-        # Up to 1.2 times its even part of the limit, and then what two draws give it.
+        # Up to 1.2 times its even part of the limit, and then what two random choices give it.
         assert 4 <= sum(number == 0 for number, _ in held) <= 6
         for _, received in held:
             received.answer()
         for client in clients:
             assert (await client.answer())[0] == 200
-        # With room again it is preferred again.
+        # Below that it is preferred again.
         for _ in range(3):
             clients[0].send("/pay/1")
             number, received = await arrivals(world)
@@ -250,7 +250,7 @@
 
 
 def test_a_node_that_starts_under_full_traffic_serves_it():
-    """It refused the lesser class beyond a few calls a server for the first seconds after every start."""
+    """No request is shed in the first seconds after a start."""
 
     async def test(world: World) -> None:
         clients = [await world.client() for _ in range(16)]
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -32,7 +32,7 @@
         assert (received.header(b"X-Request-ID"), received.header(b"Idempotency-Key")) == (b"r1", b"k1")
         assert (
             b"Cookie" not in received.head and b"Not-Processed" not in received.head
-        )  # servers get what they know
+        )  # only known headers are forwarded
         left = received.header(b"X-Timeout")
         assert left.endswith(b"u") and 0 < int(left[:-1]) < 20_000_000
         received.answer(body=b"\xffanswer", extra=b"X-Server-Load: util=0.5,eps=0\r\n")
@@ -140,7 +140,7 @@
 
 
 def test_limits_on_one_request_do_not_add_up_over_a_connection():
-    """What counts is one message: a long life on one connection must not run into its bounds."""
+    """The limits on a head and on the number of waiting requests hold for one request."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -154,7 +154,7 @@
 
 
 def test_the_id_of_an_open_request_gets_409():
-    """Passed on it would be a second copy; refused, the answer would promise that a retry does no harm."""
+    """Forwarded it could run twice; shed, it would be told that a retry does no harm."""
 
     async def test(world: World) -> None:
         first, second = await world.client(), await world.client()
@@ -165,7 +165,9 @@
         received.answer()
         assert (await first.answer())[0] == 200
         assert world.origins[0].links == 1 and not world.node.dispatcher.open_request_ids
-        first.send("/pay/1", X_Request_ID="same")  # it is over: the id is free
+        first.send(
+            "/pay/1", X_Request_ID="same"
+        )  # the first request has its answer: the id may be used again
         (await world.origins[0].arrived.get()).answer()
         assert (await first.answer())[0] == 200
 
@@ -206,17 +208,18 @@
         client.send("/pay/1", left="300m")
         received = await world.origins[0].arrived.get()
         assert (await client.answer())[0] == 502
-        await received.gone.wait()  # an answer that came later would meet the next request
+        await received.gone.wait()  # a late response would be taken for that of the next request
         assert not world.node.dispatcher.requests
 
     with_node(test)
 
 
 def ignore_request(self, *args):
-    """A module that takes a request and does nothing."""
+    """A balancer that does nothing with a request."""
 
 
 def raise_error(self, *args):
+    """A balancer that fails."""
     raise RuntimeError("boom")
 
 
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.usefixtures("no_rest")
 def test_a_kept_connection_that_breaks_under_a_request_may_have_run():
-    """It looks like a connection that never came up; sent again, the request could run twice."""
+    """It looks like a connection that was never opened, but the server may have read the request."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -34,7 +34,7 @@
         client.send("/pay/2")
         received = await world.origins[0].arrived.get()
         received.writer.close()
-        assert (await client.answer())[0] == 502  # failed: no promise
+        assert (await client.answer())[0] == 502  # failed: it may have run
         assert received.link == 0 and all(o.arrived.empty() for o in world.origins)
 
     with_node(test)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("name", MALFORMED)
 def test_a_malformed_response_fails_a_request_and_is_not_forwarded(name):
-    """Unsafe: neither sent again nor refused. The connection is closed, for it holds who knows what."""
+    """Not idempotent: neither retried nor shed. The connection is closed, for its next bytes cannot be trusted."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -138,7 +138,7 @@
 
 
 def test_rejected_attempts_do_not_use_up_the_retry_budget():
-    """Each such answer took a retry from the budget, and after a few of them requests were refused."""
+    """Otherwise a few of them would use the budget up, and requests would be shed."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -228,7 +228,7 @@
         assert last.exchange is not None and len(target.idle) == 1
         received.answer()
         await clients[0].answer()
-        # An idle connection is dropped before the server would close it.
+        # An idle connection is closed before the server would close it.
         for conn in target.idle:
             conn.idle_since_us -= 14_000_000
         world.node.pool.sweep()
@@ -239,7 +239,7 @@
 
 @pytest.mark.parametrize("what", ["drains", "late", "given up", "up"])
 def test_after_a_connect_the_endpoint_list_and_the_deadline_are_checked_again(what, monkeypatch):
-    """A connection may take a while to come up; what has changed meanwhile holds for its first byte."""
+    """Opening a connection takes time; what has changed meanwhile holds for the first byte."""
 
     async def test() -> None:
         origin = await Origin().start()
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -1,4 +1,4 @@
-"""A reason for every close, retry and refusal: in the attempt log, and counted in the report line."""
+"""A reason for each closed connection, retry, shed and failed request: in the attempt log and in the report line."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         return [e for e in found if e.name == what]
 
     async def closing(self, side: str) -> Event:
-        """The first connection of a side that ends."""
+        """Returns the event of the first connection of a side that is closed."""
         closings = self.world.node.dispatcher.statistics.close_reasons
         while True:
             await until(lambda: closings)
@@ -43,7 +43,7 @@
 
 
 def name_of(value: object) -> str:
-    """For a test's id: of a function its own name."""
+    """A test's id: of a function its name."""
     return getattr(value, "__name__", str(value))
 
 
@@ -201,7 +201,7 @@
 
 
 async def start_request(world: World, path: str = "/pay/1", left: str = "25000m") -> asyncio.Task:
-    """A request on its way: the task of its answer."""
+    """Sends a request; returns the task of its answer."""
     client = await world.client()
     client.send(path, left=left)
     return asyncio.create_task(client.answer())
@@ -262,7 +262,7 @@
         await happens(world)
         (final,) = logged.events("final")
         assert final.fields["answer"] == answer
-        # At the end of its time either the attempt's end or the request's own comes first.
+        # At the deadline either the attempt or the request may end first.
         expected = {reason} if reason else {FinalReason.DEADLINE, FinalReason.MAY_HAVE_RUN}
         assert FinalReason(final.fields["reason"]) in expected
         world.node.dispatcher.report()
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -154,7 +154,7 @@
         client.send()
         await asyncio.sleep(0)
         await stopped.wait()
-        # What waits lies in the kernel's buffers, the test's own among them, and not in the node.
+        # What was written is in the kernel's buffers, those of the test among them, and not in the node.
         assert written[0] < 12_000_000
         await until(lambda: not (world.node.client_connections.open))
         assert not world.node.dispatcher.requests and not world.node.dispatcher.open_request_ids
@@ -199,7 +199,7 @@
         await until(lambda: not pool.streaming)
         pool.sweep()
         assert pool.stream_buffer_bytes == MAX_STREAM_BUFFER_BYTES
-        # With room for it a single answer has the whole buffer again, and comes whole.
+        # A single response gets the full buffer again, and arrives complete.
         client = await world.client()
         client.send()
         assert len((await client.answer())[2]) == 3_000_000
--- a/tests/test_streamed_uploads.py
+++ b/tests/test_streamed_uploads.py
@@ -29,7 +29,7 @@
     assert r.sent_at == 9_000_000 and r.deadline > 9_000_000
     end(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
     assert (server_state.in_flight, controller.in_flight) == (0, 0) and not node.requests
-    node.uploading(9_200_000, request, True)  # nothing to park
+    node.uploading(9_200_000, request, True)  # there is no request any more
     assert (server_state.in_flight, controller.in_flight) == (0, 0)
 
 
@@ -98,7 +98,9 @@
             (open_request,) = world.node.dispatcher.requests.values()
             while not (held := world.node.dispatcher.balancer.requests[open_request.id]).uploading:
                 await asyncio.sleep(0.005)
-            assert held.server.in_flight == 0 and len(bodies) == i  # a slow caller takes no slot
+            assert (
+                held.server.in_flight == 0 and len(bodies) == i
+            )  # a slow client takes no slot of the server
             client.writer.write(text[150_000:])
             assert (await client.answer())[0] == 200
         assert bodies == [BIG, BIG]
@@ -119,7 +121,7 @@
             client.writer.write(BIG[:size])
             assert (await client.answer())[0] == 200
             assert bodies[i] == BIG[:size]
-        # One whose turn has not come is told after the answer before it.
+        # A pipelined request gets its 100 after the response to the one before it.
         client.writer.write(PUT % 7 + b"Content-Length: 1\r\n\r\nx")
         client.writer.write(PUT % 8 + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
         assert (await client.answer())[0] == 200
@@ -145,7 +147,7 @@
         writer.transport.abort()
 
     async def test(world) -> None:
-        # Its beginning is still there: whoever was tried first, the other one has all of it.
+        # The first bytes are still kept: whichever server got the first attempt, the other gets the whole body.
         for i in range(4):
             client = await world.client()
             client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:20_000])
@@ -154,7 +156,7 @@
             assert (await client.answer())[0] == 200
             client.writer.close()
         assert bodies == [BIG] * 4
-        # It is gone, and the call cannot have run: the caller is told when to come back, nothing is sent again.
+        # They are gone, and no server can have run the request: it is shed with Retry-After and not retried.
         cut[0] = 250_000
         world.node.registry.enter_maintenance("s1")
         before = len(heads)
@@ -162,7 +164,7 @@
         client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:280_000])
         status, head, _ = await client.answer()
         assert status == 503 and b"Retry-After: " in head and len(heads) == before
-        # The rest of that body is read and thrown away, and the connection goes on.
+        # The rest of that body is discarded, and the connection is kept.
         client.writer.write(BIG[280_000:])
         client.send("/_health")
         assert (await client.answer())[0] == 200
@@ -234,7 +236,7 @@
 
     async def test(world) -> None:
         client = await world.client()
-        world.node.registry.enter_maintenance("s0")  # nobody to send to
+        world.node.registry.enter_maintenance("s0")  # no server is left
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:1000])
         assert (await client.answer())[0] == 503
         world.node.registry.in_maintenance.clear()
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -1,4 +1,4 @@
-"""Connections to servers and repeats: what ends, comes late or changes while a request is on its way to one."""
+"""Races at upstream connections and retries: ends, late bytes and changes while a request is sent."""
 
 import asyncio
 import socket
@@ -19,7 +19,7 @@
 
 
 class Direct:
-    """A server whose connections the test holds as plain sockets: bytes and ends reach the kernel when it says."""
+    """A server whose connections are plain sockets of the test: bytes and ends reach the kernel when it says so."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -46,7 +46,7 @@
 
 
 def with_direct(test) -> None:
-    """A node whose one server is a `Direct`."""
+    """Runs a test on a node whose one server is a `Direct`."""
     direct: list[Direct] = []
 
     async def body(world: World) -> None:
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("what", ["end", "reset", "more bytes"])
 @pytest.mark.parametrize("order", ["unread", "read"])
 def test_an_idle_connection_that_the_server_has_ended_is_not_used(kind, what, order):
-    """Its end lies in the kernel as the next request comes, in one turn; or it has been read."""
+    """The end is still in the kernel when the next request comes, in one turn of the loop; or it was read before."""
 
     async def test(world: World, server: Direct) -> None:
         client = await world.client()
@@ -87,7 +87,7 @@
             real = world.node.dispatcher.balancer.request
 
             def request(*args) -> None:
-                happens()  # in the turn in which the request is taken
+                happens()  # in the turn in which the request is admitted
                 real(*args)
 
             world.node.dispatcher.balancer.request = request
@@ -103,14 +103,14 @@
 
 @every_kind
 def test_a_late_second_response_is_not_taken_for_the_next_request_s(kind):
-    """The connection would be the one used last; what comes on it meanwhile is no answer to the next request."""
+    """The connection would be the first choice; a rest keeps it from carrying the next request at once."""
 
     async def test(world: World, server: Direct) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
         await server.request(conn)
-        await asyncio.sleep(0.1)  # as long as servers take
+        await asyncio.sleep(0.1)  # a usual response time
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
         client.send(kind[0], key=kind[1])
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("late", [True, False], ids=["behind its window", "within it"])
 def test_a_retry_with_an_idempotency_key_is_sent_within_its_deduplication_window_or_not_at_all(late):
-    """Decided within it; the connection comes up later, and by then the servers may have forgotten the first one."""
+    """Decided within it, the retry waits for a connection; by then servers may no longer discard the repeat."""
 
     async def test(world: World) -> None:
         await warm(world)
@@ -161,8 +161,8 @@
         client.send("/put/1", key="k")
         received = await first(*world.origins)
         held = HeldConnects(world.node.pool)
-        received.writer.transport.abort()  # it may have run
-        await held.begun.get()  # the repeat is on its way
+        received.writer.transport.abort()  # the request may have run
+        await held.begun.get()  # the retry waits for its connection
         if late:
             await asyncio.sleep(0.45)
         held.release()
