--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.sources.source import Statement
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
     for line in lines:
         where = str(line.get("hostPort", ""))
         try:
-            address(where)
+            parse_address(where)
         except ValueError:
             continue
         other = by_address.get(where)
