--- a/harecross/admin_client/release_runner.py
+++ b/harecross/admin_client/release_runner.py
@@ -16,7 +16,7 @@
 from harecross.admin_client.calls import call_node, fetch_status
 from harecross.admin_client.release import Release
 from harecross.admin_client.release_state import Action, ActionKind
-from harecross.platform.child_process import cause
+from harecross.platform.child_process import describe_exit
 
 TICK_S = 0.1
 SIGNAL_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL for a restart that takes too long
@@ -117,7 +117,7 @@
     def wait(self, server: str, process: subprocess.Popen[Any]) -> None:
         """Runs in a thread of its own until the restart command ends."""
         status = process.wait()
-        self.restart_ended(server, ok=status == 0, how=cause(status))
+        self.restart_ended(server, ok=status == 0, how=describe_exit(status))
 
     def end_restart(self, server: str) -> None:
         """Ends a restart that takes too long, with all processes that it has started."""
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -82,7 +82,7 @@
     def may_send(self) -> bool:
         """Whether the endpoint list allows to send anything to a server."""
         readiness = self.readiness
-        return readiness is None or readiness.open or readiness.may_send(monotonic())
+        return readiness is None or readiness.ready or readiness.may_send(monotonic())
 
     def typical_response_time_s(self) -> float:
         """Seconds within which nearly every request is answered; the longest latency objective at most."""
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -15,7 +15,7 @@
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, maintenance_changes
 from harecross.platform.clock import monotonic_us
-from harecross.platform.durable_file import UnsyncedReplace
+from harecross.platform.durable_file import UnsyncedReplaceError
 from harecross.platform.log import log_line
 from harecross.policy import learned_state
 
@@ -129,12 +129,12 @@
         """Brings the node into the stored maintenance state."""
         maintenance = self.store.maintenance
         entering, leaving = maintenance_changes(
-            self.registry.out, map(self.registry.resolve, maintenance.servers)
+            self.registry.in_maintenance, map(self.registry.resolve_name, maintenance.servers)
         )
         for name in entering:
-            self.registry.hold(name)
+            self.registry.enter_maintenance(name)
         for name in leaving:
-            self.registry.put_back(name)
+            self.registry.exit_maintenance(name)
         if maintenance.standby == self.client_connections.in_standby:
             return
         if maintenance.standby:
@@ -148,7 +148,7 @@
         """Whether the node serves, and what is in maintenance."""
         if self.started_at is None:
             return 503, "starting"
-        if not self.registry.listed and not self.registry.out:
+        if not self.registry.listed and not self.registry.in_maintenance:
             return 503, "no servers known"
         list_accepted = self.has_current_list() or self.loop.time() >= self.started_at + FIRST_LIST_WAIT_S
         if not list_accepted or not self.registry.dispatcher.may_send():
@@ -160,7 +160,7 @@
     def servers(self, query: bytes) -> AdminAnswer:
         """The status of each server as one JSON object; each `id` in the query selects one server."""
         ids = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
-        selected = {self.registry.resolve(name): name for name in ids}
+        selected = {self.registry.resolve_name(name): name for name in ids}
         rows = endpoint_status_rows(
             self.registry, self.registry.dispatcher.in_flight_by_server(), monotonic_us()
         )
@@ -184,7 +184,7 @@
 
     def without_server(self, maintenance: MaintenanceState, server: str) -> MaintenanceState:
         """The state without the server, under whichever of its names it entered maintenance."""
-        aliases = (name for name in maintenance.servers if self.registry.resolve(name) == server)
+        aliases = (name for name in maintenance.servers if self.registry.resolve_name(name) == server)
         for name in {server, *aliases}:
             maintenance = maintenance.without_server(name)
         return maintenance
@@ -207,9 +207,9 @@
             raise UnknownServerError("the body is no id: not UTF-8") from None
         if not name or len(body) > MAX_SERVER_ID_BYTES:
             raise UnknownServerError("the body holds the id of a server")
-        if not self.registry.knows(name):
+        if not self.registry.is_known(name):
             raise UnknownServerError(f"{name}: no such server")
-        return self.registry.resolve(name)
+        return self.registry.resolve_name(name)
 
     def change_standby(self, *, standby: bool) -> AdminAnswer:
         """Enters or leaves standby."""
@@ -221,7 +221,7 @@
         """Writes the new state and applies it. 200 only once it is on disk, because it has to outlive the process."""
         try:
             self.store.update(change)
-        except UnsyncedReplace as error:
+        except UnsyncedReplaceError as error:
             self.store.refresh()
             self.apply_maintenance()
             return 500, f"{text} now, but a crash of the machine may undo it: {error.strerror}"
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from time import monotonic
 
-from harecross.discovery.discovery_client import FORMER_MOST, DiscoveryClient
+from harecross.discovery.discovery_client import MAX_RETIRED_WATCHES, DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
-from harecross.discovery.readiness import ListReadiness, longest_wait
+from harecross.discovery.readiness import ListReadiness, max_start_wait_s
 from harecross.discovery.subscription_schedule import discovery_terms
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.connection_manager import MAX_ACCEPTS_PER_TURN, ConnectionManager
@@ -23,8 +23,8 @@
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.upstream.connection_pool import ConnectionPool
 
-# Connections that are about to be closed, two watches and those of former discoveries, a file.
-RESERVED_DESCRIPTORS = MAX_ACCEPTS_PER_TURN + 8 + FORMER_MOST
+# Connections that are about to be closed, two watches and those of earlier discoveries, a file.
+RESERVED_DESCRIPTORS = MAX_ACCEPTS_PER_TURN + 8 + MAX_RETIRED_WATCHES
 ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 4
 ADDITIONAL_SOURCES_DESCRIPTORS = 24  # DNS servers, endpoint files, stored lists
 MIN_CONNECTION_DESCRIPTORS = 16
@@ -110,7 +110,7 @@
         sources = options.additional_sources(registry)
     terms = discovery_terms(config.settings)
     discovery = DiscoveryClient(registry, config.discovery, terms, sources, config.seed)
-    readiness = ListReadiness(monotonic(), longest_wait(discovery.terms))
+    readiness = ListReadiness(monotonic(), max_start_wait_s(discovery.terms))
     dispatcher.readiness = readiness
     membership = Membership(discovery, readiness, sources)
     dispatcher.subscription = membership
--- a/harecross/sources/registry_host.py
+++ b/harecross/sources/registry_host.py
@@ -20,7 +20,7 @@
 
     def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
         """Passes a list or change on to the registry."""
-        self._registry.apply(update, cached, full)
+        self._registry.apply(update, cached=cached, full=full)
 
     def unhealthy(self) -> set[str]:
         """Addresses of servers that the decision module holds ejected, or finds much slower or failing.
@@ -37,7 +37,7 @@
 
     def maintenance(self) -> Iterable[str]:
         """Names that operators hold out of service."""
-        return self._registry.out
+        return self._registry.in_maintenance
 
     def names_changed(self) -> None:
         """Calls who asked for it by `on_names_changed`."""
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -30,14 +30,14 @@
         self.name = name
         self.dispatcher = dispatcher
         self.registry = registry
-        self.roster = ListedEndpoints()
+        self.listed_endpoints = ListedEndpoints()
         self.load_reports = LoadReports()
         self._on_change = on_change
-        registry.heard = self.endpoints_updated
+        registry.update_listener = self.endpoints_updated
 
     def endpoints_updated(self, update: Any, full: bool, cached: bool) -> None:
         """Takes an update that the registry has taken."""
-        self.roster.apply(update, full, cached)
+        self.listed_endpoints.apply(update, full=full, cached=cached)
         self._on_change(self.name)
 
     def views(self) -> tuple[list[ServerView], float]:
@@ -46,7 +46,7 @@
             view.server: view for view in self.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         }
         views = []
-        for name, line in self.roster.lines.items():
+        for name, line in self.listed_endpoints.entries.items():
             where, zone = str(line.get("hostPort", "")), str(line.get("zone", ""))
             draining = line["lifecycle"] != "in_service"
             number = self.registry.numbers.get(name, 0)
@@ -74,7 +74,7 @@
 
     def close(self) -> None:
         """Ends the feed."""
-        self.registry.heard = None
+        self.registry.update_listener = None
 
 
 def is_address(text: str) -> bool:
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -80,7 +80,7 @@
         sources = table.table()
         self.sources = SourceManager(sources, self.registry, name) if sources.on else None
         where = address(table.discovery) if table.discovery else NO_DISCOVERY
-        self.discovery = DiscoveryClient(self.registry, where, lists=self.sources, seed=seed)
+        self.discovery = DiscoveryClient(self.registry, where, consumer=self.sources, seed=seed)
         self._schedule = HealthCheckSchedule(int(table.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
         self._tasks: set[asyncio.Task[None]] = set()
         self._closing: asyncio.Task[None] | None = None
@@ -96,7 +96,7 @@
                 log_line(f"{self.name}: remembered list: {error}")
         self.discovery.generation = None
         if self._table.discovery:
-            self.discovery.listen(True)
+            self.discovery.subscribe()
         if self.sources is not None:
             self.sources.start()
         self._start_task(self._check_health())
@@ -156,7 +156,7 @@
     def close(self) -> None:
         """Ends the feed and what it watches."""
         super().close()
-        self.discovery.listen(False)
+        self.discovery.unsubscribe()
         if self.sources is not None:
             self._closing = asyncio.get_running_loop().create_task(self.sources.stop())
         for task in self._tasks:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,7 +22,7 @@
 from xds_support import Caller, backend  # noqa: E402
 
 from harecross.operators import OperatorsFileError  # noqa: E402
-from harecross.platform.child_process import cause  # noqa: E402
+from harecross.platform.child_process import describe_exit  # noqa: E402
 from harecross.standins.discovery import Catalog, entry  # noqa: E402
 from harecross.standins.model import Shape  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
@@ -191,8 +191,8 @@
             service = await site.serve(control=memory)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
-            roster = service.publisher_loop.feeds["orders"].roster
-            assert roster.remembered and not roster.whole
+            listed = service.publisher_loop.feeds["orders"].listed_endpoints
+            assert listed.has_remembered_list and not listed.has_full_list
             await proxy.stop()
 
     run(body())
@@ -237,7 +237,7 @@
     """The service in a process of its own, and its port."""
     started = subprocess.Popen([sys.executable, "-c", SERVE, str(path)], stderr=subprocess.PIPE)
     while b"listening on port" not in (output := await asyncio.to_thread(started.stderr.readline)):
-        assert output, f"the service {cause(started.wait())}"
+        assert output, f"the service {describe_exit(started.wait())}"
     return started, int(output.split(b"port ")[1].split(b",")[0])
 
 
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -270,19 +270,19 @@
 def test_a_list_keeps_a_server_that_drains(listed_a_and_b):
     drain = {"instanceId": "a", "lifecycle": "terminating"}
     listed_a_and_b.apply({"instances": [drain]}, full=False, cached=False)
-    assert listed_a_and_b.lines["a"]["hostPort"] == "127.0.0.1:1"
-    assert listed_a_and_b.lines["a"]["lifecycle"] == "terminating"
+    assert listed_a_and_b.entries["a"]["hostPort"] == "127.0.0.1:1"
+    assert listed_a_and_b.entries["a"]["lifecycle"] == "terminating"
 
 
 def test_a_list_drops_a_server_that_has_ended_and_lines_that_cannot_be_read(listed_a_and_b):
     ended = {"instanceId": "a", "lifecycle": "terminated"}
-    listed_a_and_b.apply({"instances": [ended, None, {}, {"instanceId": 3}]}, False, False)
-    assert set(listed_a_and_b.lines) == {"b"}
+    listed_a_and_b.apply({"instances": [ended, None, {}, {"instanceId": 3}]}, full=False, cached=False)
+    assert set(listed_a_and_b.entries) == {"b"}
 
 
 def test_a_full_list_replaces_the_one_before(listed_a_and_b):
     listed_a_and_b.apply({"instances": [line("c")]}, full=True, cached=False)
-    assert set(listed_a_and_b.lines) == {"c"}
+    assert set(listed_a_and_b.entries) == {"c"}
 
 
 def test_a_remembered_list_is_known_but_counts_as_old():
@@ -290,13 +290,15 @@
     endpoints.apply({"instances": [line("a")]}, full=True, cached=False)
     restarted = ListedEndpoints()
     restarted.apply(endpoints.memory(), full=True, cached=True)
-    assert restarted.known() and not restarted.whole and restarted.lines == endpoints.lines
+    assert (
+        restarted.is_publishable() and not restarted.has_full_list and restarted.entries == endpoints.entries
+    )
 
 
 def test_an_empty_remembered_list_is_not_known():
     endpoints = ListedEndpoints()
     endpoints.apply({"instances": []}, full=True, cached=True)
-    assert not endpoints.known()
+    assert not endpoints.is_publishable()
 
 
 # ---- load reports -------------------------------------------------------------------------------------------
