--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -86,10 +86,9 @@
 
     def typical_response_time_s(self) -> float:
         """Seconds within which nearly every request is answered; the longest latency objective at most."""
-        balancer = self.balancer
+        traffic = self.balancer.traffic
         typical = max(
-            mean + 4 * deviation
-            for mean, deviation in zip(balancer.mean_rtt, balancer.rtt_deviation, strict=True)
+            mean + 4 * deviation for mean, deviation in zip(traffic.mean_rtt, traffic.deviation, strict=True)
         )
         longest_objective = max(settings.latency_objective for settings in self.settings.classes)
         return min(typical, longest_objective) / 1e6
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -11,13 +11,13 @@
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.endpoint_status import endpoint_status_rows
 from harecross.downstream.connection_manager import ConnectionManager
+from harecross.node import learned_state
 from harecross.node.admin_server import AdminAnswer, AdminServer
 from harecross.node.handover_store import HandoverStore
 from harecross.node.maintenance import MaintenanceState, maintenance_changes
 from harecross.platform.clock import monotonic_us
 from harecross.platform.durable_file import UnsyncedReplaceError
 from harecross.platform.log import log_line
-from harecross.policy import learned_state
 
 REFRESH_INTERVAL_S = 0.05  # between two looks at what another process has written
 LEARNED_STATE_INTERVAL_S = 1.0
