--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -103,7 +103,7 @@
         where = {numbers[n] for n in self.node.registry.listed if n in numbers}
         return {i for i, b in enumerate(self.boxes) if b.address in where}
 
-    async def door(self, call: str, body: str = "") -> tuple[int, str]:
+    async def admin_call(self, call: str, body: str = "") -> tuple[int, str]:
         reader, writer = await asyncio.open_connection(*self.node.admin_operations.server.address)
         writer.write(f"{call} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         whole = (await reader.read()).decode()
@@ -121,19 +121,19 @@
 
 
 @asynccontextmanager
-async def site(boxes: int = 4):
-    s = Site()
-    await s.start(boxes)
+async def running_site(boxes: int = 4):
+    site = Site()
+    await site.start(boxes)
     try:
-        yield s
+        yield site
     finally:
-        await s.close()
+        await site.close()
 
 
-def table(s: Site, **more) -> SourcesTable:
+def table(site: Site, **more) -> SourcesTable:
     srv = more.pop("srv", {})
-    told = {"resolvers": (s.dns.address,), "step_s": 1.0, "watch_stale_s": 1.0, **more}
-    return SourcesTable(srv=(SrvConfig(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **told)
+    options = {"resolvers": (site.dns.address,), "step_s": 1.0, "watch_stale_s": 1.0, **more}
+    return SourcesTable(srv=(SrvConfig(NAME, **{"floor_s": 0.05, "doubt_s": 0.5, **srv}),), **options)
 
 
 def refreshing(node: Node) -> bool:
@@ -145,8 +145,8 @@
 class Load:
     """Callers that ask all the time; every answer is counted, each request's id with it."""
 
-    def __init__(self, s: Site, callers: int = 4) -> None:
-        self.site, self.answers, self.sent, self.stop = s, Counter(), 0, False
+    def __init__(self, site: Site, callers: int = 4) -> None:
+        self.site, self.answers, self.sent, self.stop = site, Counter(), 0, False
         self.tasks = [asyncio.create_task(self.call(n)) for n in range(callers)]
 
     async def call(self, n: int) -> None:
@@ -173,53 +173,53 @@
     """Truncated, expired, empty and conflicting answers, one after the other, with calls all the time."""
 
     async def test() -> None:
-        async with site(5) as s:
-            s.srv(0, 1, 2)
-            await s.serve(table(s, srv={"stale_max_s": 300.0}))
-            await until(lambda: s.up() == {0, 1, 2})
-            load = Load(s)
+        async with running_site(5) as site:
+            site.srv(0, 1, 2)
+            await site.serve(table(site, srv={"stale_max_s": 300.0}))
+            await until(lambda: site.up() == {0, 1, 2})
+            load = Load(site)
 
             async def steady(seconds: float, wanted: set[int]) -> None:
                 """Stays as it is, looked at all the time."""
                 end = asyncio.get_running_loop().time() + seconds
                 while asyncio.get_running_loop().time() < end:
-                    assert s.up() == wanted
+                    assert site.up() == wanted
                     await asyncio.sleep(0.02)
 
             # Truncated over UDP, and cut over TCP too: never a set, so what holds goes on.
-            s.dns.faults, s.dns.cut_tcp = [standin.always_truncated], 30
+            site.dns.faults, site.dns.cut_tcp = [standin.always_truncated], 30
             await steady(0.8, {0, 1, 2})
-            s.dns.faults, s.dns.cut_tcp = [], -1
+            site.dns.faults, site.dns.cut_tcp = [], -1
             # NXDOMAIN in a restart of the DNS server, for less than the doubt.
-            s.dns.remove(f"{NAME}.", "SRV")
+            site.dns.remove(f"{NAME}.", "SRV")
             await steady(0.4, {0, 1, 2})
             # The watch begins to speak: it lists another box too, and drains one.
-            s.srv(0, 1, 2)
-            s.catalog.put(*s.line(0, 1, 2, 3, draining=(1,)))
-            await until(lambda: s.up() == {0, 2, 3})
+            site.srv(0, 1, 2)
+            site.catalog.put(*site.line(0, 1, 2, 3, draining=(1,)))
+            await until(lambda: site.up() == {0, 2, 3})
             drained = asyncio.get_running_loop().time()
             # Out of step: DNS drops box 2 while the watch, which ranks higher, still lists it.
-            s.srv(0, 1)
+            site.srv(0, 1)
             await steady(1.5, {0, 2, 3})
             # DNS dies: its set grows stale, and nothing goes.
-            s.dns.faults = [standin.rcode(2)]
+            site.dns.faults = [standin.rcode(2)]
             await steady(1.5, {0, 2, 3})
-            code, told = await s.door("GET /sources")
-            rows = {r["source"]: r for r in json.loads(told)["sources"]}
+            code, reply = await site.admin_call("GET /sources")
+            rows = {r["source"]: r for r in json.loads(reply)["sources"]}
             assert (
                 code == 200
                 and rows[f"srv:{NAME}"]["credit"] == "stale"
                 and "SERVFAIL" in rows[f"srv:{NAME}"]["why"]
             )
             # It comes back with a new box; the watch takes back its drain.
-            s.dns.faults = []
-            s.srv(0, 1, 4)
-            await until(lambda: 4 in s.up())
-            s.catalog.put(*s.line(1))
-            await until(lambda: s.up() == {0, 1, 2, 3, 4})
+            site.dns.faults = []
+            site.srv(0, 1, 4)
+            await until(lambda: 4 in site.up())
+            site.catalog.put(*site.line(1))
+            await until(lambda: site.up() == {0, 1, 2, 3, 4})
             back = asyncio.get_running_loop().time()
             await load.end()
-            late = [t for t, *_ in s.boxes[1].ran if drained + 0.25 < t < back - 0.25]
+            late = [t for t, *_ in site.boxes[1].ran if drained + 0.25 < t < back - 0.25]
             assert not late, "new work after a drain"
             assert load.answers[200] > 0.95 * load.sent, load.answers
 
@@ -228,24 +228,28 @@
 
 def test_weights_and_priorities_of_dns_reach_the_choice():
     async def test() -> None:
-        async with site(4) as s:
-            s.srv(0, 1, weights={0: 30, 1: 10}, second=(2, 3))
-            await s.serve(table(s, watch=False))
-            await until(lambda: s.up() == {0, 1})
-            load = Load(s)
+        async with running_site(4) as site:
+            site.srv(0, 1, weights={0: 30, 1: 10}, second=(2, 3))
+            await site.serve(table(site, watch=False))
+            await until(lambda: site.up() == {0, 1})
+            load = Load(site)
             await until(lambda: load.answers.total() >= 900)
-            heavy, light = len(s.boxes[0].ran), len(s.boxes[1].ran)
+            heavy, light = len(site.boxes[0].ran), len(site.boxes[1].ran)
             # Drawn 3 to 1, tempered by load: of two that are drawn the one with less out gets the call.
             assert 1.6 < heavy / light < 4.0, (heavy, light)
-            assert not s.boxes[2].ran and not s.boxes[3].ran, "the second priority is spare"
-            code, told = await s.door(f"GET /sources?box=box2.site3.example.org:{s.boxes[2].port}")
-            assert code == 200 and json.loads(told)["boxes"][0]["spare"]
+            assert not site.boxes[2].ran and not site.boxes[3].ran, "the second priority is spare"
+            code, reply = await site.admin_call(
+                f"GET /sources?box=box2.site3.example.org:{site.boxes[2].port}"
+            )
+            assert code == 200 and json.loads(reply)["boxes"][0]["spare"]
             # Operators take both of the first priority out: the second comes in.
-            assert (await s.door("POST /maintenance/enter", s.boxes[0].address))[0] == 200
-            assert (await s.door("POST /maintenance/enter", f"box1.site3.example.org:{s.boxes[1].port}"))[
-                0
-            ] == 200
-            await until(lambda: s.up() == {2, 3})
+            assert (await site.admin_call("POST /maintenance/enter", site.boxes[0].address))[0] == 200
+            assert (
+                await site.admin_call(
+                    "POST /maintenance/enter", f"box1.site3.example.org:{site.boxes[1].port}"
+                )
+            )[0] == 200
+            await until(lambda: site.up() == {2, 3})
             await load.end()
 
     run(test())
@@ -253,27 +257,27 @@
 
 def test_what_operators_hold_out_by_any_name_stays_out_whoever_lists_it():
     async def test() -> None:
-        async with site(3) as s:
-            s.srv(0, 1)
-            node = await s.serve(table(s))
-            await until(lambda: s.up() == {0, 1})
-            s.catalog.put(*s.line(0, 1))
-            await until(lambda: node.registry.resolve_name("s-0") == s.boxes[0].address)
-            assert (await s.door("POST /maintenance/enter", "s-0"))[0] == 200
-            assert s.up() == {1}
-            code, told = await s.door("GET /servers?id=s-0")
+        async with running_site(3) as site:
+            site.srv(0, 1)
+            node = await site.serve(table(site))
+            await until(lambda: site.up() == {0, 1})
+            site.catalog.put(*site.line(0, 1))
+            await until(lambda: node.registry.resolve_name("s-0") == site.boxes[0].address)
+            assert (await site.admin_call("POST /maintenance/enter", "s-0"))[0] == 200
+            assert site.up() == {1}
+            code, reply = await site.admin_call("GET /servers?id=s-0")
             assert (
-                json.loads(told)["servers"][0]["state"] == "out"
-                and json.loads(told)["servers"][0]["id"] == "s-0"
+                json.loads(reply)["servers"][0]["state"] == "out"
+                and json.loads(reply)["servers"][0]["id"] == "s-0"
             )
-            s.srv(0, 1, 2)
-            await until(lambda: s.up() == {1, 2})
-            s.catalog.put(*s.line(0, 1))
-            code, told = await s.door("GET /sources?box=s-0")
-            assert json.loads(told)["boxes"][0]["held_out"]
-            assert (await s.door("POST /maintenance/enter", "s-9"))[0] == 404
-            assert (await s.door("POST /maintenance/exit", s.boxes[0].address))[0] == 200
-            assert s.up() == {0, 1, 2}
+            site.srv(0, 1, 2)
+            await until(lambda: site.up() == {1, 2})
+            site.catalog.put(*site.line(0, 1))
+            code, reply = await site.admin_call("GET /sources?box=s-0")
+            assert json.loads(reply)["boxes"][0]["held_out"]
+            assert (await site.admin_call("POST /maintenance/enter", "s-9"))[0] == 404
+            assert (await site.admin_call("POST /maintenance/exit", site.boxes[0].address))[0] == 200
+            assert site.up() == {0, 1, 2}
 
     run(test())
 
@@ -282,32 +286,32 @@
     path = str(tmp_path / "kept")
 
     async def test() -> None:
-        async with site(2) as s:
-            s.srv(0, 1)
-            await s.serve(table(s, keep=path, watch=False))
-            await until(lambda: s.up() == {0, 1})
+        async with running_site(2) as site:
+            site.srv(0, 1)
+            await site.serve(table(site, keep=path, watch=False))
+            await until(lambda: site.up() == {0, 1})
         assert len(read_cache_file(path)[NAME].answer.endpoints) == 2
-        async with site(2) as s:
+        async with running_site(2) as site:
             sets = read_cache_file(path)
-            moved = [e.__class__(e.priority, e.target, e.address, int(s.boxes[i].port), e.weight)
+            moved = [e.__class__(e.priority, e.target, e.address, int(site.boxes[i].port), e.weight)
                      for i, e in enumerate(sets[NAME].answer.endpoints)]  # fmt: skip
-            answer = sets[NAME].answer.__class__(tuple(moved), 1.0)
-            cached = CachedSet(answer, sets[NAME].answered_at, sets[NAME].expires_at)
+            cached_answer = sets[NAME].answer.__class__(tuple(moved), 1.0)
+            cached = CachedSet(cached_answer, sets[NAME].answered_at, sets[NAME].expires_at)
             write_cache_file(path, {NAME: cached})
-            s.dns.faults = [standin.silent]
-            node = await s.serve(table(s, keep=path, watch=False))
-            await until(lambda: s.up() == {0, 1})
+            site.dns.faults = [standin.silent]
+            node = await site.serve(table(site, keep=path, watch=False))
+            await until(lambda: site.up() == {0, 1})
             client = await Client.open(node.address)
             client.send()
             assert (await client.answer())[0] == 200
-            _, told = await s.door("GET /sources")
-            assert json.loads(told)["sources"][0]["credit"] == "stale"
+            _, reply = await site.admin_call("GET /sources")
+            assert json.loads(reply)["sources"][0]["credit"] == "stale"
             client.writer.close()
         (tmp_path / "kept").write_bytes(b"harecross-sources 1 rubbish\n{}")
-        async with site(2) as s:
-            s.srv(0)
-            await s.serve(table(s, keep=path, watch=False))
-            await until(lambda: s.up() == {0})
+        async with running_site(2) as site:
+            site.srv(0)
+            await site.serve(table(site, keep=path, watch=False))
+            await until(lambda: site.up() == {0})
 
     run(test())
 
@@ -316,35 +320,37 @@
     file = tmp_path / "boxes"
 
     async def test() -> None:
-        async with site(3) as s:
-            s.srv(0, 1)
-            node = await s.serve(table(s, watch=False))
-            await until(lambda: s.up() == {0, 1})
-            file.write_text(f"{s.boxes[1].address}\n{s.boxes[2].address} weight=2\n")
-            s.dns.delay = 0.3
+        async with running_site(3) as site:
+            site.srv(0, 1)
+            node = await site.serve(table(site, watch=False))
+            await until(lambda: site.up() == {0, 1})
+            file.write_text(f"{site.boxes[1].address}\n{site.boxes[2].address} weight=2\n")
+            site.dns.delay = 0.3
             await until(
                 lambda: any(
-                    s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
+                    site.cached_name.refreshing
+                    for site in node.membership.additional_sources.dns_sources.values()
                 )
             )
-            both = table(s, watch=False, file=(AddressFileConfig(str(file)),))
+            both = table(site, watch=False, file=(AddressFileConfig(str(file)),))
             node.membership.additional_sources.configure(both)
-            await until(lambda: s.up() == {0, 1, 2})
+            await until(lambda: site.up() == {0, 1, 2})
             await until(
                 lambda: any(
-                    s.cached_name.refreshing for s in node.membership.additional_sources.dns_sources.values()
+                    site.cached_name.refreshing
+                    for site in node.membership.additional_sources.dns_sources.values()
                 )
             )
             node.membership.additional_sources.configure(
                 SourcesTable(file=both.file, watch=False, step_s=1.0)
             )
-            await until(lambda: s.up() == {1, 2})
+            await until(lambda: site.up() == {1, 2})
             # A file that is spoilt is stale, and one that is whole again counts.
-            file.write_text(f"{s.boxes[2].address} weigth=2\n")
+            file.write_text(f"{site.boxes[2].address} weigth=2\n")
             await until(lambda: node.membership.additional_sources.file_sources[f"file:{file}"].problem)
-            assert s.up() == {1, 2}
-            file.write_text(f"{s.boxes[2].address}\n")
-            await until(lambda: s.up() == {2})
+            assert site.up() == {1, 2}
+            file.write_text(f"{site.boxes[2].address}\n")
+            await until(lambda: site.up() == {2})
 
     run(test())
 
@@ -379,12 +385,12 @@
     """As an operator has it: the process, its file, SIGHUP, the command."""
 
     async def test() -> None:
-        async with site(3) as s:
-            s.srv(0, 1)
+        async with running_site(3) as site:
+            site.srv(0, 1)
             path, config = tmp_path / "operators.toml", tmp_path / "config.json"
-            text = f'[sources]\nresolvers = ["{s.dns.address}"]\n[[sources.srv]]\nname = "{NAME}"\nfloor_s = 0.05\n'
+            text = f'[sources]\nresolvers = ["{site.dns.address}"]\n[[sources.srv]]\nname = "{NAME}"\nfloor_s = 0.05\n'
             path.write_text(text)
-            config.write_text(json.dumps(config_of(s.catalog.address, admin="127.0.0.1:0")))
+            config.write_text(json.dumps(config_of(site.catalog.address, admin="127.0.0.1:0")))
             env = {"LB_CONFIG": str(config), "TMPDIR": str(tmp_path), "PATH": "/usr/bin:/bin"}
             node = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "harecross", "node", "--config", str(path), env=env,
@@ -392,14 +398,14 @@
             )  # fmt: skip
             log: list[str] = []
 
-            async def said(text: str) -> str:
+            async def logged(text: str) -> str:
                 while True:
                     log.append((await node.stderr.readline()).decode())
                     assert log[-1], log
                     if text in log[-1]:
                         return log[-1].split()[-1]
 
-            door = await said("door: listening on")
+            door = await logged("door: listening on")
 
             async def explain(*words: str) -> tuple[int, str]:
                 done = await asyncio.to_thread(
@@ -410,22 +416,22 @@
                 return done.returncode, done.stdout + done.stderr
 
             async def boxes(count: int) -> None:
-                told: dict = {"boxes": []}
-                while len(told["boxes"]) != count:
-                    told = json.loads((await explain("--json"))[1])
+                reply: dict = {"boxes": []}
+                while len(reply["boxes"]) != count:
+                    reply = json.loads((await explain("--json"))[1])
 
             await boxes(2)
-            code, out = await explain(s.boxes[0].address)
+            code, out = await explain(site.boxes[0].address)
             assert code == 0 and "line 2" in out and f"srv:{NAME}" in out
             assert (await explain("nobody"))[0] == 1
             extra = tmp_path / "boxes"
-            extra.write_text(f"{s.boxes[2].address}\n")
+            extra.write_text(f"{site.boxes[2].address}\n")
             path.write_text(text + f'[[sources.file]]\npath = "{extra}"\n')
             node.send_signal(signal.SIGHUP)
             await boxes(3)
             path.write_text("[sources]\nwrong = 1\n")
             node.send_signal(signal.SIGHUP)
-            await said("sources not changed")
+            await logged("sources not changed")
             node.kill()
             await node.wait()
             assert "Traceback" not in "".join(log)
@@ -440,18 +446,23 @@
     from harecross.xds.service import ControlService
 
     async def test() -> None:
-        async with site(4) as s:
-            s.srv(0, 1)
+        async with running_site(4) as site:
+            site.srv(0, 1)
             other = "_more._tcp.site3.example.org"
-            s.dns.put(
-                f"{other}.", "SRV", f"0 1 {s.boxes[1].port} box1.{ZONE}", f"0 1 {s.boxes[2].port} box2.{ZONE}"
+            site.dns.put(
+                f"{other}.",
+                "SRV",
+                f"0 1 {site.boxes[1].port} box1.{ZONE}",
+                f"0 1 {site.boxes[2].port} box2.{ZONE}",
             )
             path = tmp_path / "control.toml"
             start = '[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.1\n[clusters.readings]\n'
             probe = '[clusters.readings.probe]\nkind = "tcp"\ninterval_s = 0.2\n'
 
             def write(*names: str) -> None:
-                path.write_text(f'{start}srv = {json.dumps(names)}\nresolvers = ["{s.dns.address}"]\n{probe}')
+                path.write_text(
+                    f'{start}srv = {json.dumps(names)}\nresolvers = ["{site.dns.address}"]\n{probe}'
+                )
 
             write(NAME)
             service = ControlService(path, read_control(path))
@@ -463,7 +474,7 @@
             def has(*which: int):
                 return lambda p: (
                     {t.name for t in p.endpoints("readings") if t.health != DRAINING}
-                    == {s.boxes[i].address for i in which}
+                    == {site.boxes[i].address for i in which}
                 )
 
             await proxy.until(has(0, 1))
@@ -472,13 +483,13 @@
             write(NAME, other)
             service.reload()
             await proxy.until(has(0, 1, 2))
-            s.srv(0, 3)  # box 1 is still named by the other one
+            site.srv(0, 3)  # box 1 is still named by the other one
             await proxy.until(has(0, 1, 2, 3))
             write(other)
             service.reload()
             await proxy.until(has(1, 2))
             assert min(seen) >= 2, "no proxy saw a gap"
-            path.write_text(f'{start}srv = "a..b"\nresolvers = ["{s.dns.address}"]\n')
+            path.write_text(f'{start}srv = "a..b"\nresolvers = ["{site.dns.address}"]\n')
             service.reload()
             await asyncio.sleep(0)
             assert set(service.publisher_loop.feeds) == {"readings"}
