--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -41,7 +41,7 @@
 
     lines = 0
 
-    def apply(self, update: dict, cached: bool = False, full: bool = False) -> None:
+    def apply(self, update: dict, *, cached: bool = False, full: bool = False) -> None:
         self.lines += len(update["instances"])
 
     def unhealthy(self) -> set[str]:
@@ -74,7 +74,7 @@
         for b, e in enumerate(found)
     ]
     began = time.process_time()
-    publisher.update_watch(0.0, 0.0, {"reset": True, "instances": watch}, False, True)
+    publisher.update_watch(0.0, 0.0, {"reset": True, "instances": watch}, cached=False, full=True)
     for n, found in enumerate(sets):
         publisher.update_source(0.0, f"srv:{n}", srv_statements(found))
     publisher.publish_changes(0.0, 0.0)
--- a/harecross/node/operators_file.py
+++ b/harecross/node/operators_file.py
@@ -52,7 +52,7 @@
     except ImportError as error:
         raise ConfigError(f"{path}: xds.listen needs the extra `xds`: {error}") from None
     try:
-        listen_address(table.listen, table.plaintext == "anywhere")
+        listen_address(table.listen, anywhere=table.plaintext == "anywhere")
     except ValueError as error:
         raise ConfigError(f"{path}: xds.listen: {error}") from None
     return EmbeddedControlService(table.listen, table.cluster)
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -148,7 +148,7 @@
         """Takes a list or change of the watch. ValueError if it is none."""
         if not self.table.watch:
             return
-        self.membership.update_watch(self.now(), self.wall(), update, cached, full)
+        self.membership.update_watch(self.now(), self.wall(), update, cached=cached, full=full)
         for item in update["instances"]:
             # What cannot be used is logged; but a bad line of a server that is removed does no harm.
             if not isinstance(item, dict) or (
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -23,7 +23,7 @@
 class MembershipHost(Protocol):
     """Who gets the endpoint list."""
 
-    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
+    def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
         """Takes a list or change in the form of discovery's updates."""
 
     def unhealthy(self) -> set[str]:
@@ -117,7 +117,7 @@
 
     # ---- the watch ----------------------------------------------------------------------------------------
 
-    def update_watch(self, now: float, wall: float, update: Any, cached: bool, full: bool) -> None:
+    def update_watch(self, now: float, wall: float, update: Any, *, cached: bool, full: bool) -> None:
         """Takes a list or change of the watch. ValueError if it is none."""
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
             raise ValueError("no list of servers")
--- a/harecross/sources/registry_host.py
+++ b/harecross/sources/registry_host.py
@@ -18,7 +18,7 @@
         self._registry = registry
         self._on_names_changed: Callable[[], None] = lambda: None
 
-    def apply(self, update: Any, cached: bool = False, full: bool = False) -> None:
+    def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
         """Passes a list or change on to the registry."""
         self._registry.apply(update, cached=cached, full=full)
 
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -96,7 +96,7 @@
     clients: dict[str, tuple[str, ...]] = {}
 
 
-def listen_address(text: str, anywhere: bool) -> tuple[str, int]:
+def listen_address(text: str, *, anywhere: bool) -> tuple[str, int]:
     """Where to listen without TLS. ValueError beyond loopback, unless that is allowed."""
     host, port = address(text)
     if not anywhere and not is_loopback(host):
@@ -157,7 +157,7 @@
     def plaintext(self, file: ControlFile) -> None:
         """Without TLS the service listens on loopback alone, and knows no client by name."""
         try:
-            listen_address(file.control.listen, file.control.plaintext == "anywhere")
+            listen_address(file.control.listen, anywhere=file.control.plaintext == "anywhere")
         except ValueError as error:
             raise OperatorsFileError(f"{self._path}: control.listen: {error}") from None
         allowed = "needs [tls] with client_ca: without certificates there are no names"
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -158,10 +158,10 @@
 
         do(now, lookup.start(now))
         while not lookup.done:
-            due = min([lookup.due, *(q[0] for q in queue)])
+            due = min([lookup.due, *(question[0] for question in queue)])
             assert due <= LOOKUP_TIMEOUT_S + 0.01, seed
             now = max(now, due)
-            for item in sorted(q for q in queue if q[0] <= now):
+            for item in sorted(question for question in queue if question[0] <= now):
                 queue.remove(item)
                 _, number, what, data = item
                 do(
@@ -205,14 +205,14 @@
     for _ in range(100):
         if resolution.done:
             return resolution.result()
-        for q in resolution.questions():
-            if q.name in fail:
-                resolution.receive_failure(q, "no answer")
+        for question in resolution.questions():
+            if question.name in fail:
+                resolution.receive_failure(question, "no answer")
                 continue
             (data,) = server.answer(
-                dns.message.make_query(q.name, q.record_type, use_edns=0, payload=1232), "tcp"
+                dns.message.make_query(question.name, question.record_type, use_edns=0, payload=1232), "tcp"
             )
-            resolution.receive_reply(q, decode_reply(data))
+            resolution.receive_reply(question, decode_reply(data))
     raise AssertionError("it never ends")
 
 
@@ -230,7 +230,7 @@
         server.additional = additional
         server.put(f"b.{ZONE}", "AAAA", "2001:db8::1")
         found = resolved(server)
-        assert [(e.address, e.port, e.weight) for e in found.endpoints] == [
+        assert [(endpoint.address, endpoint.port, endpoint.weight) for endpoint in found.endpoints] == [
             ("10.0.0.1", 800, 1), ("10.0.0.2", 801, 2), ("2001:db8::1", 801, 2)]  # fmt: skip
         assert (server.asked[f"a.{ZONE}", "A", "tcp"] == 0) == additional
     server = site("a")
@@ -248,7 +248,7 @@
     server.put(f"a.{ZONE}", "CNAME", f"b.{ZONE}", ttl=2)
     server.put(f"b.{ZONE}", "A", "10.0.0.7", "10.0.0.8")
     found = resolved(server)
-    assert [e.address for e in found.endpoints] == ["10.0.0.7", "10.0.0.8"] and found.ttl == 2
+    assert [endpoint.address for endpoint in found.endpoints] == ["10.0.0.7", "10.0.0.8"] and found.ttl == 2
     assert found.endpoints[0].target == f"a.{ZONE}" and any(
         "which RFC 2782 forbids" in n for n in found.notes
     )
@@ -258,7 +258,9 @@
     # The name itself may be an alias, of another zone too; there its own additional records are believed.
     server = site("a")
     server.put("_r._tcp.alias.example.org.", "CNAME", NAME)
-    assert [e.address for e in resolved(server, "_r._tcp.alias.example.org.").endpoints] == ["10.0.0.1"]
+    assert [endpoint.address for endpoint in resolved(server, "_r._tcp.alias.example.org.").endpoints] == [
+        "10.0.0.1"
+    ]
 
 
 @pytest.mark.parametrize(
@@ -389,7 +391,7 @@
 
 
 def pairs(found: SrvAnswer) -> set[tuple[str, int]]:
-    return {(e.address, e.port) for e in found.endpoints}
+    return {(endpoint.address, endpoint.port) for endpoint in found.endpoints}
 
 
 def test_a_large_set_comes_whole_over_tcp_and_the_connection_is_used_again():
@@ -613,7 +615,7 @@
             return done.returncode, done.stdout, done.stderr
 
         code, out, _ = await query(NAME, "--resolver", server.address, "--json")
-        assert code == 0 and [e["port"] for e in json.loads(out)["endpoints"]] == [1000, 1001]
+        assert code == 0 and [endpoint["port"] for endpoint in json.loads(out)["endpoints"]] == [1000, 1001]
         code, out, _ = await query(NAME, "--resolver", server.address)
         assert code == 0 and "10.0.0.1" in out
         code, _, err = await query("_none._tcp.site3.example.org", "--resolver", server.address)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -150,7 +150,7 @@
         self.unhealthy_addresses: set[str] = set()
         self.maintenance_names: list[str] = []
 
-    def apply(self, update, cached=False, full=False) -> None:
+    def apply(self, update, *, cached=False, full=False) -> None:
         if full or cached or update.get("reset"):
             self.in_service = {}
         for line in update["instances"]:
@@ -277,7 +277,7 @@
     publisher = MembershipPublisher(host, wait_until=3.0)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.remember([{"hostPort": "10.0.0.9:80", "lifecycle": "in_service"}])
-    publisher.update_watch(0, 0, watch_list("1"), False, True)
+    publisher.update_watch(0, 0, watch_list("1"), cached=False, full=True)
     publisher.publish_changes(0, 0)
     assert set(host.in_service) == {"10.0.0.1:80", "10.0.0.9:80"}, "what was known before the start stays"
     publisher.publish_changes(3.0, 3.0)
@@ -290,7 +290,7 @@
     host = RecordingHost()
     publisher = MembershipPublisher(host)
     publisher.reconciler.add_source("srv:x", 1)
-    publisher.update_watch(0, 0, watch_list("1", "2"), False, True)
+    publisher.update_watch(0, 0, watch_list("1", "2"), cached=False, full=True)
     ten = [SrvEndpoint(0, "many.", f"10.0.1.{i}", 80, 1) for i in range(10)]
     publisher.update_source(0, "srv:x", srv_statements([*endpoints("1"), *ten]))
     publisher.publish_changes(0, 0)
@@ -319,14 +319,14 @@
     host = RecordingHost()
     publisher = MembershipPublisher(host)
     publisher.reconciler.add_source("srv:x", 1)
-    publisher.update_watch(0, 1000, watch_list("1"), False, True)
+    publisher.update_watch(0, 1000, watch_list("1"), cached=False, full=True)
     publisher.update_source(0, "srv:x", srv_statements(endpoints("2")))
     publisher.publish_changes(0, 1000)
     assert started_at_ms(host, "1", "2") == [0, 0], "there before us"
     publisher.update_source(50, "srv:x", srv_statements(endpoints("2", "3")))
     other = watch_list("1")
     other["instances"][0]["instanceId"] = "id-new"
-    publisher.update_watch(50, 1050, other, False, True)
+    publisher.update_watch(50, 1050, other, cached=False, full=True)
     publisher.publish_changes(50, 1050)
     return host, publisher
 
@@ -463,7 +463,7 @@
                         publisher.set_confidence(WATCH, Confidence.STALE)
                     else:
                         update = watch_list(*some, draining=" ".join(drained))
-                        publisher.update_watch(now, now, update, False, True)
+                        publisher.update_watch(now, now, update, cached=False, full=True)
                     continue
                 name = dns_names[source]
                 if state == "dead":
