--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -116,20 +116,35 @@
     return {t.name: t.health for t in proxy.endpoints(cluster)}
 
 
-def test_a_drain_reaches_the_proxy_in_time_and_a_server_that_goes_leaves_the_list(tmp_path):
+@asynccontextmanager
+async def site_with_proxy(folder: Path):
+    """A service with one cluster of three servers, and a proxy that has them."""
+    async with control_site(folder) as site:
+        await site.cluster("orders")
+        await site.serve()
+        proxy = XdsProxy(site.channel).start()
+        await proxy.until(lambda proxy: health(proxy) == {"orders0": 1, "orders1": 1, "orders2": 1})
+        yield site, proxy
+        await proxy.stop()
+
+
+def test_a_drain_reaches_the_proxy_in_time(tmp_path):
     async def body() -> None:
-        async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders")
-            await site.serve()
-            proxy = XdsProxy(site.channel).start()
-            await proxy.until(lambda proxy: health(proxy) == {"orders0": 1, "orders1": 1, "orders2": 1})
+        async with site_with_proxy(tmp_path) as (site, proxy):
             changed_at = asyncio.get_running_loop().time()
-            catalog.put(entry("orders1", site.servers["orders1"].address, "terminating"))
+            site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, "terminating"))
             await proxy.until(lambda proxy: health(proxy).get("orders1") == DRAINING)
             assert proxy.told_at("orders", "orders1", DRAINING) - changed_at < DRAIN_GRACE
-            catalog.put(entry("orders1", site.servers["orders1"].address, "terminated"))
+
+    run(body())
+
+
+def test_a_server_that_has_ended_leaves_the_proxys_list(tmp_path):
+    async def body() -> None:
+        async with site_with_proxy(tmp_path) as (site, proxy):
+            for lifecycle in ("terminating", "terminated"):
+                site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, lifecycle))
             await proxy.until(lambda proxy: set(health(proxy)) == {"orders0", "orders2"})
-            await proxy.stop()
 
     run(body())
 
@@ -281,26 +296,39 @@
     run(body())
 
 
-def test_a_cluster_that_leaves_the_file_goes_and_a_bad_file_changes_nothing(tmp_path):
+@asynccontextmanager
+async def two_clusters(folder: Path):
+    """A service with the clusters orders and stock, and a proxy that has both."""
+    async with control_site(folder) as site:
+        await site.cluster("orders")
+        await site.cluster("stock", 2)
+        await site.serve()
+        proxy = XdsProxy(site.channel).start()
+        await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
+        yield site, proxy
+        await proxy.stop()
+
+
+def test_a_bad_file_changes_nothing(tmp_path):
     async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.cluster("stock", 2)
-            service = await site.serve()
-            proxy = XdsProxy(site.channel).start()
-            await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
-            good = site.path.read_text()
-            site.path.write_text(good + "\n[nonsense]\n")
+        async with two_clusters(tmp_path) as (site, proxy):
+            site.path.write_text(site.path.read_text() + "\n[nonsense]\n")
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.05)
-            assert set(service.publisher_loop.feeds) == {"orders", "stock"}
-            site.path.write_text(
-                text_of({"orders": site.catalogs["orders"]}, cluster="cross_zone_price = 0.5")
-            )
+            assert set(site.service.publisher_loop.feeds) == {"orders", "stock"}
+            assert len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2
+
+    run(body())
+
+
+def test_a_cluster_that_leaves_the_file_leaves_the_proxy(tmp_path):
+    async def body() -> None:
+        async with two_clusters(tmp_path) as (site, proxy):
+            orders = {"orders": site.catalogs["orders"]}
+            site.path.write_text(text_of(orders, cluster="cross_zone_price = 0.5"))
             os.kill(os.getpid(), signal.SIGHUP)
             await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
             assert len(health(proxy)) == 3
-            await proxy.stop()
 
     run(body())
 
@@ -338,58 +366,112 @@
 # ---- workers --------------------------------------------------------------------------------------------
 
 
-def test_workers_share_the_streams_and_one_that_is_killed_is_replaced(tmp_path):
+class WorkerSite:
+    """A service with two workers, and sixteen proxies that have both its clusters."""
+
+    def __init__(self, site: ControlSite, proxies: list[XdsProxy]) -> None:
+        self.site = site
+        self.proxies = proxies
+        self.pool = site.service.server
+        self.orders = site.catalogs["orders"]
+
+    @property
+    def target(self) -> str:
+        return f"127.0.0.1:{self.pool.port}"
+
+    async def until(self, reached) -> None:
+        """Until every proxy has what is expected."""
+        for proxy in self.proxies:
+            await proxy.until(reached)
+
+    def drain(self, name: str) -> None:
+        self.orders.put(entry(name, self.site.servers[name].address, "terminating"))
+
+
+WORKER_OPTIONS = "workers = 2\nload_reports_s = 0.1"
+OWN_CONNECTION = [("grpc.use_local_subchannel_pool", 1)]
+
+
+@asynccontextmanager
+async def worker_site(folder: Path):
+    async with control_site(folder) as site:
+        await site.cluster("orders")
+        await site.cluster("stock", 2)
+        service = await site.serve(control=WORKER_OPTIONS)
+        target = f"127.0.0.1:{service.server.port}"
+        channels = [grpc.aio.insecure_channel(target, options=OWN_CONNECTION) for _ in range(16)]
+        proxies = [
+            XdsProxy(channel, node=f"p{i}", delta=i % 2 == 1).start() for i, channel in enumerate(channels)
+        ]
+        workers = WorkerSite(site, proxies)
+        await workers.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
+        while workers.pool.count() < 16:
+            await asyncio.sleep(0.02)
+        yield workers
+        for proxy in proxies:
+            await proxy.stop()
+        for channel in channels:
+            await channel.close()
+
+
+def test_workers_share_the_streams(tmp_path):
     async def body() -> None:
-        async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders")
-            await site.cluster("stock", 2)
-            service = await site.serve(control="workers = 2\nload_reports_s = 0.1")
-            pool = service.server
-            target = f"127.0.0.1:{pool.port}"
-            alone = [("grpc.use_local_subchannel_pool", 1)]
-            channels = [grpc.aio.insecure_channel(target, options=alone) for _ in range(16)]
-            proxies = [XdsProxy(c, node=f"p{i}", delta=i % 2 == 1).start() for i, c in enumerate(channels)]
-            for proxy in proxies:
-                await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
-            while pool.count() < 16:
-                await asyncio.sleep(0.02)
-            assert all(worker.count.streams for worker in pool.workers), "one worker has them all"
-            # The status of one is the status of all, whichever worker is asked.
-            code, out = await command("control", "status", "--address", target, "--json", "-")
-            assert code == 0 and {r["node"] for r in json.loads(out)["proxies"]} == {
-                f"p{i}" for i in range(16)
-            }
+        async with worker_site(tmp_path) as workers:
+            counts = [worker.count.streams for worker in workers.pool.workers]
+            assert sum(counts) == 16 and all(counts), "one worker has them all"
+
+    run(body())
+
+
+def test_every_worker_answers_with_the_status_of_all(tmp_path):
+    async def body() -> None:
+        async with worker_site(tmp_path) as workers:
+            code, out = await command("control", "status", "--address", workers.target, "--json", "-")
+            nodes = {row["node"] for row in json.loads(out)["proxies"]}
+            assert code == 0 and nodes == {f"p{i}" for i in range(16)}
+
+    run(body())
+
+
+def test_a_drain_reaches_the_streams_of_all_workers_in_time(tmp_path):
+    async def body() -> None:
+        async with worker_site(tmp_path) as workers:
             changed_at = asyncio.get_running_loop().time()
-            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
-            for proxy in proxies:
-                await proxy.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
-            assert (
-                max(proxy.told_at("orders", "orders0", DRAINING) for proxy in proxies) - changed_at
-                < DRAIN_GRACE
-            )
-            # A worker dies while the list changes; its proxies come back, and all hold the newest.
-            seen: list[int] = []
-            for proxy in proxies:
-                proxy.on_response = lambda proxy, t, names: seen.append(
-                    len(health(proxy)) if "orders" in proxy.held[CLUSTER] else -1
-                )
-            dead = pool.workers[0].process
-            dead.kill()
-            catalog.put(entry("orders1", site.servers["orders1"].address, "terminating"))
-            for proxy in proxies:
-                await proxy.until(lambda proxy: health(proxy)["orders1"] == DRAINING)
-            while pool.workers[0].process is dead or pool.count() < 16:
+            workers.drain("orders0")
+            await workers.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
+            arrivals = [proxy.told_at("orders", "orders0", DRAINING) for proxy in workers.proxies]
+            assert max(arrivals) - changed_at < DRAIN_GRACE
+
+    run(body())
+
+
+def test_a_worker_that_is_killed_while_the_list_changes_is_replaced_and_no_proxy_sees_a_gap(tmp_path):
+    async def body() -> None:
+        async with worker_site(tmp_path) as workers:
+            pool, seen = workers.pool, []
+
+            def on_response(proxy: XdsProxy, type_url: str, names: list[str]) -> None:
+                seen.append(len(health(proxy)) if "orders" in proxy.held[CLUSTER] else -1)
+
+            for proxy in workers.proxies:
+                proxy.on_response = on_response
+            killed = pool.workers[0].process
+            killed.kill()
+            workers.drain("orders1")
+            await workers.until(lambda proxy: health(proxy)["orders1"] == DRAINING)
+            while pool.workers[0].process is killed or pool.count() < 16:
                 await asyncio.sleep(0.02)
             assert set(seen) == {3}
-            # Another rule on clusters reaches the workers too.
-            site.path.write_text(text_of({"orders": catalog}, control="workers = 2\nload_reports_s = 0.1"))
+
+    run(body())
+
+
+def test_a_cluster_that_leaves_the_file_leaves_the_streams_of_all_workers(tmp_path):
+    async def body() -> None:
+        async with worker_site(tmp_path) as workers:
+            workers.site.path.write_text(text_of({"orders": workers.orders}, control=WORKER_OPTIONS))
             os.kill(os.getpid(), signal.SIGHUP)
-            for proxy in proxies:
-                await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
-            for proxy in proxies:
-                await proxy.stop()
-            for c in channels:
-                await c.close()
+            await workers.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
 
     run(body())
 
