--- /dev/null
+++ b/tests/control_support.py
@@ -0,0 +1,131 @@
+"""A control service with its discovery, servers and proxies on loopback, for the tests of the whole."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+from contextlib import asynccontextmanager
+from pathlib import Path
+
+import pytest
+
+grpc = pytest.importorskip("grpc")
+
+
+from harecross.platform.child_process import describe_exit  # noqa: E402
+from harecross.standins.discovery import Catalog, entry  # noqa: E402
+from harecross.standins.model import Shape  # noqa: E402
+from harecross.standins.servers import StandinServer  # noqa: E402
+from harecross.standins.xds import XdsProxy  # noqa: E402
+from harecross.xds.config import read_control  # noqa: E402
+from harecross.xds.service import ControlService  # noqa: E402
+
+DRAIN_GRACE = 0.25
+UNHEALTHY = 2
+
+
+@pytest.fixture(autouse=True)
+def no_child_dies_of_a_signal_that_nobody_sent(request, capfd):
+    """A worker that crashes is replaced, and its test would pass without a word."""
+    yield
+    out, err = capfd.readouterr()
+    sys.stderr.write(err)
+    assert "Fatal Python error" not in out + err
+    killed = "SIGKILL" if "killed" in request.node.name else "none"
+    for line in err.splitlines():
+        assert "was ended by" not in line or killed in line, line
+
+
+def text_of(
+    catalogs: dict[str, Catalog], more: str = "", control: str = "", cluster: str = "", probe: str = "http"
+) -> str:
+    parts = [f'[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.2\n{control}\n{more}']
+    for name, catalog in catalogs.items():
+        parts.append(f'[clusters.{name}]\ndiscovery = "{catalog.address}"\n{cluster}')
+        parts.append(f'[clusters.{name}.probe]\nkind = "{probe}"\ninterval_s = 0.1\ntimeout_s = 0.2')
+    return "\n".join(parts)
+
+
+class ControlSite:
+    """Catalogs, servers and one service in this process."""
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self.path = folder / "control.toml"
+        self.servers: dict[str, StandinServer] = {}
+        self.catalogs: dict[str, Catalog] = {}
+        self.service: ControlService | None = None
+        self.task: asyncio.Task[None] | None = None
+        self.channel = None
+
+    async def cluster(self, name: str, servers: int = 3) -> Catalog:
+        catalog = self.catalogs[name] = await Catalog().start()
+        for i in range(servers):
+            s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", Shape()).start()
+            catalog.put(entry(s.name, s.address))
+        return catalog
+
+    async def serve(self, **parts: str) -> ControlService:
+        self.path.write_text(text_of(self.catalogs, **parts))
+        self.service = ControlService(self.path, read_control(self.path))
+        self.task = asyncio.create_task(self.service.run())
+        ready = asyncio.create_task(self.service.ready.wait())
+        await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
+        ready.cancel()
+        if self.task.done():
+            self.task.result()
+        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.service.server.port}")
+        return self.service
+
+    async def leave(self) -> None:
+        if self.channel is not None:
+            await self.channel.close()
+        if self.service is not None:
+            self.service.stop.set()
+            await self.task
+        self.service = self.channel = None
+
+    async def close(self) -> None:
+        await self.leave()
+        for catalog in self.catalogs.values():
+            await catalog.stop()
+        for server in self.servers.values():
+            server.stop()
+
+
+@asynccontextmanager
+async def control_site(folder: Path):
+    site = ControlSite(folder)
+    try:
+        yield site
+    finally:
+        await site.close()
+
+
+def health(proxy: XdsProxy, cluster: str = "orders") -> dict[str, int]:
+    return {t.name: t.health for t in proxy.endpoints(cluster)}
+
+
+SERVE_SCRIPT = (
+    "import sys; from pathlib import Path; from harecross.xds.service import main; main(Path(sys.argv[1]))"
+)
+
+
+async def process(path: Path) -> tuple[subprocess.Popen, int]:
+    """The service in a process of its own, and its port."""
+    started = subprocess.Popen([sys.executable, "-c", SERVE_SCRIPT, str(path)], stderr=subprocess.PIPE)
+    while b"listening on port" not in (output := await asyncio.to_thread(started.stderr.readline)):
+        assert output, f"the service {describe_exit(started.wait())}"
+    return started, int(output.split(b"port ")[1].split(b",")[0])
+
+
+async def command(*args: object) -> tuple[int, str]:
+    # Not by uvloop, whose fork would run grpc's handlers in the child (harecross.platform.child_process).
+    made = await asyncio.to_thread(
+        subprocess.run,
+        [sys.executable, "-m", "harecross", *map(str, args)],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+    )
+    return made.returncode, made.stdout.decode()
