--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -125,11 +125,11 @@
         """Sheds a request that the balancer need not see; returns whether it was shed."""
         retry_after = 0
         if request.deadline_us <= now:
-            reason = FinalReason.NO_TIME
+            reason = FinalReason.EXPIRED
         elif len(self.requests) >= self.settings.max_open:
-            reason = FinalReason.OPEN_REQUESTS
+            reason = FinalReason.TOO_MANY_OPEN
         elif not self.may_send():
-            reason = FinalReason.NO_LIST
+            reason = FinalReason.NO_ENDPOINT_LIST
             retry_after = min(NO_LIST_RETRY_AFTER_US, self.settings.max_retry_after)
             self.statistics.shed_without_list += 1
         else:
@@ -288,7 +288,7 @@
         if outcome == Outcome.OK:
             self.send_final_answer(request, FinalAnswer.SERVED)
         else:
-            self.fail_request(request, FinalReason.ANSWER_BROKE)
+            self.fail_request(request, FinalReason.RESPONSE_BROKEN)
         self.forget_if_done(request)
         if outcome not in (Outcome.OK, Outcome.CANCELLED):
             self.balancer.load_reported(monotonic_us(), attempt.server, 0, 1, ())
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -133,7 +133,7 @@
             return None
         if not self.subset.eligible:
             return FinalReason.NO_SERVER
-        return FinalReason.OVER_SHARE if admitted else FinalReason.AT_LIMIT
+        return FinalReason.OVER_QUOTA if admitted else FinalReason.AT_LIMIT
 
     def _rank_classes(self) -> None:
         """Rank 1 for classes whose weight for their time is below half the best class's."""
@@ -175,7 +175,7 @@
                 del self.requests[request_id]
             elif request.response_started:
                 never_ran = outcome in NEVER_RAN and request.ran_on is None
-                self._finish(request, FinalReason.ANSWER_BROKE, shed=never_ran)
+                self._finish(request, FinalReason.RESPONSE_BROKEN, shed=never_ran)
             else:
                 self._retry_or_finish(now, request, server, outcome)
         if self.queue:
@@ -216,8 +216,10 @@
         if self.settings.cancel:
             self.actions.cancel(request_id, request.attempts - 1)
 
-    def health_checked(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        self.load_reported(now, server, int(ok), int(not ok), report)
+    def health_checked(
+        self, now: int, server_id: int, ok: bool, latency: int, report: Sequence[float]
+    ) -> None:
+        self.load_reported(now, server_id, int(ok), int(not ok), report)
 
     def load_reported(self, now: int, server_id: int, good: int, bad: int, report: Sequence[float]) -> None:
         server = self.subset.servers.get(server_id)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -267,9 +267,14 @@
     assert alone == again[::-1]
 
 
-@pytest.mark.parametrize("part", ["decide", "interface"])
-def test_names_and_wire_words_stay_out_of_the_decisions(part):
-    text = (ROOT / "harecross" / f"{part}.py").read_text()
+DECISION_FILES = ["harecross/interface.py"] + sorted(
+    f"harecross/policy/{path.name}" for path in (ROOT / "harecross/policy").glob("*.py")
+)
+
+
+@pytest.mark.parametrize("file", DECISION_FILES)
+def test_names_and_wire_words_stay_out_of_the_decisions(file):
+    text = (ROOT / file).read_text()
     wire = ("guarded", "single_shot", "policy_limits", "RELAY", "BOUNCE", "import os", "hash(")
     names = ("norrkoping", "hobart", "kyushu", "kolkata", "wallet", "coastal", "intake", "ledger", "front-")
     for word in (*wire, *names):
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from harecross.decide import Balancer
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.interface import (
     ClassSettings,
@@ -16,6 +15,7 @@
     Idempotency,
     Settings,
 )
+from harecross.policy.balancer import Balancer
 from harecross.xds.access import allowed_clusters, is_loopback
 from harecross.xds.health_checks import HealthCheckSchedule
 from harecross.xds.load_reports import LoadReports
