--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -1,6 +1,7 @@
-"""The adapter: the simulator's wire on standard input and output, and the hosting of instances. No decision.
+"""The simulator's wire on standard input and output, and the balancers behind it. It decides nothing.
 
-A frame that cannot be read ends the process with status 2 and one line on standard error.
+The layouts and their names are those of the wire's own description. Input that cannot be read ends the process
+with status 2 and one line on standard error.
 """
 
 from __future__ import annotations
@@ -15,10 +16,11 @@
 from harecross.discovery.subscription_schedule import SubscriptionState as SubscriptionState
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind, Outcome
 from harecross.policy.balancer import Balancer
-from harecross.settings import read_settings
+from harecross.settings import parse_settings_json
 
-HEADER = Struct("<IIQ")
-LENGTH = Struct("<I")
+BATCH_HEADER = Struct("<IIQ")
+REPLY_LENGTH = Struct("<I")
+# Events, without their code.
 CREATE = Struct("<HQI")
 DIRECTORY = Struct("<II")
 ENTRY = Struct("<IHQHfBH")
@@ -31,21 +33,21 @@
 SHUTDOWN = Struct("<H")
 PEER_DATA = Struct("<HHH")
 VERDICT = Struct("<HQBIIBHB")
-
-RELAY = Struct("<BHQII")
-BOUNCE = Struct("<BHQI")
-END_FAILED = Struct("<BHQ")
-WITHDRAW = Struct("<BHQB")
-NOTIFY_ME = Struct("<BHIQ")
-PROBE = Struct("<BHI")
-RELEASE = Struct("<BHI")
-NOTIFY = Struct("<BHHH")
-JOURNAL_LINE = Struct("<BHH")
-BAIL_OUT = Struct("<BHH")
-LISTEN = Struct("<BHB")
-QUERY_ALL = Struct("<BH")
-
-OUTCOMES = {
+# Actions, each after its code.
+RELAY, RELAY_CODE = Struct("<BHQII"), 65
+BOUNCE, BOUNCE_CODE = Struct("<BHQI"), 66
+END_FAILED, END_FAILED_CODE = Struct("<BHQ"), 67
+WITHDRAW, WITHDRAW_CODE = Struct("<BHQB"), 68
+NOTIFY_ME, NOTIFY_ME_CODE = Struct("<BHIQ"), 69
+PROBE, PROBE_CODE = Struct("<BHI"), 70
+RELEASE, RELEASE_CODE = Struct("<BHI"), 71
+NOTIFY, NOTIFY_CODE = Struct("<BHHH"), 72
+JOURNAL_LINE, JOURNAL_LINE_CODE = Struct("<BHH"), 73
+BAIL_OUT, BAIL_OUT_CODE = Struct("<BHH"), 74
+LISTEN, LISTEN_CODE = Struct("<BHB"), 75
+QUERY_ALL, QUERY_ALL_CODE = Struct("<BH"), 76
+
+OUTCOME_BY_STATUS = {
     200: Outcome.OK,
     502: Outcome.ERROR,
     429: Outcome.REJECTED,
@@ -61,11 +63,14 @@
     EndpointUpdateKind.CACHED,
     EndpointUpdateKind.FAILED,
 )
-STATES = {0: EndpointState.GONE, 1: EndpointState.READY, 2: EndpointState.DRAINING}
+ENDPOINT_STATES = {0: EndpointState.GONE, 1: EndpointState.READY, 2: EndpointState.DRAINING}
+STATUS_OK = 200
 REPEAT_FLAG = 2
-LONGEST_TIMER = 4_260_000_000
-EVERY_PEER = 0xFFFF
-ASK_AGAIN = 1 << 56  # the token of a timer of the adapter's own; the module's have another top byte
+MAX_UINT32 = 0xFFFFFFFF
+MAX_TEXT_BYTES = 0xFFFF
+MAX_TIMER_DELAY_US = 4_260_000_000
+ALL_PEERS = 0xFFFF
+SUBSCRIBE_TOKEN = 1 << 56  # of the adapter's own timer; the balancer's tokens have another top byte
 
 
 class WireError(Exception):
@@ -73,7 +78,7 @@
 
 
 class WireActions:
-    """One instance's actions, packed into the process's reply."""
+    """The actions of one node, packed into the reply of the process."""
 
     __slots__ = ("out", "node")
 
@@ -82,55 +87,68 @@
         self.node = node
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        self.out += RELAY.pack(65, self.node, request, server, min(max(timeout, 1), 0xFFFFFFFF))
+        """Starts an attempt."""
+        self.out += RELAY.pack(RELAY_CODE, self.node, request, server, min(max(timeout, 1), MAX_UINT32))
 
     def cancel(self, request: int, attempt: int) -> None:
-        self.out += WITHDRAW.pack(68, self.node, request, attempt)
+        """Stops waiting for an attempt."""
+        self.out += WITHDRAW.pack(WITHDRAW_CODE, self.node, request, attempt)
 
     def shed(self, request: int, retry_after: int) -> None:
-        self.out += BOUNCE.pack(66, self.node, request, min(max(retry_after, 0), 0xFFFFFFFF))
+        """Sheds a request."""
+        self.out += BOUNCE.pack(BOUNCE_CODE, self.node, request, min(max(retry_after, 0), MAX_UINT32))
 
     def fail(self, request: int) -> None:
-        self.out += END_FAILED.pack(67, self.node, request)
+        """Answers a request as failed."""
+        self.out += END_FAILED.pack(END_FAILED_CODE, self.node, request)
 
     def health_check(self, server: int) -> None:
-        self.out += PROBE.pack(70, self.node, server)
+        """Tests a server."""
+        self.out += PROBE.pack(PROBE_CODE, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
-        self.out += NOTIFY_ME.pack(69, self.node, min(max(delay, 0), LONGEST_TIMER), token)
+        """Asks for a timer event."""
+        delay = min(max(delay, 0), MAX_TIMER_DELAY_US)
+        self.out += NOTIFY_ME.pack(NOTIFY_ME_CODE, self.node, delay, token)
 
     def send_peer_message(self, peer: int, data: bytes) -> None:
-        self.out += NOTIFY.pack(72, self.node, EVERY_PEER if peer < 0 else peer, len(data)) + data
+        """Sends a message to another node, or to all for a negative number."""
+        self.out += NOTIFY.pack(NOTIFY_CODE, self.node, ALL_PEERS if peer < 0 else peer, len(data)) + data
 
     def subscribe(self, on: bool) -> None:
-        self.out += LISTEN.pack(75, self.node, on)
+        """Starts or stops watching the endpoint list."""
+        self.out += LISTEN.pack(LISTEN_CODE, self.node, on)
 
     def poll_endpoints(self) -> None:
-        self.out += QUERY_ALL.pack(76, self.node)
+        """Asks for the endpoint list once."""
+        self.out += QUERY_ALL.pack(QUERY_ALL_CODE, self.node)
 
     def close_idle(self, server: int) -> None:
-        self.out += RELEASE.pack(71, self.node, server)
+        """Closes idle connections."""
+        self.out += RELEASE.pack(RELEASE_CODE, self.node, server)
 
     def log_event(self, text: str) -> None:
-        data = text.encode()[:0xFFFF]
-        self.out += JOURNAL_LINE.pack(73, self.node, len(data)) + data
+        """Logs a line."""
+        data = text.encode()[:MAX_TEXT_BYTES]
+        self.out += JOURNAL_LINE.pack(JOURNAL_LINE_CODE, self.node, len(data)) + data
 
     def fault(self, text: str) -> None:
-        data = text.encode()[:0xFFFF]
-        self.out += BAIL_OUT.pack(74, self.node, len(data)) + data
+        """Reports that the node's balancer has failed."""
+        data = text.encode()[:MAX_TEXT_BYTES]
+        self.out += BAIL_OUT.pack(BAIL_OUT_CODE, self.node, len(data)) + data
 
 
 class Host:
-    """The instances of one process. Nothing passes between them but the numbered lists of the wire."""
+    """The nodes of one process. They share nothing but the numbered endpoint lists of the wire."""
 
     def __init__(self) -> None:
         self.out = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.schedule: dict[int, SubscriptionSchedule] = {}  # where lists are asked for
-        self.banks: dict[int, list[Endpoint]] = {}
+        self.schedule: dict[int, SubscriptionSchedule] = {}  # of nodes that subscribe to the endpoint list
+        self.lists: dict[int, list[Endpoint]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
-        """Handles one batch and returns the framed reply."""
+        """Handles one batch and returns the framed reply. WireError for a batch that cannot be read."""
         self.out.clear()
         pos = 0
         for record in range(count):
@@ -138,168 +156,184 @@
                 raise WireError(f"record {record}: batch ends early")
             code = body[pos]
             where = f"record {record} at byte {pos}"
-            if code not in READERS:
+            if code not in EVENT_READERS:
                 raise WireError(f"{where}: unknown event code {code}")
             try:
-                pos = READERS[code](self, now, body, pos + 1)
+                pos = EVENT_READERS[code](self, now, body, pos + 1)
             except StructError:
                 raise WireError(f"{where}: event {code} is cut short") from None
-            except (WireError, ValueError) as e:
-                raise WireError(f"{where}: {e}") from None
+            except (WireError, ValueError) as error:
+                raise WireError(f"{where}: {error}") from None
         if pos != len(body):
             raise WireError(f"{len(body) - pos} bytes after the last record")
-        return LENGTH.pack(len(self.out)) + self.out
+        return REPLY_LENGTH.pack(len(self.out)) + self.out
 
-    def tell(self, node: int, event: str, *args: Any) -> None:
-        """Passes an event on; an exception in the module becomes the wire's fault action."""
+    def deliver(self, node: int, event: str, *args: Any) -> None:
+        """Passes an event on; an exception of the balancer becomes the wire's fault action."""
         balancer = self.nodes.get(node)
         if balancer is None:
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as e:  # the wire wants any failure of the module reported, whatever it is
+        except Exception as error:  # the wire wants any failure reported, whatever it is
             del self.nodes[node]
-            WireActions(self.out, node).fault(f"{event}: {type(e).__name__}: {e}")
+            WireActions(self.out, node).fault(f"{event}: {type(error).__name__}: {error}")
+
+    # ---- readers of one event each: they return the position after it ---------------------------------
 
-    def create(self, now: int, body: bytes, pos: int) -> int:
+    def read_create(self, now: int, body: bytes, pos: int) -> int:
+        """A node starts."""
         node, seed, size = CREATE.unpack_from(body, pos)
         pos += CREATE.size
-        text = take(body, pos, size)
-        settings = read_settings(text)
+        settings = parse_settings_json(read_bytes(body, pos, size))
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
         if settings.discovery_polled:
             self.schedule[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
             self.schedule[node].call_started(now / 1e6)
-        self.tell(node, "start", now)
+        self.deliver(node, "start", now)
         return pos + int(size)
 
-    def directory(self, now: int, body: bytes, pos: int) -> int:
-        bank, count = DIRECTORY.unpack_from(body, pos)
+    def read_directory(self, now: int, body: bytes, pos: int) -> int:
+        """An endpoint list, by a number that update events refer to."""
+        number, count = DIRECTORY.unpack_from(body, pos)
         pos += DIRECTORY.size
-        raw = take(body, pos, count * ENTRY.size)
-        self.banks[bank] = [
-            # The platform's weights are nominal sizes, and the module measures speeds itself.
-            Endpoint(server, STATES.get(state, EndpointState.DRAINING), cell, zone, kind, 1.0, ready_at)
-            for server, cell, ready_at, zone, _, state, kind in ENTRY.iter_unpack(raw)
+        raw = read_bytes(body, pos, count * ENTRY.size)
+        self.lists[number] = [
+            # The platform's weights are nominal sizes; the balancer measures speeds itself.
+            Endpoint(
+                server,
+                ENDPOINT_STATES.get(state, EndpointState.DRAINING),
+                cell,
+                zone,
+                machine_type,
+                1.0,
+                ready_at,
+            )
+            for server, cell, ready_at, zone, _, state, machine_type in ENTRY.iter_unpack(raw)
         ]
         return pos + int(count) * ENTRY.size
 
-    def targets(self, now: int, body: bytes, pos: int) -> int:
-        node, kind, _, bank = TARGETS.unpack_from(body, pos)
-        if kind > 3:
-            raise WireError(f"unknown list kind {kind}")
-        list_kind = UPDATE_KINDS[kind]
+    def read_targets(self, now: int, body: bytes, pos: int) -> int:
+        """An endpoint update for one node."""
+        node, code, _, number = TARGETS.unpack_from(body, pos)
+        if code >= len(UPDATE_KINDS):
+            raise WireError(f"unknown list kind {code}")
+        kind = UPDATE_KINDS[code]
         entries: list[Endpoint] = []
-        if list_kind != EndpointUpdateKind.FAILED:
-            if bank not in self.banks:
-                raise WireError(f"list {bank} was never sent")
-            entries = self.banks[bank]
-        self.tell(node, "endpoint_update", now, list_kind, entries)
-        if node in self.schedule and list_kind != EndpointUpdateKind.CACHED:
-            self.heard(now / 1e6, node, list_kind != EndpointUpdateKind.FAILED)
+        if kind != EndpointUpdateKind.FAILED:
+            if number not in self.lists:
+                raise WireError(f"list {number} was never sent")
+            entries = self.lists[number]
+        self.deliver(node, "endpoint_update", now, kind, entries)
+        if node in self.schedule and kind != EndpointUpdateKind.CACHED:
+            self._update_schedule(now / 1e6, node, succeeded=kind != EndpointUpdateKind.FAILED)
         return pos + TARGETS.size
 
-    def heard(self, now: float, node: int, good: bool) -> None:
+    def _update_schedule(self, now: float, node: int, *, succeeded: bool) -> None:
         """A call for the list was answered or failed, or its subscription brought a change or ended."""
         schedule = self.schedule[node]
-        if good:
+        if succeeded:
             schedule.heartbeat_received(now)
             schedule.update_applied()
             return
         if schedule.state is SubscriptionState.WAITING:
             return
-        schedule.call_ended(
-            now, CallEnd.ENDED if schedule.state is SubscriptionState.SUBSCRIBED else CallEnd.FAILED
-        )
-        WireActions(self.out, node).set_timer(int((schedule.next_call_at - now) * 1e6), ASK_AGAIN)
-
-    def accept(self, now: int, body: bytes, pos: int) -> int:
-        node, request, _, tenant, flags, left, _, request_class = ACCEPT.unpack_from(body, pos)
-        self.tell(node, "request", now, request, request_class, tenant, left, bool(flags & REPEAT_FLAG))
+        subscribed = schedule.state is SubscriptionState.SUBSCRIBED
+        schedule.call_ended(now, CallEnd.ENDED if subscribed else CallEnd.FAILED)
+        delay = int((schedule.next_call_at - now) * 1e6)
+        WireActions(self.out, node).set_timer(delay, SUBSCRIBE_TOKEN)
+
+    def read_accept(self, now: int, body: bytes, pos: int) -> int:
+        """A request came."""
+        node, request, _, tenant, flags, time_left, _, request_class = ACCEPT.unpack_from(body, pos)
+        repeat = bool(flags & REPEAT_FLAG)
+        self.deliver(node, "request", now, request, request_class, tenant, time_left, repeat)
         return pos + ACCEPT.size
 
-    def client_left(self, now: int, body: bytes, pos: int) -> int:
+    def read_client_left(self, now: int, body: bytes, pos: int) -> int:
+        """The client of a request has left."""
         node, request = CLIENT_LEFT.unpack_from(body, pos)
-        self.tell(node, "client_disconnected", now, request)
+        self.deliver(node, "client_disconnected", now, request)
         return pos + CLIENT_LEFT.size
 
-    def check_result(self, now: int, body: bytes, pos: int) -> int:
-        node, took, status, server, n = CHECK_RESULT.unpack_from(body, pos)
+    def read_check_result(self, now: int, body: bytes, pos: int) -> int:
+        """A health check has ended."""
+        node, latency, status, server, count = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
-        self.tell(node, "health_checked", now, server, status == 200, took, floats(body, pos, n))
-        return pos + 4 * int(n)
-
-    def opened(self, now: int, body: bytes, pos: int) -> int:
-        node, request, attempt, server, took = OPENED.unpack_from(body, pos)
-        self.tell(node, "response_started", now, request, attempt, server, took)
+        report = read_floats(body, pos, count)
+        self.deliver(node, "health_checked", now, server, status == STATUS_OK, latency, report)
+        return pos + 4 * int(count)
+
+    def read_opened(self, now: int, body: bytes, pos: int) -> int:
+        """A response has started."""
+        node, request, attempt, server, latency = OPENED.unpack_from(body, pos)
+        self.deliver(node, "response_started", now, request, attempt, server, latency)
         return pos + OPENED.size
 
-    def wake(self, now: int, body: bytes, pos: int) -> int:
+    def read_wake(self, now: int, body: bytes, pos: int) -> int:
+        """A timer has expired: the balancer's, or the one to subscribe again."""
         node, token = WAKE.unpack_from(body, pos)
-        if token != ASK_AGAIN:
-            self.tell(node, "timer", now, token)
+        if token != SUBSCRIBE_TOKEN:
+            self.deliver(node, "timer", now, token)
         elif node in self.nodes:
             self.schedule[node].call_started(now / 1e6)
             WireActions(self.out, node).subscribe(True)
         return pos + WAKE.size
 
-    def shutdown(self, now: int, body: bytes, pos: int) -> int:
+    def read_shutdown(self, now: int, body: bytes, pos: int) -> int:
+        """A node stops."""
         (node,) = SHUTDOWN.unpack_from(body, pos)
         self.nodes.pop(node, None)
         self.schedule.pop(node, None)
         return pos + SHUTDOWN.size
 
-    def peer_data(self, now: int, body: bytes, pos: int) -> int:
+    def read_peer_data(self, now: int, body: bytes, pos: int) -> int:
+        """A message of another node."""
         node, peer, size = PEER_DATA.unpack_from(body, pos)
         pos += PEER_DATA.size
-        self.tell(node, "peer_message", now, peer, take(body, pos, size))
+        self.deliver(node, "peer_message", now, peer, read_bytes(body, pos, size))
         return pos + int(size)
 
-    def verdict(self, now: int, body: bytes, pos: int) -> int:
-        node, request, attempt, took, server, final, status, n = VERDICT.unpack_from(body, pos)
+    def read_verdict(self, now: int, body: bytes, pos: int) -> int:
+        """An attempt has ended."""
+        node, request, attempt, latency, server, final, status, count = VERDICT.unpack_from(body, pos)
         pos += VERDICT.size
-        self.tell(
-            node,
-            "outcome",
-            now,
-            request,
-            attempt,
-            server,
-            OUTCOMES.get(status, Outcome.UNKNOWN),
-            took,
-            bool(final),
-            floats(body, pos, n) if n else (),
-        )
-        return pos + 4 * int(n)
-
-
-READERS = {
-    1: Host.directory,
-    2: Host.wake,
-    3: Host.accept,
-    4: Host.peer_data,
-    5: Host.check_result,
-    6: Host.create,
-    7: Host.targets,
-    8: Host.verdict,
-    9: Host.shutdown,
-    10: Host.opened,
-    11: Host.client_left,
+        outcome = OUTCOME_BY_STATUS.get(status, Outcome.UNKNOWN)
+        report = read_floats(body, pos, count) if count else ()
+        self.deliver(node, "outcome", now, request, attempt, server, outcome, latency, bool(final), report)
+        return pos + 4 * int(count)
+
+
+EVENT_READERS = {
+    1: Host.read_directory,
+    2: Host.read_wake,
+    3: Host.read_accept,
+    4: Host.read_peer_data,
+    5: Host.read_check_result,
+    6: Host.read_create,
+    7: Host.read_targets,
+    8: Host.read_verdict,
+    9: Host.read_shutdown,
+    10: Host.read_opened,
+    11: Host.read_client_left,
 }
-FLOATS = [Struct(f"<{n}f") for n in range(256)]
+FLOATS = [Struct(f"<{count}f") for count in range(256)]
 
 
-def take(body: bytes, pos: int, size: int) -> bytes:
+def read_bytes(body: bytes, pos: int, size: int) -> bytes:
+    """So many bytes of a batch. StructError if it ends before."""
     if pos + size > len(body):
         raise StructError("cut short")
     return body[pos : pos + size]
 
 
-def floats(body: bytes, pos: int, n: int) -> tuple[float, ...]:
-    return FLOATS[n].unpack_from(body, pos)
+def read_floats(body: bytes, pos: int, count: int) -> tuple[float, ...]:
+    """So many 32-bit floats of a batch. StructError if it ends before."""
+    return FLOATS[count].unpack_from(body, pos)
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
+    """So many bytes of the input. WireError, with `what`, if it ends before."""
     data = stream.read(size)
     if len(data) != size:
         raise WireError(f"{what}: input ends after {len(data)} of {size} bytes")
@@ -307,7 +341,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
+    """Answers batches until the input ends. WireError for input that cannot be read."""
     host = Host()
     batch = 0
     while True:
@@ -315,24 +349,26 @@
         if not first:
             return
         where = f"batch {batch}"
-        count, size, now = HEADER.unpack(first + read_exactly(source, HEADER.size - 1, where + " header"))
+        rest = read_exactly(source, BATCH_HEADER.size - 1, where + " header")
+        count, size, now = BATCH_HEADER.unpack(first + rest)
         if size < 8:
             raise WireError(f"{where} header: length {size} is too short")
         body = read_exactly(source, size - 8, where)
         try:
             reply = host.batch(count, body, now)
-        except WireError as e:
-            raise WireError(f"{where}: {e}") from None
+        except WireError as error:
+            raise WireError(f"{where}: {error}") from None
         sink.write(reply)
         sink.flush()
         batch += 1
 
 
 def main() -> int:
+    """Serves standard input; the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as e:
-        print(f"harecross: {e}", file=sys.stderr)
+    except WireError as error:
+        print(f"harecross: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/harecross/admin_client/calls.py
+++ b/harecross/admin_client/calls.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from harecross.settings import address
+from harecross.settings import parse_address
 
 CALL_TIMEOUT_S = 3.0  # an admin server answers within one second
 MAX_ANSWER_BYTES = 1 << 24
@@ -59,7 +59,7 @@
 
 def node_address(text: str) -> str:
     """HOST:PORT as it was written. ValueError, with what is allowed, for anything else."""
-    if address(text)[1] == 0:
+    if parse_address(text)[1] == 0:
         raise ValueError(f"{text!r}: nobody listens on port 0")
     return text
 
@@ -68,7 +68,7 @@
     node: str, method: str, path: str, body: str = "", timeout_s: float = CALL_TIMEOUT_S
 ) -> CallResult:
     """Makes one call. Failures of the network or the node are results, not exceptions."""
-    host, port = address(node)
+    host, port = parse_address(node)
     connection = http.client.HTTPConnection(host.strip("[]"), port, timeout=timeout_s)
     try:
         connection.request(method, path, body.encode(), {"Connection": "close"})
--- a/harecross/dns/client.py
+++ b/harecross/dns/client.py
@@ -13,7 +13,7 @@
 from harecross.dns.message import Question, Reply, normalize_name
 from harecross.dns.servers import NameServers
 from harecross.dns.srv import Resolution, SrvAnswer
-from harecross.settings import address
+from harecross.settings import parse_address
 
 MAX_LOOKUPS_PER_NAME = 32  # at once, for one name's addresses
 MAX_LOOKUPS = 16  # at once, of one client, each with a socket: descriptors are for client connections
@@ -89,7 +89,7 @@
     async def _send_datagram(
         self, query: OutgoingQuery, callbacks: AttemptCallbacks, sockets: list[asyncio.DatagramTransport]
     ) -> None:
-        host, port = address(query.server)
+        host, port = parse_address(query.server)
         transport, _ = await self.loop.create_datagram_endpoint(
             lambda: UdpProtocol(callbacks), remote_addr=(host.strip("[]"), port)
         )
--- a/harecross/dns/connections.py
+++ b/harecross/dns/connections.py
@@ -9,7 +9,7 @@
 
 from harecross.dns.frames import FrameDecoder, frame
 from harecross.dns.servers import TLS
-from harecross.settings import address
+from harecross.settings import parse_address
 
 IDLE_TIMEOUT_S = 5.0  # after which a connection without a query is closed (RFC 7766, 6.2.3)
 
@@ -109,7 +109,7 @@
         return await asyncio.shield(task)
 
     async def _connect(self, loop: asyncio.AbstractEventLoop, server: str) -> StreamConnection:
-        host, port = address(server.removeprefix(TLS))
+        host, port = parse_address(server.removeprefix(TLS))
         tls_options: dict[str, Any] = {}
         if server.startswith(TLS):
             context = self._tls or ssl.create_default_context()
--- a/harecross/dns/servers.py
+++ b/harecross/dns/servers.py
@@ -10,7 +10,7 @@
 from ipaddress import ip_address
 from random import Random
 
-from harecross.settings import address
+from harecross.settings import parse_address
 
 TLS = "tls://"  # before a server's address: DNS over TLS (RFC 7858)
 INITIAL_RTT_S = 0.2  # of a server that has not been queried
@@ -27,7 +27,7 @@
 def server_address(text: str, where: str) -> tuple[str, int]:
     """The address of a DNS server. ValueError for a name: a resolver cannot resolve itself."""
     try:
-        host, port = address(text.removeprefix(TLS))
+        host, port = parse_address(text.removeprefix(TLS))
         ip_address(host.strip("[]"))
     except ValueError:
         raise ValueError(f"{where}: {text!r}: IP-ADDRESS:PORT or tls://IP-ADDRESS:PORT is allowed") from None
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -16,7 +16,7 @@
     has_too_many_chunks,
 )
 from harecross.interface import Outcome
-from harecross.settings import COLUMNS
+from harecross.settings import REPORT_FIELD_NAMES
 
 MAX_HEAD_BYTES = 1 << 14
 MAX_HEADERS = 64
@@ -35,8 +35,8 @@
     """
     positions: dict[bytes, int] = {}
     for position, field in enumerate(fields):
-        own_name = COLUMNS.get(field, field)
-        wire_names = (wire for wire, own in COLUMNS.items() if own == own_name)
+        own_name = REPORT_FIELD_NAMES.get(field, field)
+        wire_names = (wire for wire, own in REPORT_FIELD_NAMES.items() if own == own_name)
         for name in (field, own_name, *wire_names):
             positions[name.encode()] = position
     return positions
--- a/harecross/node/config.py
+++ b/harecross/node/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from harecross.interface import Settings
-from harecross.settings import Table, address, settings_from
+from harecross.settings import SettingsReader, parse_address, parse_settings
 
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 256
@@ -52,7 +52,7 @@
     if not isinstance(value, str):
         raise ConfigError(f"{key} is not set")
     try:
-        return address(value)
+        return parse_address(value)
     except ValueError:
         raise ConfigError(f"{key}: {value!r} is not an address") from None
 
@@ -62,25 +62,25 @@
     if not isinstance(raw, dict):
         raise ConfigError("not an object")
     try:
-        settings = settings_from(raw.get("settings"))
-        environment = Table(raw.get("settings"))
-        policy_limits = environment.table("policy_limits")
-        report = environment.table("report", {})
+        settings = parse_settings(raw.get("settings"))
+        environment = SettingsReader(raw.get("settings"))
+        policy_limits = environment.object("policy_limits")
+        report = environment.object("report", {})
         return Config(
             name=str(raw.get("name") or "node"),
             listen=address_in(raw, "listen"),
             admin=address_in(raw, "admin") if raw.get("admin") else None,
             discovery=address_in(raw, "discovery"),
             seed=int(str(raw.get("seed", "0")), 16),
-            sockets=Table(raw).table("limits", {}).whole("sockets", DEFAULT_MAX_SOCKETS),
-            memory=Table(raw).table("limits", {}).whole("memory_mb", DEFAULT_MEMORY_MB) << 20,
-            connect_timeout=policy_limits.whole("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
-            idle_time=policy_limits.whole("conn_idle", DEFAULT_IDLE_TIMEOUT_US),
-            columns=report.texts("columns") if report.text("how", "off") != "off" else [],
-            classes=[c.text("name") for c in environment.tables("classes")],
-            tenants=[t.text("name") for t in environment.tables("tenants", [])],
-            zones=environment.texts("dcs"),
-            kinds=environment.texts("kinds"),
+            sockets=SettingsReader(raw).object("limits", {}).integer("sockets", DEFAULT_MAX_SOCKETS),
+            memory=SettingsReader(raw).object("limits", {}).integer("memory_mb", DEFAULT_MEMORY_MB) << 20,
+            connect_timeout=policy_limits.integer("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
+            idle_time=policy_limits.integer("conn_idle", DEFAULT_IDLE_TIMEOUT_US),
+            columns=report.strings("columns") if report.string("how", "off") != "off" else [],
+            classes=[c.string("name") for c in environment.objects("classes")],
+            tenants=[t.string("name") for t in environment.objects("tenants", [])],
+            zones=environment.strings("dcs"),
+            kinds=environment.strings("kinds"),
             settings=settings,
             known=raw.get("known"),
             raw=raw,
--- a/harecross/settings.py
+++ b/harecross/settings.py
@@ -1,4 +1,7 @@
-"""The settings object of an instance (JSON) made into the module's `Settings`. Shared by both hosts."""
+"""Reads the settings object of a node (JSON) into `Settings`, for the node and for the simulator's adapter.
+
+The keys and words of the platform are mapped to the program's own names here and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,18 @@
 
 from harecross.interface import ClassSettings, DeduplicationScope, Idempotency, Settings, TenantSettings
 
-EFFECTS = {
+MAX_PORT = 65535
+IDEMPOTENCY_BY_EFFECT = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENCY_KEY,
     "single_shot": Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
-COLUMNS = {
+SCOPE_BY_GROUP = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+REPORT_FIELD_NAMES = {  # of load reports; others keep their names
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -24,115 +32,135 @@
 }
 
 
-def address(text: str) -> tuple[str, int]:
-    """HOST:PORT. ValueError for anything else."""
+def parse_address(text: str) -> tuple[str, int]:
+    """HOST:PORT as host and port. ValueError for anything else."""
     host, _, port = text.rpartition(":")
-    if not host or not (port.isascii() and port.isdecimal()) or int(port) > 65535:
+    if not host or not (port.isascii() and port.isdecimal()) or int(port) > MAX_PORT:
         raise ValueError(f"{text!r} is not HOST:PORT")
     return host, int(port)
 
 
 class SettingsError(ValueError):
-    """Text that is not a settings object."""
+    """Settings that cannot be read, with the key and its value."""
 
 
-class Table:
-    """One object of the settings, read key by key; a value that cannot be is refused by its full key."""
+class SettingsReader:
+    """Reads one object of the settings key by key.
 
-    def __init__(self, value: Any, where: str = "") -> None:
+    A key that is absent or null takes the default; without one, it is a SettingsError, as is an impossible
+    value. Errors name the full key.
+    """
+
+    def __init__(self, value: Any, prefix: str = "") -> None:
         if not isinstance(value, dict):
-            raise ValueError(f"settings: {where.rstrip('.') or 'the whole'} is not an object")
+            raise SettingsError(
+                f"settings: {prefix.rstrip('.') or 'the whole'} is not an object: {value!r:.60}"
+            )
         self.value: dict[str, Any] = value
-        self.where = where
+        self.prefix = prefix
 
-    def get(self, key: str, kinds: tuple[type, ...], default: Any) -> Any:
-        """The value; a key that is absent or null takes the default, and without one (...) is refused."""
+    def get(self, key: str, types: tuple[type, ...], default: Any) -> Any:
+        """The value of one of these types."""
         value = self.value.get(key)
-        if value is None and default is not ...:
+        if value is None:
+            if default is ...:
+                raise SettingsError(f"settings: missing value for {self.prefix}{key}")
             return default
-        if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise ValueError(f"settings: missing or impossible value for {self.where}{key}")
+        if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
+            raise self._impossible(key, value)
         return value
 
+    def _impossible(self, key: str, value: Any) -> SettingsError:
+        return SettingsError(f"settings: impossible value for {self.prefix}{key}: {value!r:.60}")
+
     def number(self, key: str, default: Any = ...) -> float:
+        """A finite number."""
         value = float(self.get(key, (int, float), default))
         if not isfinite(value):
-            raise ValueError(f"settings: missing or impossible value for {self.where}{key}")
+            raise self._impossible(key, value)
         return value
 
-    def whole(self, key: str, default: Any = ...) -> int:
+    def integer(self, key: str, default: Any = ...) -> int:
+        """A number without its fraction."""
         return int(self.number(key, default))
 
-    def flag(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
+        """True or false; false where it is absent."""
         return bool(self.get(key, (bool,), False))
 
-    def text(self, key: str, default: Any = ...) -> str:
+    def string(self, key: str, default: Any = ...) -> str:
+        """A string."""
         return str(self.get(key, (str,), default))
 
-    def texts(self, key: str) -> list[str]:
+    def strings(self, key: str) -> list[str]:
+        """A list, its items as strings; empty where it is absent."""
         return [str(item) for item in self.get(key, (list,), [])]
 
-    def table(self, key: str, default: Any = ...) -> Table:
-        return Table(self.get(key, (dict,), default), f"{self.where}{key}.")
+    def object(self, key: str, default: Any = ...) -> SettingsReader:
+        """A nested object."""
+        return SettingsReader(self.get(key, (dict,), default), f"{self.prefix}{key}.")
 
-    def tables(self, key: str, default: Any = ...) -> list[Table]:
+    def objects(self, key: str, default: Any = ...) -> list[SettingsReader]:
+        """A list of nested objects."""
         items = self.get(key, (list,), default)
-        return [Table(item, f"{self.where}{key}[{i}].") for i, item in enumerate(items)]
+        return [SettingsReader(item, f"{self.prefix}{key}[{i}].") for i, item in enumerate(items)]
 
 
-def read_class(c: Table) -> ClassSettings:
-    """An effect not known counts as unsafe, a group not known as the narrowest."""
+def parse_class(reader: SettingsReader) -> ClassSettings:
+    """A request class. An unknown effect counts as not idempotent, an unknown group as the narrowest scope."""
     return ClassSettings(
-        idempotency=EFFECTS.get(c.text("effect"), Idempotency.NON_IDEMPOTENT),
-        latency_objective=c.whole("goal_time"),
-        deadline=c.whole("hard_limit"),
-        priority_weight=c.number("worth"),
-        late_priority_weight=c.number("late_value", 0.0),
-        deduplication_scope=GROUPS.get(c.text("group", ""), DeduplicationScope.CELL),
-        deduplication_window=c.whole("window", 0),
-        stream=c.flag("stream"),
+        idempotency=IDEMPOTENCY_BY_EFFECT.get(reader.string("effect"), Idempotency.NON_IDEMPOTENT),
+        latency_objective=reader.integer("goal_time"),
+        deadline=reader.integer("hard_limit"),
+        priority_weight=reader.number("worth"),
+        late_priority_weight=reader.number("late_value", 0.0),
+        deduplication_scope=SCOPE_BY_GROUP.get(reader.string("group", ""), DeduplicationScope.CELL),
+        deduplication_window=reader.integer("window", 0),
+        stream=reader.boolean("stream"),
     )
 
 
-def read_settings(text: bytes) -> Settings:
-    """The settings of a CREATE event. A missing or impossible value is a ValueError that names the key."""
+def parse_settings_json(text: bytes) -> Settings:
+    """The settings of a JSON text. ValueError, with the key, for a missing or impossible value."""
     try:
         value = json.loads(text)
     except RecursionError:
         raise SettingsError("settings are not JSON: nested too deep") from None
-    except UnicodeDecodeError as e:
-        raise SettingsError(f"settings are not JSON: {e.reason}") from None
-    except json.JSONDecodeError as e:
-        raise SettingsError(f"settings are not JSON: {e}") from None
-    return settings_from(value)
-
-
-def settings_from(value: Any) -> Settings:
-    """The same from the parsed object."""
-    env = Table(value)
-    limits = env.table("policy_limits")
-    rules = env.table("rules")
+    except UnicodeDecodeError as error:
+        raise SettingsError(f"settings are not JSON: {error.reason}") from None
+    except json.JSONDecodeError as error:
+        raise SettingsError(f"settings are not JSON: {error}") from None
+    return parse_settings(value)
+
+
+def parse_settings(value: Any) -> Settings:
+    """The settings of a parsed JSON object. ValueError, with the key, for a missing or impossible value."""
+    reader = SettingsReader(value)
+    limits = reader.object("policy_limits")
+    rules = reader.object("rules")
+    tenants = reader.objects("tenants", [])
+    columns = reader.object("report", {}).strings("columns")
     return Settings(
-        classes=tuple(read_class(c) for c in env.tables("classes")),
-        tenants=tuple(TenantSettings(quota=t.number("quota_rps", 0.0)) for t in env.tables("tenants", [])),
-        tier=env.whole("tier", 0),
-        tiers=max(1, len(env.texts("layers"))),
-        zone=env.whole("zone", 0),
-        instance_count=env.whole("group_size"),
-        instance_index=env.whole("self_index", 0),
-        tick=env.whole("tick"),
-        max_attempts=limits.whole("max_attempts"),
-        cancel=limits.flag("cancel"),
-        retry_after=limits.flag("retry_after"),
-        max_retry_after=limits.whole("max_retry_after", 0),
-        max_open=limits.whole("max_open", 20000),
-        discovery_polled=env.text("discovery", "") == "ask",
-        max_poll_interval=rules.whole("ask_within", 0),
-        slow_start_duration=rules.whole("cold"),
+        classes=tuple(parse_class(item) for item in reader.objects("classes")),
+        tenants=tuple(TenantSettings(quota=tenant.number("quota_rps", 0.0)) for tenant in tenants),
+        tier=reader.integer("tier", 0),
+        tiers=max(1, len(reader.strings("layers"))),
+        zone=reader.integer("zone", 0),
+        instance_count=reader.integer("group_size"),
+        instance_index=reader.integer("self_index", 0),
+        tick=reader.integer("tick"),
+        max_attempts=limits.integer("max_attempts"),
+        cancel=limits.boolean("cancel"),
+        retry_after=limits.boolean("retry_after"),
+        max_retry_after=limits.integer("max_retry_after", 0),
+        max_open=limits.integer("max_open", 20000),
+        discovery_polled=reader.string("discovery", "") == "ask",
+        max_poll_interval=rules.integer("ask_within", 0),
+        slow_start_duration=rules.integer("cold"),
         slow_start_min_capacity=rules.number("start_capacity"),
         overload_multiple=rules.number("fall_multiple"),
-        overload_duration=rules.whole("tip_after"),
-        cross_zone_cost=env.table("deductions", {}).number("cross_zone", 0.0),
-        over_quota_weight=env.number("over_share_worth", 1.0),
-        report_fields=tuple(COLUMNS.get(f, f) for f in env.table("report", {}).texts("columns")),
+        overload_duration=rules.integer("tip_after"),
+        cross_zone_cost=reader.object("deductions", {}).number("cross_zone", 0.0),
+        over_quota_weight=reader.number("over_share_worth", 1.0),
+        report_fields=tuple(REPORT_FIELD_NAMES.get(column, column) for column in columns),
     )
--- a/harecross/sources/address_file.py
+++ b/harecross/sources/address_file.py
@@ -4,7 +4,7 @@
 
 from math import isfinite
 
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.sources.source import Statement
 
 ALLOWED = "HOST:PORT, then any of weight=, priority=, zone=, name=, drain"
@@ -41,7 +41,7 @@
 
 def _parse_line(words: list[str], zone: str, priority_offset: int) -> Statement:
     host_port, *options = words
-    if address(host_port)[1] == 0:
+    if parse_address(host_port)[1] == 0:
         raise ValueError(f"{host_port!r}: nobody listens on port 0")
     values = {"weight": "1", "priority": "0", "zone": zone, "name": host_port}
     draining = False
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from harecross.discovery import wire_format
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.sources.source import Statement
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
     for line in lines:
         where = str(line.get(wire_format.HOST_PORT, ""))
         try:
-            address(where)
+            parse_address(where)
         except ValueError:
             continue
         other = by_address.get(where)
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from harecross.operators import OperatorsFileError, read_toml
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.sources.config import SourcesTable, SrvConfig
 from harecross.sources.config import check as check_sources
 from harecross.xds.access import is_loopback
@@ -98,7 +98,7 @@
 
 def listen_address(text: str, anywhere: bool) -> tuple[str, int]:
     """Where to listen without TLS. ValueError beyond loopback, unless that is allowed."""
-    host, port = address(text)
+    host, port = parse_address(text)
     if not anywhere and not is_loopback(host):
         raise ValueError(f'{text!r} is not loopback: set [tls], or plaintext = "anywhere"')
     return host, port
@@ -150,7 +150,7 @@
                 addresses[f"clusters.{name}.discovery"] = cluster.discovery
         for key, text in addresses.items():
             try:
-                address(text)
+                parse_address(text)
             except ValueError as error:
                 raise OperatorsFileError(f"{self._path}: {key}: {error}") from None
 
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -10,7 +10,7 @@
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.platform.clock import monotonic_us
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.xds.load_reports import LoadReports
 from harecross.xds.published import ServerView
 
@@ -81,7 +81,7 @@
 def is_address(text: str) -> bool:
     """Whether a text is HOST:PORT."""
     try:
-        address(text)
+        parse_address(text)
     except ValueError:
         return False
     return True
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -15,7 +15,7 @@
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.platform.log import log_exception, log_line
-from harecross.settings import COLUMNS, address
+from harecross.settings import REPORT_FIELD_NAMES, parse_address
 from harecross.sources.manager import SourceManager
 from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import Exchange
@@ -33,7 +33,7 @@
 
 def decision_settings(table: ClusterTable) -> Settings:
     """The settings of a cluster's decision module, which sends no requests."""
-    columns = tuple(COLUMNS.get(column, column) for column in table.columns)
+    columns = tuple(REPORT_FIELD_NAMES.get(column, column) for column in table.columns)
     request_class = ClassSettings(
         Idempotency.IDEMPOTENT, latency_objective=1_000_000, deadline=2_000_000, priority_weight=1.0
     )
@@ -80,7 +80,7 @@
         dispatcher.start()
         sources = table.table()
         self.sources = SourceManager(sources, self.registry, name) if sources.on else None
-        where = address(table.discovery) if table.discovery else NO_DISCOVERY
+        where = parse_address(table.discovery) if table.discovery else NO_DISCOVERY
         self.discovery = DiscoveryClient(self.registry, where, consumer=self.sources, seed=seed)
         self._schedule = HealthCheckSchedule(int(table.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
         self._tasks: set[asyncio.Task[None]] = set()
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from harecross.platform.child_process import ChildProcess, describe_exit
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.xds.load_report_service import SinkOfCluster
 from harecross.xds.published import PublishedCluster
 from harecross.xds.resources import PublishedSnapshots
@@ -94,7 +94,7 @@
 
     async def start(self) -> int:
         """Starts all workers; returns the port. OSError if they cannot listen."""
-        host, port = address(self._setup.listen)
+        host, port = parse_address(self._setup.listen)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         with socket.socket(family) as probe:
             # Without SO_REUSEPORT this fails for another program's port, which workers would share unnoticed.
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 from harecross import adapter
-from harecross.adapter import Host, WireActions, WireError, read_settings, serve
+from harecross.adapter import Host, WireActions, WireError, parse_settings_json, serve
 from harecross.interface import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent
@@ -141,9 +141,12 @@
     "too few records": (struct.pack("<IIQ", 1, 8, 0), "ends early"),
     "bytes left over": (struct.pack("<IIQ", 0, 9, 0) + b"\0", "after the last record"),
     "bad json": (frame(create(b"{nope")), "not JSON"),
-    "missing key": (frame(create({k: v for k, v in ENV.items() if k != "group_size"})), "group_size"),
-    "impossible value": (frame(create({**ENV, "tick": "soon"})), "tick"),
-    "zero instances": (frame(create({**ENV, "group_size": 0})), "instance_count"),
+    "missing key": (
+        frame(create({k: v for k, v in ENV.items() if k != "group_size"})),
+        "missing value for group_size",
+    ),
+    "impossible value": (frame(create({**ENV, "tick": "soon"})), "impossible value for tick: 'soon'"),
+    "zero instances": (frame(create({**ENV, "group_size": 0})), "impossible value for instance_count: 0"),
     "unsent list": (frame(create(), struct.pack("<BHBII", 7, 3, 1, 1, 9)), "list 9"),
     "unknown list kind": (frame(create(), members(kind=8)), "record 2 at byte .* list kind 8"),
     "cut list": (frame(struct.pack("<BII", 1, 0, 5)), "record 0 .* event 1 is cut short"),
@@ -154,7 +157,7 @@
     "class not an object": (frame(create({**ENV, "classes": [5]})), r"classes\[0\] is not an object"),
     "tenant not an object": (frame(create({**ENV, "tenants": [5]})), r"tenants\[0\] is not an object"),
     "layers not a list": (frame(create({**ENV, "layers": 7})), "layers"),
-    "infinite figure": (frame(create({**ENV, "tick": float("inf")})), "tick"),
+    "infinite figure": (frame(create({**ENV, "tick": float("inf")})), "tick: inf"),
     "no such number": (frame(create({**ENV, "over_share_worth": float("nan")})), "over_share_worth"),
     "group not a text": (frame(create({**ENV, "classes": [{**ENV["classes"][0], "group": []}]})), "group"),
 }
@@ -205,16 +208,16 @@
 
 def test_what_is_not_known_counts_as_the_most_careful():
     odd = {**ENV["classes"][0], "effect": "guarded", "group": "galaxy"}
-    (c, _) = read_settings(json.dumps({**ENV, "classes": [odd, ENV["classes"][1]]}).encode()).classes
+    (c, _) = parse_settings_json(json.dumps({**ENV, "classes": [odd, ENV["classes"][1]]}).encode()).classes
     assert c.deduplication_scope == DeduplicationScope.CELL
-    assert read_settings(json.dumps(ENV).encode()).classes[1].idempotency == Idempotency.NON_IDEMPOTENT
+    assert parse_settings_json(json.dumps(ENV).encode()).classes[1].idempotency == Idempotency.NON_IDEMPOTENT
     # An outcome never heard of may have run: this request of an unsafe class is failed, not sent again.
     reply = run(frame(create(), members(), accept(request_class=1)) + frame(verdict(status=599)))
     assert reply[4] == 65 and reply[-11] == 67
 
 
 def test_settings_are_read_with_their_own_names():
-    s = read_settings(json.dumps(ENV).encode())
+    s = parse_settings_json(json.dumps(ENV).encode())
     assert s.report_fields == ("inflight", "odd") and s.instance_count == 2 and s.tiers == 2
     assert [int(c.idempotency) for c in s.classes] == [1, 2]
 
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -11,7 +11,7 @@
 from node_support import SETTINGS, config_from, config_of, held_calls, run, until
 from test_adapter import ENV
 
-from harecross.adapter import ASK_AGAIN, Host
+from harecross.adapter import SUBSCRIBE_TOKEN, Host
 from harecross.discovery import subscription_schedule
 from harecross.discovery.subscription_schedule import (
     AGENT_BACKOFF_INITIAL_S,
@@ -251,7 +251,7 @@
     reply = bytes(host.batch(1, failed, 2_000_000))
     assert reply[4] == 69
     _, _, delay, token = struct.unpack("<BHIQ", reply[4:19])
-    assert token == ASK_AGAIN and delay >= FAILED_CALL_PAUSE_S * 1e6
+    assert token == SUBSCRIBE_TOKEN and delay >= FAILED_CALL_PAUSE_S * 1e6
     reply = host.batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
     assert reply[4] == 75 and host.schedule[3].call_count == 2
     host.batch(1, struct.pack("<BH", 9, 3), 9_000_000)
