--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -148,7 +148,7 @@
     ),
     Mutation(
         "a cold server gets what a warm one does",
-        "policy/endpoint_picker.py",
+        "policy/slow_start.py",
         "        rate = self.warm_rate * self.factor(now, server)\n",
         "        return True\n        rate = self.warm_rate * self.factor(now, server)\n",
     ),
--- a/harecross/interface.py
+++ b/harecross/interface.py
@@ -152,6 +152,7 @@
 
 
 def _require(possible: bool, key: str, value: object) -> None:
+    """ValueError, with key and value, if the value is not possible."""
     if not possible:
         raise ValueError(f"settings: impossible value for {key}: {value!r}")
 
--- a/harecross/node/learned_state.py
+++ b/harecross/node/learned_state.py
@@ -86,6 +86,7 @@
 
 
 def _parse(balancer: Balancer, stored: Any) -> LearnedState:
+    """The stored values, within the bounds of this balancer. ValueError for others."""
     controller, classes = balancer.controller, len(balancer.settings.classes)
     by_class = {}
     for key in ("min_rtt", "target", "mean_rtt", "deviation"):
@@ -121,6 +122,7 @@
 def _restore_servers(
     balancer: Balancer, numbers: Mapping[str, int], servers: Mapping[str, ServerMeasurements], now: int
 ) -> None:
+    """Takes over the measurements of the members among the servers."""
     for name, stored in servers.items():
         server = balancer.subset.servers.get(numbers.get(name, 0))
         if server is None or not server.in_subset:
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -1,5 +1,7 @@
 """The balancer: a host's events in, actions out, over the life of each request."""
 
+from __future__ import annotations
+
 from collections import deque
 from collections.abc import Sequence
 from math import sqrt
@@ -19,13 +21,16 @@
 )
 from harecross.policy import balancer_stats
 from harecross.policy.controller import MAX_LATE_FRACTION, OBJECTIVE_FRACTION, WINDOW_US, GradientController
-from harecross.policy.endpoint_picker import EndpointPicker, SlowStart
+from harecross.policy.endpoint_picker import EndpointPicker
 from harecross.policy.fleet_limits import MIN_CONCURRENCY
-from harecross.policy.outlier_detection import UNRESPONSIVE_RTTS, OutcomeRecorder, OutlierDetector
+from harecross.policy.outcome_recorder import OutcomeRecorder
+from harecross.policy.outlier_detection import UNRESPONSIVE_RTTS, OutlierDetector
 from harecross.policy.records import Request, Server
-from harecross.policy.subset import Subset, ZonePreference
+from harecross.policy.slow_start import SlowStart
+from harecross.policy.subset import Subset
 from harecross.policy.tenant_quotas import TenantQuotas
 from harecross.policy.traffic_stats import TrafficStats
+from harecross.policy.zone_preference import ZonePreference
 
 RETRY_BUDGET_RATIO = 0.1  # retries allowed for each first attempt
 TIMEOUT_DEVIATIONS = 4  # mean deviations above the mean round-trip after which an attempt may be lost...
@@ -63,12 +68,14 @@
         self._rank_classes()
 
     def start(self, now: int) -> None:
+        """Starts to measure min_rtt, and subscribes where discovery does not push."""
         self.controller.start_min_rtt_window(now)
         self.window_start = self.tenant_quotas.refilled_at = now
         if self.settings.discovery_polled:
             self.actions.subscribe(True)
 
     def endpoint_update(self, now: int, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
+        """Takes over the endpoint list and renews the subset."""
         if kind == EndpointUpdateKind.FAILED:
             return  # the present list holds; the host calls discovery again
         latest = {entry.server: entry for entry in entries}
@@ -82,6 +89,7 @@
         self.subset.refill()
 
     def _apply(self, now: int, entry: Endpoint) -> None:
+        """Takes over one entry; a server that has started again is measured anew."""
         server = self.subset.servers.get(entry.server)
         if entry.state != EndpointState.READY:
             if server is not None:
@@ -98,6 +106,7 @@
     def request(
         self, now: int, request_id: int, request_class: int, tenant: int, time_left: int, repeat: bool
     ) -> None:
+        """Sends a first attempt, sheds the request, or has it wait below the first tier."""
         settings, controller = self.settings, self.controller
         # A class that the settings do not have might be one that must not run twice.
         unknown = request_class >= len(settings.classes)
@@ -124,7 +133,10 @@
         self._send_attempt(now, request)
 
     def _shed_reason(self, now: int, request_class: int, tenant: int) -> FinalReason | None:
-        """None to admit. Classes of less weight and tenants above their quota leave headroom free."""
+        """Why a request is not admitted; None if it is.
+
+        Classes of less weight and tenants above their quota leave headroom free for the others.
+        """
         over_quota = not self.tenant_quotas.take_token(now, tenant)
         reserved = (self.class_rank[request_class] + 2 * over_quota) * self.controller.headroom()
         limit = self.controller.current_limit() - reserved
@@ -161,6 +173,7 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
+        """Books the outcome and retries or finishes the request."""
         server = self.subset.servers.get(server_id)
         request = self.requests.get(request_id)
         if request is not None and request.timed_out and outcome == Outcome.CANCELLED:
@@ -182,11 +195,13 @@
             self._serve_queue(now)
 
     def response_started(self, now: int, request_id: int, attempt: int, server_id: int, latency: int) -> None:
+        """From now on the request is not retried."""
         request = self.requests.get(request_id)
         if request is not None:
             request.response_started = True
 
     def uploading(self, now: int, request_id: int, on: bool) -> None:
+        """While its body is passed on, a request is not in flight; its time counts from the last byte."""
         request = self.requests.get(request_id)
         if request is None or request.server is None or request.uploading == on:
             return
@@ -200,6 +215,7 @@
             request.sent_at = request.server.last_progress_at = now
 
     def client_disconnected(self, now: int, request_id: int) -> None:
+        """Forgets the request and cancels its attempt."""
         request = self.requests.pop(request_id, None)
         if request is None:
             return
@@ -219,14 +235,17 @@
     def health_checked(
         self, now: int, server_id: int, ok: bool, latency: int, report: Sequence[float]
     ) -> None:
+        """The balancer asks for no health checks: a control service checks by itself."""
         self.load_reported(now, server_id, int(ok), int(not ok), report)
 
     def load_reported(self, now: int, server_id: int, good: int, bad: int, report: Sequence[float]) -> None:
+        """Books outcomes that others saw."""
         server = self.subset.servers.get(server_id)
         if server is not None:
             self.outliers.record_outcomes(now, server, good, bad, report)
 
     def timer(self, now: int, token: int) -> None:
+        """A request has waited long enough in the queue, or an attempt may be lost."""
         kind, value = token >> TOKEN_BITS, token & ((1 << TOKEN_BITS) - 1)
         if kind == TIMER_QUEUED:
             request = self.requests.get(value)
@@ -253,6 +272,7 @@
         return balancer_stats.snapshots(now, self.subset, self.outliers, self.slow_start)
 
     def _send_attempt(self, now: int, request: Request) -> None:
+        """Sends the request to the server picked for it, or finishes it if there is none."""
         server = self.picker.pick(now, request)
         if server is None:
             return self._finish(request, FinalReason.NO_SERVER, shed=request.ran_on is None)
@@ -284,13 +304,15 @@
                 self._start_attempt_timer(request, wait)
 
     def _start_attempt_timer(self, request: Request, wait: float) -> None:
+        """Has `per_try_timeout` called for this attempt."""
         token = request.id << ATTEMPT_BITS | request.attempts
         self.actions.set_timer(max(1, int(wait)), TIMER_ATTEMPT << TOKEN_BITS | token)
 
     def per_try_timeout(self, now: int, request: Request) -> None:
         """Gives up an attempt that is lost, not slow.
 
-        It is lost when its server has answered a later one, or long overdue while hardly any request is late.
+        It is lost when its server has answered one that was sent a mean round-trip later, or when it is long
+        overdue while hardly any request is late. Until then this is asked again every mean deviation.
         """
         settings, server = self.settings, request.server
         assert server is not None
@@ -312,8 +334,10 @@
             self._start_attempt_timer(request, max(deviation, settings.tick))
 
     def _retry_or_finish(self, now: int, request: Request, server: Server | None, outcome: Outcome) -> None:
+        """Sends a further attempt where one is allowed; gives the final answer otherwise."""
         if outcome not in NEVER_RAN and request.ran_on is None:
-            request.ran_on, request.ran_at = server, request.sent_at
+            request.ran_on = server
+            request.ran_at = request.sent_at
         request.previous = server
         # The per-try timeout has paid for its retry; after an attempt that never ran a retry is free.
         price = int(outcome not in NEVER_RAN and not request.timed_out)
@@ -326,6 +350,7 @@
         self._send_attempt(now, request)
 
     def _no_retry_reason(self, now: int, request: Request, price: int) -> FinalReason | None:
+        """What forbids a retry that costs so many retry tokens; None if nothing does."""
         window = self.settings.classes[request.request_class].deduplication_window
         repeatable = request.idempotency == Idempotency.IDEMPOTENT or (
             request.idempotency == Idempotency.IDEMPOTENCY_KEY and now < request.ran_at + window
@@ -341,6 +366,7 @@
         return None
 
     def _finish(self, request: Request, reason: FinalReason, *, shed: bool) -> None:
+        """Gives the one final answer; `shed` only where a retry by the client does no harm."""
         del self.requests[request.id]
         self.final_reason = reason
         if not shed:
@@ -361,6 +387,7 @@
         self.actions.set_timer(max(1, (request.deadline - now) // 2), TIMER_QUEUED << TOKEN_BITS | request.id)
 
     def _serve_queue(self, now: int) -> None:
+        """Sends queued requests while the limit has room for them."""
         queue, controller = self.queue, self.controller
         while queue and (not queue[0].queued or controller.in_flight < controller.current_limit()):
             request = queue.popleft()
--- a/harecross/policy/balancer_stats.py
+++ b/harecross/policy/balancer_stats.py
@@ -4,8 +4,9 @@
 
 from harecross.interface import EndpointSnapshot, EndpointState
 from harecross.policy.controller import GradientController
-from harecross.policy.endpoint_picker import SlowStart
-from harecross.policy.outlier_detection import OutcomeRecorder, OutlierDetector
+from harecross.policy.outcome_recorder import OutcomeRecorder
+from harecross.policy.outlier_detection import OutlierDetector
+from harecross.policy.slow_start import SlowStart
 from harecross.policy.subset import Subset
 
 
--- a/harecross/policy/controller.py
+++ b/harecross/policy/controller.py
@@ -1,5 +1,7 @@
 """The gradient controller: an adaptive limit on one node's requests in flight, after Envoy's."""
 
+from __future__ import annotations
+
 from collections.abc import Sequence
 from math import ceil, inf, sqrt
 from random import Random
@@ -41,7 +43,8 @@
 class GradientController:
     """The concurrency limit over the whole subset.
 
-    Samples count relative to the latency target of their class, which is min_rtt and a buffer.
+    Samples count relative to the latency target of their class, min_rtt and a buffer, so that a shift between
+    classes does not look like overload. The buffer reaches up to the latency allowance of the class.
     """
 
     def __init__(self, allowances: Sequence[int], max_limit: int, rng: Random, now: int) -> None:
@@ -192,13 +195,18 @@
             self.start_min_rtt_window(now)
 
     def _next_limit(self, found: float) -> float:
+        """The gradient's limit, bounded by what lately was in flight: one never reached is not measured."""
         grows = found <= 1 or self.sample_rtt > 1
         limit = self.gradient * self.limit + (self.headroom() if grows else 0.0)
         baselines = MAX_BASELINES * self.baseline_in_flight + sqrt(self.limit)
         return min(limit, max(self.min_rtt_limit, MAX_FLOORS * self.floor, baselines), self.max_limit)
 
     def _update_baseline(self, age: int, count: int, found: float, before: float) -> None:
-        """Follows the requests in flight while latency is good: a limit below them would help nobody."""
+        """Follows the requests in flight while latency is good: a limit below them would help nobody.
+
+        After a start it follows quickly, up to the first window above target or not bound by the limit, and
+        again from the second good window that the limit binds. It decays while requests are lost.
+        """
         carried = self.in_flight_sum / count
         span = BASELINE_SMOOTHING_US
         binds = carried >= (0.5 if self.ramping else RAMP_RESTART_FRACTION) * self.limit
--- a/harecross/policy/outlier_detection.py
+++ b/harecross/policy/outlier_detection.py
@@ -1,4 +1,6 @@
-"""What the outcomes of attempts change: averages, the concurrency limit, and which members are ejected."""
+"""Outlier detection: members and zones that fail get no requests but recovery probes for a while."""
+
+from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -6,18 +8,16 @@
 
 from harecross.interface import Actions, Outcome
 from harecross.policy.controller import JITTER
-from harecross.policy.records import Request, Server, Zone
+from harecross.policy.records import Server, Zone
 from harecross.policy.subset import MAX_EJECTED_FRACTION, Subset
-from harecross.policy.traffic_stats import SUBSET_SMOOTHING, TrafficStats
+from harecross.policy.traffic_stats import TrafficStats
 
 MIN_FAILURES = 3  # least failures in a row, or of recent outcomes, before an ejection
 FAILURE_RATE_MARGIN = 0.3  # failure rate above the subset's own that ejects
 BASE_EJECTION_US = 2_000_000  # of the first ejection; it doubles with each further one...
 MAX_DOUBLINGS = 4  # ...so many times
 UNRESPONSIVE_RTTS = 4  # mean round-trips without an outcome after which a member is unresponsive
-OUTLIER_SLOWNESS = 2.0  # a member this many times slower than the mean does not speak for the subset
-NO_LOAD_SIGNAL = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET)
-ENDED_BY_NODE = (Outcome.CANCELLED, Outcome.NOT_SENT)
+
 UNANSWERED = (Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
@@ -67,12 +67,14 @@
             self.eject(now, server, unresponsive=False)
 
     def _fails(self, server: Server) -> bool:
+        """Whether it fails several times in a row, or far more often than the subset."""
         rate, mean = server.failure_rate, self.traffic.failure_rate
         in_row = server.failures_in_row >= MIN_FAILURES and rate > mean * 2
         return in_row or (server.outcomes >= MIN_FAILURES and rate > FAILURE_RATE_MARGIN + mean)
 
     def _loses_requests(self, server: Server) -> bool:
-        members = self.subset.members  # in an overload all of them lose requests
+        """Whether it fails far more often than the members; in an overload all of them lose requests."""
+        members = self.subset.members
         mean = sum(member.failure_rate for member in members) / max(1, len(members))
         return server.failure_rate > max(FAILURE_RATE_MARGIN + mean, 2 * mean)
 
@@ -107,7 +109,8 @@
         """Ends an ejection."""
         server.ejected = server.unresponsive = False
         server.failure_rate = self.traffic.failure_rate
-        server.failures_in_row, server.ejections = 0, max(0, server.ejections - 1)
+        server.failures_in_row = 0
+        server.ejections = max(0, server.ejections - 1)
         self.ejected.remove(server)
         if self.ejected:
             self.next_probe_at = min(member.next_probe_at for member in self.ejected)
@@ -146,53 +149,7 @@
 
     def eject_zone(self, zone: Zone, next_probe_at: int) -> None:
         """Marks the zone as ejected; the caller renews the subset."""
-        zone.ejected, zone.probes, zone.next_probe_at = True, 0, next_probe_at
+        zone.ejected = True
+        zone.probes = 0
+        zone.next_probe_at = next_probe_at
         self.ejected_zones.append(zone)
-
-
-@dataclass(slots=True, eq=False)
-class OutcomeRecorder:
-    """Passes outcomes on to the concurrency limit, the averages and the outlier detection."""
-
-    subset: Subset
-    traffic: TrafficStats
-    outliers: OutlierDetector
-    overtaken: int = 0  # time-outs at servers that had answered later requests
-
-    def record(self, now: int, server: Server, request: Request | None, outcome: Outcome, rtt: int) -> None:
-        """Books an outcome; `request` is None where it is no longer open."""
-        controller = self.subset.controller
-        server.in_flight -= 1
-        if not server.excluded:
-            controller.change_in_flight(now, -1, controller.current_limit(), max(self.traffic.mean_rtt))
-        server.last_progress_at = now
-        if outcome in ENDED_BY_NODE:
-            return
-        server.last_outcome_at = now
-        if len(self.subset.zones) > 1:
-            self.outliers.record_zone_outcome(now, server, outcome)
-        ok, timed_out, overtaken = outcome == Outcome.OK, outcome == Outcome.TIMEOUT, False
-        if request is not None:
-            overtaken = timed_out and server.answered_send_at > request.sent_at
-            if outcome not in UNANSWERED:
-                server.answered_send_at = max(server.answered_send_at, request.sent_at)
-            # A lost request tells nothing of latency, but one that nothing has overtaken may be slow.
-            if ok or (timed_out and not overtaken):
-                self._record_latency(now, server, request.request_class, rtt)
-        self.overtaken += overtaken
-        self.traffic.record_outcome(now, server, not ok)
-        if not (server.ejected or overtaken or outcome in NO_LOAD_SIGNAL):
-            controller.lost_fraction += SUBSET_SMOOTHING * ((not ok) - controller.lost_fraction)
-            if request is not None and not (ok or timed_out) and controller.failures_mean_overload():
-                controller.record_failure(now, request.request_class)
-        self.outliers.record_outcome(now, server, ok=ok, timed_out=timed_out)
-
-    def _record_latency(self, now: int, server: Server, request_class: int, rtt: int) -> None:
-        controller, traffic = self.subset.controller, self.traffic
-        if server.slowness < OUTLIER_SLOWNESS and not server.ejected:
-            late = rtt > controller.target[request_class]
-            controller.late_fraction += SUBSET_SMOOTHING * (late - controller.late_fraction)
-            controller.record_sample(now, request_class, rtt)
-        traffic.record_slowness(server, request_class, rtt)
-        self.subset.zone_preference.record_latency(server.zone, rtt / controller.target[request_class])
-        traffic.record_rtt(request_class, rtt)
--- a/harecross/policy/records.py
+++ b/harecross/policy/records.py
@@ -1,5 +1,7 @@
 """Records of the servers, machine types, zones and open requests of one node. Times are in microseconds."""
 
+from __future__ import annotations
+
 from dataclasses import dataclass
 
 from harecross.interface import Idempotency
@@ -75,11 +77,12 @@
     def load(self, now: int, mean_rtt: float, retention: float, mean_cost: float = 0.0) -> float:
         """Expected time of the requests in flight and one more: what two random choices compare.
 
-        Measurements fade to those of the machine type, so that a slow server is measured again.
+        Measurements fade to those of the machine type, so that a slow server is measured again. Load reports
+        outweigh round-trips, which show little of the load where servers call other servers.
         """
         quiet = now - self.last_outcome_at
         typical, own = self.machine_type.slowness, self.slowness
-        if self.machine_type.cost:  # where servers call other servers, round-trips show little of their load
+        if self.machine_type.cost:
             typical = self.machine_type.cost / mean_cost
             own = (own + self.cost / mean_cost) / 2 if self.cost else typical
         slowness = typical + (own - typical) * max(0.0, 1 - quiet / RETENTION_US)
--- a/harecross/policy/subset.py
+++ b/harecross/policy/subset.py
@@ -1,4 +1,6 @@
-"""The subset: the servers that one node calls, a random choice among those listed, and its use of zones."""
+"""The subset: the servers that one node calls, a random choice among those listed."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass, field
 from random import Random
@@ -7,52 +9,10 @@
 from harecross.policy import fleet_limits
 from harecross.policy.controller import GradientController
 from harecross.policy.records import MachineType, Server, Zone
-from harecross.policy.traffic_stats import SERVER_SMOOTHING, SUBSET_SMOOTHING
+from harecross.policy.zone_preference import ZonePreference
 
 MAX_EJECTED_FRACTION = 0.34  # of the members
 MAX_MACHINE_TYPES = 64  # remembered while no server of theirs is listed
-MIN_CROSS_ZONE_COST = 0.01  # zones are kept to only where leaving costs this part of a request's weight
-CROSS_ZONE_COST_FACTOR = 10  # a request twice as slow is taken to lose a tenth of its weight
-CROSS_ZONE_GAIN = 0.1  # one window moves the fraction by this part of the imbalance...
-MAX_CROSS_ZONE_STEP = 0.04  # ...and at most by this
-
-
-class ZonePreference:
-    """The cross-zone fraction: it grows while local servers are slower than remote ones."""
-
-    def __init__(self, settings: Settings) -> None:
-        self.zone = settings.zone
-        self.nodes = settings.instance_count
-        self.enabled = settings.cross_zone_cost >= MIN_CROSS_ZONE_COST
-        self.patience = 1 + CROSS_ZONE_COST_FACTOR * settings.cross_zone_cost
-        self.fraction = self.min_fraction = 0.0 if self.enabled else 1.0
-        self.local_ratio = self.remote_ratio = 0.5  # mean latency over the latency target
-        self.best_local_ratio = 0.0
-
-    def resize(self, members: list[Server]) -> None:
-        """The subset has changed: what exceeds the zone's part of all members leaves it."""
-        if self.enabled and members:
-            local = sum(member.zone == self.zone for member in members)
-            self.min_fraction = fleet_limits.min_cross_zone_fraction(local, len(members), self.nodes)
-            self.fraction = max(self.fraction, self.min_fraction)
-
-    def record_latency(self, zone: int, ratio: float) -> None:
-        """Adds a latency, relative to its latency target, of a server in that zone."""
-        if zone == self.zone:
-            self.local_ratio += SUBSET_SMOOTHING * (ratio - self.local_ratio)
-        else:
-            self.remote_ratio += SUBSET_SMOOTHING * (ratio - self.remote_ratio)
-
-    def on_window_end(self) -> None:
-        """Moves the fraction. Unused, remote zones are taken to do as well as this one at its best."""
-        if self.local_ratio < self.best_local_ratio or self.best_local_ratio == 0:
-            self.best_local_ratio = self.local_ratio
-        if self.fraction < 0.05:
-            self.remote_ratio += SERVER_SMOOTHING * (self.best_local_ratio - self.remote_ratio)
-        self.best_local_ratio *= 1.001
-        step = CROSS_ZONE_GAIN * (self.local_ratio / max(self.remote_ratio, 1e-9) - self.patience)
-        self.fraction += min(MAX_CROSS_ZONE_STEP, max(-MAX_CROSS_ZONE_STEP, step))
-        self.fraction = min(1.0, max(self.min_fraction, self.fraction))
 
 
 @dataclass(slots=True, eq=False)
@@ -124,6 +84,7 @@
         self.classify_members()
 
     def _fill(self, missing: int, *, whole: bool) -> None:
+        """Adds random servers; unless the subset is whole, substitutes in zones that are not ejected."""
         free = [s for _, s in sorted(self.servers.items()) if s.listed and not s.in_subset]
         pool = [server for server in free if whole or not self.zones[server.zone].ejected]
         for _ in range(min(missing, len(pool))):
--- a/harecross/policy/tenant_quotas.py
+++ b/harecross/policy/tenant_quotas.py
@@ -1,5 +1,7 @@
 """Tenants' parts of one node's service."""
 
+from __future__ import annotations
+
 from math import exp
 
 MIN_BUCKET_TOKENS = 3.0  # a bucket holds this many tokens, or those of one second: arrivals cluster
@@ -9,7 +11,8 @@
 class TenantQuotas:
     """Token buckets that fill at each tenant's quota and overflow into a pool that any tenant may use.
 
-    A node with more than its part of the traffic scales all by how far the median tenant exceeds its own.
+    Nobody exceeds a quota while all together keep within the sum. A node with more than its part of the
+    traffic scales all quotas by how far the median tenant exceeds its own.
     """
 
     __slots__ = ("quotas", "tokens", "counts", "pool", "scale", "refilled_at")
--- a/harecross/policy/traffic_stats.py
+++ b/harecross/policy/traffic_stats.py
@@ -1,5 +1,7 @@
 """Averages over a node's traffic: round-trips, failures, load reports."""
 
+from __future__ import annotations
+
 from collections.abc import Sequence
 
 from harecross.interface import Settings
--- a/harecross/settings.py
+++ b/harecross/settings.py
@@ -71,6 +71,7 @@
         return value
 
     def _impossible(self, key: str, value: Any) -> SettingsError:
+        """The error for a value that cannot be."""
         return SettingsError(f"settings: impossible value for {self.prefix}{key}: {value!r:.60}")
 
     def number(self, key: str, default: Any = ...) -> float:
