--- /dev/null
+++ b/tests/test_admission.py
@@ -0,0 +1,130 @@
+"""Which requests a node admits: the concurrency limit, classes, quotas, and the queue below the first tier."""
+
+from support import SAFE, SEC, ask, balancer, end
+
+from harecross.interface import (
+    ClassSettings,
+    Idempotency,
+    Outcome,
+    TenantSettings,
+)
+
+
+def test_at_the_limit_a_request_is_shed_at_once_with_retry_after():
+    node, rec = balancer(1)
+    limit = int(node.controller.current_limit())
+    answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
+    assert answers == ["send"] * limit + ["shed"]
+    node.request(0, 99, 0, 0, 3 * SEC, False)
+    ((_, request, retry_after),) = rec.take()
+    assert request == 99 and 0 < retry_after <= 2 * SEC
+    assert node.stats()["rq_blocked"] == 2
+
+
+def test_without_an_eligible_server_a_request_is_shed_at_once():
+    for request_class in (0, 1, 2):
+        node, rec = balancer(0)
+        assert ask(node, rec, 0, 1, request_class)[0] == "shed"
+
+
+def test_below_the_first_tier_requests_queue_at_the_limit():
+    """A refusal below the first tier throws away the work already done above."""
+    node, rec = balancer(1, tier=1, tiers=2)
+    sent = []
+    for i in range(4):
+        node.request(0, i, 0, 0, 3 * SEC, False)
+        sent += rec.take("send", "shed")
+    assert [a[0] for a in sent] == ["send"] * 3
+    ((action, request, *_),) = end(node, rec, 1000, 0, 0, 1, Outcome.OK)
+    assert (action, request) == ("send", 3)
+    node.request(2000, 9, 0, 0, 3 * SEC, False)
+    ((_, delay, token),) = rec.take()
+    node.timer(2000 + delay, token)
+    assert rec.take()[0][:2] == ("shed", 9)
+
+
+def test_a_queued_request_whose_client_left_makes_room_for_another():
+    node, rec = balancer(1, tier=1, tiers=2)
+    for i in range(40):
+        node.request(0, i, 0, 0, 3 * SEC, False)
+    held = len(node.queue)
+    assert held > 0 and rec.take("shed")
+    node.client_disconnected(10, node.queue[0].id)
+    assert len(node.queue) == held - 1
+    node.request(20, 99, 0, 0, 3 * SEC, False)
+    assert len(node.queue) == held and not rec.take("shed", "fail", "send")
+
+
+def test_a_tenant_above_its_quota_leaves_headroom_to_the_others():
+    tenants = (TenantSettings(quota=10), TenantSettings(quota=10))
+    node, rec = balancer(8, tenants=tenants)
+    answers = []
+    for i in range(60):
+        node.request(0, i, 0, 0, 3 * SEC, False)
+        answers += [a[0] for a in rec.take("send", "shed")]
+    assert answers[:8] == ["send"] * 8 and answers[-1] == "shed"
+    node.request(0, 99, 0, 1, 3 * SEC, False)
+    assert rec.take()[0][0] == "send"
+
+
+def test_requests_above_a_quota_with_little_weight_are_shed_below_the_limit():
+    tenants = (TenantSettings(quota=2), TenantSettings(quota=2))
+    node, rec = balancer(8, tenants=tenants, over_quota_weight=0.05)
+    answers = []
+    for i in range(40):
+        node.request(i * SEC // 10, i, 0, 0, 3 * SEC, False)
+        answers += rec.take("send", "shed")
+        if answers[-1][0] == "send":
+            end(node, rec, i * SEC // 10 + 5000, i, 0, answers[-1][2], Outcome.OK, 5000)
+    refused = [a for a in answers if a[0] == "shed"]
+    assert len(refused) > 10
+    assert all(a[2] < SAFE.latency_objective / 2 for a in refused), (
+        "a client told to stay away for long comes back late"
+    )
+
+
+def test_a_class_of_less_weight_leaves_headroom():
+    rich = ClassSettings(
+        Idempotency.NON_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=10
+    )
+    node, rec = balancer(8, classes=(SAFE, rich))
+    answers = [ask(node, rec, 0, i)[0] for i in range(70)]
+    assert answers[-1] == "shed"
+    assert ask(node, rec, 0, 99, 1)[0] == "send"
+
+
+def test_failures_of_the_whole_subset_close_the_limit():
+    """With servers lost below, most calls come back as errors; without samples the limit would stay."""
+    node, rec = balancer(6, instance_count=6)
+    now, out = 0, []
+
+    def play(steps: int, outcome: Outcome) -> None:
+        nonlocal now
+        for _ in range(steps):
+            now += 10_000
+            action = ask(node, rec, now, now, 2)
+            if action[0] == "send":
+                out.append(action)
+            if len(out) > 10 or action[0] != "send" and out:
+                _, request, server, _ = out.pop(0)
+                end(node, rec, now, request, 0, server, outcome, 100_000)
+
+    play(1500, Outcome.OK)
+    usual = node.controller.baseline_in_flight
+    assert usual > 8 and node.controller.current_limit() > 12
+    play(1500, Outcome.ERROR)
+    assert node.controller.floor < usual and node.controller.limit < 0.6 * usual
+
+
+def test_a_client_that_gave_up_counts_as_a_slow_answer():
+    """Clients that leave before any time-out end their calls as cancelled: without a sample no limit acts."""
+    node, rec = balancer()
+    ctl = node.controller
+    _, _, server, _ = ask(node, rec, 0, 1)
+    node.client_disconnected(10_000, 1)  # impatient: tells nothing
+    before = ctl.min_rtt_requests_left
+    _, _, server, _ = ask(node, rec, 0, 2)
+    slowness = node.subset.servers[server].slowness
+    node.client_disconnected(2 * SEC, 2)
+    assert ctl.min_rtt_requests_left == before - 1
+    assert node.subset.servers[server].slowness > slowness
