--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -75,12 +75,12 @@
     node, recorder = balancer(1, tier=1, tiers=2)
     for i in range(40):
         node.request(0, i, 0, 0, 3 * SEC, False)
-    held = len(node.queue)
-    assert held > 0 and recorder.take("shed")
+    queued = len(node.queue)
+    assert queued > 0 and recorder.take("shed")
     node.client_disconnected(10, node.queue[0].id)
-    assert len(node.queue) == held - 1
+    assert len(node.queue) == queued - 1
     node.request(20, 99, 0, 0, 3 * SEC, False)
-    assert len(node.queue) == held and not recorder.take("shed", "fail", "send")
+    assert len(node.queue) == queued and not recorder.take("shed", "fail", "send")
 
 
 def test_a_tenant_above_its_quota_leaves_headroom_to_the_others():
@@ -122,7 +122,7 @@
 
 
 def test_failures_of_the_whole_subset_close_the_limit():
-    """With servers lost below, most calls come back as errors; without samples the limit would stay."""
+    """With servers lost below, most requests come back as errors; without samples the limit would stay."""
     node, recorder = balancer(6, instance_count=6)
     now, out = 0, []
 
@@ -138,10 +138,10 @@
                 end(node, recorder, now, request, 0, server, outcome, 100_000)
 
     play(1500, Outcome.OK)
-    usual = node.controller.baseline_in_flight
-    assert usual > 8 and node.controller.current_limit() > 12
+    baseline = node.controller.baseline_in_flight
+    assert baseline > 8 and node.controller.current_limit() > 12
     play(1500, Outcome.ERROR)
-    assert node.controller.floor < usual and node.controller.limit < 0.6 * usual
+    assert node.controller.floor < baseline and node.controller.limit < 0.6 * baseline
 
 
 def given_up_after(waited: int):
--- a/tests/test_endpoint_picker.py
+++ b/tests/test_endpoint_picker.py
@@ -10,7 +10,7 @@
 
 
 def test_overdue_requests_show_a_member_that_has_just_become_slow():
-    """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
+    """Its averages still look good: what tells is that its requests have been out for longer than the mean."""
     node, recorder = balancer(2)
     slow, quick = node.subset.members
     slow.in_flight, slow.last_progress_at = 1, 0
@@ -20,7 +20,7 @@
 
 
 def test_a_slow_member_is_picked_less_often():
-    """Equal calls in flight hide a slow machine where a copy has hardly any in flight."""
+    """Equal requests in flight hide a slow machine where a node has hardly any in flight."""
     node, recorder = balancer(4)
     now, hits = 0, 0
     for i in range(400):
@@ -45,7 +45,7 @@
 
 
 def test_with_little_traffic_a_member_counts_as_its_machine_type():
-    """Each member is met too seldom to be known; equal shares would drown the slowest kind of machine."""
+    """Each member is met too seldom to be known; equal shares would drown the slowest machine type."""
     node, recorder = balancer(two_machine_types())
     latency = {i: 200_000 if i % 2 else 100_000 for i in range(20)}
     drawn = [served(node, recorder, i * 10 * SEC, i, latency) % 2 for i in range(300)]
@@ -53,7 +53,7 @@
 
 
 def test_load_reports_show_a_slow_machine_type_that_round_trips_hide():
-    """The call spends most of its time below; round-trips look alike, while the slow kind is drowning."""
+    """The request spends most of its time below; round-trips look alike, while the slow machine type is drowning."""
     node, recorder = balancer(two_machine_types(), report_fields=("latency_ms", "util"))
     latency = dict.fromkeys(range(20), 500_000)
     drawn = [
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -16,7 +16,7 @@
 
 
 def test_a_server_that_rejects_everything_is_avoided():
-    """It holds no calls, so it won the draws for as long as it went on."""
+    """It holds no requests, so it won the draws for as long as it went on."""
     node, recorder = balancer(4, max_attempts=1)
     there = 0
     for i in range(100):
@@ -30,17 +30,17 @@
 
 
 def test_a_drained_server_that_fails_gets_no_recovery_probe():
-    """A drained server's last calls fail; ejected after its removal it would get a half-open trial."""
+    """A drained server's last requests fail; ejected after its removal it would get a recovery probe."""
     node, recorder = balancer(4)
-    held = []
+    in_flight = []
     for i in range(12):
         _, request, server, _ = ask(node, recorder, 0, i, 2)
-        held.append((request, server))
-    drained = max(range(1, 5), key=[server for _, server in held].count)
+        in_flight.append((request, server))
+    drained = max(range(1, 5), key=[server for _, server in in_flight].count)
     node.endpoint_update(1, EndpointUpdateKind.CHANGES, [Endpoint(drained, EndpointState.DRAINING)])
-    for request, server in held:
+    for request, server in in_flight:
         end(node, recorder, 2, request, 0, server, Outcome.ERROR if server == drained else Outcome.OK)
-    assert sum(server == drained for _, server in held) >= 3 and node.outliers.ejected == []
+    assert sum(server == drained for _, server in in_flight) >= 3 and node.outliers.ejected == []
     for i in range(100, 200):
         _, _, server, _ = ask(node, recorder, i * SEC, i)
         assert server != drained
@@ -79,7 +79,7 @@
 
 
 def test_an_unresponsive_member_is_ejected_and_frees_the_limit():
-    """Calls stuck on a silent member must not fill the limit for all the others."""
+    """Requests stuck on an unresponsive member must not fill the limit for all the others."""
     node, recorder = balancer(6)
     now, out = 0, []
     for i in range(600):
@@ -95,7 +95,7 @@
 
 
 def refusing(rounds: int, refuse) -> tuple[Balancer, list[int]]:
-    """A copy of ten members in full traffic; from the second half on those that `refuse` names refuse connects.
+    """A node of ten members in full traffic; from the second half on those that `refuse` names refuse connects.
 
     Returns it with the attempts of each request of the second half.
     """
@@ -156,7 +156,7 @@
 def losing_answers(
     share: float, members: tuple[int, ...], seconds: int = 20
 ) -> tuple[Balancer, dict[int, int]]:
-    """A copy of ten members; these lose so many of their answers, and answer the others as quickly as all.
+    """A node of ten members; these lose so many of their answers, and answer the others as quickly as all.
 
     Returns it with the calls that each member got in the last half.
     """
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("share", [0.5, 1.0])
 def test_a_member_that_loses_answers_gets_few_requests(share):
-    """It answers what it answers as quickly as the others, and each call it loses costs its whole time."""
+    """It answers what it answers as quickly as the others, and each request it loses costs its whole time."""
     node, got = losing_answers(share, (3, 7))
     even = sum(got.values()) / 10
     assert max(got[3], got[7]) < 0.3 * even < min(n for server, n in got.items() if server not in (3, 7))
@@ -255,7 +255,7 @@
 
 
 def little_traffic_with_two_failing_members() -> tuple[Balancer, list[int]]:
-    """A thousand calls, one a second, over 20 members; the sends to the failing two after the first 100."""
+    """A thousand requests, one a second, over 20 members; the sends to the failing two after the first 100."""
     node, recorder = balancer(20)
     to_failing = []
     for i in range(1000):
@@ -273,7 +273,7 @@
 
 
 def test_with_little_traffic_a_failing_member_is_probed_no_more_often_than_it_would_be_picked():
-    """Tried every two seconds, members that fail get a third of the calls of a copy with one a second."""
+    """Tried every two seconds, members that fail get a third of the requests of a node with one a second."""
     _, to_failing = little_traffic_with_two_failing_members()
     assert 0 < len(to_failing) < 25  # an even share would be 90
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -117,7 +117,12 @@
         if roll < 0.5:
             left = rng.choice([SEC // 10, SEC, 4 * SEC])
             request_class = rng.randrange(len(self.s.classes))
-            self.open[i] = {"request_class": request_class, "until": self.now + left, "attempts": [], "ran": None}
+            self.open[i] = {
+                "request_class": request_class,
+                "until": self.now + left,
+                "attempts": [],
+                "ran": None,
+            }
             self.node.request(self.now, i, request_class, rng.randrange(2), left, False)
             self.check()
         elif roll < 0.85 and self.out:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -99,7 +99,7 @@
 
 
 def test_a_retry_avoids_the_server_of_the_attempt_before():
-    """The only server of this zone turned its calls away, and each further attempt went there again."""
+    """The only server of this zone rejected its requests, and each further attempt went there again."""
     near, far = Endpoint(1, zone=0), Endpoint(2, zone=1)
     for seed in range(10):
         node, recorder = balancer([near, far], seed=seed, cross_zone_cost=0.05)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -30,7 +30,7 @@
 
 
 def test_the_bucket_of_a_warming_up_server_starts_empty():
-    """A call saved up while nobody watched would come on top of every other node's."""
+    """A request saved up while nobody watched would come on top of every other node's."""
     node, recorder = balancer(2)
     node.slow_start.warm_rate = 10.0
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC)])
@@ -46,7 +46,7 @@
 
 
 def rolling_replacement(seed: int, late: bool) -> tuple[float, float]:
-    """Twelve servers, one replaced each half second, so that none is ever warm; twenty calls a second.
+    """Twelve servers, one replaced each half second, so that none is ever warm; twenty requests a second.
 
     Answers come after 0.1 s, or late for every call. The share that is refused in the second half, and the most
     that one server got in any second.
@@ -106,7 +106,7 @@
 
 
 def test_while_no_member_is_warm_each_gets_its_part_of_all_requests():
-    """After a mass restart a copy would refuse all until the warm-up has passed."""
+    """After a mass restart a node would refuse all until the warm-up has passed."""
     cold = [Endpoint(i, ready_at=10 * SEC) for i in range(1, 5)]
     node, recorder = balancer([Endpoint(i) for i in range(1, 5)])
     node.endpoint_update(10 * SEC, EndpointUpdateKind.FULL, cold)
@@ -117,7 +117,7 @@
         if kind == "send":
             sent[rest[0]].append(now)
             end(node, recorder, now + 1000, request, 0, rest[0], Outcome.OK, 1000)
-    # 25 calls a second are an even part; a server at so much of its capacity bears three times that of it for 1 s.
+    # 25 requests a second are an even part; a server at so much of its capacity bears three times that of it for 1 s.
     for at in sent.values():
         assert len(at) > 5
         for t in at:
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -63,7 +63,7 @@
     ("servers", "instances", "size"), [(60, 1, 24), (60, 400, 10), (60, 60, 16), (6, 400, 6)]
 )
 def test_the_subset_is_as_small_as_the_number_of_nodes_allows(servers, instances, size):
-    """A copy with a call a second knows none of many members and keeps no connection to them."""
+    """A node with a request a second knows none of many members and keeps no connection to them."""
     node, _ = balancer(servers, instance_count=instances)
     assert len(node.subset.members) == size
 
@@ -85,18 +85,18 @@
 
 
 def test_servers_listed_after_others_left_are_in_as_many_subsets():
-    """Over two hundred copies each server, new or old, is in as many subsets, give or take chance."""
+    """Over two hundred nodes each server, new or old, is in as many subsets, give or take chance."""
     found: dict[int, int] = {}
     for seed in range(200):
         members = subset_after_a_release(seed)
         assert len(members) == 10
         for server in members:
             found[server] = found.get(server, 0) + 1
-    usual = 200 * 10 / 120
+    expected = 200 * 10 / 120
     new = sum(n for s, n in found.items() if s > 1000) / 36
     old = sum(n for s, n in found.items() if s <= 1000) / 84
-    assert 0.85 * usual < new < 1.15 * usual and 0.85 * usual < old < 1.15 * usual, (new, old)
-    assert max(found.values()) < usual + 5 * usual**0.5
+    assert 0.85 * expected < new < 1.15 * expected and 0.85 * expected < old < 1.15 * expected, (new, old)
+    assert max(found.values()) < expected + 5 * expected**0.5
 
 
 def test_a_replaced_member_finishes_its_requests_and_its_idle_connections_are_closed():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 
 
 def test_requests_keep_to_their_zone_only_where_leaving_it_costs():
-    """Own calls in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
+    """Own requests in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
     entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
 
     def near_share(price: float) -> float:
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
 def test_what_exceeds_a_zones_part_leaves_it(nodes, least):
-    """A zone's one server would take all calls of the one node beside it."""
+    """A zone's one server would take all requests of the one node beside it."""
     entries = [Endpoint(i + 1, zone=min(i, 1)) for i in range(6)]
     node, recorder = balancer(entries, cross_zone_cost=0.04, instance_count=nodes)
     assert node.zone_preference.fraction == pytest.approx(least)
@@ -76,20 +76,20 @@
 
 def with_one_zone_answering(node, recorder, alive: int | None, start: int, count: int) -> list[int]:
     """Only attempts sent to servers of zone `alive` are answered. Returns the zones of all attempts."""
-    went = []
+    sent_to = []
     for i in range(start, start + count):
         now = i * 100_000
         action = ask(node, recorder, now, i)
         while action[0] == "send":
             zone = node.subset.servers[action[2]].zone
-            went.append(zone)
+            sent_to.append(zone)
             outcome = Outcome.OK if zone == alive else Outcome.CONNECT_FAILED
             attempt = node.requests[i].attempts - 1
             (action, *_) = [
                 *end(node, recorder, now + 50_000, i, attempt, action[2], outcome, 50_000),
                 ("none",),
             ]
-    return went
+    return sent_to
 
 
 def test_a_zone_without_answers_is_ejected():
@@ -173,7 +173,7 @@
 
 
 def test_the_limit_follows_what_is_left_of_the_subset():
-    """One or two servers got the calls that were right for twenty-four."""
+    """One or two servers got the requests that were right for twenty-four."""
     node, _ = balancer([Endpoint(i + 1, zone=int(i > 1)) for i in range(24)], instance_count=24)
     node.controller.limit, node.controller.baseline_in_flight = 96.0, 80.0
     node.subset.zones[1].ejected = True
