--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -109,6 +109,15 @@
         self.update_listener: UpdateListener | None = None
         self.start_times = StartTimes(time.time_ns() // 1000 - monotonic_us())
 
+    def set_update_listener(self, listener: UpdateListener | None) -> None:
+        """Has the listener notified of each list or change; None for none."""
+        self.update_listener = listener
+
+    def use_merged_sources(self, resolve_name: Callable[[str], str]) -> None:
+        """Lists are merged from sources that measure weights; `resolve_name` maps names of operators to listed ones."""
+        self.resolve_name = resolve_name
+        self.uses_listed_weights = True
+
     # ---- lists and changes ------------------------------------------------------------------------------
 
     def connectivity_changed(self, *, connected: bool) -> None:
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -58,7 +58,7 @@
             table.watch_rank if table.watch else None,
             self.now() + FIRST_STATEMENTS_S,
         )
-        registry.resolve_name, registry.uses_listed_weights = self.membership.resolve, True
+        registry.use_merged_sources(self.membership.resolve)
         self._watch_heard_at = self.now()
         self._clients: dict[tuple[object, ...], DnsClient] = {}
         self.dns_sources: dict[str, DnsSource] = {}
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -34,7 +34,7 @@
         self.roster = ListedEndpoints()
         self.load_reports = LoadReports()
         self._on_change = on_change
-        registry.update_listener = self.endpoints_updated
+        registry.set_update_listener(self.endpoints_updated)
 
     def endpoints_updated(self, update: Any, full: bool, cached: bool) -> None:
         """Takes an update that the registry has taken."""
@@ -75,7 +75,7 @@
 
     def close(self) -> None:
         """Ends the feed."""
-        self.registry.update_listener = None
+        self.registry.set_update_listener(None)
 
 
 def is_address(text: str) -> bool:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls of a real node process that fail as Linux documents, by the project's own shim."""
+"""System calls of a real node process that fail as Linux documents; the project's own shim makes them fail."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ClosingOrigin(Origin):
-    """A server that closes its connection after each answer, if it is told to."""
+    """A server that closes its connection after each response while `closes` is set."""
 
     closes = False
 
@@ -47,7 +47,7 @@
 
 
 class FaultyNode:
-    """One node process under the shim, three servers and a discovery."""
+    """One node process whose system calls fail, three servers and a discovery."""
 
     def __init__(self, node: NodeProcess, origins: list[ClosingOrigin], catalog: Catalog) -> None:
         self.node, self.origins, self.catalog = node, origins, catalog
@@ -58,7 +58,7 @@
         return self.node.process.pid
 
     async def request(self, connection: Client | None = None) -> int | None:
-        """The status of one request on a new connection; None if it was not taken; ConnectionError if it was lost."""
+        """The status of one request on a new connection; None if that was refused; ConnectionError if it was lost."""
         try:
             client = connection or await Client.open(self.node.address)
         except ConnectionRefusedError:
@@ -111,8 +111,8 @@
 SHORTAGES = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-async def clients_through_a_stop(world: FaultyNode) -> None:
-    """Clients come on new connections from SIGTERM until the node refuses them. AssertionError if one is lost."""
+async def send_during_shutdown(world: FaultyNode) -> None:
+    """Sends requests on new connections from SIGTERM until the node refuses them. AssertionError if one is lost."""
     lost, answered = [], []
 
     async def one() -> None:
@@ -137,31 +137,29 @@
 
 
 @pytest.mark.parametrize("error", ABORTS + SHORTAGES, ids=errno.errorcode.get)
-def test_an_accept_that_fails_while_the_node_stops_resets_nobody_in_the_backlog(error, shim, tmp_path):
+def test_a_failing_accept_during_shutdown_resets_no_connection_of_the_backlog(error, shim, tmp_path):
     async def test() -> None:
         async with faulty_node(tmp_path, shim, CallFault("accept", error, 0.8, 0, ALWAYS)) as world:
-            await clients_through_a_stop(world)
+            await send_during_shutdown(world)
 
     run(test())
 
 
-def test_a_stop_resets_nobody_who_comes_between_its_last_accept_and_the_close(shim, tmp_path):
-    """Connections that the kernel has taken and the process has not are reset with the listening socket."""
+def test_a_shutdown_resets_no_connection_between_its_last_accept_and_the_close(shim, tmp_path):
+    """Connections that the kernel has accepted and the process has not are reset with the listening socket."""
 
     async def test() -> None:
         fault = CallFault("close_listener", HELD_UP, 1.0, 0, ALWAYS)
         async with faulty_node(tmp_path, shim, fault) as world:
-            await clients_through_a_stop(world)
+            await send_during_shutdown(world)
 
     run(test())
 
 
 @pytest.mark.parametrize("error", SHORTAGES, ids=errno.errorcode.get)
-def test_a_lack_of_descriptors_at_accept_costs_no_processor_and_open_connections_are_served(
-    error, shim, tmp_path
-):
+def test_a_shortage_at_accept_uses_no_processor_time_and_open_connections_are_served(error, shim, tmp_path):
     async def test() -> None:
-        # The shortage begins after the start; the connection that is to be served through it is open by then.
+        # The shortage begins after the start; the connection that is served throughout is open by then.
         async with faulty_node(tmp_path, shim, CallFault("accept", error, 1.0, 2.0, 5.0)) as world:
             connection = await Client.open(world.node.address)
             assert await world.request(connection) == 200
@@ -180,7 +178,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EINVAL], ids=errno.errorcode.get)
-def test_a_socket_option_that_cannot_be_set_costs_no_client_its_answer(error, shim, tmp_path):
+def test_a_socket_option_that_cannot_be_set_loses_no_request(error, shim, tmp_path):
     async def test() -> None:
         async with faulty_node(tmp_path, shim, CallFault("setsockopt", error, 0.4, 1.0, ALWAYS)) as world:
             await asyncio.sleep(1.0)
@@ -192,8 +190,8 @@
     run(test())
 
 
-async def door_call(node: NodeProcess, method: str, path: str, body: str = "") -> tuple[int, str]:
-    """One call at the node's door: status and text."""
+async def admin_call(node: NodeProcess, method: str, path: str, body: str = "") -> tuple[int, str]:
+    """One call at the node's admin server: status and text."""
     (said,) = [text for text in node.said if text.startswith("door: listening on ")]
     host, _, port = said.rpartition(" ")[2].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -206,7 +204,7 @@
 
 @pytest.mark.parametrize("call", ["write_file", "fsync"])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
-def test_what_operators_were_promised_outlives_a_kill_and_what_cannot_be_written_is_not_promised(
+def test_maintenance_outlives_a_kill_and_a_change_that_cannot_be_written_is_refused(
     call, error, shim, tmp_path
 ):
     async def test() -> None:
@@ -221,15 +219,15 @@
         second = NodeProcess("n0", tmp_path, config, {"TMPDIR": str(lasting)})
         try:
             await first.start(None)
-            assert (await door_call(first, "POST", "/maintenance/enter", "s0"))[0] == 200
+            assert (await admin_call(first, "POST", "/maintenance/enter", "s0"))[0] == 200
             await asyncio.sleep(1.6)
-            status, text = await door_call(first, "POST", "/maintenance/enter", "s1")
+            status, text = await admin_call(first, "POST", "/maintenance/enter", "s1")
             assert status == 500 and "cannot be written" in text
-            assert (await door_call(first, "GET", "/status"))[1] == "active; servers out: s0\n"
+            assert (await admin_call(first, "GET", "/status"))[1] == "active; servers out: s0\n"
             await first.end()
             await second.start(None)
-            assert (await door_call(second, "GET", "/status"))[1] == "active; servers out: s0\n"
-            assert (await door_call(second, "POST", "/maintenance/exit", "s0"))[0] == 200
+            assert (await admin_call(second, "GET", "/status"))[1] == "active; servers out: s0\n"
+            assert (await admin_call(second, "POST", "/maintenance/exit", "s0"))[0] == 200
         finally:
             await first.end()
             await second.end()
@@ -239,18 +237,18 @@
 
 
 @pytest.mark.parametrize("error", ABORTS + SHORTAGES, ids=errno.errorcode.get)
-def test_the_operators_door_is_open_again_after_accept_has_failed(error, shim, tmp_path):
+def test_the_admin_server_answers_again_after_accept_has_failed(error, shim, tmp_path):
     async def test() -> None:
         fault = CallFault("accept", error, 0.9, 1.0, 2.0)
         async with faulty_node(tmp_path, shim, fault, admin="127.0.0.1:0") as world:
             await asyncio.sleep(1.0)
             for _ in range(5):
-                assert (await door_call(world.node, "GET", "/status"))[0] == 200
+                assert (await admin_call(world.node, "GET", "/status"))[0] == 200
 
     run(test())
 
 
-CONNECT_FAILURES = [  # and whether they tell of this machine, not of the server
+CONNECT_FAILURES = [  # and whether this machine is the cause, not the server
     ("connect", errno.EADDRNOTAVAIL, True),
     ("connect", errno.ENETUNREACH, True),
     ("connect", errno.ENOBUFS, True),
@@ -262,10 +260,10 @@
 
 
 @pytest.mark.parametrize("call, error, local", CONNECT_FAILURES, ids=lambda v: str(errno.errorcode.get(v, v)))
-def test_a_connection_that_cannot_be_made_loses_nothing_and_no_server_is_put_out_for_this_machine(
+def test_a_failing_connect_loses_no_request_and_ejects_no_server_for_a_local_shortage(
     call, error, local, shim, tmp_path
 ):
-    """Servers close after each answer, so that every request needs a new connection; a third of them fail at once."""
+    """Servers close after each response, so that every request needs a new connection; a third of them fail."""
 
     async def test() -> None:
         async with faulty_node(tmp_path, shim, CallFault(call, error, 0.33, 2.0, 5.0)) as world:
