--- a/harecross/xds/embedded.py
+++ b/harecross/xds/embedded.py
@@ -38,7 +38,7 @@
         """Publishes from the node's first list on; proxies wait for it."""
         loop = self._publisher_loop
         if loop is not None and not loop.enabled:
-            loop.enabled = loop.feeds[self._cluster].roster.is_publishable()
+            loop.enabled = loop.feeds[self._cluster].listed_endpoints.is_publishable()
 
     async def stop(self) -> None:
         """Ends the streams."""
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -10,7 +10,7 @@
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.platform.clock import monotonic_us
-from harecross.settings import address
+from harecross.settings import parse_address
 from harecross.xds.load_reports import LoadReports
 from harecross.xds.published import ServerView
 
@@ -31,14 +31,14 @@
         self.name = name
         self.dispatcher = dispatcher
         self.registry = registry
-        self.roster = ListedEndpoints()
+        self.listed_endpoints = ListedEndpoints()
         self.load_reports = LoadReports()
         self._on_change = on_change
         registry.set_update_listener(self.endpoints_updated)
 
     def endpoints_updated(self, update: Any, full: bool, cached: bool) -> None:
         """Takes an update that the registry has taken."""
-        self.roster.apply(update, full=full, cached=cached)
+        self.listed_endpoints.apply(update, full=full, cached=cached)
         self._on_change(self.name)
 
     def views(self) -> tuple[list[ServerView], float]:
@@ -47,7 +47,7 @@
             view.server: view for view in self.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         }
         views = []
-        for name, line in self.roster.entries.items():
+        for name, line in self.listed_endpoints.entries.items():
             where, zone = str(line.get(wire_format.HOST_PORT, "")), str(line.get(wire_format.ZONE, ""))
             draining = line[wire_format.LIFECYCLE] != wire_format.IN_SERVICE
             number = self.registry.numbers.get(name, 0)
@@ -81,7 +81,7 @@
 def is_address(text: str) -> bool:
     """Whether a text is HOST:PORT."""
     try:
-        address(text)
+        parse_address(text)
     except ValueError:
         return False
     return True
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,135 +1,63 @@
-"""The control service as a whole: discovery, probes and proxies on loopback, and what breaks between them."""
+"""The control service as a whole: drains, health checks, lists that are wrong, restarts, reloads, a node."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import signal
-import subprocess
-import sys
-from collections import Counter
 from contextlib import asynccontextmanager
 from pathlib import Path
-from random import Random
-from types import SimpleNamespace
 
 import pytest
 
 grpc = pytest.importorskip("grpc")
 
+from control_support import (  # noqa: E402
+    DRAIN_GRACE,
+    UNHEALTHY,
+    control_site,
+    health,
+    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
+    process,
+    text_of,
+)
 from node_support import node_at, run  # noqa: E402
-from xds_support import Caller, backend  # noqa: E402
 
-from harecross.operators import OperatorsFileError  # noqa: E402
-from harecross.platform.child_process import describe_exit  # noqa: E402
 from harecross.standins.discovery import Catalog, entry  # noqa: E402
 from harecross.standins.model import Shape  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
-from harecross.standins.xds import ASSIGNMENT, CLUSTER, DRAINING, XdsProxy, pick  # noqa: E402
-from harecross.xds.config import read_control  # noqa: E402
-from harecross.xds.service import ControlService  # noqa: E402
-
-DRAIN_GRACE = 0.25
-UNHEALTHY = 2
-
-
-@pytest.fixture(autouse=True)
-def no_child_dies_of_a_signal_that_nobody_sent(request, capfd):
-    """A worker that crashes is replaced, and its test would pass without a word."""
-    yield
-    out, err = capfd.readouterr()
-    sys.stderr.write(err)
-    assert "Fatal Python error" not in out + err
-    killed = "SIGKILL" if "killed" in request.node.name else "none"
-    for line in err.splitlines():
-        assert "was ended by" not in line or killed in line, line
-
-
-def text_of(
-    catalogs: dict[str, Catalog], more: str = "", control: str = "", cluster: str = "", probe: str = "http"
-) -> str:
-    parts = [f'[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.2\n{control}\n{more}']
-    for name, catalog in catalogs.items():
-        parts.append(f'[clusters.{name}]\ndiscovery = "{catalog.address}"\n{cluster}')
-        parts.append(f'[clusters.{name}.probe]\nkind = "{probe}"\ninterval_s = 0.1\ntimeout_s = 0.2')
-    return "\n".join(parts)
-
-
-class ControlSite:
-    """Catalogs, servers and one service in this process."""
-
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
-        self.path = folder / "control.toml"
-        self.servers: dict[str, StandinServer] = {}
-        self.catalogs: dict[str, Catalog] = {}
-        self.service: ControlService | None = None
-        self.task: asyncio.Task[None] | None = None
-        self.channel = None
-
-    async def cluster(self, name: str, servers: int = 3) -> Catalog:
-        catalog = self.catalogs[name] = await Catalog().start()
-        for i in range(servers):
-            s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", Shape()).start()
-            catalog.put(entry(s.name, s.address))
-        return catalog
-
-    async def serve(self, **parts: str) -> ControlService:
-        self.path.write_text(text_of(self.catalogs, **parts))
-        self.service = ControlService(self.path, read_control(self.path))
-        self.task = asyncio.create_task(self.service.run())
-        ready = asyncio.create_task(self.service.ready.wait())
-        await asyncio.wait([self.task, ready], return_when=asyncio.FIRST_COMPLETED)
-        ready.cancel()
-        if self.task.done():
-            self.task.result()
-        self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.service.server.port}")
-        return self.service
-
-    async def leave(self) -> None:
-        if self.channel is not None:
-            await self.channel.close()
-        if self.service is not None:
-            self.service.stop.set()
-            await self.task
-        self.service = self.channel = None
-
-    async def close(self) -> None:
-        await self.leave()
-        for catalog in self.catalogs.values():
-            await catalog.stop()
-        for server in self.servers.values():
-            server.stop()
+from harecross.standins.xds import ASSIGNMENT, CLUSTER, DRAINING, XdsProxy  # noqa: E402
 
 
 @asynccontextmanager
-async def control_site(folder: Path):
-    site = ControlSite(folder)
-    try:
-        yield site
-    finally:
-        await site.close()
-
-
-def health(proxy: XdsProxy, cluster: str = "orders") -> dict[str, int]:
-    return {t.name: t.health for t in proxy.endpoints(cluster)}
-
-
-def test_a_drain_reaches_the_proxy_in_time_and_a_server_that_goes_leaves_the_list(tmp_path):
+async def site_with_proxy(folder: Path):
+    """A service with one cluster of three servers, and a proxy that has them."""
+    async with control_site(folder) as site:
+        await site.cluster("orders")
+        await site.serve()
+        proxy = XdsProxy(site.channel).start()
+        await proxy.until(lambda proxy: health(proxy) == {"orders0": 1, "orders1": 1, "orders2": 1})
+        yield site, proxy
+        await proxy.stop()
+
+
+def test_a_drain_reaches_the_proxy_in_time(tmp_path):
     async def body() -> None:
-        async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders")
-            await site.serve()
-            proxy = XdsProxy(site.channel).start()
-            await proxy.until(lambda proxy: health(proxy) == {"orders0": 1, "orders1": 1, "orders2": 1})
+        async with site_with_proxy(tmp_path) as (site, proxy):
             changed_at = asyncio.get_running_loop().time()
-            catalog.put(entry("orders1", site.servers["orders1"].address, "terminating"))
+            site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, "terminating"))
             await proxy.until(lambda proxy: health(proxy).get("orders1") == DRAINING)
             assert proxy.told_at("orders", "orders1", DRAINING) - changed_at < DRAIN_GRACE
-            catalog.put(entry("orders1", site.servers["orders1"].address, "terminated"))
+
+    run(body())
+
+
+def test_a_server_that_has_ended_leaves_the_proxys_list(tmp_path):
+    async def body() -> None:
+        async with site_with_proxy(tmp_path) as (site, proxy):
+            for lifecycle in ("terminating", "terminated"):
+                site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, lifecycle))
             await proxy.until(lambda proxy: set(health(proxy)) == {"orders0", "orders2"})
-            await proxy.stop()
 
     run(body())
 
@@ -191,8 +119,8 @@
             service = await site.serve(control=memory)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
-            roster = service.publisher_loop.feeds["orders"].roster
-            assert roster.has_remembered_list and not roster.has_full_list
+            listed = service.publisher_loop.feeds["orders"].listed_endpoints
+            assert listed.has_remembered_list and not listed.has_full_list
             await proxy.stop()
 
     run(body())
@@ -228,19 +156,6 @@
     run(body())
 
 
-SERVE = (
-    "import sys; from pathlib import Path; from harecross.xds.service import main; main(Path(sys.argv[1]))"
-)
-
-
-async def process(path: Path) -> tuple[subprocess.Popen, int]:
-    """The service in a process of its own, and its port."""
-    started = subprocess.Popen([sys.executable, "-c", SERVE, str(path)], stderr=subprocess.PIPE)
-    while b"listening on port" not in (output := await asyncio.to_thread(started.stderr.readline)):
-        assert output, f"the service {describe_exit(started.wait())}"
-    return started, int(output.split(b"port ")[1].split(b",")[0])
-
-
 @pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
 def test_killed_and_restarted_while_the_list_changes_no_proxy_sees_an_empty_cluster(tmp_path, delta):
     async def body() -> None:
@@ -281,26 +196,39 @@
     run(body())
 
 
-def test_a_cluster_that_leaves_the_file_goes_and_a_bad_file_changes_nothing(tmp_path):
+@asynccontextmanager
+async def two_clusters(folder: Path):
+    """A service with the clusters orders and stock, and a proxy that has both."""
+    async with control_site(folder) as site:
+        await site.cluster("orders")
+        await site.cluster("stock", 2)
+        await site.serve()
+        proxy = XdsProxy(site.channel).start()
+        await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
+        yield site, proxy
+        await proxy.stop()
+
+
+def test_a_bad_file_changes_nothing(tmp_path):
     async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.cluster("stock", 2)
-            service = await site.serve()
-            proxy = XdsProxy(site.channel).start()
-            await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
-            good = site.path.read_text()
-            site.path.write_text(good + "\n[nonsense]\n")
+        async with two_clusters(tmp_path) as (site, proxy):
+            site.path.write_text(site.path.read_text() + "\n[nonsense]\n")
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.05)
-            assert set(service.publisher_loop.feeds) == {"orders", "stock"}
-            site.path.write_text(
-                text_of({"orders": site.catalogs["orders"]}, cluster="cross_zone_price = 0.5")
-            )
+            assert set(site.service.publisher_loop.feeds) == {"orders", "stock"}
+            assert len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2
+
+    run(body())
+
+
+def test_a_cluster_that_leaves_the_file_leaves_the_proxy(tmp_path):
+    async def body() -> None:
+        async with two_clusters(tmp_path) as (site, proxy):
+            orders = {"orders": site.catalogs["orders"]}
+            site.path.write_text(text_of(orders, cluster="cross_zone_price = 0.5"))
             os.kill(os.getpid(), signal.SIGHUP)
             await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
             assert len(health(proxy)) == 3
-            await proxy.stop()
 
     run(body())
 
@@ -335,424 +263,6 @@
     run(body())
 
 
-# ---- workers --------------------------------------------------------------------------------------------
-
-
-def test_workers_share_the_streams_and_one_that_is_killed_is_replaced(tmp_path):
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders")
-            await site.cluster("stock", 2)
-            service = await site.serve(control="workers = 2\nload_reports_s = 0.1")
-            pool = service.server
-            target = f"127.0.0.1:{pool.port}"
-            alone = [("grpc.use_local_subchannel_pool", 1)]
-            channels = [grpc.aio.insecure_channel(target, options=alone) for _ in range(16)]
-            proxies = [XdsProxy(c, node=f"p{i}", delta=i % 2 == 1).start() for i, c in enumerate(channels)]
-            for proxy in proxies:
-                await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
-            while pool.count() < 16:
-                await asyncio.sleep(0.02)
-            assert all(worker.count.streams for worker in pool.workers), "one worker has them all"
-            # The status of one is the status of all, whichever worker is asked.
-            code, out = await command("control", "status", "--address", target, "--json", "-")
-            assert code == 0 and {r["node"] for r in json.loads(out)["proxies"]} == {
-                f"p{i}" for i in range(16)
-            }
-            changed_at = asyncio.get_running_loop().time()
-            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
-            for proxy in proxies:
-                await proxy.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
-            assert (
-                max(proxy.told_at("orders", "orders0", DRAINING) for proxy in proxies) - changed_at
-                < DRAIN_GRACE
-            )
-            # A worker dies while the list changes; its proxies come back, and all hold the newest.
-            seen: list[int] = []
-            for proxy in proxies:
-                proxy.on_response = lambda proxy, t, names: seen.append(
-                    len(health(proxy)) if "orders" in proxy.held[CLUSTER] else -1
-                )
-            dead = pool.workers[0].process
-            dead.kill()
-            catalog.put(entry("orders1", site.servers["orders1"].address, "terminating"))
-            for proxy in proxies:
-                await proxy.until(lambda proxy: health(proxy)["orders1"] == DRAINING)
-            while pool.workers[0].process is dead or pool.count() < 16:
-                await asyncio.sleep(0.02)
-            assert set(seen) == {3}
-            # Another rule on clusters reaches the workers too.
-            site.path.write_text(text_of({"orders": catalog}, control="workers = 2\nload_reports_s = 0.1"))
-            os.kill(os.getpid(), signal.SIGHUP)
-            for proxy in proxies:
-                await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
-            for proxy in proxies:
-                await proxy.stop()
-            for c in channels:
-                await c.close()
-
-    run(body())
-
-
-def test_workers_end_with_a_service_that_is_killed(tmp_path):
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            site.path.write_text(text_of(site.catalogs, control="workers = 2"))
-            service, port = await process(site.path)
-            service.kill()
-            await asyncio.to_thread(service.wait)
-            # The port is free once the last of them has gone.
-            while True:
-                try:
-                    (await asyncio.start_server(lambda r, w: None, "127.0.0.1", port)).close()
-                    break
-                except OSError:
-                    await asyncio.sleep(0.02)
-
-    run(body())
-
-
-def test_a_port_in_use_is_not_shared_without_a_word(tmp_path):
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            first = await site.serve(control="workers = 2")
-            path = tmp_path / "second.toml"
-            path.write_text(site.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
-            code, out = await command("control", "--config", path)
-            assert code == 2 and "control.listen" in out and "in use" in out
-
-    run(body())
-
-
-# ---- the four rules, counted at the servers -------------------------------------------------------------
-
-
-def test_the_drain_rule_and_the_cold_rule_hold_over_all_proxies_together(tmp_path):
-    """Eight proxies send requests by their assignments; these are counted at the servers."""
-
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders", 4)
-            await site.serve(cluster="cold_s = 2.0\ncold_start = 0.2")
-            proxies = [XdsProxy(site.channel, delta=i % 2 == 1, node=f"p{i}").start() for i in range(8)]
-            for proxy in proxies:
-                await proxy.until(lambda proxy: len(health(proxy)) == 4)
-            loop = asyncio.get_running_loop()
-            arrived: list[tuple[float, str]] = []
-            rng = Random(5)
-            calling = True
-
-            async def call() -> None:
-                while calling:
-                    for proxy in proxies:
-                        for _ in range(5):
-                            target = pick(rng, proxy.endpoints("orders"))
-                            arrived.append((loop.time(), target.name))
-                    await asyncio.sleep(0.005)
-
-            caller = asyncio.create_task(call())
-            await asyncio.sleep(0.3)
-            drained_at = loop.time()
-            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
-            import time as wall
-
-            fresh = await StandinServer("fresh", Shape()).start()
-            site.servers["fresh"] = fresh
-            started = loop.time()
-            catalog.put(entry("fresh", fresh.address, startedAtMs=int(wall.time() * 1000)))
-            await asyncio.sleep(2.6)
-            calling = False
-            await caller
-            late = [at - drained_at for at, name in arrived if name == "orders0" and at > drained_at]
-            assert max(late, default=0.0) < DRAIN_GRACE, f"new work {max(late):.3f} s after the drain"
-            # In each fifth of a second a cold server's calls, against a warm one's, stay within its warmth.
-            for k in range(10):
-                at = started + 0.2 * k
-                here = [n for t, n in arrived if at <= t < at + 0.2]
-                warm = sum(n in ("orders1", "orders2", "orders3") for n in here) / 3
-                warmth = 0.2 + 0.8 * (k + 1) / 10
-                assert here.count("fresh") <= 1.3 * warmth * warm + 8, (k, here.count("fresh"), warm, warmth)
-            last = [n for t, n in arrived if t > started + 2.4]
-            assert last.count("fresh") > 0.5 * last.count("orders1")  # and once warm it has its part
-            for proxy in proxies:
-                await proxy.stop()
-
-    run(body())
-
-
-# ---- load reports ---------------------------------------------------------------------------------------
-
-
-@pytest.mark.parametrize("workers", [1, 2])
-def test_what_most_proxies_report_ejects_a_server_that_answers_its_probes(tmp_path, workers):
-    from envoy.service.load_stats.v3 import lrs_pb2
-
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders", 5)
-            await site.serve(control=f"load_reports_s = 0.1\nworkers = {workers}")
-            proxy = XdsProxy(site.channel).start()
-            await proxy.until(lambda proxy: len(health(proxy)) == 5)
-
-            async def report(channel) -> None:
-                method = channel.stream_stream(
-                    "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats",
-                    request_serializer=lrs_pb2.LoadStatsRequest.SerializeToString,
-                    response_deserializer=lrs_pb2.LoadStatsResponse.FromString,
-                )
-                call = method()
-                await call.write(lrs_pb2.LoadStatsRequest())
-                answer = await call.read()
-                assert answer.send_all_clusters and answer.load_reporting_interval.ToMilliseconds() == 100
-                while True:
-                    request = lrs_pb2.LoadStatsRequest()
-                    c = request.cluster_stats.add(cluster_name="orders")
-                    c.load_report_interval.FromMilliseconds(100)
-                    for i in range(5):
-                        s = c.upstream_locality_stats.add()
-                        s.locality.sub_zone = f"orders{i}"
-                        s.total_error_requests = 20 * (i == 0)
-                        s.total_successful_requests = 20 * (i != 0)
-                    request.cluster_stats.add(cluster_name="nothing")
-                    await call.write(request)
-                    await asyncio.sleep(0.1)
-
-            target = f"127.0.0.1:{site.service.server.port}"
-            channels = [
-                grpc.aio.insecure_channel(target, options=[("grpc.use_local_subchannel_pool", 1)])
-                for _ in range(3)
-            ]
-            tasks = [asyncio.create_task(report(c)) for c in channels]
-            await proxy.until(lambda proxy: health(proxy)["orders0"] == UNHEALTHY)
-            for task in tasks:
-                task.cancel()
-            await asyncio.gather(*tasks, return_exceptions=True)
-            for c in channels:
-                await c.close()
-            await proxy.stop()
-
-    run(body())
-
-
-def test_grpcs_own_client_is_served_from_discovery_and_reports_its_calls(tmp_path):
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            catalog = await site.cluster("svc", 0)
-            made = {f"b{i}": await backend(f"b{i}") for i in range(3)}
-            for name, (_, address) in made.items():
-                catalog.put(entry(name, address))
-            service = await site.serve(control="load_reports_s = 0.1", probe="tcp")
-            reported: Counter[str] = Counter()
-            feed = service.publisher_loop.feeds["svc"]
-            take = feed.load_reports.take
-
-            def taken():
-                seen = take()
-                reported.update({s.server: s.good for s in seen})
-                return seen
-
-            feed.load_reports = SimpleNamespace(add=feed.load_reports.add, take=taken)
-            caller = await Caller.start(f"127.0.0.1:{service.server.port}", tmp_path)
-            try:
-                assert set(await caller.calls(200)) == {"b0", "b1", "b2"}
-                catalog.put(entry("b1", made["b1"][1], "terminating"))
-                while service.server.source.clusters["svc"].endpoints[1].health != DRAINING:
-                    await asyncio.sleep(0.005)
-                await asyncio.sleep(DRAIN_GRACE)
-                assert set(await caller.calls(200)) == {"b0", "b2"}
-                # What it did comes back as load reports, server by server.
-                while reported.total() < 400:
-                    await asyncio.sleep(0.02)
-                assert set(reported) == {"b0", "b1", "b2"} and reported.total() == 400
-            finally:
-                await caller.stop()
-                for server, _ in made.values():
-                    await server.stop(0)
-
-    run(body())
-
-
-# ---- security -------------------------------------------------------------------------------------------
-
-
-@pytest.mark.parametrize("workers", [1, 2])
-def test_clients_see_what_their_certificate_allows_and_new_files_count_without_a_restart(tmp_path, workers):
-    trustme = pytest.importorskip("trustme")
-
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.cluster("stock", 2)
-            ours, theirs = trustme.CA(), trustme.CA()
-
-            def put(ca) -> None:
-                server = ca.issue_cert("127.0.0.1")
-                server.cert_chain_pems[0].write_to_path(tmp_path / "server.pem")
-                server.private_key_pem.write_to_path(tmp_path / "server.key")
-                ca.cert_pem.write_to_path(tmp_path / "ca.pem")
-
-            def channel(ca, name: str | None):
-                pair = (None, None)
-                if name is not None:
-                    cert = ca.issue_cert(name)
-                    pair = (cert.private_key_pem.bytes(), cert.cert_chain_pems[0].bytes())
-                made = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
-                options = [("grpc.use_local_subchannel_pool", 1)]
-                return grpc.aio.secure_channel(f"127.0.0.1:{site.service.server.port}", made, options=options)
-
-            put(ours)
-            named = (("certificate", "server.pem"), ("key", "server.key"), ("client_ca", "ca.pem"))
-            files = "\n".join(f'{k} = "{tmp_path / f}"' for k, f in named)
-            await site.serve(
-                more=f'[tls]\n{files}\n[clients]\n"*.partner.example" = ["orders"]\n"edge.example" = ["*"]',
-                control=f'status = ["edge.example"]\nworkers = {workers}',
-            )
-
-            async def sees(ca, name: str | None) -> set[str] | str:
-                async with channel(ca, name) as c:
-                    proxy = XdsProxy(c).start()
-                    try:
-                        await proxy.until(
-                            lambda proxy: proxy.error is not None or bool(proxy.held[ASSIGNMENT])
-                        )
-                        return (
-                            proxy.error.code().name if proxy.error is not None else set(proxy.held[CLUSTER])
-                        )
-                    finally:
-                        await proxy.stop()
-
-            assert await sees(ours, "a.partner.example") == {"orders"}
-            assert await sees(ours, "edge.example") == {"orders", "stock"}
-            assert await sees(ours, "nobody.example") == "PERMISSION_DENIED"
-            assert await sees(ours, None) == "UNAVAILABLE"
-            assert await sees(theirs, "edge.example") == "UNAVAILABLE"
-            # Other rules reach the streams that are open.
-            rules = site.path.read_text()
-            async with channel(ours, "edge.example") as c:
-                open_one = XdsProxy(c).start()
-                await open_one.until(lambda proxy: len(proxy.held[CLUSTER]) == 2)
-                site.path.write_text(rules.replace('"edge.example" = ["*"]', '"edge.example" = ["stock"]'))
-                os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda proxy: set(proxy.held[CLUSTER]) == {"stock"})
-                site.path.write_text(rules)
-                os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda proxy: len(proxy.held[CLUSTER]) == 2 and open_one.streams == 1)
-                await open_one.stop()
-            put(theirs)
-            assert await sees(theirs, "edge.example") == {"orders", "stock"}
-            assert await sees(ours, "edge.example") == "UNAVAILABLE"
-            for name, word in (("edge.example", "streams"), ("a.partner.example", "PERMISSION_DENIED")):
-                cert = theirs.issue_cert(name)
-                cert.private_key_pem.write_to_path(tmp_path / "me.key")
-                cert.cert_chain_pems[0].write_to_path(tmp_path / "me.pem")
-                code, out = await command(
-                    "control", "status", "--address", f"127.0.0.1:{site.service.server.port}",
-                    "--ca", tmp_path / "ca.pem", "--cert", tmp_path / "me.pem", "--key", tmp_path / "me.key",
-                )  # fmt: skip
-                assert word in out and code == (0 if word == "streams" else 1)
-
-    run(body())
-
-
-# ---- the command ----------------------------------------------------------------------------------------
-
-
-async def command(*args: object) -> tuple[int, str]:
-    # Not by uvloop, whose fork would run grpc's handlers in the child (harecross.platform.child_process).
-    made = await asyncio.to_thread(
-        subprocess.run,
-        [sys.executable, "-m", "harecross", *map(str, args)],
-        stdout=subprocess.PIPE,
-        stderr=subprocess.STDOUT,
-    )
-    return made.returncode, made.stdout.decode()
-
-
-def test_status_shows_who_holds_what_and_who_refused_and_why(tmp_path):
-    async def body() -> None:
-        async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.serve()
-            good = XdsProxy(site.channel, node="good").start()
-            bad = XdsProxy(site.channel, node="bad", delta=True)
-            bad.refuse = lambda t, names: "no such locality" if t == ASSIGNMENT else ""
-            bad.start()
-            await good.until(lambda proxy: len(health(proxy)) == 3)
-            await bad.until(lambda proxy: any(t == ASSIGNMENT for t, _, _ in proxy.responses))
-            address = f"127.0.0.1:{site.service.server.port}"
-            while True:
-                code, out = await command("control", "status", "--address", address, "--json", "-")
-                rows = {r["node"]: r for r in json.loads(out)["proxies"]}
-                states = {n: {t["type"]: t for t in r["types"]} for n, r in rows.items()}
-                if "EDS" in states.get("bad", {}) and states["bad"]["EDS"]["reason"]:
-                    break
-            assert code == 0 and states["good"]["EDS"]["state"] == "SYNCED"
-            assert states["bad"]["EDS"]["state"] == "ERROR"
-            assert states["bad"]["EDS"]["reason"] == "no such locality"
-            code, out = await command("control", "status", "--address", address)
-            assert code == 0 and "no such locality" in out and "SYNCED" in out
-            await good.stop()
-            await bad.stop()
-            await site.leave()
-            code, out = await command("control", "status", "--address", address)
-            assert code == 1 and "UNAVAILABLE" in out and len(out.splitlines()) <= 2
-
-    run(body())
-
-
-@pytest.mark.parametrize(
-    ("text", "words"),
-    [
-        ("", ["clusters"]),
-        ("[clusters]", ["clusters", "at least one"]),
-        ('[clusters.a]\ndiscovery = "nowhere"', ["clusters.a.discovery", "HOST:PORT"]),
-        ('[clusters.a]\ndiscovery = "h:1"\ncolour = 1', ["colour", "allowed", "calls_per_server"]),
-        (
-            '[clusters.a]\ndiscovery = "h:1"\n[control]\nlisten = "0.0.0.0:1"',
-            ["control.listen", "not loopback"],
-        ),
-        ('[clusters.a]\ndiscovery = "h:1"\n[control]\ninterval_s = 0', ["interval_s", ">= 0.01"]),
-        ('[clusters.a]\ndiscovery = "h:1"\n[clients]\nx = ["a"]', ["clients", "[tls]"]),
-        (
-            '[clusters.a]\ndiscovery = "h:1"\n[tls]\ncertificate = "none"\nkey = "none"',
-            ["tls.certificate", "not a file"],
-        ),
-        ("[clusters", ["not TOML", "at end of document"]),
-    ],
-)
-def test_a_file_that_cannot_be_is_one_line(tmp_path, text, words):
-    path = tmp_path / "control.toml"
-    path.write_text(text)
-    with pytest.raises(OperatorsFileError) as e:
-        read_control(path)
-    assert str(path) in str(e.value) and all(w in str(e.value) for w in words) and "\n" not in str(e.value)
-
-
-def test_the_command_ends_with_status_2_on_a_bad_file_or_a_port_in_use(tmp_path):
-    async def body() -> None:
-        path = tmp_path / "control.toml"
-        assert await command("control", "--config", path) == (
-            2,
-            f"harecross: {path}: No such file or directory\n",
-        )
-        code, out = await command("control")
-        assert code == 2 and "--config" in out
-        taken = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        port = taken.sockets[0].getsockname()[1]
-        path.write_text(f'[control]\nlisten = "127.0.0.1:{port}"\n[clusters.a]\ndiscovery = "127.0.0.1:1"')
-        code, out = await command("control", "--config", path)
-        assert code == 2 and "control.listen" in out and "Traceback" not in out
-        taken.close()
-
-    run(body())
-
-
-def test_the_shipped_file_is_good():
-    assert set(read_control(Path(__file__).parent.parent / "deploy" / "control.toml").clusters) == {"orders"}
-
-
 # ---- inside a node --------------------------------------------------------------------------------------
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -22,7 +22,7 @@
 from tests.node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 SLACK = 0.15  # seconds
-HELD = 0.35  # seconds that the process does not run
+HELD = 0.35  # seconds for which the process is stopped
 MS = 1000
 
 
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def node_and_origin(folder: Path) -> AsyncIterator[tuple[NodeProcess, Origin]]:
-    """One real node process before one server."""
+    """One node process before one server."""
     origin, catalog = await Origin().start(), await Catalog().start()
     catalog.put(entry("s0", origin.address))
     node = NodeProcess("n0", folder, config_of(catalog.address, known=catalog.whole()))
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("connection", ["kept", "new"])
-def test_a_process_that_was_held_up_passes_on_what_is_left_and_sends_nothing_for_who_has_run_out(
+def test_a_process_that_was_stopped_forwards_the_time_left_and_sends_nothing_after_the_deadline(
     connection, tmp_path
 ):
     async def test() -> None:
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_the_time_of_a_body_in_pieces_counts_from_its_last_byte_however_late_that_is_read(tmp_path):
+def test_the_timeout_of_a_streamed_body_counts_from_when_its_last_byte_arrived(tmp_path):
     async def test() -> None:
         async with node_and_origin(tmp_path) as (node, origin):
             client = await Client.open(node.address)
@@ -82,7 +82,7 @@
                 b"POST /put/1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: r\r\nIdempotency-Key: k\r\nX-Timeout: 800m\r\n"
                 b"Content-Length: 8\r\n\r\n1234"
             )
-            await asyncio.sleep(0.2)  # of a client that writes slowly: none of its time has passed
+            await asyncio.sleep(0.2)  # a client that writes slowly: its timeout has not begun
             node.signal(signal.SIGSTOP)
             client.writer.write(b"56")
             await asyncio.sleep(0.1)
@@ -100,7 +100,7 @@
     run(test())
 
 
-def test_what_waited_in_the_backlog_while_the_node_started_has_so_much_less_time(tmp_path):
+def test_time_in_the_listen_backlog_counts_against_the_timeout(tmp_path):
     async def test() -> None:
         origin = await Origin().start()
         address, calls = await held_calls()
@@ -108,7 +108,7 @@
         node = NodeProcess("n0", tmp_path, config_of(address, known=known))
         starting = asyncio.create_task(node.start(None))
         try:
-            watch = await calls.get()  # the node listens, and waits for the first word of its list
+            watch = await calls.get()  # the node listens, and waits for its first endpoint list
             await asyncio.sleep(0.1)
             client = None
             for port in listening_ports(node):
@@ -130,7 +130,7 @@
 
 
 def listening_ports(node: NodeProcess) -> list[int]:
-    """Where the process listens, as the kernel has it."""
+    """Returns the ports on which the process listens, as the kernel reports them."""
     assert node.process is not None
     inodes = set()
     for name in os.listdir(f"/proc/{node.process.pid}/fd"):
@@ -142,8 +142,8 @@
     return [int(row[1].rpartition(":")[2], 16) for row in rows if row[3] == "0A" and row[9] in inodes]
 
 
-def test_who_stands_far_behind_in_a_crowd_has_waited_since_the_crowd_came():
-    """Connections are taken a few in a turn; those behind have waited for all turns since nothing was waiting."""
+def test_time_behind_many_other_connections_counts_against_the_timeout():
+    """A few connections are accepted in each turn of the loop; the others have waited since the backlog was empty."""
 
     async def test() -> None:
         sock = socket.socket()
@@ -173,7 +173,7 @@
 
 
 class Kernel:
-    """A socket of which the kernel says how long ago its last bytes came; None where it does not say."""
+    """A socket for which the kernel reports when its last bytes were received; None if it does not."""
 
     def __init__(self, age: int | None) -> None:
         self.age = age
@@ -195,14 +195,14 @@
         (300, 9000, 300),
     ],
 )
-def test_the_loops_own_delay_bounds_what_the_kernel_says(held, kernel, waited):
+def test_the_delay_of_the_event_loop_limits_the_kernel_s_figure(held, kernel, waited):
     heartbeat = Heartbeat()
     heartbeat.due = 1_000_000
     found = ReadDelay(heartbeat).of(1_000_000 + held * MS, Kernel(kernel))
     assert found == waited * MS
 
 
-def test_a_new_connection_that_speaks_at_once_has_waited_with_its_listener():
+def test_a_new_connection_with_a_request_has_waited_with_its_listener():
     heartbeat = Heartbeat()
     heartbeat.due = 10_000_000
     delay = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -451,9 +451,11 @@
         service.start_cluster("orders", service.remembered_lists.load()["orders"])
         feed = service.publisher_loop.feeds["orders"]
         assert (
-            feed.roster.has_remembered_list and not feed.roster.has_full_list and feed.roster.is_publishable()
+            feed.listed_endpoints.has_remembered_list
+            and not feed.listed_endpoints.has_full_list
+            and feed.listed_endpoints.is_publishable()
         )
-        assert feed.roster.entries == {
+        assert feed.listed_endpoints.entries == {
             "s1": {
                 "instanceId": "s1",
                 "hostPort": "10.2.0.1:8081",
