--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""A recording host for tests."""
+"""A host that records what a balancer asks of it, and short ways to send it events."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from harecross.policy.balancer import Balancer
 
 SEC = 1_000_000
-SAFE = ClassSettings(
+IDEMPOTENT = ClassSettings(
     Idempotency.IDEMPOTENT,
     latency_objective=1 * SEC,
     deadline=3 * SEC,
     priority_weight=1,
     late_priority_weight=0.2,
 )
-KEYED = ClassSettings(
+WITH_IDEMPOTENCY_KEY = ClassSettings(
     Idempotency.IDEMPOTENCY_KEY,
     latency_objective=1 * SEC,
     deadline=3 * SEC,
@@ -32,7 +32,7 @@
     deduplication_scope=DeduplicationScope.CELL,
     deduplication_window=2 * SEC,
 )
-UNSAFE = ClassSettings(
+NON_IDEMPOTENT = ClassSettings(
     Idempotency.NON_IDEMPOTENT,
     latency_objective=1 * SEC,
     deadline=3 * SEC,
@@ -40,7 +40,7 @@
     late_priority_weight=0.2,
 )
 BASE = Settings(
-    classes=(SAFE, KEYED, UNSAFE),
+    classes=(IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT),
     max_attempts=4,
     cancel=True,
     retry_after=True,
@@ -53,6 +53,8 @@
 
 
 class Recorder:
+    """Records every action as a tuple of its name and arguments."""
+
     def __init__(self) -> None:
         self.calls: list[tuple] = []
 
@@ -60,12 +62,13 @@
         return lambda *args: self.calls.append((name, *args))
 
     def take(self, *names: str) -> list[tuple]:
-        """The calls since the last take, of these names if any are given."""
+        """The actions since the last take, of these names if any are given."""
         calls, self.calls = self.calls, []
         return [c for c in calls if not names or c[0] in names]
 
 
 def balancer(servers: int | list[Endpoint] = 4, seed: int = 1, **changes) -> tuple[Balancer, Recorder]:
+    """A started balancer with so many servers, or these; `changes` are settings."""
     recorder = Recorder()
     node = Balancer(replace(BASE, **changes), seed, recorder)
     node.start(0)
@@ -78,7 +81,7 @@
 def ask(
     node: Balancer, recorder: Recorder, now: int, request: int, request_class: int = 0, left: int = 3 * SEC
 ) -> tuple:
-    """Sends a request in and returns the one action it leads to."""
+    """Sends a request in; the one action that it leads to."""
     node.request(now, request, request_class, 0, left, False)
     (action,) = recorder.take("send", "shed", "fail")
     return action
@@ -94,6 +97,7 @@
     outcome: Outcome,
     latency: int = 10_000,
 ) -> list[tuple]:
+    """Ends an attempt; the actions for its request that this leads to."""
     final = outcome == Outcome.OK
     node.outcome(now, request, attempt, server, outcome, latency, final, ())
     return recorder.take("send", "shed", "fail")
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,7 +1,7 @@
 """Which requests a node admits: the concurrency limit, classes, quotas, and the queue below the first tier."""
 
 import pytest
-from support import SAFE, SEC, ask, balancer, end
+from support import IDEMPOTENT, SEC, ask, balancer, end
 
 from harecross.interface import (
     ClassSettings,
@@ -106,7 +106,7 @@
             end(node, recorder, i * SEC // 10 + 5000, i, 0, answers[-1][2], Outcome.OK, 5000)
     refused = [a for a in answers if a[0] == "shed"]
     assert len(refused) > 10
-    assert all(a[2] < SAFE.latency_objective / 2 for a in refused), (
+    assert all(a[2] < IDEMPOTENT.latency_objective / 2 for a in refused), (
         "a client told to stay away for long comes back late"
     )
 
@@ -115,7 +115,7 @@
     rich = ClassSettings(
         Idempotency.NON_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=10
     )
-    node, recorder = balancer(8, classes=(SAFE, rich))
+    node, recorder = balancer(8, classes=(IDEMPOTENT, rich))
     answers = [ask(node, recorder, 0, i)[0] for i in range(70)]
     assert answers[-1] == "shed"
     assert ask(node, recorder, 0, 99, 1)[0] == "send"
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -196,8 +196,8 @@
     with_node(test, servers=1)
 
 
-def test_a_server_that_accepts_and_never_speaks_is_left_out_by_a_thin_node():
-    """At two requests a second its first silent calls are what a node learns from: they cost their time, no more."""
+def test_a_server_that_accepts_and_never_answers_gets_few_requests_of_a_node_with_little_traffic():
+    """At two requests a second its first silent requests are what a node learns from: they cost their time, no more."""
     node, recorder = balancer([Endpoint(i + 1) for i in range(6)], instance_count=6)
     now, sent, queue = 0, [0] * 7, []
     for n in range(1, 241):
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("kind", [EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL])
-def test_seven_in_ten_nodes_are_gone_and_the_rest_give_cold_servers_no_more_than_their_part(kind):
+def test_seven_in_ten_nodes_are_gone_and_the_rest_give_warming_up_servers_no_more_than_their_part(kind):
     """A node at three times its traffic beside members that have just started: each gets a warm one's part, cooled."""
     node, recorder = balancer(10, instance_count=10)
     now, n, sent = 0, 0, [0] * 11
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from support import SEC, UNSAFE, ask, balancer, end
+from support import NON_IDEMPOTENT, SEC, ask, balancer, end
 
 from harecross.interface import (
     Endpoint,
@@ -296,7 +296,7 @@
 
 
 def test_with_requests_that_are_not_idempotent_alone_an_ejected_member_is_probed():
-    node, recorder = balancer(4, classes=(UNSAFE,))
+    node, recorder = balancer(4, classes=(NON_IDEMPOTENT,))
     node.outliers.eject(0, node.subset.servers[1], unresponsive=False)
     drawn = set()
     for i in range(100):
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -64,27 +64,27 @@
 
     def __init__(self, seed: int, steps: int) -> None:
         self.rng = rng = Random(seed)
-        self.s = some_settings(rng)
+        self.settings = some_settings(rng)
         self.pool = rng.choice([12, 60])
-        self.rec = Recorder()
-        self.node = Balancer(self.s, seed, self.rec)
+        self.recorder = Recorder()
+        self.node = Balancer(self.settings, seed, self.recorder)
         self.now = 0
         self.listed: dict[int, EndpointState] = {}
-        self.unsent_after: dict[int, int] = {}  # server -> when it was told not ready
+        self.removed_at: dict[int, int] = {}  # by server: since when it may get no request
         self.entries: dict[int, Endpoint] = {}
         self.open: dict[int, dict] = {}
         self.closed: set[int] = set()
-        self.out: list[dict] = []
+        self.in_flight: list[dict] = []
         self.timers: list[tuple[int, int]] = []
         self.log: list[tuple] = []
-        self.top_rate = 0.0
-        self.cold_sends: dict[int, list[int]] = {}
+        self.max_warm_rate = 0.0
+        self.slow_start_sends: dict[int, list[int]] = {}
         self.node.start(0)
         self.list_event(EndpointUpdateKind.CACHED)
         for i in range(steps):
             self.step(i)
-        while self.out or self.open:
-            before = len(self.out) + len(self.open) + len(self.timers)
+        while self.in_flight or self.open:
+            before = len(self.in_flight) + len(self.open) + len(self.timers)
             assert before, "a request was left without an answer"
             self.advance(SEC)
 
@@ -101,13 +101,13 @@
             entries.append(Endpoint(server, state, ready_at=ready_at, **place))
         if kind != EndpointUpdateKind.CHANGES:
             for server in set(self.entries) - set(names):
-                self.unsent_after.setdefault(server, self.now)
+                self.removed_at.setdefault(server, self.now)
         for e in entries:
             self.entries[e.server] = e
             if e.state == EndpointState.READY:
-                self.unsent_after.pop(e.server, None)
+                self.removed_at.pop(e.server, None)
             else:
-                self.unsent_after.setdefault(e.server, self.now)
+                self.removed_at.setdefault(e.server, self.now)
         self.node.endpoint_update(self.now, kind, entries)
         self.check()
 
@@ -116,7 +116,7 @@
         roll = rng.random()
         if roll < 0.5:
             left = rng.choice([SEC // 10, SEC, 4 * SEC])
-            request_class = rng.randrange(len(self.s.classes))
+            request_class = rng.randrange(len(self.settings.classes))
             self.open[i] = {
                 "request_class": request_class,
                 "until": self.now + left,
@@ -125,8 +125,8 @@
             }
             self.node.request(self.now, i, request_class, rng.randrange(2), left, False)
             self.check()
-        elif roll < 0.85 and self.out:
-            a = self.out.pop(rng.randrange(len(self.out)))
+        elif roll < 0.85 and self.in_flight:
+            a = self.in_flight.pop(rng.randrange(len(self.in_flight)))
             self.end(a, rng.choice(list(Outcome)))
         elif roll < 0.88 and self.open:
             request = rng.choice(sorted(self.open))
@@ -158,24 +158,24 @@
     def advance(self, span: int) -> None:
         target = self.now + span
         while True:
-            due = [(a["until"], 0, j) for j, a in enumerate(self.out)]
+            due = [(a["until"], 0, j) for j, a in enumerate(self.in_flight)]
             due += [(at, 1, j) for j, (at, _) in enumerate(self.timers)]
             if not due or min(due)[0] > target:
                 break
             at, kind, j = min(due)
             self.now = max(self.now, at)
             if kind == 0:
-                self.end(self.out.pop(j), Outcome.TIMEOUT)
+                self.end(self.in_flight.pop(j), Outcome.TIMEOUT)
             else:
                 self.node.timer(self.now, self.timers.pop(j)[1])
                 self.check()
         self.now = target
         for r in self.open.values():
-            assert r["until"] + self.s.tick >= self.now, "rule 1: no answer in time"
+            assert r["until"] + self.settings.tick >= self.now, "rule 1: no answer in time"
 
     def check(self) -> None:
-        self.top_rate = max(self.top_rate, self.node.slow_start.warm_rate)
-        for action in self.rec.take():
+        self.max_warm_rate = max(self.max_warm_rate, self.node.slow_start.warm_rate)
+        for action in self.recorder.take():
             self.log.append((self.now, *action))
             name, *args = action
             assert name in {
@@ -191,7 +191,7 @@
             if name == "set_timer":
                 self.timers.append((self.now + args[0], args[1]))
             elif name == "cancel":
-                assert self.s.cancel
+                assert self.settings.cancel
             elif name == "send":
                 self.sent(*args)
             elif name in ("shed", "fail"):
@@ -202,22 +202,24 @@
                     self.refused(r, *args)
 
     def refused(self, r: dict, request: int, retry_after: int) -> None:
-        c = self.s.classes[r["request_class"]]
-        assert retry_after == 0 or (self.s.retry_after and retry_after <= self.s.max_retry_after)
+        c = self.settings.classes[r["request_class"]]
+        assert retry_after == 0 or (
+            self.settings.retry_after and retry_after <= self.settings.max_retry_after
+        )
         assert (
             r["ran"] is None
             or c.idempotency == Idempotency.IDEMPOTENT
             or (c.idempotency, c.deduplication_scope) == (Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL)
         )
-        assert not any(a["request"] == request for a in self.out)
+        assert not any(a["request"] == request for a in self.in_flight)
 
     def sent(self, request: int, server: int, timeout: int) -> None:
         r = self.open[request]  # rule 1: nothing is sent after the end
-        c = self.s.classes[r["request_class"]]
+        c = self.settings.classes[r["request_class"]]
         assert timeout > 0 and self.now + timeout <= r["until"]
-        assert len(r["attempts"]) < self.s.max_attempts
-        assert not any(a["request"] == request for a in self.out), "two attempts out at once"
-        assert server in self.entries and server not in self.unsent_after, "rule 3"
+        assert len(r["attempts"]) < self.settings.max_attempts
+        assert not any(a["request"] == request for a in self.in_flight), "two attempts out at once"
+        assert server in self.entries and server not in self.removed_at, "rule 3"
         first = r["ran"]
         if first is not None:
             assert c.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2"
@@ -228,16 +230,16 @@
                 elif c.deduplication_scope == DeduplicationScope.ZONE:
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
-        if ready_at and self.now < ready_at + self.s.slow_start_duration:
-            # Rule 4, from one copy: no more in any window than a warm member has had at the most.
-            sends = self.cold_sends.setdefault(server, [])
+        if ready_at and self.now < ready_at + self.settings.slow_start_duration:
+            # Rule 4, from one node: no more in any window than a warm member has had at the most.
+            sends = self.slow_start_sends.setdefault(server, [])
             sends.append(self.now)
-            recent = [t for t in sends if t > self.now - self.s.overload_duration]
-            assert len(recent) <= 2 + self.top_rate * self.s.overload_duration / SEC, "rule 4"
+            recent = [t for t in sends if t > self.now - self.settings.overload_duration]
+            assert len(recent) <= 2 + self.max_warm_rate * self.settings.overload_duration / SEC, "rule 4"
         a = {"request": request, "server": server, "attempt": len(r["attempts"]), "at": self.now}
         a["until"] = self.now + timeout
         r["attempts"].append(a)
-        self.out.append(a)
+        self.in_flight.append(a)
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support import SAFE, SEC, ask, balancer, end
+from support import IDEMPOTENT, SEC, ask, balancer, end
 
 from harecross.interface import (
     NEVER_RAN,
@@ -149,7 +149,7 @@
 
 
 def test_an_unknown_class_is_never_run_twice():
-    node, recorder = balancer(classes=(SAFE,))
+    node, recorder = balancer(classes=(IDEMPOTENT,))
     kind, _, server, _ = ask(node, recorder, 0, 1, request_class=7)
     assert kind == "send"
     assert end(node, recorder, 1000, 1, 0, server, Outcome.ERROR) == [("fail", 1)]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 import re
 
 import pytest
-from support import BASE, KEYED, SAFE, UNSAFE
+from support import BASE, IDEMPOTENT, NON_IDEMPOTENT, WITH_IDEMPOTENCY_KEY
 
 from harecross.interface import (
     ClassSettings,
@@ -29,4 +29,4 @@
 
 
 def test_support_classes_cover_each_idempotency():
-    assert [c.idempotency for c in (SAFE, KEYED, UNSAFE)] == list(Idempotency)
+    assert [c.idempotency for c in (IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT)] == list(Idempotency)
