--- a/harecross/fleet/sums.py
+++ b/harecross/fleet/sums.py
@@ -182,7 +182,7 @@
         if warm:
             rate = node.rate / warm  # what a warm member gets of this node now
         else:
-            part = fleet_limits.all_cold_fraction(node.cold_part, f.multiple, True, False, 0)
+            part = fleet_limits.all_warming_up_fraction(node.cold_part, f.multiple, True, False, 0)
             rate = part * node.rate / len(node.members)
         had, since = node.tokens.get(server, (0.0, 0.0))
         tokens = fleet_limits.slow_start_tokens(had, rate * self.warmth(at), int((at - since) * 1e6))
--- a/harecross/interface.py
+++ b/harecross/interface.py
@@ -132,12 +132,13 @@
 
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "classes", self.classes)
-        for i, c in enumerate(self.classes):
-            _require(c.latency_objective > 0, f"classes[{i}].latency_objective", c.latency_objective)
-            _require(c.deadline > 0, f"classes[{i}].deadline", c.deadline)
-            _require(c.priority_weight >= 0, f"classes[{i}].priority_weight", c.priority_weight)
-            window = c.deduplication_window
-            _require(window >= 0, f"classes[{i}].deduplication_window", window)
+        for i, item in enumerate(self.classes):
+            prefix = f"classes[{i}]"
+            _require(item.latency_objective > 0, f"{prefix}.latency_objective", item.latency_objective)
+            _require(item.deadline > 0, f"{prefix}.deadline", item.deadline)
+            _require(item.priority_weight >= 0, f"{prefix}.priority_weight", item.priority_weight)
+            window = item.deduplication_window
+            _require(window >= 0, f"{prefix}.deduplication_window", window)
         for i, tenant in enumerate(self.tenants):
             _require(tenant.quota >= 0, f"tenants[{i}].quota", tenant.quota)
         _require(0 <= self.tier < self.tiers, "tier", self.tier)
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -111,14 +111,17 @@
         # A class that the settings do not have might be one that must not run twice.
         unknown = request_class >= len(settings.classes)
         request_class = min(request_class, len(settings.classes) - 1)
-        c = settings.classes[request_class]
-        if c.late_priority_weight <= 0 and c.latency_objective - 2 * settings.tick < time_left:
+        class_settings = settings.classes[request_class]
+        if (
+            class_settings.late_priority_weight <= 0
+            and class_settings.latency_objective - 2 * settings.tick < time_left
+        ):
             # A late answer would be worth nothing: it is not waited for.
-            time_left = max(settings.tick, c.latency_objective - 2 * settings.tick)
+            time_left = max(settings.tick, class_settings.latency_objective - 2 * settings.tick)
         self.slow_start.requests += 1
         if now - self.window_start >= WINDOW_US:
             self.on_window_end(now)
-        idempotency = Idempotency.NON_IDEMPOTENT if unknown else c.idempotency
+        idempotency = Idempotency.NON_IDEMPOTENT if unknown else class_settings.idempotency
         request = Request(request_id, request_class, idempotency, now + time_left)
         self.requests[request_id] = request
         budget = max(float(MIN_CONCURRENCY), sqrt(controller.limit))
--- a/harecross/policy/fleet_limits.py
+++ b/harecross/policy/fleet_limits.py
@@ -13,7 +13,7 @@
 MIN_CONCURRENCY = 3  # requests in flight at a server, of all nodes together, that are always allowed
 MIN_RTT_FLOORS = 3  # times that many are allowed in a minRTT window
 MAX_INITIAL_FACTOR = 3.0  # times the minRTT window's limit, where few nodes each carry much
-GROWTH_TIME_US = 2_000_000  # the all-cold fraction doubles over this time
+GROWTH_TIME_US = 2_000_000  # the all-warming-up fraction doubles over this time
 INITIAL_OVERLOAD_FRACTION = 0.25  # of the overload multiple, where it begins
 
 
@@ -45,7 +45,7 @@
     return max(0.0, 1 - local * nodes / members)
 
 
-def all_cold_fraction(before: float, multiple: float, on_time: bool, warm: bool, span_us: int) -> float:
+def all_warming_up_fraction(before: float, multiple: float, on_time: bool, warm: bool, span_us: int) -> float:
     """What each member may get while none is warm, as a part of an even part of all requests.
 
     It grows while answers are on time, up to the multiple at which a server fails, since servers may be
--- a/harecross/policy/slow_start.py
+++ b/harecross/policy/slow_start.py
@@ -20,7 +20,9 @@
         self.overload_multiple = settings.overload_multiple
         self.warm_rate = 0.0  # requests a second to a warm member
         self.warm_sends = self.requests = 0  # since the last window
-        self.all_cold_fraction = 0.0  # of an even part of all requests, for each member while none is warm
+        self.all_warming_up_fraction = (
+            0.0  # of an even part of all requests, for each member while none is warm
+        )
 
     def begin(self, now: int, server: Server) -> None:
         """The server was listed; slow start begins unless it has been up for long."""
@@ -53,9 +55,11 @@
         if warm:
             rate = self.warm_sends * 1e6 / span / warm
         elif members:
-            rate = self.all_cold_fraction * self.requests * 1e6 / span / len(members)
-        before, multiple = self.all_cold_fraction, self.overload_multiple
-        self.all_cold_fraction = fleet_limits.all_cold_fraction(before, multiple, on_time, warm > 0, span)
+            rate = self.all_warming_up_fraction * self.requests * 1e6 / span / len(members)
+        before, multiple = self.all_warming_up_fraction, self.overload_multiple
+        self.all_warming_up_fraction = fleet_limits.all_warming_up_fraction(
+            before, multiple, on_time, warm > 0, span
+        )
         if rate >= 0:
             self.warm_rate += min(1.0, span / WARM_RATE_SMOOTHING_US) * (rate - self.warm_rate)
         self.warm_sends = self.requests = 0
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -52,5 +52,5 @@
         (2.0, True, True, 10**6, 2.0),  # is kept while a member is warm
     ],
 )
-def test_the_all_cold_fraction_grows_while_answers_are_on_time(before, on_time, warm, span_us, after):
-    assert fleet_limits.all_cold_fraction(before, 3.0, on_time, warm, span_us) == after
+def test_the_all_warming_up_fraction_grows_while_answers_are_on_time(before, on_time, warm, span_us, after):
+    assert fleet_limits.all_warming_up_fraction(before, 3.0, on_time, warm, span_us) == after
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -87,7 +87,7 @@
         assert rolling_replacement(seed, late=True)[0] > 0.4, "late answers are no reason to send more"
 
 
-def test_the_all_cold_fraction_is_kept_while_a_member_is_warm_and_reset_when_requests_are_lost():
+def test_the_all_warming_up_fraction_is_kept_while_a_member_is_warm_and_reset_when_requests_are_lost():
     """Where servers are replaced all day one is warm now and then; the next cold one began anew at a quarter."""
     node, _ = balancer([Endpoint(i, ready_at=1) for i in range(1, 5)])
     now, parts = 1, []
@@ -98,11 +98,11 @@
         for i in (2, 3, 4):
             node.subset.servers[i].slow_start_until = 10 * SEC
         node.on_window_end(now)
-        parts.append(node.slow_start.all_cold_fraction)
+        parts.append(node.slow_start.all_warming_up_fraction)
     assert parts[0] < 1 < parts[15] <= parts[29] and parts[39] == parts[29]
     node.controller.lost_fraction = 0.5
     node.on_window_end(now + 100_000)
-    assert node.slow_start.all_cold_fraction == parts[0] < 1
+    assert node.slow_start.all_warming_up_fraction == parts[0] < 1
 
 
 def test_while_no_member_is_warm_each_gets_its_part_of_all_requests():
