--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -46,7 +46,7 @@
 def test_the_report_line_has_its_words_and_order():
     statistics = DispatchStatistics()
     statistics.final_answers[FinalAnswer.SERVED] = 3
-    statistics.final_reasons[FinalAnswer.SHED, FinalReason.NO_LIST] = 2
+    statistics.final_reasons[FinalAnswer.SHED, FinalReason.NO_ENDPOINT_LIST] = 2
     statistics.outcomes[Outcome.TIMEOUT] = 1
     statistics.close_reasons[CloseReason.MALFORMED_RESPONSE] = 4
     statistics.shed_without_list = 2
