--- a/harecross/fleet/tier_load.py
+++ b/harecross/fleet/tier_load.py
@@ -183,7 +183,9 @@
         if full_members:
             rate = node.requests_per_second / full_members
         else:
-            fraction = fleet_limits.all_cold_fraction(0.0, self.scenario.overload_multiple, True, False, 0)
+            fraction = fleet_limits.all_warming_up_fraction(
+                0.0, self.scenario.overload_multiple, True, False, 0
+            )
             rate = fraction * node.requests_per_second / len(node.subset)
         bucket = node.buckets.get(server, TokenBucket())
         elapsed_us = int((at - bucket.updated_at) * 1e6)
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -58,7 +58,7 @@
             table.watch_rank if table.watch else None,
             self.now() + FIRST_STATEMENTS_S,
         )
-        registry.resolve_name, registry.uses_listed_weights = self.membership.resolve, True
+        registry.use_merged_sources(self.membership.resolve)
         self._watch_heard_at = self.now()
         self._clients: dict[tuple[object, ...], DnsClient] = {}
         self.dns_sources: dict[str, DnsSource] = {}
@@ -149,7 +149,7 @@
         """Takes a list or change of the watch. ValueError if it is none."""
         if not self.table.watch:
             return
-        self.membership.update_watch(self.now(), self.wall(), update, cached, full)
+        self.membership.update_watch(self.now(), self.wall(), update, cached=cached, full=full)
         for item in update[wire_format.INSTANCES]:
             # What cannot be used is logged; but a bad line of a server that is removed does no harm.
             if not isinstance(item, dict) or (
--- a/harecross/xds/publisher_loop.py
+++ b/harecross/xds/publisher_loop.py
@@ -147,7 +147,7 @@
             self._release.offer(name, published)
 
     def _publication(self, cluster: Cluster) -> PublishedCluster:
-        if not cluster.feed.roster.is_publishable():
+        if not cluster.feed.listed_endpoints.is_publishable():
             return PublishedCluster(None)
         views, own_limit = cluster.feed.views()
         if cluster.requests_per_server is None:
@@ -155,5 +155,5 @@
         else:
             limit = request_limit(views, cluster.requests_per_server, self._server.count())
         return cluster.publisher.update(
-            monotonic_us(), views, limit, cluster.cross_zone_cost, cluster.feed.roster.ended
+            monotonic_us(), views, limit, cluster.cross_zone_cost, cluster.feed.listed_endpoints.ended
         )
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -122,12 +122,12 @@
     def _enable_if_ready(self, now: float) -> None:
         """Publishes once all lists are there, or after the configured wait."""
         feeds = self.publisher_loop.feeds
-        waiting = [name for name, feed in feeds.items() if not feed.roster.has_full_list]
+        waiting = [name for name, feed in feeds.items() if not feed.listed_endpoints.has_full_list]
         if waiting and now < self._wait_until:
             return
         self.publisher_loop.enabled = True
         for name in waiting:
-            known = feeds[name].roster.is_publishable()
+            known = feeds[name].listed_endpoints.is_publishable()
             how = "the remembered list, which is old" if known else "nothing: proxies keep what they have"
             wait_s = self.config.control.wait_s
             log_line(f"control: no list of {name} after {wait_s:g} s; it is served {how}")
@@ -163,7 +163,7 @@
         feed = self.publisher_loop.feeds.get(name)
         remembered = None
         if feed is not None:
-            remembered = feed.roster.memory()
+            remembered = feed.listed_endpoints.memory()
             feed.close()
         self.start_cluster(name, remembered)
 
--- a/tests/dns_support.py
+++ b/tests/dns_support.py
@@ -59,4 +59,4 @@
 
 def address_pairs(found: SrvAnswer) -> set[tuple[str, int]]:
     """The addresses and ports of a result."""
-    return {(e.address, e.port) for e in found.endpoints}
+    return {(endpoint.address, endpoint.port) for endpoint in found.endpoints}
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -269,7 +269,7 @@
             return done.returncode, done.stdout, done.stderr
 
         code, out, _ = await query(NAME, "--resolver", server.address, "--json")
-        assert code == 0 and [e["port"] for e in json.loads(out)["endpoints"]] == [1000, 1001]
+        assert code == 0 and [endpoint["port"] for endpoint in json.loads(out)["endpoints"]] == [1000, 1001]
         code, out, _ = await query(NAME, "--resolver", server.address)
         assert code == 0 and "10.0.0.1" in out
         code, _, err = await query("_none._tcp.site3.example.org", "--resolver", server.address)
--- a/tests/test_dns_srv.py
+++ b/tests/test_dns_srv.py
@@ -40,7 +40,7 @@
         server.sends_additional = additional
         server.set_records(f"b.{ZONE}", "AAAA", "2001:db8::1")
         found = resolve_directly(server)
-        assert [(e.address, e.port, e.weight) for e in found.endpoints] == [
+        assert [(endpoint.address, endpoint.port, endpoint.weight) for endpoint in found.endpoints] == [
             ("10.0.0.1", 800, 1), ("10.0.0.2", 801, 2), ("2001:db8::1", 801, 2)]  # fmt: skip
         assert (server.queries[f"a.{ZONE}", "A", "tcp"] == 0) == additional
     server = site("a")
@@ -58,7 +58,7 @@
     server.set_records(f"a.{ZONE}", "CNAME", f"b.{ZONE}", ttl=2)
     server.set_records(f"b.{ZONE}", "A", "10.0.0.7", "10.0.0.8")
     found = resolve_directly(server)
-    assert [e.address for e in found.endpoints] == ["10.0.0.7", "10.0.0.8"] and found.ttl == 2
+    assert [endpoint.address for endpoint in found.endpoints] == ["10.0.0.7", "10.0.0.8"] and found.ttl == 2
     assert found.endpoints[0].target == f"a.{ZONE}" and any(
         "which RFC 2782 forbids" in n for n in found.notes
     )
@@ -68,9 +68,9 @@
     # The name itself may be an alias, of another zone too; there its own additional records are believed.
     server = site("a")
     server.set_records("_r._tcp.alias.example.org.", "CNAME", NAME)
-    assert [e.address for e in resolve_directly(server, "_r._tcp.alias.example.org.").endpoints] == [
-        "10.0.0.1"
-    ]
+    assert [
+        endpoint.address for endpoint in resolve_directly(server, "_r._tcp.alias.example.org.").endpoints
+    ] == ["10.0.0.1"]
 
 
 @pytest.mark.parametrize(
