--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -27,7 +27,7 @@
 sys.path.insert(0, str(ROOT))
 
 from harecross.standins.cluster import node_settings  # noqa: E402
-from harecross.standins.discovery import Catalog, entry  # noqa: E402
+from harecross.standins.discovery import StandinDiscovery, entry  # noqa: E402
 from harecross.standins.http import listen  # noqa: E402
 
 CLASSES = [
@@ -165,7 +165,7 @@
 
 
 async def play(args: argparse.Namespace, processes: int, streams: int, rate: float) -> str:
-    catalog = await Catalog().start()
+    catalog = await StandinDiscovery().start()
     servers = [await listen(serve) for _ in range(4)]
     for i, (_, address) in enumerate(servers):
         catalog.put(entry(f"s{i}", address))
--- a/benchmarks/node_rate.py
+++ b/benchmarks/node_rate.py
@@ -26,7 +26,7 @@
 sys.path.insert(0, str(ROOT))
 
 from harecross.standins.cluster import node_settings  # noqa: E402
-from harecross.standins.discovery import Catalog, entry  # noqa: E402
+from harecross.standins.discovery import StandinDiscovery, entry  # noqa: E402
 from harecross.standins.http import listen  # noqa: E402
 
 CLASSES = [{"name": "read", "effect": "free", "goal_time": 1_000_000, "hard_limit": 2_500_000, "worth": 1}]
@@ -111,7 +111,7 @@
 
 async def play(checkout: Path, folder: Path, seconds: float, clients: int) -> Sample:
     """One run: warm-up, then requests and processor time over that many seconds."""
-    catalog = await Catalog().start()
+    catalog = await StandinDiscovery().start()
     servers = [await listen(serve) for _ in range(SERVERS)]
     catalog.put(*(entry(f"s{i}", address) for i, (_, address) in enumerate(servers)))
     config = folder / "node.json"
--- a/harecross/replay/run.py
+++ b/harecross/replay/run.py
@@ -143,7 +143,7 @@
 
 async def _collect_figures(run: ReplayRun) -> None:
     for cluster in run.clusters:
-        statistics = await cluster.order(do="stats")
+        statistics = await cluster.command(do="stats")
         run.servers |= statistics["servers"]
         run.effects += statistics["effects"]
     run.nodes = [{"name": n.name, "alive": n.alive, **n.stats} for c in run.clusters for n in c.nodes]
@@ -181,11 +181,11 @@
             raise ClusterError(f"no node named {event.name!r}")
         nodes[0].signal(signal.SIGKILL if event.action is EventAction.KILL_NODE else signal.SIGTERM)
     elif event.action is EventAction.ADD:
-        await run.clusters[0].order(do="add", **_server_order(event.name, cold=True))
+        await run.clusters[0].command(do="add", **_server_order(event.name, cold=True))
     else:
         parameters = {"factor": event.factor} if event.action is EventAction.SLOW else {}
         cluster = _cluster_of_server(run, event.name)
-        await cluster.order(do=event.action.value, name=event.name, **parameters)
+        await cluster.command(do=event.action.value, name=event.name, **parameters)
 
 
 def _cluster_of_server(run: ReplayRun, name: str) -> Cluster:
--- a/harecross/soak/run.py
+++ b/harecross/soak/run.py
@@ -154,7 +154,7 @@
 
     def keep_log(self) -> None:
         if self.process is not None:
-            self.records.logs[self.life] = self.process.said
+            self.records.logs[self.life] = self.process.log_lines
 
     async def watch_process(self) -> None:
         """Records an end that nobody asked for."""
--- a/harecross/standins/discovery.py
+++ b/harecross/standins/discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in discovery: whole lists and watches as PROTOCOL's catalog describes, and its failures."""
+"""The stand-in discovery: full lists and watches as PROTOCOL describes them, and failures."""
 
 from __future__ import annotations
 
@@ -8,55 +8,59 @@
 
 from harecross.standins.http import answer, listen, read_message
 
+HEARTBEAT_INTERVAL_S = 1.0
+HEARTBEAT = b"1\r\n\n\r\n"  # a chunk with an empty line
+
 
 def entry(name: str, address: str, state: str = "in_service", **more: Any) -> dict[str, Any]:
-    """One instance of a list."""
+    """One endpoint of a list."""
     base = {"instanceId": name, "hostPort": address, "zone": "here", "machineType": "m1", "cell": 0}
     return {**base, "lifecycle": state, "weight": 1.0, "startedAtMs": 0, **more}
 
 
 def update(generation: int, *entries: dict[str, Any], reset: bool = False) -> dict[str, Any]:
-    """A list or a change of it."""
+    """A full list (`reset`) or a watch event."""
     return {"generation": generation, "reset": reset, "instances": list(entries)}
 
 
 def line(generation: int, *entries: dict[str, Any], reset: bool = False) -> bytes:
-    """The same as a watch sends it."""
+    """A full list or a watch event as JSON."""
     return json.dumps(update(generation, *entries, reset=reset)).encode()
 
 
-def chunk(text: bytes) -> bytes:
-    """One line as a chunk of a watch."""
-    return b"%x\r\n%s\n\r\n" % (len(text) + 1, text)
+def chunk(data: bytes) -> bytes:
+    """One line of a watch as a chunk of HTTP."""
+    return b"%x\r\n%s\n\r\n" % (len(data) + 1, data)
 
 
-class Catalog:
-    """Discovery as a service: what is `put` reaches every watch, at once or `lag` seconds later."""
+class StandinDiscovery:
+    """Discovery as a service: what is `put` reaches every watch, at once or after `update_delay_s`."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, dict[str, Any]] = {}
+        self.instances: dict[str, dict[str, Any]] = {}  # entries by name
         self.generation = 1
-        self.lag = 0.0
+        self.update_delay_s = 0.0
         self.silent = False  # connections stay open and nothing is sent
-        self.watches: list[asyncio.StreamWriter] = []
         self.address = ""
-        self.server: asyncio.Server | None = None
-        self.beat: asyncio.Task[None] | None = None
-
-    async def start(self) -> Catalog:
-        self.server, self.address = await listen(self.serve)
-        self.beat = asyncio.create_task(self.keep())
+        self._watches: list[asyncio.StreamWriter] = []
+        self._listener: asyncio.Server | None = None
+        self._heartbeats: asyncio.Task[None] | None = None
+
+    async def start(self) -> StandinDiscovery:
+        """Listens, and begins with heartbeats."""
+        self._listener, self.address = await listen(self._serve)
+        self._heartbeats = asyncio.create_task(self._send_heartbeats())
         return self
 
     async def stop(self) -> None:
-        """Down: watches end, and new connections are refused."""
-        if self.beat is not None:
-            self.beat.cancel()
-        if self.server is not None:
-            self.server.close()
-        for writer in self.watches:
+        """Ends all watches, and refuses new connections."""
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
+        if self._listener is not None:
+            self._listener.close()
+        for writer in self._watches:
             writer.close()
-        self.watches.clear()
+        self._watches.clear()
 
     def put(self, *entries: dict[str, Any]) -> None:
         """Changes the list; entries that are `terminated` leave it."""
@@ -66,41 +70,45 @@
                 self.instances.pop(item["instanceId"], None)
             else:
                 self.instances[item["instanceId"]] = item
-        text = chunk(line(self.generation, *entries))
-        if self.lag > 0:
-            asyncio.get_running_loop().call_later(self.lag, self.send, text)
+        event = chunk(line(self.generation, *entries))
+        if self.update_delay_s > 0:
+            asyncio.get_running_loop().call_later(self.update_delay_s, self._send, event)
         else:
-            self.send(text)
+            self._send(event)
+
+    def full_list(self) -> dict[str, Any]:
+        """The present list."""
+        return update(self.generation, *self.instances.values(), reset=True)
 
-    def send(self, text: bytes) -> None:
+    def _send(self, data: bytes) -> None:
         if self.silent:
             return
-        for writer in self.watches:
-            if not writer.transport.is_closing():  # whoever watched may have been killed
-                writer.write(text)
+        for writer in self._watches:
+            if not writer.transport.is_closing():  # the node may have been killed
+                writer.write(data)
 
-    def whole(self) -> dict[str, Any]:
-        """The list as it stands."""
-        return update(self.generation, *self.instances.values(), reset=True)
-
-    async def keep(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(1.0)
-            self.send(b"1\r\n\n\r\n")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            self._send(HEARTBEAT)
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 head, _ = await read_message(reader)
-                text = json.dumps(self.whole()).encode()
-                if b"watch=1" not in head.split(b"\r\n", 1)[0]:
-                    writer.write(answer(200, text))
-                    continue
-                writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                if not self.silent:
-                    writer.write(chunk(text))
-                self.watches.append(writer)
+                self._answer(head, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            if writer in self.watches:
-                self.watches.remove(writer)
+            if writer in self._watches:
+                self._watches.remove(writer)
             writer.close()
+
+    def _answer(self, head: bytes, writer: asyncio.StreamWriter) -> None:
+        """Sends the full list, as an answer or as the beginning of a watch."""
+        data = json.dumps(self.full_list()).encode()
+        if b"watch=1" not in head.split(b"\r\n", 1)[0]:
+            writer.write(answer(200, data))
+            return
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        if not self.silent:
+            writer.write(chunk(data))
+        self._watches.append(writer)
--- a/harecross/standins/model.py
+++ b/harecross/standins/model.py
@@ -1,7 +1,7 @@
-"""One model of a server, free of I/O: slots, queue, cold start, slowdown, drains, memory of keys.
+"""A model of one server without I/O: slots, a queue, slow start, slowdown, draining, idempotency keys.
 
-Two ways to run it: `servers.py` on real sockets, and any loop that passes its own `now`. Times are
-integer microseconds of one clock, work is microseconds on one slot at speed 1.
+`servers.py` runs it on sockets; a simulation passes its own `now_us`. Times are microseconds of one clock; work is
+microseconds on one slot at speed 1.
 """
 
 from __future__ import annotations
@@ -9,101 +9,119 @@
 from collections import deque
 from collections.abc import Hashable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 
 @dataclass(slots=True)
-class Shape:
-    """What a server can do. ValueError where that cannot be."""
+class ServerCapacity:
+    """What a server can do. ValueError for values that cannot be."""
 
-    slots: int = 8  # requests in work at once
+    slots: int = 8  # requests that it processes at once
     queue: int = 64  # requests that may wait for a slot
     speed: float = 1.0  # work is divided by it
-    cold_share: float = 1.0  # of its speed, at its start
-    cold_time: int = 0  # microseconds until it is warm; the speed rises evenly
+    slow_start_speed: float = 1.0  # at its start, as a fraction of its speed; rises evenly to 1
+    slow_start_us: int = 0  # until it has its full speed
 
     def __post_init__(self) -> None:
-        if self.slots < 1 or self.queue < 0 or self.speed <= 0 or not 0 < self.cold_share <= 1:
-            raise ValueError("a server has a slot or more, a positive speed and a cold share in (0, 1]")
+        if self.slots < 1 or self.queue < 0 or self.speed <= 0 or not 0 < self.slow_start_speed <= 1:
+            raise ValueError(
+                f"{self}: a server has a slot or more, a positive speed and a slow-start speed in (0, 1]"
+            )
 
 
 @dataclass(slots=True)
-class Cell:
-    """What the servers of one cell remember together: keys whose effect has happened, and when."""
+class KeyCache:
+    """The idempotency keys that the servers of one cell remember, with the time at which each took effect."""
 
-    window: int = 5_000_000
+    window_us: int = 5_000_000
     keys: dict[bytes, int] = field(default_factory=dict)
     effects: int = 0  # keys that took effect
-    repeats: int = 0  # and how often one came again within the window
+    repeats: int = 0  # how often a key came again within the window
 
-    def run(self, now: int, key: bytes) -> bool:
-        """Whether the key takes effect now; it does not where it did so within the window."""
-        for old, at in list(self.keys.items()):
-            if at + self.window > now:
+    def add(self, now_us: int, key: bytes) -> bool:
+        """Adds a key; False if it took effect within the window before."""
+        for old_key, added_us in list(self.keys.items()):
+            if added_us + self.window_us > now_us:
                 break
-            del self.keys[old]
+            del self.keys[old_key]
         if key in self.keys:
             self.repeats += 1
             return False
-        self.keys[key] = now
+        self.keys[key] = now_us
         self.effects += 1
         return True
 
+    def undo(self, key: bytes) -> None:
+        """Removes a key whose request was not processed."""
+        self.keys.pop(key, None)
+        self.effects -= 1
+
+
+class StartedRequest(NamedTuple):
+    """A request that has got a slot."""
+
+    request: Hashable
+    ends_us: int
+
 
 class ServerModel:
     """The slots and the queue of one server process."""
 
-    __slots__ = ("shape", "started", "slow", "busy", "waiting", "draining", "rejected", "done", "worked")
+    __slots__ = (
+        "capacity", "started_us", "slowdown", "running", "waiting", "draining", "rejected", "completed", "worked_us",
+    )  # fmt: skip
 
-    def __init__(self, shape: Shape, started: int) -> None:
-        self.shape = shape
-        self.started = started
-        self.slow = 1.0  # work takes so many times longer
-        self.busy: dict[Hashable, int] = {}  # in work, until when
-        self.waiting: deque[tuple[Hashable, int]] = deque()
+    def __init__(self, capacity: ServerCapacity, started_us: int) -> None:
+        self.capacity = capacity
+        self.started_us = started_us
+        self.slowdown = 1.0  # work takes so many times longer
+        self.running: dict[Hashable, int] = {}  # by request: when it ends
+        self.waiting: deque[tuple[Hashable, int]] = deque()  # requests and their work
         self.draining = False
         self.rejected = 0
-        self.done = 0
-        self.worked = 0  # microseconds of slots, for `util`
-
-    def pace(self, now: int) -> float:
-        """Work done in a microsecond of one slot."""
-        s = self.shape
-        warmth = 1.0
-        if s.cold_time > 0 and now < self.started + s.cold_time:
-            warmth = s.cold_share + (1 - s.cold_share) * (now - self.started) / s.cold_time
-        return s.speed * warmth / self.slow
-
-    def arrive(self, now: int, key: Hashable, work: int) -> int | None:
-        """When the request will be done; 0 if it waits for a slot, None if it is turned away unseen."""
-        if key in self.busy:
-            raise ValueError(f"{key!r} is in work already")
-        if len(self.busy) < self.shape.slots:
-            return self.begin(now, key, work)
-        if self.draining or len(self.waiting) >= self.shape.queue:
+        self.completed = 0
+        self.worked_us = 0  # of all slots
+
+    def speed(self, now_us: int) -> float:
+        """The present speed of one slot."""
+        capacity = self.capacity
+        fraction = 1.0
+        if capacity.slow_start_us > 0 and now_us < self.started_us + capacity.slow_start_us:
+            elapsed = (now_us - self.started_us) / capacity.slow_start_us
+            fraction = capacity.slow_start_speed + (1 - capacity.slow_start_speed) * elapsed
+        return capacity.speed * fraction / self.slowdown
+
+    def add(self, now_us: int, request: Hashable, work_us: int) -> int | None:
+        """When the request will be complete; 0 if it waits for a slot, None if it is rejected."""
+        if request in self.running:
+            raise ValueError(f"{request!r} is running already")
+        if len(self.running) < self.capacity.slots:
+            return self._start(now_us, request, work_us)
+        if self.draining or len(self.waiting) >= self.capacity.queue:
             self.rejected += 1
             return None
-        self.waiting.append((key, work))
+        self.waiting.append((request, work_us))
         return 0
 
-    def begin(self, now: int, key: Hashable, work: int) -> int:
-        took = max(1, int(work / self.pace(now)))
-        self.worked += took
-        self.busy[key] = now + took
-        return now + took
+    def _start(self, now_us: int, request: Hashable, work_us: int) -> int:
+        duration_us = max(1, int(work_us / self.speed(now_us)))
+        self.worked_us += duration_us
+        self.running[request] = now_us + duration_us
+        return now_us + duration_us
 
-    def finish(self, now: int, key: Hashable) -> tuple[Hashable, int] | None:
-        """The request is done; the next one that starts in its slot and when that will be done."""
-        del self.busy[key]
-        self.done += 1
+    def complete(self, now_us: int, request: Hashable) -> StartedRequest | None:
+        """Ends a request, and returns the one that gets its slot."""
+        del self.running[request]
+        self.completed += 1
         if not self.waiting:
             return None
-        following, work = self.waiting.popleft()
-        return following, self.begin(now, following, work)
+        next_request, work_us = self.waiting.popleft()
+        return StartedRequest(next_request, self._start(now_us, next_request, work_us))
 
-    def cancel(self, key: Hashable) -> bool:
-        """Drops a request that waits; what is in work goes on. Whether it was dropped."""
+    def cancel(self, request: Hashable) -> bool:
+        """Drops a request that waits; a running one goes on. Whether it was dropped."""
         for item in self.waiting:
-            if item[0] == key:
+            if item[0] == request:
                 self.waiting.remove(item)
                 return True
         return False
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers on loopback sockets: the model's work in real time, load reports, probes, scripted faults."""
+"""Stand-in servers on loopback sockets: the model's work in real time, load reports, health checks, faults."""
 
 from __future__ import annotations
 
@@ -9,9 +9,11 @@
 from typing import Any, cast
 
 from harecross.standins.http import answer, header
-from harecross.standins.model import Cell, ServerModel, Shape
+from harecross.standins.model import KeyCache, ServerCapacity, ServerModel
 
-HEAD_MOST = 1 << 16
+MAX_HEAD_BYTES = 1 << 16
+LOAD_REPORT_INTERVAL_US = 200_000
+REPEAT_WORK_US = 1  # the work for a key that took effect before
 REJECTED = answer(503, extra=b"X-Not-Processed: 1\r\n")
 
 
@@ -22,215 +24,240 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong with answers, as shares of them; drawn from the server's seed."""
+    """What goes wrong with answers, as fractions of them."""
 
-    errors: float = 0.0  # 500
-    cuts: float = 0.0  # the connection ends half way through the answer
+    errors: float = 0.0  # status 500
+    truncated: float = 0.0  # the connection ends within the answer
     silent: float = 0.0  # no answer, the connection stays open
 
 
-class Job:
-    """A request that a server has taken."""
+class ReceivedRequest:
+    """A request that a server has received."""
 
-    __slots__ = ("link", "id", "key", "effect")
+    __slots__ = ("connection", "id", "key", "takes_effect")
 
-    def __init__(self, link: Link, name: bytes, key: bytes) -> None:
-        self.link = link
-        self.id = name
+    def __init__(self, connection: NodeConnection, request_id: bytes, key: bytes) -> None:
+        self.connection = connection
+        self.id = request_id
         self.key = key
-        self.effect = True  # a repeat of a key has none
+        self.takes_effect = True  # False for the repeat of a key
 
 
-class Link(asyncio.Protocol):
+class NodeConnection(asyncio.Protocol):
     """A connection from a node. It carries one request at a time."""
 
-    __slots__ = ("server", "transport", "buffer", "job")
+    __slots__ = ("request", "buffer", "_server", "_transport")
 
     def __init__(self, server: StandinServer) -> None:
-        self.server = server
-        self.transport: asyncio.Transport | None = None
+        self.request: ReceivedRequest | None = None
         self.buffer = b""
-        self.job: Job | None = None
+        self._server = server
+        self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.server.links.add(self)
+        """The connection is open."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.links.discard(self)
-        if self.job is not None:
-            self.server.left(self.job)
+        """The node has closed the connection."""
+        self._server.connections.discard(self)
+        if self.request is not None:
+            self._server.cancel(self.request)
 
     def data_received(self, data: bytes) -> None:
+        """Passes on the requests that are complete."""
         self.buffer += data
-        while self.job is None:
+        while self.request is None:
             end = self.buffer.find(b"\r\n\r\n")
             if end < 0:
-                if len(self.buffer) > HEAD_MOST:
+                if len(self.buffer) > MAX_HEAD_BYTES:
                     self.close()
                 return
             head = self.buffer[: end + 2]
-            size = int(header(head, b"content-length") or b"0")
-            if len(self.buffer) < end + 4 + size:
+            body_bytes = int(header(head, b"content-length") or b"0")
+            if len(self.buffer) < end + 4 + body_bytes:
                 return
-            self.buffer = self.buffer[end + 4 + size :]
-            self.server.take(self, head)
+            self.buffer = self.buffer[end + 4 + body_bytes :]
+            self._server.receive(self, head)
 
     def write(self, data: bytes) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(data)
+        """Sends bytes unless the connection has ended."""
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.write(data)
 
     def close(self) -> None:
-        if self.transport is not None:
-            self.transport.close()
+        """Closes the connection once all is sent."""
+        if self._transport is not None:
+            self._transport.close()
+
+    def abort(self) -> None:
+        """Closes the connection at once."""
+        if self._transport is not None:
+            self._transport.abort()
+
+
+class LoadReport:
+    """The figures of `X-Server-Load`, renewed at an interval."""
+
+    def __init__(self, model: ServerModel) -> None:
+        self._model = model
+        self._text = b""
+        self._updated_us = 0
+        self._measured_us = clock()
+        self._worked_us = 0
+
+    def text(self) -> bytes:
+        """The header's value."""
+        now_us = clock()
+        if now_us - self._updated_us >= LOAD_REPORT_INTERVAL_US or not self._text:
+            self._update(now_us)
+        return self._text
+
+    def _update(self, now_us: int) -> None:
+        model = self._model
+        available_us = max(1, (now_us - self._measured_us) * model.capacity.slots)
+        utilization = min(1.0, (model.worked_us - self._worked_us) / available_us)
+        self._worked_us, self._measured_us, self._updated_us = model.worked_us, now_us, now_us
+        counts = (len(model.running), len(model.waiting))
+        self._text = b"inflight=%d,queue=%d,util=%.3f,eps=0" % (*counts, utilization)
 
 
 class StandinServer:
-    """One server. A request's work in microseconds comes in `X-Cost`, or is `work`."""
+    """One server. A request's work in microseconds comes in `X-Cost`, or is `work_us`."""
 
     def __init__(
         self,
         name: str,
-        shape: Shape,
-        cell: Cell | None = None,
+        capacity: ServerCapacity,
+        key_cache: KeyCache | None = None,
         faults: Faults | None = None,
-        work: int = 1000,
+        work_us: int = 1000,
         seed: int = 0,
     ) -> None:
         self.name = name
-        self.model = ServerModel(shape, clock())
-        self.cell = cell or Cell()
+        self.model = ServerModel(capacity, clock())
         self.faults = faults or Faults()
-        self.work = work
-        self.rng = Random(f"{seed}/{name}")
-        self.links: set[Link] = set()
+        self.connections: set[NodeConnection] = set()
         self.address = ""
-        self.listener: asyncio.Server | None = None
-        self.hung = False  # a machine cut off: connections stay open and say nothing
-        self.arrived = 0
-        self.ran = 0  # requests run, a key's repeats not among them
-        self.told_at = 0  # when discovery was told that this server drains or goes
-        self.after_told: list[int] = []  # microseconds since then, for each request that still came
-        self.report = b""
-        self.report_at = 0
-        self.worked_at = (0, clock())
+        self.unresponsive = False  # connections stay open and nothing is answered
+        self._key_cache = key_cache or KeyCache()
+        self._work_us = work_us
+        self._rng = Random(f"{seed}/{name}")
+        self._listener: asyncio.Server | None = None
+        self._load_report = LoadReport(self.model)
+        self._received = 0
+        self._processed = 0  # without the repeats of keys
+        self._drain_us = 0  # when discovery was notified that this server drains or is gone
+        self._late_requests_us: list[int] = []  # microseconds after that of each request that still came
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> StandinServer:
+        """Listens; port 0 is any free one."""
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(lambda: Link(self), host, port)
-        self.address = f"{host}:{self.listener.sockets[0].getsockname()[1]}"
-        self.model.started = clock()
+        self._listener = await loop.create_server(lambda: NodeConnection(self), host, port)
+        self.address = f"{host}:{self._listener.sockets[0].getsockname()[1]}"
+        self.model.started_us = clock()
         return self
 
-    def told(self) -> None:
-        """Discovery has been told that nothing new may come."""
-        self.told_at = clock()
+    def drain(self) -> None:
+        """Discovery is notified now that the server gets nothing new."""
+        self._drain_us = clock()
         self.model.draining = True
 
     def stop(self) -> None:
         """The process dies: connections end, new ones are refused."""
-        if self.listener is not None:
-            self.listener.close()
-        for link in list(self.links):
-            if link.transport is not None:
-                link.transport.abort()
+        if self._listener is not None:
+            self._listener.close()
+        for connection in list(self.connections):
+            connection.abort()
 
-    # ---- a request --------------------------------------------------------------------------------------
+    # ---- a request ----------------------------------------------------------------------------------------
 
-    def take(self, link: Link, head: bytes) -> None:
-        method, path, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
-        if self.hung:
+    def receive(self, connection: NodeConnection, head: bytes) -> None:
+        """Begins a request, or answers a health check."""
+        _, path, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
+        if self.unresponsive:
             return
         if path in (b"/ping", b"/_load"):
-            link.write(answer(200, self.load() if path == b"/_load" else b""))
+            connection.write(answer(200, self._load_report.text() if path == b"/_load" else b""))
             return
-        now = clock()
-        self.arrived += 1
-        if self.told_at:
-            self.after_told.append(now - self.told_at)
+        now_us = clock()
+        self._received += 1
+        if self._drain_us:
+            self._late_requests_us.append(now_us - self._drain_us)
         key = header(head, b"idempotency-key")
-        job = Job(link, header(head, b"x-request-id"), key)
-        link.job = job
+        request = ReceivedRequest(connection, header(head, b"x-request-id"), key)
+        connection.request = request
         if key:
-            job.effect = self.cell.run(now, key)
-        # A repeat of a key is recognised at once: the effect stands, the work is not done again.
-        work = int(header(head, b"x-cost") or self.work) if job.effect else 1
-        until = self.model.arrive(now, job, work)
-        if until is None:
-            link.job = None
-            self.undo(job)
-            link.write(REJECTED)
-        elif until > 0:
-            self.schedule(job, until)
-
-    def schedule(self, job: Job, until: int) -> None:
-        loop = asyncio.get_running_loop()
-        loop.call_later(max(0, until - clock()) / 1e6, self.finished, job)
-
-    def finished(self, job: Job) -> None:
-        following = self.model.finish(clock(), job)
-        if following is not None:
-            self.schedule(cast(Job, following[0]), following[1])
-        self.ran += job.effect
-        link = job.link
-        if link.job is not job or self.hung:
-            return  # the node has given up: the work is done for nobody
-        chance = self.rng.random()
-        f = self.faults
-        link.job = None
-        if chance < f.silent:
+            request.takes_effect = self._key_cache.add(now_us, key)
+        work_us = int(header(head, b"x-cost") or self._work_us) if request.takes_effect else REPEAT_WORK_US
+        self._process(request, now_us, work_us)
+
+    def _process(self, request: ReceivedRequest, now_us: int, work_us: int) -> None:
+        ends_us = self.model.add(now_us, request, work_us)
+        if ends_us is None:
+            request.connection.request = None
+            self._undo(request)
+            request.connection.write(REJECTED)
+        elif ends_us > 0:
+            self._schedule_completion(request, ends_us)
+
+    def _schedule_completion(self, request: ReceivedRequest, ends_us: int) -> None:
+        delay_s = max(0, ends_us - clock()) / 1e6
+        asyncio.get_running_loop().call_later(delay_s, self._complete, request)
+
+    def _complete(self, request: ReceivedRequest) -> None:
+        started = self.model.complete(clock(), request)
+        if started is not None:
+            self._schedule_completion(cast(ReceivedRequest, started.request), started.ends_us)
+        self._processed += request.takes_effect
+        connection = request.connection
+        if connection.request is not request or self.unresponsive:
+            return  # the node has given up
+        connection.request = None
+        self._answer(connection, request)
+
+    def _answer(self, connection: NodeConnection, request: ReceivedRequest) -> None:
+        """Sends the answer, or what a fault leaves of it."""
+        faults = self.faults
+        draw = self._rng.random()
+        if draw < faults.silent:
             return
-        chance -= f.silent
-        if chance < f.errors:
-            link.write(answer(500, b"error"))
+        draw -= faults.silent
+        if draw < faults.errors:
+            connection.write(answer(500, b"error"))
             return
-        body = b'{"id":"%s","server":"%s"}' % (job.id, self.name.encode())
-        text = answer(200, body, b"X-Server-Load: %s\r\n" % self.load())
-        if chance < f.errors + f.cuts:
-            link.write(text[: len(text) // 2])
-            link.close()
+        body = b'{"id":"%s","server":"%s"}' % (request.id, self.name.encode())
+        data = answer(200, body, b"X-Server-Load: %s\r\n" % self._load_report.text())
+        if draw < faults.errors + faults.truncated:
+            connection.write(data[: len(data) // 2])
+            connection.close()
             return
-        link.write(text)
-        if link.buffer:
-            link.data_received(b"")
-
-    def left(self, job: Job) -> None:
-        """The node has closed the connection: waiting work is dropped, running work goes on."""
-        job.link.job = None
-        if self.model.cancel(job):
-            self.undo(job)
-
-    def undo(self, job: Job) -> None:
-        """The request never ran: its key is as if it had not come."""
-        if job.key and job.effect:
-            self.cell.keys.pop(job.key, None)
-            self.cell.effects -= 1
-
-    def load(self) -> bytes:
-        """The load report, refreshed every 200 ms."""
-        now = clock()
-        if now - self.report_at >= 200_000 or not self.report:
-            worked, at = self.worked_at
-            util = (self.model.worked - worked) / max(1, (now - at) * self.model.shape.slots)
-            self.worked_at = (self.model.worked, now)
-            self.report_at = now
-            self.report = b"inflight=%d,queue=%d,util=%.3f,eps=0" % (
-                len(self.model.busy),
-                len(self.model.waiting),
-                min(1.0, util),
-            )
-        return self.report
+        connection.write(data)
+        if connection.buffer:
+            connection.data_received(b"")
+
+    def cancel(self, request: ReceivedRequest) -> None:
+        """The node has closed the connection: a request that waits is dropped, a running one goes on."""
+        request.connection.request = None
+        if self.model.cancel(request):
+            self._undo(request)
+
+    def _undo(self, request: ReceivedRequest) -> None:
+        """The request was not processed: its key may take effect again."""
+        if request.key and request.takes_effect:
+            self._key_cache.undo(request.key)
 
     def stats(self) -> dict[str, Any]:
-        """What the world prints of it."""
-        m = self.model
+        """The figures that the world prints."""
+        model = self.model
         return {
-            "arrived": self.arrived,
-            "ran": self.ran,
-            "rejected": m.rejected,
-            "busy": len(m.busy),
-            "waiting": len(m.waiting),
-            "slow": m.slow,
-            "draining": m.draining,
-            "latest_after_told_us": max(self.after_told, default=0),
+            "arrived": self._received,
+            "ran": self._processed,
+            "rejected": model.rejected,
+            "busy": len(model.running),
+            "waiting": len(model.waiting),
+            "slow": model.slowdown,
+            "draining": model.draining,
+            "latest_after_told_us": max(self._late_requests_us, default=0),
         }
--- a/harecross/standins/world.py
+++ b/harecross/standins/world.py
@@ -1,7 +1,7 @@
-"""`python -m harecross.standins.world`: discovery and servers in a process of their own, told what to do by line.
+"""`python -m harecross.standins.world`: a discovery and servers in a process of their own, commanded by lines.
 
-Each line on standard input is a JSON object with `do`; each answer is one on standard output. The process
-ends with its standard input, so that none is left behind when its parent dies.
+Each line on standard input is a JSON object with `do`; each answer is one on standard output. The process ends with
+its standard input, so that it does not outlive its parent.
 
     {"do": "add", "name": "s1", "shape": {...}, "zone": "here", "cell": 0, "kind": "m1", "cold": false}
     {"do": "slow", "name": "s1", "factor": 4.0}
@@ -21,109 +21,136 @@
 import time
 from typing import Any
 
-from harecross.standins.discovery import Catalog, entry
-from harecross.standins.model import Cell, Shape
+from harecross.standins.discovery import StandinDiscovery, entry
+from harecross.standins.model import KeyCache, ServerCapacity
 from harecross.standins.servers import Faults, StandinServer
 
+Command = dict[str, Any]
+MAX_LINE_BYTES = 1 << 22
+REMOVED_SERVER_STOP_S = 5.0  # a removed server finishes its requests for so long
+# From the keys of a command's `shape` to the fields of a ServerCapacity.
+CAPACITY_FIELDS = {
+    "slots": "slots", "queue": "queue", "speed": "speed", "cold_share": "slow_start_speed",
+    "cold_time": "slow_start_us",
+}  # fmt: skip
+SERVER_COMMANDS = ("drain", "remove", "kill", "hang", "slow", "faults")
+
+
+def capacity_from(shape: dict[str, Any], *, cold: bool) -> ServerCapacity:
+    """A command's `shape`, without slow start unless `cold`. KeyError for an unknown key."""
+    capacity = ServerCapacity(**{CAPACITY_FIELDS[key]: value for key, value in shape.items()})
+    if not cold:
+        capacity.slow_start_us = 0
+    return capacity
+
 
 class World:
     """A discovery and its servers."""
 
     def __init__(self, seed: int = 0) -> None:
-        self.catalog = Catalog()
-        self.servers: dict[str, StandinServer] = {}
-        self.gone: dict[str, StandinServer] = {}
-        self.places: dict[str, dict[str, Any]] = {}
-        self.cells: dict[int, Cell] = {}
-        self.seed = seed
+        self._discovery = StandinDiscovery()
+        self._servers: dict[str, StandinServer] = {}
+        self._removed: dict[str, StandinServer] = {}
+        self._attributes: dict[str, dict[str, Any]] = {}  # by server: keys of its entry in the endpoint list
+        self._key_caches: dict[int, KeyCache] = {}  # by cell
+        self._seed = seed
 
     async def start(self) -> World:
-        await self.catalog.start()
+        """Starts the discovery."""
+        await self._discovery.start()
         return self
 
-    async def do(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Carries out one order. KeyError, TypeError or ValueError for one that cannot be."""
-        what = order["do"]
-        if what == "add":
-            await self.add(order)
-        elif what in ("drain", "remove", "kill", "hang", "slow", "faults"):
-            server = self.servers.get(order["name"])
-            if server is None:
-                raise KeyError(f"no server named {order['name']!r}")
-            self.change(what, server, order)
-        elif what == "lag":
-            self.catalog.lag = float(order["seconds"])
-        elif what == "silent":
-            self.catalog.silent = bool(order["on"])
-        elif what == "list":
-            return {"ok": True, "discovery": self.catalog.address, "known": self.catalog.whole()}
-        elif what == "stats":
-            stats = {n: s.stats() for n, s in {**self.gone, **self.servers}.items()}
-            return {"ok": True, "servers": stats, "effects": sum(c.effects for c in self.cells.values())}
+    async def run(self, command: Command) -> dict[str, Any]:
+        """Carries out one command. KeyError, TypeError or ValueError for one that cannot be."""
+        action = command["do"]
+        if action == "list":
+            return {"ok": True, "discovery": self._discovery.address, "known": self._discovery.full_list()}
+        if action == "stats":
+            return {"ok": True, **self._stats()}
+        if action == "add":
+            await self._add_server(command)
+        elif action in SERVER_COMMANDS:
+            self._change_server(action, command)
+        elif action == "lag":
+            self._discovery.update_delay_s = float(command["seconds"])
+        elif action == "silent":
+            self._discovery.silent = bool(command["on"])
         else:
-            raise ValueError(f"no order {what!r}")
+            raise ValueError(f"no order {action!r}")
         return {"ok": True}
 
-    async def add(self, order: dict[str, Any]) -> None:
-        name = order["name"]
-        if name in self.servers:
+    def _stats(self) -> dict[str, Any]:
+        servers = {**self._removed, **self._servers}
+        return {
+            "servers": {name: server.stats() for name, server in servers.items()},
+            "effects": sum(cache.effects for cache in self._key_caches.values()),
+        }
+
+    async def _add_server(self, command: Command) -> None:
+        name, cold = command["name"], command.get("cold", False)
+        if name in self._servers:
             raise ValueError(f"there is a server named {name!r} already")
-        cell = int(order.get("cell", 0))
-        server = StandinServer(
-            name, Shape(**order.get("shape", {})), self.cells.setdefault(cell, Cell()), seed=self.seed
-        )
-        if not order.get("cold", False):
-            server.model.shape.cold_time = 0
-        self.servers[name] = await server.start()
-        self.places[name] = {
-            "zone": order.get("zone", "here"),
-            "machineType": order.get("kind", "m1"),
+        cell = int(command.get("cell", 0))
+        capacity = capacity_from(command.get("shape", {}), cold=cold)
+        key_cache = self._key_caches.setdefault(cell, KeyCache())
+        server = await StandinServer(name, capacity, key_cache, seed=self._seed).start()
+        self._servers[name] = server
+        self._attributes[name] = {
+            "zone": command.get("zone", "here"),
+            "machineType": command.get("kind", "m1"),
             "cell": cell,
-            "startedAtMs": time.time_ns() // 1_000_000 if order.get("cold", False) else 0,
+            "startedAtMs": time.time_ns() // 1_000_000 if cold else 0,
         }
-        self.catalog.put(entry(name, server.address, **self.places[name]))
-
-    def change(self, what: str, server: StandinServer, order: dict[str, Any]) -> None:
-        name = server.name
-        if what == "slow":
-            factor = float(order["factor"])
+        self._discovery.put(entry(name, server.address, **self._attributes[name]))
+
+    def _change_server(self, action: str, command: Command) -> None:
+        server = self._servers.get(command["name"])
+        if server is None:
+            raise KeyError(f"no server named {command['name']!r}")
+        if action == "slow":
+            factor = float(command["factor"])
             if factor <= 0:
-                raise ValueError("factor is above 0")
-            server.model.slow = factor
-        elif what == "hang":
-            server.hung = True
-        elif what == "faults":
-            server.faults = Faults(**{k: float(order.get(k, 0.0)) for k in ("errors", "cuts", "silent")})
+                raise ValueError(f"factor {factor} is not above 0")
+            server.model.slowdown = factor
+        elif action == "hang":
+            server.unresponsive = True
+        elif action == "faults":
+            errors, cuts, silent = (float(command.get(key, 0.0)) for key in ("errors", "cuts", "silent"))
+            server.faults = Faults(errors, cuts, silent)
         else:
-            # The clock of the drain rule starts when discovery is told, before the list goes out.
-            server.told()
-            state = "terminating" if what == "drain" else "terminated"
-            self.catalog.put(entry(name, server.address, state, **self.places[name]))
-            if what != "drain":
-                self.gone[name] = self.servers.pop(name)
-            if what == "kill":
-                server.stop()
-            elif what == "remove":
-                # A machine that leaves serves on what it holds for a while.
-                asyncio.get_running_loop().call_later(5.0, server.stop)
+            self._withdraw_server(action, server)
+
+    def _withdraw_server(self, action: str, server: StandinServer) -> None:
+        """Drains a server, or removes it from the list."""
+        name = server.name
+        server.drain()  # before the list is sent: the time of notification begins here
+        state = "terminating" if action == "drain" else "terminated"
+        self._discovery.put(entry(name, server.address, state, **self._attributes[name]))
+        if action != "drain":
+            self._removed[name] = self._servers.pop(name)
+        if action == "kill":
+            server.stop()
+        elif action == "remove":
+            asyncio.get_running_loop().call_later(REMOVED_SERVER_STOP_S, server.stop)
 
 
 async def main() -> None:
+    """Carries out the commands of standard input until it ends."""
     world = await World(int(os.environ.get("HARECROSS_SEED", "0"))).start()
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=1 << 22)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    while text := await reader.readline():
+    while line := await reader.readline():
         try:
-            answer = await world.do(json.loads(text))
-        except (KeyError, TypeError, ValueError, OSError) as e:
-            answer = {"ok": False, "error": str(e)}
+            answer = await world.run(json.loads(line))
+        except (KeyError, TypeError, ValueError, OSError) as error:
+            answer = {"ok": False, "error": str(error)}
         sys.stdout.write(json.dumps(answer) + "\n")
         sys.stdout.flush()
 
 
 if __name__ == "__main__":
-    # Ctrl-C goes to the whole group; this process ends when its parent closes the pipe.
+    # Ctrl-C goes to the whole process group; this process ends when its parent closes the pipe.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     import uvloop
 
--- a/tests/control_support.py
+++ b/tests/control_support.py
@@ -14,8 +14,8 @@
 
 
 from harecross.platform.child_process import describe_exit  # noqa: E402
-from harecross.standins.discovery import Catalog, entry  # noqa: E402
-from harecross.standins.model import Shape  # noqa: E402
+from harecross.standins.discovery import StandinDiscovery, entry  # noqa: E402
+from harecross.standins.model import ServerCapacity  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
 from harecross.standins.xds import XdsProxy  # noqa: E402
 from harecross.xds.config import read_control  # noqa: E402
@@ -38,7 +38,11 @@
 
 
 def text_of(
-    catalogs: dict[str, Catalog], more: str = "", control: str = "", cluster: str = "", probe: str = "http"
+    catalogs: dict[str, StandinDiscovery],
+    more: str = "",
+    control: str = "",
+    cluster: str = "",
+    probe: str = "http",
 ) -> str:
     parts = [f'[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.2\n{control}\n{more}']
     for name, catalog in catalogs.items():
@@ -54,15 +58,15 @@
         self.folder = folder
         self.path = folder / "control.toml"
         self.servers: dict[str, StandinServer] = {}
-        self.catalogs: dict[str, Catalog] = {}
+        self.catalogs: dict[str, StandinDiscovery] = {}
         self.service: ControlService | None = None
         self.task: asyncio.Task[None] | None = None
         self.channel = None
 
-    async def cluster(self, name: str, servers: int = 3) -> Catalog:
-        catalog = self.catalogs[name] = await Catalog().start()
+    async def cluster(self, name: str, servers: int = 3) -> StandinDiscovery:
+        catalog = self.catalogs[name] = await StandinDiscovery().start()
         for i in range(servers):
-            s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", Shape()).start()
+            s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", ServerCapacity()).start()
             catalog.put(entry(s.name, s.address))
         return catalog
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -23,8 +23,8 @@
 )
 from node_support import node_at, run  # noqa: E402
 
-from harecross.standins.discovery import Catalog, entry  # noqa: E402
-from harecross.standins.model import Shape  # noqa: E402
+from harecross.standins.discovery import StandinDiscovery, entry  # noqa: E402
+from harecross.standins.model import ServerCapacity  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
 from harecross.standins.xds import ASSIGNMENT, CLUSTER, DRAINING, XdsProxy  # noqa: E402
 
@@ -72,13 +72,13 @@
             await proxy.until(lambda proxy: len(health(proxy)) == 5)
             server = site.servers["orders0"]
             if kind == "http":
-                server.hung = True
+                server.unresponsive = True
             else:
                 server.stop()
             await proxy.until(lambda proxy: health(proxy)["orders0"] == UNHEALTHY)
             assert sorted(health(proxy).values()) == [1, 1, 1, 1, UNHEALTHY]
             if kind == "http":
-                server.hung = False
+                server.unresponsive = False
             else:
                 await server.start(port=int(server.address.rpartition(":")[2]))
             await proxy.until(lambda proxy: health(proxy)["orders0"] == 1)
@@ -270,8 +270,8 @@
     from harecross.xds.embedded import EmbeddedControlService
 
     async def body() -> None:
-        catalog = await Catalog().start()
-        servers = [await StandinServer(f"s{i}", Shape()).start() for i in range(3)]
+        catalog = await StandinDiscovery().start()
+        servers = [await StandinServer(f"s{i}", ServerCapacity()).start() for i in range(3)]
         for s in servers:
             catalog.put(entry(s.name, s.address))
         beside = EmbeddedControlService("127.0.0.1:0", "mine", interval_s=0.1)
--- a/tests/test_control_rules.py
+++ b/tests/test_control_rules.py
@@ -22,7 +22,7 @@
 from xds_support import Caller, backend  # noqa: E402
 
 from harecross.standins.discovery import entry  # noqa: E402
-from harecross.standins.model import Shape  # noqa: E402
+from harecross.standins.model import ServerCapacity  # noqa: E402
 from harecross.standins.servers import StandinServer  # noqa: E402
 from harecross.standins.xds import DRAINING, XdsProxy, pick  # noqa: E402
 
@@ -58,7 +58,7 @@
             catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
             import time as wall
 
-            fresh = await StandinServer("fresh", Shape()).start()
+            fresh = await StandinServer("fresh", ServerCapacity()).start()
             site.servers["fresh"] = fresh
             started = loop.time()
             catalog.put(entry("fresh", fresh.address, startedAtMs=int(wall.time() * 1000)))
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -18,7 +18,7 @@
 from harecross.platform.clock import monotonic_us
 from harecross.platform.system_errors import AcceptFailure
 from harecross.standins.cluster import NodeProcess
-from harecross.standins.discovery import Catalog
+from harecross.standins.discovery import StandinDiscovery
 from tests.node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 SLACK = 0.15  # seconds
@@ -34,9 +34,9 @@
 @asynccontextmanager
 async def node_and_origin(folder: Path) -> AsyncIterator[tuple[NodeProcess, Origin]]:
     """One node process before one server."""
-    origin, catalog = await Origin().start(), await Catalog().start()
+    origin, catalog = await Origin().start(), await StandinDiscovery().start()
     catalog.put(entry("s0", origin.address))
-    node = NodeProcess("n0", folder, config_of(catalog.address, known=catalog.whole()))
+    node = NodeProcess("n0", folder, config_of(catalog.address, known=catalog.full_list()))
     try:
         await node.start(None)
         yield node, origin
--- a/tests/test_drain_after_migration.py
+++ b/tests/test_drain_after_migration.py
@@ -13,7 +13,7 @@
 
 from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S
 from harecross.standins.cluster import NodeProcess
-from harecross.standins.discovery import Catalog
+from harecross.standins.discovery import StandinDiscovery
 from tests.node_support import Client, Origin, config_of, entry, run, until
 
 SERVERS = 4
@@ -50,11 +50,11 @@
         self.servers = {f"s{i}": await RecordingServer().start() for i in range(SERVERS)}
         for server in self.servers.values():
             server.answer_all()
-        self.old, self.new = Catalog(), Catalog()
+        self.old, self.new = StandinDiscovery(), StandinDiscovery()
         for catalog in (self.old, self.new):
             await catalog.start()
             catalog.put(*(self.entry(name) for name in self.servers))
-        config = config_of(self.old.address, limits={"sockets": 1024}, known=self.old.whole())
+        config = config_of(self.old.address, limits={"sockets": 1024}, known=self.old.full_list())
         self.node = NodeProcess("n0", self.folder, config)
         await self.node.start(None)
         self.sending = asyncio.create_task(self.send())
@@ -74,7 +74,7 @@
         self.node.path.write_text(self.node.path.read_text().replace(self.old.address, self.new.address))
         self.node.signal(signal.SIGHUP)
         migrated_at = self.loop.time()
-        await until(lambda: any("moved to" in text for text in self.node.said))
+        await until(lambda: any("moved to" in text for text in self.node.log_lines))
         return migrated_at
 
     def sends(self, after: float, before: float) -> list[float]:
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -22,8 +22,8 @@
 from harecross.sources.config import AddressFileConfig, SourcesTable, SrvConfig, check
 from harecross.sources.manager import SourceManager
 from harecross.standins import dns as standin
-from harecross.standins.cluster import with_parent
-from harecross.standins.discovery import Catalog
+from harecross.standins.cluster import die_with_parent
+from harecross.standins.discovery import StandinDiscovery
 from harecross.standins.dns import DnsServer
 from harecross.standins.http import answer, header, listen, read_message
 
@@ -65,7 +65,7 @@
 
     async def start(self, boxes: int) -> None:
         self.dns = await DnsServer().start()
-        self.catalog = await Catalog().start()
+        self.catalog = await StandinDiscovery().start()
         self.boxes = [await Box(f"box{i}").start() for i in range(boxes)]
         for i in range(boxes):
             self.dns.set_records(f"box{i}.{ZONE}", "A", "127.0.0.1", ttl=1)
@@ -394,7 +394,7 @@
             env = {"LB_CONFIG": str(config), "TMPDIR": str(tmp_path), "PATH": "/usr/bin:/bin"}
             node = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "harecross", "node", "--config", str(path), env=env,
-                stderr=asyncio.subprocess.PIPE, preexec_fn=with_parent,
+                stderr=asyncio.subprocess.PIPE, preexec_fn=die_with_parent,
             )  # fmt: skip
             log: list[str] = []
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: what they promise of a server must hold, or tests on top of them prove nothing."""
+"""The stand-ins themselves: tests that use them rely on what is checked here."""
 
 from __future__ import annotations
 
@@ -10,61 +10,67 @@
 from node_support import run
 
 from harecross.standins.cluster import Cluster, ClusterError
-from harecross.standins.model import Cell, ServerModel, Shape
+from harecross.standins.model import KeyCache, ServerCapacity, ServerModel
 from harecross.standins.world import World
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
-def test_slots_then_queue_then_turned_away():
-    m = ServerModel(Shape(slots=1, queue=1), 0)
-    assert m.arrive(0, "a", 100) == 100
-    assert m.arrive(0, "b", 100) == 0
-    assert m.arrive(0, "c", 100) is None and m.rejected == 1
-    assert m.finish(100, "a") == ("b", 200)
-    assert m.finish(200, "b") is None and m.done == 2 and m.worked == 200
+def test_requests_fill_the_slots_then_the_queue_and_are_rejected_then():
+    model = ServerModel(ServerCapacity(slots=1, queue=1), 0)
+    assert model.add(0, "a", 100) == 100
+    assert model.add(0, "b", 100) == 0
+    assert model.add(0, "c", 100) is None and model.rejected == 1
+    assert model.complete(100, "a") == ("b", 200)
+    assert model.complete(200, "b") is None and model.completed == 2 and model.worked_us == 200
 
 
-def test_what_waits_can_be_cancelled_and_what_runs_cannot():
-    m = ServerModel(Shape(slots=1), 0)
-    m.arrive(0, "a", 100)
-    m.arrive(0, "b", 100)
-    assert m.cancel("b") and not m.cancel("a") and m.finish(100, "a") is None
+def test_a_waiting_request_can_be_cancelled_and_a_running_one_cannot():
+    model = ServerModel(ServerCapacity(slots=1), 0)
+    model.add(0, "a", 100)
+    model.add(0, "b", 100)
+    assert model.cancel("b") and not model.cancel("a") and model.complete(100, "a") is None
 
 
-def test_a_cold_server_warms_up_evenly():
-    m = ServerModel(Shape(cold_share=0.4, cold_time=10 * SECOND), 5 * SECOND)
-    assert m.pace(5 * SECOND) == pytest.approx(0.4) and m.pace(10 * SECOND) == pytest.approx(0.7)
-    assert m.pace(15 * SECOND) == 1.0
-    m.slow = 4.0
-    assert m.pace(15 * SECOND) == 0.25
+def test_the_speed_rises_evenly_in_slow_start():
+    capacity = ServerCapacity(slow_start_speed=0.4, slow_start_us=10 * SECOND_US)
+    model = ServerModel(capacity, 5 * SECOND_US)
+    assert model.speed(5 * SECOND_US) == pytest.approx(0.4)
+    assert model.speed(10 * SECOND_US) == pytest.approx(0.7)
+    assert model.speed(15 * SECOND_US) == 1.0
 
 
-def test_a_server_that_drains_ends_what_it_has_and_queues_nothing_new():
-    m = ServerModel(Shape(slots=1), 0)
-    m.arrive(0, "a", 100)
-    m.arrive(0, "b", 100)
-    m.draining = True
-    assert m.arrive(0, "c", 100) is None and m.finish(100, "a") == ("b", 200)
+def test_a_slowdown_divides_the_speed():
+    model = ServerModel(ServerCapacity(), 0)
+    model.slowdown = 4.0
+    assert model.speed(0) == 0.25
 
 
-def test_a_cell_remembers_a_key_for_its_window():
-    cell = Cell(window=100)
-    assert cell.run(0, b"k") and not cell.run(99, b"k") and cell.run(100, b"k")
-    assert (cell.effects, cell.repeats) == (2, 1)
+def test_a_draining_server_completes_its_requests_and_queues_nothing_new():
+    model = ServerModel(ServerCapacity(slots=1), 0)
+    model.add(0, "a", 100)
+    model.add(0, "b", 100)
+    model.draining = True
+    assert model.add(0, "c", 100) is None and model.complete(100, "a") == ("b", 200)
 
 
-@pytest.mark.parametrize("bad", [{"slots": 0}, {"queue": -1}, {"speed": 0}, {"cold_share": 0}])
-def test_a_server_that_cannot_be_is_refused(bad):
+def test_a_key_takes_effect_once_in_its_window():
+    cache = KeyCache(window_us=100)
+    assert cache.add(0, b"k") and not cache.add(99, b"k") and cache.add(100, b"k")
+    assert (cache.effects, cache.repeats) == (2, 1)
+
+
+@pytest.mark.parametrize("wrong", [{"slots": 0}, {"queue": -1}, {"speed": 0}, {"slow_start_speed": 0}])
+def test_a_capacity_that_cannot_be_is_rejected(wrong):
     with pytest.raises(ValueError, match="slot or more"):
-        Shape(**bad)
+        ServerCapacity(**wrong)
 
 
-def test_orders_that_cannot_be_are_refused_and_change_nothing():
-    async def body() -> None:
+def test_wrong_commands_are_rejected_and_change_nothing():
+    async def test() -> None:
         world = await World().start()
-        await world.do({"do": "add", "name": "s"})
-        for order, error in (
+        await world.run({"do": "add", "name": "s"})
+        for command, error in (
             ({"do": "add", "name": "s"}, ValueError),
             ({"do": "drain", "name": "t"}, KeyError),
             ({"do": "slow", "name": "s", "factor": 0}, ValueError),
@@ -72,10 +78,10 @@
             ({"do": "add", "name": "u", "shape": {"slots": 0}}, ValueError),
         ):
             with pytest.raises(error):
-                await world.do(order)
-        assert list((await world.do({"do": "stats"}))["servers"]) == ["s"]
+                await world.run(command)
+        assert list((await world.run({"do": "stats"}))["servers"]) == ["s"]
 
-    run(body())
+    run(test())
 
 
 def test_a_world_ends_with_its_parent():
@@ -95,7 +101,7 @@
     assert child.wait(timeout=30) == 0
 
 
-def test_a_node_that_cannot_start_is_told_and_nothing_is_left(monkeypatch):
+def test_a_node_that_does_not_start_is_an_error_and_no_process_is_left():
     async def body() -> None:
         cluster = Cluster([{"name": "s"}], 1, [])  # no classes: no settings of a node
         with pytest.raises(ClusterError, match="n0 did not start: .*classes"):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 
 from harecross.soak.shim import CUT, HELD_UP, CallFault, build, environment
 from harecross.standins.cluster import NodeProcess
-from harecross.standins.discovery import Catalog
+from harecross.standins.discovery import StandinDiscovery
 from harecross.standins.http import answer, read_message
 from tests.node_support import Client, Origin, config_of, entry, run
 
@@ -49,7 +49,7 @@
 class FaultyNode:
     """One node process whose system calls fail, three servers and a discovery."""
 
-    def __init__(self, node: NodeProcess, origins: list[ClosingOrigin], catalog: Catalog) -> None:
+    def __init__(self, node: NodeProcess, origins: list[ClosingOrigin], catalog: StandinDiscovery) -> None:
         self.node, self.origins, self.catalog = node, origins, catalog
 
     @property
@@ -75,7 +75,7 @@
         return (int(fields[11]) + int(fields[12])) / 100
 
     def tracebacks(self) -> list[str]:
-        return [text for text in self.node.said if "Traceback" in text]
+        return [text for text in self.node.log_lines if "Traceback" in text]
 
 
 @asynccontextmanager
@@ -83,7 +83,7 @@
     folder: Path, shim: Path, *faults: CallFault, seed: int = 1, **more: str
 ) -> AsyncIterator[FaultyNode]:
     origins = [await ClosingOrigin().start() for _ in range(3)]
-    catalog = await Catalog().start()
+    catalog = await StandinDiscovery().start()
     catalog.put(*(entry(f"s{i}", o.address) for i, o in enumerate(origins)))
     classes = [
         {
@@ -96,7 +96,7 @@
         }
     ]
     config = config_of(
-        catalog.address, {"classes": classes}, limits={"sockets": 1024}, known=catalog.whole(), **more
+        catalog.address, {"classes": classes}, limits={"sockets": 1024}, known=catalog.full_list(), **more
     )
     node = NodeProcess("n0", folder, config, environment(shim, seed, faults))
     try:
@@ -192,8 +192,8 @@
 
 async def admin_call(node: NodeProcess, method: str, path: str, body: str = "") -> tuple[int, str]:
     """One call at the node's admin server: status and text."""
-    (said,) = [text for text in node.said if text.startswith("door: listening on ")]
-    host, _, port = said.rpartition(" ")[2].rpartition(":")
+    (text,) = [text for text in node.log_lines if text.startswith("door: listening on ")]
+    host, _, port = text.rpartition(" ")[2].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: d\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
     async with asyncio.timeout(5):
@@ -209,9 +209,9 @@
 ):
     async def test() -> None:
         origins = [await ClosingOrigin().start() for _ in range(2)]
-        catalog = await Catalog().start()
+        catalog = await StandinDiscovery().start()
         catalog.put(*(entry(f"s{i}", o.address) for i, o in enumerate(origins)))
-        config = config_of(catalog.address, admin="127.0.0.1:0", known=catalog.whole())
+        config = config_of(catalog.address, admin="127.0.0.1:0", known=catalog.full_list())
         lasting = tmp_path / "lasting"
         lasting.mkdir()
         faults = environment(shim, 1, [CallFault(call, error, 1.0, 1.5, ALWAYS)])
@@ -277,7 +277,9 @@
                 answers.append(await world.request(client))
                 await asyncio.sleep(0.01)
             assert set(answers) <= {200, 503} and answers.count(200) > 0.9 * len(answers), answers.count(200)
-            assert not local or not any("eject" in text for text in world.node.said), world.node.said
+            assert not local or not any("eject" in text for text in world.node.log_lines), (
+                world.node.log_lines
+            )
             assert not world.tracebacks()
 
     run(test())
