--- a/tests/crossing_support.py
+++ b/tests/crossing_support.py
@@ -5,8 +5,9 @@
 import asyncio
 import socket
 
+from node_support import SETTINGS, Client, World, ids
+
 from harecross.upstream.connection_pool import ConnectionPool
-from tests.node_support import SETTINGS, Client, World, ids
 
 KINDS = [("/read/1", ""), ("/put/1", "k"), ("/pay/1", "")]  # safe, keyed, unsafe
 KIND_NAMES = ["safe", "keyed", "unsafe"]
--- a/tests/test_accept_filter.py
+++ b/tests/test_accept_filter.py
@@ -7,11 +7,11 @@
 import socket
 
 import pytest
+from node_support import run
 
 from harecross.downstream import listener as listener_module
 from harecross.downstream.accept_filter import refuse_new_connections
 from harecross.downstream.listener import Listener
-from tests.node_support import run
 
 REFUSED_WITHIN = 5.0  # seconds; Linux asks again after one
 
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -4,10 +4,10 @@
 from random import Random
 
 import pytest
+from crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns, warm
+from node_support import World, first, until, with_node
 
 from harecross.platform.clock import monotonic_us
-from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns, warm
-from tests.node_support import World, first, until, with_node
 
 every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
 cancels = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -5,11 +5,11 @@
 import struct
 
 import pytest
+from crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns
+from node_support import SETTINGS, World, with_node
 
 from harecross.downstream import connection_manager, request_receiver
 from harecross.node import shutdown_schedule
-from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns
-from tests.node_support import SETTINGS, World, with_node
 
 every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
 QUICK = {"classes": [{**c, "goal_time": 300_000, "hard_limit": 400_000} for c in SETTINGS["classes"]]}
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 
 import pytest
+from node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 from harecross.downstream.listener import Listener
 from harecross.downstream.read_delay import Heartbeat, ReadDelay, WaitingSocket
@@ -19,7 +20,6 @@
 from harecross.platform.system_errors import AcceptFailure
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
-from tests.node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 SLACK = 0.15  # seconds
 HELD = 0.35  # seconds for which the process is stopped
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -8,16 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
-from harecross.discovery import process_table
-from harecross.discovery.discovery_client import DiscoveryClient
-from harecross.discovery.endpoint_registry import EndpointRegistry
-from harecross.discovery.list_versions import VersionOrder, compare_versions
-from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
-from harecross.discovery.watch import Watch
-from harecross.platform.descriptor_budget import DescriptorBudget
-from harecross.upstream.connection_pool import ConnectionPool
-from tests.node_support import (
+from node_support import (
     Catalog,
     Node,
     World,
@@ -31,6 +22,15 @@
     with_node,
 )
 
+from harecross.discovery import process_table
+from harecross.discovery.discovery_client import DiscoveryClient
+from harecross.discovery.endpoint_registry import EndpointRegistry
+from harecross.discovery.list_versions import VersionOrder, compare_versions
+from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
+from harecross.discovery.watch import Watch
+from harecross.platform.descriptor_budget import DescriptorBudget
+from harecross.upstream.connection_pool import ConnectionPool
+
 
 @pytest.mark.parametrize(
     "newest, version, full, first, order",
--- a/tests/test_discovery_races.py
+++ b/tests/test_discovery_races.py
@@ -3,12 +3,8 @@
 import asyncio
 
 import pytest
-
-from harecross.discovery import discovery_client, process_table, subscription_schedule
-from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S, STALENESS_LIMIT_S
-from harecross.standins.discovery import chunk
-from tests.crossing_support import turns
-from tests.node_support import (
+from crossing_support import turns
+from node_support import (
     STARTED,
     Catalog,
     Node,
@@ -25,6 +21,10 @@
     with_node,
 )
 
+from harecross.discovery import discovery_client, process_table, subscription_schedule
+from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S, STALENESS_LIMIT_S
+from harecross.standins.discovery import chunk
+
 
 def host_and_port(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
--- a/tests/test_drain_after_migration.py
+++ b/tests/test_drain_after_migration.py
@@ -11,10 +11,11 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
+from node_support import Client, Origin, config_of, entry, run, until
+
 from harecross.discovery.subscription_schedule import SEND_STOP_GRACE_S
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
-from tests.node_support import Client, Origin, config_of, entry, run, until
 
 SERVERS = 4
 DRAINED = ("s0", "s1")
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -4,9 +4,7 @@
 from random import Random
 
 import pytest
-
-from harecross.interface import Endpoint, EndpointUpdateKind, Outcome
-from tests.node_support import (
+from node_support import (
     SETTINGS,
     Client,
     Desk,
@@ -25,7 +23,9 @@
     update,
     with_node,
 )
-from tests.support import SEC, balancer, end
+from support import SEC, balancer, end
+
+from harecross.interface import Endpoint, EndpointUpdateKind, Outcome
 
 
 def test_all_nodes_move_in_one_instant_to_a_discovery_that_answers_slowly():
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -8,13 +8,13 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from node_support import STARTED, World, entry, run, update, with_node
 
 from harecross.discovery import json_stream, subscription_schedule
 from harecross.discovery import watch as watch_module
 from harecross.discovery.json_stream import BLANK_LINE, MAX_VALUE_BYTES, JsonStreamParser, MalformedJsonError
 from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
 from harecross.discovery.watch import DiscoveryCall
-from tests.node_support import STARTED, World, entry, run, update, with_node
 
 UPDATES = st.lists(
     st.recursive(
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 import pytest
+from node_support import config_of
 
 from harecross.node.config import ConfigError, config_from
-from tests.node_support import config_of
 
 ODD: list[Any] = [None, "x", -1, 1e400, float("nan"), [], {}, True, [None], {"a": 1}, 10**30, ...]
 LIMITS = {"sockets": 1024, "memory_mb": 64, "cores": 1.0}
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from node_support import entry, update
 
 from harecross.discovery import process_table
 from harecross.discovery.process_table import (
@@ -16,7 +17,6 @@
 )
 from harecross.discovery.transition_log import describe
 from harecross.discovery.wire_format import Lifecycle
-from tests.node_support import entry, update
 
 OLD, NEW = DiscoverySource("old:1", 0), DiscoverySource("new:1", 1, may_lag_until=5.0)
 AFTER = 7.0  # the new discovery has caught up by then
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -4,6 +4,23 @@
 from random import Random
 
 import pytest
+from node_support import (
+    SETTINGS,
+    STARTED,
+    Client,
+    Desk,
+    Origin,
+    asked,
+    chunk,
+    config_of,
+    entry,
+    first,
+    held_calls,
+    line,
+    run,
+    until,
+    update,
+)
 
 from harecross.discovery import readiness
 from harecross.discovery.readiness import (
@@ -21,23 +38,6 @@
 from harecross.node import node as node_module
 from harecross.node.config import config_from
 from harecross.node.node import Node
-from tests.node_support import (
-    SETTINGS,
-    STARTED,
-    Client,
-    Desk,
-    Origin,
-    asked,
-    chunk,
-    config_of,
-    entry,
-    first,
-    held_calls,
-    line,
-    run,
-    until,
-    update,
-)
 
 
 class Starting:
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 import pytest
+from node_support import Catalog, World, entry, line, until, with_node
 
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.downstream import connection_manager
@@ -14,7 +15,6 @@
 from harecross.follow.logs import read_logs
 from harecross.interface import FinalReason
 from harecross.upstream import connection
-from tests.node_support import Catalog, World, entry, line, until, with_node
 
 
 class Logged:
--- a/tests/test_soak_discoveries.py
+++ b/tests/test_soak_discoveries.py
@@ -6,11 +6,11 @@
 import time
 
 import pytest
+from node_support import run
 
 from harecross.soak.discoveries import LISTED_BINDING, MOVED, SoakDiscovery
 from harecross.soak.plan import DiscoveryPlan, make_plan
 from harecross.soak.records import Change, Records
-from tests.node_support import run
 
 PLAIN = DiscoveryPlan(0.0, 0.0, leaves_out=False, first_version=1, pieces=1, answers_after=0.0)
 MOVED_TO = PLAIN._replace(lag=0.3, caught_up=2.0)
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -7,13 +7,13 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
+from node_support import run, until
 
 from harecross.soak.plan import LinkFault, LinkFaultKind, ServerPlan, make_plan
 from harecross.soak.proxy import CUT_AT
 from harecross.soak.records import Ran, Records
 from harecross.soak.servers import SoakServer
 from harecross.standins.http import read_message
-from tests.node_support import run, until
 
 QUICK = ServerPlan("s0", 0.001, slow=0, error=0, reset=0, silent=0, closes=0, half_close=0)
 REQUEST = b"POST /put/1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Timeout: 900m\r\nContent-Length: 4\r\n\r\nbody"
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -8,11 +8,11 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from node_support import Catalog, World, entry, line, until, with_node
 
 from harecross.discovery import start_times
 from harecross.discovery.start_times import LONG_AGO, StartTimes
 from harecross.platform.clock import monotonic_us
-from tests.node_support import Catalog, World, entry, line, until, with_node
 
 SECOND = 1_000_000
 HOUR = 3600 * SECOND
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 
 import pytest
+from node_support import Client, Origin, config_of, entry, run
 
 from harecross.soak.shim import CUT, HELD_UP, CallFault, build, environment
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import Catalog
 from harecross.standins.http import answer, read_message
-from tests.node_support import Client, Origin, config_of, entry, run
 
 ALWAYS = 1000.0  # seconds
 DEADLINE = 1_000_000  # microseconds
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -4,12 +4,12 @@
 import socket
 
 import pytest
+from crossing_support import KIND_NAMES, KINDS, HeldConnects, turns, warm
+from node_support import SETTINGS, World, first, until, with_node
 
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.interface import Outcome
 from harecross.upstream import connection
-from tests.crossing_support import KIND_NAMES, KINDS, HeldConnects, turns, warm
-from tests.node_support import SETTINGS, World, first, until, with_node
 
 every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
 
