--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -1,4 +1,4 @@
-"""Which known faults the soak finds: each is put into a copy of the program, and the first seeds are played against it.
+"""Which known faults the soak finds: each is put into a copy of the program, and the first seeds are played on it.
 
     python benchmarks/soak_mutations.py [--seeds 10] [--side-by-side 4] [--only WORD]
 
@@ -25,14 +25,14 @@
 
     name: str
     file: str
-    good: str
-    bad: str
-    more: tuple[tuple[str, str, str], ...] = ()  # further ones of the same fault
+    original: str
+    mutated: str
+    further: tuple[tuple[str, str, str], ...] = ()  # further ones of the same fault
 
     @property
     def changes(self) -> list[tuple[str, str, str]]:
         """Each as file, text, text in its place."""
-        return [(self.file, self.good, self.bad), *self.more]
+        return [(self.file, self.original, self.mutated), *self.further]
 
 
 MUTATIONS = [
@@ -161,18 +161,18 @@
         copy = Path(folder)
         shutil.copytree(ROOT / "harecross", copy / "harecross", ignore=shutil.ignore_patterns("__pycache__"))
         if mutation is not None:
-            for file, good, bad in mutation.changes:
+            for file, original, mutated in mutation.changes:
                 path = copy / "harecross" / file
                 text = path.read_text()
-                if good not in text:
+                if original not in text:
                     raise ValueError(f"{mutation.name}: {file} does not hold the text to replace")
-                path.write_text(text.replace(good, bad, 1))
+                path.write_text(text.replace(original, mutated, 1))
         command = [sys.executable, "-m", "harecross.soak", "--seeds", str(seeds)]
         command += ["--side-by-side", str(side_by_side)]
-        ran = subprocess.run(command, cwd=copy, capture_output=True, text=True)
-        lines = ran.stdout.splitlines()
-        rules = Counter(re.findall(r"^rule ([a-z ]+):", ran.stdout, re.MULTILINE))
-        return (lines[-1] if lines else f"no result: {ran.stderr[-200:]}"), rules
+        soak = subprocess.run(command, cwd=copy, capture_output=True, text=True)
+        lines = soak.stdout.splitlines()
+        rules = Counter(re.findall(r"^rule ([a-z ]+):", soak.stdout, re.MULTILINE))
+        return (lines[-1] if lines else f"no result: {soak.stderr[-200:]}"), rules
 
 
 def main() -> None:
@@ -180,13 +180,16 @@
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--side-by-side", type=int, default=4)
     parser.add_argument("--only", default="", help="faults whose name holds this")
-    told = parser.parse_args()
+    options = parser.parse_args()
     for mutation in (None, *MUTATIONS):
         name = "no fault" if mutation is None else mutation.name
-        if told.only not in name:
+        if options.only not in name:
             continue
-        result, rules = play(mutation, told.seeds, told.side_by_side)
-        print(f"{name}: {result}; {', '.join(f'{r} {n}' for r, n in rules.items()) or 'nothing'}", flush=True)
+        result, rules = play(mutation, options.seeds, options.side_by_side)
+        print(
+            f"{name}: {result}; {', '.join(f'{rule} {count}' for rule, count in rules.items()) or 'nothing'}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/harecross/soak/__main__.py
+++ b/harecross/soak/__main__.py
@@ -5,41 +5,53 @@
 import argparse
 import sys
 import time
+from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
+from typing import NamedTuple
 
 import uvloop
 
-from harecross.soak.oracle import report
-from harecross.soak.plan import make_plan
-from harecross.soak.records import End
+from harecross.soak.oracle import Breach
+from harecross.soak.planner import make_plan
+from harecross.soak.records import ClientOutcome, Records
+from harecross.soak.report import report
 from harecross.soak.run import soak
 from harecross.soak.shim import build
 
-LAG_MOST = 0.25  # seconds: above it a run shows nothing, since its records are too late
+MAX_DELAY_S = 0.25  # of the recording process; above it a run shows nothing, since its records are too late
+VOID = -1
 
 
-def play(seed: int, seconds: float, nodes: int, shim: Path | None) -> tuple[int, int, list[str]]:
-    """One seed: how many rules were broken (-1: the machine was too busy to tell), requests, and the report."""
-    plan = make_plan(seed, seconds, nodes)
+class SeedResult(NamedTuple):
+    """The result of one seed."""
 
-    async def one() -> tuple[int, int, list[str]]:
-        records, breaches = await soak(plan, shim)
-        requests = len(records.clients)
-        ends = {end: sum(c.end is end for c in records.clients.values()) for end in End}
-        text = ", ".join(f"{end.value} {count}" for end, count in ends.items() if count)
-        served = sum(c.status == 200 for c in records.clients.values())
-        head = f"seed {seed}: {requests} requests, {text}, served {served}, lag {records.lag:.3f} s"
-        if records.lag > LAG_MOST and not breaches:
-            return -1, requests, [f"{head}: void, this process was held up"]
-        verdict = f"{len(breaches)} broken" if breaches else "no rule broken"
-        return len(breaches), requests, [f"{head}: {verdict}", *report(records, breaches)]
+    breaches: int  # VOID where the machine was too busy to tell
+    requests: int
+    lines: list[str]  # the report
 
-    return uvloop.run(one())
 
+def play(seed: int, seconds: float, nodes: int, shim: Path | None) -> SeedResult:
+    """Plays one seed, with so many seconds of load on at most so many nodes."""
+    records, breaches = uvloop.run(soak(make_plan(seed, seconds, nodes), shim))
+    return judge(seed, records, breaches)
 
-def keep_report(folder: Path, seed: int, lines: list[str]) -> None:
-    """Writes the report of a seed that broke a rule: a failure is traced, and its output may be cut or lost."""
+
+def judge(seed: int, records: Records, breaches: list[Breach]) -> SeedResult:
+    """The result of a seed by its records and the rules that it broke."""
+    requests = len(records.clients)
+    counts = Counter(client.outcome for client in records.clients.values())
+    outcomes = ", ".join(f"{outcome.value} {counts[outcome]}" for outcome in ClientOutcome if counts[outcome])
+    served = sum(client.status == 200 for client in records.clients.values())
+    head = f"seed {seed}: {requests} requests, {outcomes}, served {served}, lag {records.max_delay:.3f} s"
+    if records.max_delay > MAX_DELAY_S and not breaches:
+        return SeedResult(VOID, requests, [f"{head}: void, this process was held up"])
+    verdict = f"{len(breaches)} broken" if breaches else "no rule broken"
+    return SeedResult(len(breaches), requests, [f"{head}: {verdict}", *report(records, breaches)])
+
+
+def store_report(folder: Path, seed: int, lines: list[str]) -> None:
+    """Writes the report of a seed that broke a rule to a file, since the output may be lost."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"soak-seed-{seed}-{time.strftime('%Y%m%dT%H%M%S')}.txt"
     path.write_text("\n".join(lines) + "\n")
@@ -48,6 +60,29 @@
 
 def main() -> int:
     """0 if no rule was broken, 1 otherwise, 2 for bad arguments."""
+    options = parse_arguments()
+    shim = build()
+    if shim is None:
+        print("no C compiler here: system calls and clocks are left alone", flush=True)
+    failed = void = 0
+    with ProcessPoolExecutor(options.side_by_side) as pool:
+        runs = [
+            pool.submit(play, seed, options.seconds, options.nodes, shim)
+            for seed in range(options.first, options.first + options.seeds)
+        ]
+        for seed, run in enumerate(runs, options.first):
+            result = run.result()
+            failed += result.breaches > 0
+            void += result.breaches == VOID
+            print("\n".join(result.lines), flush=True)
+            if result.breaches > 0:
+                store_report(options.reports, seed, result.lines)
+    print(f"{options.seeds - failed - void} passed, {failed} failed, {void} void")
+    return 1 if failed else 0
+
+
+def parse_arguments() -> argparse.Namespace:
+    """The command's options."""
     parser = argparse.ArgumentParser(prog="python -m harecross.soak", description=__doc__)
     parser.add_argument("--seeds", type=int, default=5, help="how many (5)")
     parser.add_argument("--first", type=int, default=1, help="the first seed (1)")
@@ -57,27 +92,10 @@
     parser.add_argument(
         "--reports", type=Path, default=Path("logs"), help="folder of failed seeds' reports (logs)"
     )
-    told = parser.parse_args()
-    if told.seeds < 1 or told.seconds < 8 or not 1 <= told.nodes <= 14 or told.side_by_side < 1:
+    options = parser.parse_args()
+    if options.seeds < 1 or options.seconds < 8 or not 1 <= options.nodes <= 14 or options.side_by_side < 1:
         parser.error("seeds from 1, seconds from 8, nodes 1 to 14, side by side from 1")
-    shim = build()
-    if shim is None:
-        print("no C compiler here: system calls and clocks are left alone", flush=True)
-    failed = void = 0
-    with ProcessPoolExecutor(told.side_by_side) as pool:
-        runs = [
-            pool.submit(play, seed, told.seconds, told.nodes, shim)
-            for seed in range(told.first, told.first + told.seeds)
-        ]
-        for seed, run in enumerate(runs, told.first):
-            broken, _, lines = run.result()
-            failed += broken > 0
-            void += broken < 0
-            print("\n".join(lines), flush=True)
-            if broken > 0:
-                keep_report(told.reports, seed, lines)
-    print(f"{told.seeds - failed - void} passed, {failed} failed, {void} void")
-    return 1 if failed else 0
+    return options
 
 
 if __name__ == "__main__":
--- a/harecross/soak/clients.py
+++ b/harecross/soak/clients.py
@@ -1,135 +1,160 @@
-"""Clients of one node: they keep connections, leave early, come as a crowd, and record how each request ended."""
+"""Clients of one node: they reuse connections, disconnect early, come in a burst, and record each request's outcome."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from collections.abc import Coroutine
 from random import Random
+from typing import Any
 
 from harecross.soak.plan import ClassPlan, Plan
-from harecross.soak.records import ClientRecord, Effect, End, Records
+from harecross.soak.records import ClientOutcome, ClientRecord, Idempotency, Records
 from harecross.standins.http import read_message
 
-PATIENCE = 0.8  # seconds after its time for which a client waits, to see that nothing comes
-CROWD = 150  # connections of a crowd
-CROWD_STAYS = 2.0  # seconds
-RESENDS = 1
-ANEW_EVERY = 0.008  # seconds
+PATIENCE_S = 0.8  # after a request's deadline, to see that nothing comes
+BURST_CONNECTIONS = 150
+BURST_IDLE_S = 2.0  # for which connections without a request stay
+MAX_RESENDS = 1
+RECONNECT_INTERVAL_S = 0.008
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class NodeClients:
-    """All that sends to one node."""
+    """All clients of one node."""
 
     def __init__(self, plan: Plan, name: str, records: Records) -> None:
-        self.plan = plan
-        self.name = name
-        self.records = records
-        self.rng = Random(f"{plan.seed}/{name}/clients")
-        self.life = name  # the node's process of the moment, in the records
+        self.process_name = name  # of the node's present process, in the records
         self.address = ("127.0.0.1", 0)
-        self.idle: list[Connection] = []
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.count = 0
+        self._plan = plan
+        self._name = name
+        self._records = records
+        self._rng = Random(f"{plan.seed}/{name}/clients")
+        self._idle: list[Connection] = []
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._count = 0
 
     async def run(self, end: float) -> None:
-        """Sends until that monotonic time, and waits for what is out."""
-        crowd = self.plan.crowd_at
+        """Sends until that monotonic time, and waits for the requests in flight."""
+        burst_at = self._plan.burst_at
         began = time.monotonic()
         while (now := time.monotonic()) < end:
-            await asyncio.sleep(self.rng.expovariate(self.plan.rate))
-            self.start(self.request(self.rng.choice(self.plan.classes)))
-            if 0 <= crowd < now - began:
-                crowd = -1.0
-                for _ in range(CROWD):
-                    self.start(self.idler())
-                    self.start(self.request(self.plan.classes[0]))
-        if self.tasks:
-            await asyncio.wait(self.tasks)
-        for _, writer in self.idle:
+            await asyncio.sleep(self._rng.expovariate(self._plan.requests_per_second))
+            self._start(self._send(self._rng.choice(self._plan.classes)))
+            if 0 <= burst_at < now - began:
+                burst_at = -1.0
+                self._start_burst()
+        if self._tasks:
+            await asyncio.wait(self._tasks)
+        for _, writer in self._idle:
             writer.close()
 
-    async def come_anew(self, seconds: float) -> None:
-        """Requests on new connections, as of clients that are sent away and come back at once."""
-        end = time.monotonic() + seconds
+    def _start_burst(self) -> None:
+        for _ in range(BURST_CONNECTIONS):
+            self._start(self._connect_without_request())
+            self._start(self._send(self._plan.classes[0]))
+
+    def reconnect_for(self, seconds: float) -> None:
+        """Sends requests on new connections, as clients do that were sent away and come back at once."""
+        self._start(self._reconnect(time.monotonic() + seconds))
+
+    async def _reconnect(self, end: float) -> None:
         while time.monotonic() < end:
-            self.start(self.request(self.rng.choice(self.plan.classes), anew=True))
-            await asyncio.sleep(ANEW_EVERY)
+            self._start(self._send(self._rng.choice(self._plan.classes), new_connection=True))
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
 
-    def start(self, work) -> None:  # type: ignore[no-untyped-def]
+    def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def idler(self) -> None:
-        """Holds a connection and says nothing."""
+    async def _connect_without_request(self) -> None:
         try:
             _, writer = await asyncio.open_connection(*self.address)
-            await asyncio.sleep(CROWD_STAYS)
+            await asyncio.sleep(BURST_IDLE_S)
             writer.close()
         except OSError:
             pass
 
-    def message(self, record: ClientRecord, told: ClassPlan) -> bytes:
-        method = "GET" if told.effect is Effect.SAFE else "POST"
-        key = f"Idempotency-Key: {record.id}\r\n" if told.effect is Effect.KEYED else ""
-        length = "" if method == "GET" else "Content-Length: 4\r\n"
-        body = "" if method == "GET" else "body"
-        return (
-            f"{method} /{told.name}/{record.id} HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: {record.id}\r\n"
-            f"X-Timeout: {round(record.timeout * 1000)}m\r\n{key}{length}\r\n{body}"
-        ).encode()
-
-    async def request(self, told: ClassPlan, anew: bool = False) -> None:
-        """One request, on a kept connection if there is one, or `anew`."""
-        self.count += 1
-        timeout = round(told.deadline * self.rng.uniform(0.3, 1.0), 3)
-        leaves = self.rng.uniform(0, timeout) if self.rng.random() < self.plan.leaves else None
-        record = ClientRecord(f"{self.name}-{self.count}", self.life, told.effect, 0.0, timeout, True)
-        connection = None if anew or self.rng.random() < self.plan.anew else self.kept()
-        record.fresh = connection is None
-        for _ in range(1 + RESENDS):
+    # ---- a request ----------------------------------------------------------------------------------------
+
+    async def _send(self, request_class: ClassPlan, *, new_connection: bool = False) -> None:
+        """Sends one request, on an idle connection if there is one, and records its outcome."""
+        record = self._new_record(request_class)
+        disconnect_after = None
+        if self._rng.random() < self._plan.disconnect_probability:
+            disconnect_after = self._rng.uniform(0, record.timeout)
+        connection = None
+        if not new_connection and self._rng.random() >= self._plan.new_connection_probability:
+            connection = self._idle_connection()
+        record.new_connection = connection is None
+        for _ in range(1 + MAX_RESENDS):
+            connection = connection or await self._connect(record)
             if connection is None:
-                try:
-                    connection = await asyncio.open_connection(*self.address)
-                except OSError:
-                    record.end, record.ended = End.NOT_TAKEN, time.monotonic()
-                    return
-            record.node, record.sent = self.life, time.monotonic()
-            self.records.clients[record.id] = record
-            connection[1].write(self.message(record, told))
-            await self.follow(record, connection, leaves)
-            if record.end is not End.CLOSED or record.fresh:
                 return
-            # A kept connection that ended before anything came: the request may have crossed its end.
-            connection, record.fresh, record.resent = None, True, True
+            record.node, record.sent_at = self.process_name, time.monotonic()
+            self._records.clients[record.id] = record
+            connection[1].write(request_bytes(record, request_class))
+            await self._receive(record, connection, disconnect_after)
+            if record.outcome is not ClientOutcome.CLOSED or record.new_connection:
+                return
+            # An idle connection that ended before an answer: the node may have closed it as the request was sent.
+            connection, record.new_connection, record.resent = None, True, True
 
-    def kept(self) -> Connection | None:
-        while self.idle:
-            connection = self.idle.pop()
+    def _new_record(self, request_class: ClassPlan) -> ClientRecord:
+        self._count += 1
+        timeout = round(request_class.max_deadline * self._rng.uniform(0.3, 1.0), 3)
+        request_id = f"{self._name}-{self._count}"
+        return ClientRecord(request_id, self.process_name, request_class.idempotency, 0.0, timeout, True)
+
+    async def _connect(self, record: ClientRecord) -> Connection | None:
+        try:
+            return await asyncio.open_connection(*self.address)
+        except OSError:
+            record.outcome, record.ended_at = ClientOutcome.NOT_ACCEPTED, time.monotonic()
+            return None
+
+    def _idle_connection(self) -> Connection | None:
+        while self._idle:
+            connection = self._idle.pop()
             if not connection[0].at_eof() and not connection[1].is_closing():
                 return connection
             connection[1].close()
         return None
 
-    async def follow(self, record: ClientRecord, connection: Connection, leaves: float | None) -> None:
-        """Waits for the answer, or leaves before it."""
+    async def _receive(
+        self, record: ClientRecord, connection: Connection, disconnect_after: float | None
+    ) -> None:
+        """Waits for the answer, or disconnects before it."""
         reader, writer = connection
-        wait = leaves if leaves is not None else record.timeout + PATIENCE
+        wait_s = disconnect_after if disconnect_after is not None else record.timeout + PATIENCE_S
         try:
-            async with asyncio.timeout(wait):
+            async with asyncio.timeout(wait_s):
                 head, _ = await read_message(reader)
-            record.end, record.status = End.ANSWERED, int(head.split(b" ")[1])
-            record.ended = time.monotonic()
+            record.outcome, record.status = ClientOutcome.ANSWERED, int(head.split(b" ")[1])
+            record.ended_at = time.monotonic()
             if b"connection: close" in head.lower():
                 writer.close()
             else:
-                self.idle.append(connection)
+                self._idle.append(connection)
         except TimeoutError:
-            record.end = End.LEFT if leaves is not None else End.UNANSWERED
-            record.ended = time.monotonic()
+            disconnected = disconnect_after is not None
+            record.outcome = ClientOutcome.DISCONNECTED if disconnected else ClientOutcome.UNANSWERED
+            record.ended_at = time.monotonic()
             writer.close()
         except (OSError, asyncio.IncompleteReadError, ValueError):
-            record.end, record.ended = End.CLOSED, time.monotonic()
+            record.outcome, record.ended_at = ClientOutcome.CLOSED, time.monotonic()
             writer.close()
+
+
+def request_bytes(record: ClientRecord, request_class: ClassPlan) -> bytes:
+    """A request as it is sent."""
+    idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
+    has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+    method, length, body = ("GET", "", "") if idempotent else ("POST", "Content-Length: 4\r\n", "body")
+    key = f"Idempotency-Key: {record.id}\r\n" if has_key else ""
+    return (
+        f"{method} /{request_class.name}/{record.id} HTTP/1.1\r\nHost: backend.local\r\n"
+        f"X-Request-ID: {record.id}\r\nX-Timeout: {round(record.timeout * 1000)}m\r\n{key}{length}\r\n{body}"
+    ).encode()
--- /dev/null
+++ b/harecross/soak/planner.py
@@ -0,0 +1,325 @@
+"""Draws the plan of one soak from its seed: a seed gives the same plan every time."""
+
+from __future__ import annotations
+
+import errno
+from enum import Enum
+from random import Random
+
+from harecross.soak.plan import (
+    ClassPlan,
+    DiscoveryPlan,
+    LinkFault,
+    LinkFaultKind,
+    ListChange,
+    NodeAction,
+    NodeEvent,
+    Plan,
+    ServerPlan,
+)
+from harecross.soak.records import Idempotency, Lifecycle
+from harecross.soak.shim import CUT_SHORT, DELAYED, CallFault, ClockStep
+
+# Times are seconds.
+QUIET_END_S = 3.0  # at the end of a run, without new faults
+MAX_CAUGHT_UP_S = 3.6  # from SIGHUP until a new discovery has all changes; the protocol allows 4
+POLLED_FRACTION = 0.3  # of the runs
+QUIET_EVENT_BY_S = 1.5  # by which the one fault of a quiet run has begun
+WHOLE_RUN_S = 1000.0  # longer than any run
+FIRST_MIGRATION_S = 1.5  # SIGHUP never comes in a node's first second
+MAX_LINK_FAULTS = 4  # of one run
+MAX_HELD_S = 1.5  # for which a direction of a link is held
+MAX_LINK_DELAY_S = 0.06
+ACCEPT_ERRORS = [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO]
+CONNECT_ERRORS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH]
+
+
+class Emphasis(Enum):
+    """What most faults of a run are."""
+
+    MIGRATIONS = "moves"
+    SILENT_WATCHES = (
+        "watches fall silent"  # with few changes: one that is missed lasts past the staleness limit
+    )
+    DISCOVERY_DOWN = "discoveries are down for long"  # with few changes, for the same reason
+    RESTARTS = "restarts"
+
+    @property
+    def quiet(self) -> bool:
+        """Whether nodes stay with their discovery, and changes are few."""
+        return self in (Emphasis.SILENT_WATCHES, Emphasis.DISCOVERY_DOWN)
+
+
+# Of consecutive seeds.
+EMPHASES = (
+    Emphasis.MIGRATIONS,
+    Emphasis.SILENT_WATCHES,
+    Emphasis.MIGRATIONS,
+    Emphasis.RESTARTS,
+    Emphasis.MIGRATIONS,
+    Emphasis.DISCOVERY_DOWN,
+    Emphasis.RESTARTS,
+)
+
+
+def make_plan(seed: int, duration: float = 14.0, max_nodes: int = 3) -> Plan:
+    """The plan of one seed, with so many seconds of load on 1 to `max_nodes` nodes."""
+    # The order of the draws, also among the arguments of Plan, is part of what a seed means.
+    rng = Random(seed)
+    nodes = tuple(f"n{i}" for i in range(rng.randint(1, max_nodes)))
+    max_deadline = rng.choice([0.6, 1.0, 2.0])
+    servers = tuple(draw_server(rng, i) for i in range(rng.randint(5, 9)))
+    names = [server.name for server in servers]
+    emphasis = EMPHASES[seed % len(EMPHASES)]
+    events = tuple(
+        sorted(
+            (
+                event
+                for node in nodes
+                for event in NodeEventDraw(rng, node, duration, max_deadline, emphasis).draw()
+            ),
+            key=lambda event: (event.at, event.node, event.action.value, event.duration),
+        )
+    )
+    return Plan(
+        seed,
+        duration,
+        request_classes(max_deadline),
+        nodes,
+        polled=Random(f"{seed}/asked").random() < POLLED_FRACTION,
+        requests_per_second=rng.choice([20.0, 40.0, 60.0]),
+        disconnect_probability=rng.choice([0.0, 0.03, 0.15]),
+        new_connection_probability=Random(f"{seed}/anew").choice([0.0, 0.1, 0.5]),
+        burst_at=rng.uniform(2, duration - QUIET_END_S) if rng.random() < 0.3 else -1.0,
+        servers=servers,
+        changes=tuple(ChangeDraw(rng, names, duration, emphasis).draw()),
+        discoveries={node: draw_discoveries(rng, node, events) for node in nodes},
+        events=events,
+        call_faults={node: draw_call_faults(rng, seed, node, duration, emphasis) for node in nodes},
+        clock_steps={node: draw_clock_steps(rng, duration) for node in nodes},
+        link_faults=draw_link_faults(Random(f"{seed}/links"), names, duration),
+    )
+
+
+def request_classes(max_deadline: float) -> tuple[ClassPlan, ...]:
+    """One class of each idempotency."""
+    return (
+        ClassPlan("read", Idempotency.IDEMPOTENT, max_deadline),
+        ClassPlan("put", Idempotency.IDEMPOTENCY_KEY, max_deadline * 0.8),
+        ClassPlan("pay", Idempotency.NON_IDEMPOTENT, max_deadline),
+    )
+
+
+def draw_server(rng: Random, number: int) -> ServerPlan:
+    """How one server behaves."""
+
+    def rare(most: float) -> float:
+        return rng.choice([0.0, 0.0, rng.uniform(0, most)])
+
+    return ServerPlan(
+        f"s{number}",
+        mean_work=rng.uniform(0.004, 0.03),
+        slow_probability=rare(0.05),
+        error_probability=rare(0.03),
+        reset_probability=rare(0.04),
+        silent_probability=rare(0.02),
+        close_probability=rng.choice([0.0, 0.1, 1.0]) if rng.random() < 0.5 else 0.0,
+        half_close_probability=rare(0.03),
+    )
+
+
+class ChangeDraw:
+    """Draws groups of servers that drain, are recalled, drain again, go, and come back as new processes."""
+
+    def __init__(self, rng: Random, names: list[str], duration: float, emphasis: Emphasis) -> None:
+        self._rng = rng
+        self._duration = duration
+        self._quiet = emphasis.quiet
+        self._lifecycles = dict.fromkeys(names, Lifecycle.IN_SERVICE)
+        self._changes: list[ListChange] = []
+
+    def draw(self) -> list[ListChange]:
+        """All changes, in order."""
+        pauses = [8.0, 10.0] if self._quiet else [0.2, 0.3, 0.6, 1.0, 2.0, 4.0]
+        at = self._rng.uniform(QUIET_EVENT_BY_S if self._quiet else 1.0, 3.0)
+        while at < self._duration - QUIET_END_S:
+            self._draw_change(at)
+            at += self._rng.choice(pauses)
+        return self._changes
+
+    def _draw_change(self, at: float) -> None:
+        away = [name for name in self._lifecycles if self._lifecycles[name] != Lifecycle.IN_SERVICE]
+        in_service = [name for name in self._lifecycles if self._lifecycles[name] == Lifecycle.IN_SERVICE]
+        half = len(self._lifecycles) // 2
+        if away and (self._rng.random() < 0.55 or len(in_service) <= half):
+            self._bring_back(at, away)
+        else:
+            group = self._rng.sample(in_service, self._rng.randint(1, max(1, len(in_service) - half)))
+            lifecycle = Lifecycle.DRAINING if self._rng.random() < 0.9 else Lifecycle.GONE
+            self._change(at, group, lifecycle)
+
+    def _bring_back(self, at: float, away: list[str]) -> None:
+        """Restarts servers that are gone; recalls, restarts or ends those that drain."""
+        group = self._rng.sample(away, self._rng.randint(1, len(away)))
+        gone = [name for name in group if self._lifecycles[name] == Lifecycle.GONE]
+        draining = [name for name in group if self._lifecycles[name] == Lifecycle.DRAINING]
+        if gone:
+            self._change(at, gone, Lifecycle.RESTARTED)
+        if draining:
+            lifecycles = [
+                Lifecycle.IN_SERVICE, Lifecycle.IN_SERVICE, Lifecycle.GONE, Lifecycle.RESTARTED,
+            ]  # fmt: skip
+            self._change(at, draining, self._rng.choice(lifecycles))
+
+    def _change(self, at: float, group: list[str], lifecycle: Lifecycle) -> None:
+        self._changes.append(ListChange(at, tuple(sorted(group)), lifecycle))
+        state = Lifecycle.IN_SERVICE if lifecycle == Lifecycle.RESTARTED else lifecycle
+        self._lifecycles.update(dict.fromkeys(group, state))
+
+
+class NodeEventDraw:
+    """Draws what is done to one node."""
+
+    def __init__(
+        self, rng: Random, node: str, duration: float, max_deadline: float, emphasis: Emphasis
+    ) -> None:
+        self._rng = rng
+        self._node = node
+        self._end = duration - QUIET_END_S
+        self._max_deadline = max_deadline
+        self._emphasis = emphasis
+        self._events: list[NodeEvent] = []
+
+    def draw(self) -> list[NodeEvent]:
+        """All events of the node, in no order."""
+        at = self._rng.uniform(FIRST_MIGRATION_S, 4.0)
+        if self._emphasis.quiet:
+            return [self._quiet_event()]
+        self._draw_migrations(at)
+        self._draw_discovery_faults()
+        for _ in range(self._rng.randint(0, 6)):
+            self._add(self._rng.uniform(1, self._end), NodeAction.SUSPEND, self._rng.uniform(0.03, 0.14))
+        if self._rng.random() < (1.0 if self._emphasis is Emphasis.RESTARTS else 0.3):
+            self._draw_restart()
+        return self._events
+
+    def _add(self, at: float, action: NodeAction, duration: float = 0.0) -> None:
+        self._events.append(NodeEvent(at, self._node, action, duration))
+
+    def _quiet_event(self) -> NodeEvent:
+        """The one event of a quiet run: nothing else opens a watch, and a drain lasts past the staleness limit."""
+        at = self._rng.uniform(0.5, QUIET_EVENT_BY_S)
+        if self._emphasis is Emphasis.SILENT_WATCHES:
+            return NodeEvent(at, self._node, NodeAction.SILENCE_WATCHES)
+        return NodeEvent(at, self._node, NodeAction.DISCOVERY_DOWN, self._rng.uniform(3.0, 7.0))
+
+    def _draw_migrations(self, at: float) -> None:
+        while at < self._end:
+            for _ in range(self._rng.choice([1, 1, 2, 5])):
+                self._add(at, NodeAction.MIGRATE)
+                at += self._rng.choice([0.3, 0.5, 1.0])
+            at += self._rng.uniform(1.0, 6.0)
+
+    def _draw_discovery_faults(self) -> None:
+        for _ in range(self._rng.randint(0, 2)):
+            self._add(self._rng.uniform(1, self._end), NodeAction.SILENCE_WATCHES)
+        if self._rng.random() < 0.4:
+            self._add(self._rng.uniform(1, self._end), NodeAction.RESET_WATCHES)
+        if self._rng.random() < 0.3:
+            at = self._rng.uniform(1, self._end)
+            self._add(at, NodeAction.DISCOVERY_DOWN, self._rng.uniform(0.5, 4.0))
+
+    def _draw_restart(self) -> None:
+        """A restart without other events near it, in half of the cases while the discovery is down."""
+        action = self._rng.choice([NodeAction.STOP, NodeAction.KILL])
+        at = self._rng.uniform(3, self._end)
+        # Clients send on until the kill; a node is not migrated while it stops and in its first second.
+        ended_at = at + (self._max_deadline + 0.7 if action is NodeAction.STOP else 0.0)
+        self._events = [event for event in self._events if not at - 0.2 < event.at < ended_at + 2.0]
+        self._add(at, action)
+        if self._rng.random() < 0.5:
+            self._add(ended_at - 0.05, NodeAction.DISCOVERY_DOWN, self._rng.uniform(1.5, 3.0))
+
+
+def draw_discoveries(rng: Random, node: str, events: tuple[NodeEvent, ...]) -> tuple[DiscoveryPlan, ...]:
+    """A node's first discovery, and one for each migration."""
+    migrations = sum(event.node == node and event.action is NodeAction.MIGRATE for event in events)
+    first = DiscoveryPlan(0.0, 0.0, rng.random() < 0.3, rng.randint(1, 90), rng.choice([1, 1, 3]), 0.0)
+    return (first, *(draw_discovery(rng) for _ in range(migrations)))
+
+
+def draw_discovery(rng: Random) -> DiscoveryPlan:
+    """A discovery that a node migrates to."""
+    return DiscoveryPlan(
+        delay=rng.choice([0.0, 0.3, 1.0, 3.0]),
+        caught_up_after=rng.uniform(0.5, MAX_CAUGHT_UP_S),
+        omits_draining=rng.random() < 0.3,
+        first_generation=rng.randint(1, 90),
+        line_pieces=rng.choice([1, 1, 1, 3]),
+        answer_delay=rng.choice([0.0, 0.0, 0.05, 0.6]),
+    )
+
+
+def draw_call_faults(
+    rng: Random, seed: int, node: str, duration: float, emphasis: Emphasis
+) -> tuple[CallFault, ...]:
+    """All faults of one node's system calls."""
+    faults = draw_failing_calls(rng, duration, emphasis)
+    return (*faults, *draw_delayed_close(Random(f"{seed}/{node}/closing"), emphasis))
+
+
+def draw_failing_calls(rng: Random, duration: float, emphasis: Emphasis) -> list[CallFault]:
+    """System calls that fail for a while, and reads and writes that are cut short in the whole run."""
+    faults = []
+
+    def add(call: str, error: int, probability: float) -> None:
+        start = rng.uniform(1, duration - QUIET_END_S)
+        faults.append(CallFault(call, error, probability, start, start + rng.uniform(0.5, 3.0)))
+
+    if emphasis is Emphasis.RESTARTS and rng.random() < 0.7:
+        faults.append(CallFault("accept", rng.choice(ACCEPT_ERRORS), 0.5, 1.0, WHOLE_RUN_S))
+    elif rng.random() < 0.4:
+        add("accept", rng.choice(ACCEPT_ERRORS), rng.choice([0.3, 0.8]))
+    if rng.random() < 0.4:
+        add("connect", rng.choice(CONNECT_ERRORS), 0.3)
+    if rng.random() < 0.3:
+        add("socket", rng.choice([errno.ENFILE, errno.ENOBUFS]), 0.3)
+    if rng.random() < 0.3:
+        add("setsockopt", errno.ENOBUFS, 0.3)
+    if rng.random() < 0.3:
+        faults.append(CallFault(rng.choice(["read", "write"]), CUT_SHORT, 0.05, 0.0, WHOLE_RUN_S))
+    return faults
+
+
+def draw_delayed_close(rng: Random, emphasis: Emphasis) -> tuple[CallFault, ...]:
+    """Some nodes that stop are delayed just before they close their listening socket."""
+    if emphasis is Emphasis.RESTARTS and rng.random() < 0.5:
+        return (CallFault("close_listener", DELAYED, 1.0, 0.0, WHOLE_RUN_S),)
+    return ()
+
+
+def draw_clock_steps(rng: Random, duration: float) -> tuple[ClockStep, ...]:
+    """A step of the wall clock in four of ten runs."""
+    if rng.random() < 0.6:
+        return ()
+    step = rng.choice([-3600.0, -5.0, 5.0, 3600.0])
+    return (ClockStep(rng.uniform(1, duration), step),)
+
+
+def draw_link_faults(rng: Random, names: list[str], duration: float) -> tuple[LinkFault, ...]:
+    """Faults between nodes and some of the servers, in every second run."""
+    if rng.random() < 0.5:
+        return ()
+    return tuple(draw_link_fault(rng, names, duration) for _ in range(rng.randint(1, MAX_LINK_FAULTS)))
+
+
+def draw_link_fault(rng: Random, names: list[str], duration: float) -> LinkFault:
+    """One fault between nodes and a server."""
+    kind = rng.choice(list(LinkFaultKind))
+    start = rng.uniform(1, duration - QUIET_END_S)
+    held = kind in (LinkFaultKind.REQUESTS_HELD, LinkFaultKind.ANSWERS_HELD)
+    lasts = rng.uniform(0.2, MAX_HELD_S) if held else rng.uniform(0.5, 4.0)
+    probability = rng.choice([0.1, 0.5]) if not held and kind is not LinkFaultKind.DELAY else 0.0
+    delay = rng.uniform(0.005, MAX_LINK_DELAY_S) if kind is LinkFaultKind.DELAY else 0.0
+    end = min(start + lasts, duration)
+    return LinkFault(rng.choice(names), kind, start, end, probability, delay)
--- a/harecross/soak/proxy.py
+++ b/harecross/soak/proxy.py
@@ -14,134 +14,138 @@
 from harecross.soak.plan import LinkFault, LinkFaultKind
 from harecross.standins.http import write_open
 
-READ_MOST = 1 << 16  # bytes
-PIECE = 5  # bytes of an answer that comes in pieces
-PIECE_PAUSE = 0.004  # seconds between two of them
-CUT_AT = 20  # bytes of an answer that a reset lets through
+MAX_READ_BYTES = 1 << 16
+PIECE_BYTES = 5  # of an answer that arrives in pieces
+PIECE_INTERVAL_S = 0.004
+RESET_AFTER_BYTES = 20  # of an answer
 
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class Relay:
-    """One connection of a node and the one to the server that belongs to it."""
+    """One connection of a node, and its connection to the server."""
 
     def __init__(self, proxy: FaultProxy, node: Stream, server: Stream) -> None:
-        self.proxy = proxy
-        self.node = node
-        self.server = server
-        # When the first byte of the request that the server has not taken yet came here, in monotonic seconds.
-        self.request_came: float | None = None
+        # When the first byte came of the request that the server has not received yet, in monotonic seconds.
+        self.request_began: float | None = None
+        self._proxy = proxy
+        self._node = node
+        self._server = server
 
     async def run(self) -> None:
-        """Until both directions have ended."""
+        """Relays until both directions have ended."""
         try:
-            await asyncio.gather(self.to_server(), self.to_node())
+            await asyncio.gather(self._relay_requests(), self._relay_answers())
         finally:
-            for _, writer in (self.node, self.server):
+            for _, writer in (self._node, self._server):
                 writer.close()
 
-    async def to_server(self) -> None:
-        reader, writer = self.node[0], self.server[1]
+    async def _relay_requests(self) -> None:
+        reader, writer = self._node[0], self._server[1]
         try:
-            while data := await reader.read(READ_MOST):
-                if self.request_came is None:
-                    self.request_came = time.monotonic()
-                await self.proxy.hold(LinkFaultKind.REQUESTS_HELD)
+            while data := await reader.read(MAX_READ_BYTES):
+                if self.request_began is None:
+                    self.request_began = time.monotonic()
+                await self._proxy.wait_for_link(LinkFaultKind.REQUESTS_HELD)
                 write_open(writer, data)
         except ConnectionError:
             pass
         # The node has closed, which ends the server's work; nodes never close their sending side alone.
         writer.close()
 
-    async def to_node(self) -> None:
-        reader, writer = self.server[0], self.node[1]
+    async def _relay_answers(self) -> None:
+        reader, writer = self._server[0], self._node[1]
         try:
-            while data := await reader.read(READ_MOST):
-                await self.proxy.hold(LinkFaultKind.ANSWERS_HELD)
-                if self.proxy.strikes(LinkFaultKind.RESET):
-                    write_open(writer, data[:CUT_AT])
+            while data := await reader.read(MAX_READ_BYTES):
+                await self._proxy.wait_for_link(LinkFaultKind.ANSWERS_HELD)
+                if self._proxy.draw_fault(LinkFaultKind.RESET):
+                    write_open(writer, data[:RESET_AFTER_BYTES])
                     writer.transport.abort()
                     return
-                if self.proxy.strikes(LinkFaultKind.HALF_CLOSE):
+                if self._proxy.draw_fault(LinkFaultKind.HALF_CLOSE):
                     break
-                await self.pass_on(data, writer)
+                await self._write_answer(data, writer)
             if not writer.is_closing():
                 writer.write_eof()
         except (ConnectionError, OSError):
             writer.transport.abort()
 
-    async def pass_on(self, data: bytes, writer: asyncio.StreamWriter) -> None:
-        """Writes what came, in pieces where the plan says so."""
-        if not self.proxy.strikes(LinkFaultKind.PIECES):
+    async def _write_answer(self, data: bytes, writer: asyncio.StreamWriter) -> None:
+        """Writes an answer, in pieces if that fault is drawn."""
+        if not self._proxy.draw_fault(LinkFaultKind.PIECES):
             write_open(writer, data)
             return
-        for at in range(0, len(data), PIECE):
-            write_open(writer, data[at : at + PIECE])
-            await asyncio.sleep(PIECE_PAUSE)
+        for start in range(0, len(data), PIECE_BYTES):
+            write_open(writer, data[start : start + PIECE_BYTES])
+            await asyncio.sleep(PIECE_INTERVAL_S)
 
 
 class FaultProxy:
-    """Listens in a server's place. `began` is the monotonic time that the plan's times count from."""
+    """Listens in a server's place."""
 
     def __init__(self, host: str, faults: Sequence[LinkFault], rng: Random) -> None:
-        self.host = host
-        self.faults = faults
-        self.rng = rng
-        self.began = float("inf")
         self.port = 0
-        self.server_port = 0
-        self.listener: asyncio.Server | None = None
         self.relays: dict[int, Relay] = {}  # by the port of the connection to the server
-        self.tasks: set[asyncio.Task[None]] = set()
+        self._host = host
+        self._faults = faults
+        self._rng = rng
+        self._run_began = float("inf")
+        self._server_port = 0
+        self._listener: asyncio.Server | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def begin(self, at: float) -> None:
+        """The run began at that monotonic time, from which the plan's times count."""
+        self._run_began = at
 
     async def open(self, server_port: int) -> None:
-        """Connections go to that port of the same host; the proxy's own port stays the same."""
-        self.server_port = server_port
-        self.listener = await asyncio.start_server(self.serve, self.host, self.port, reuse_address=True)
-        self.port = self.listener.sockets[0].getsockname()[1]
+        """Relays to that port of the same host; the proxy's own port stays the same."""
+        self._server_port = server_port
+        self._listener = await asyncio.start_server(self._serve, self._host, self.port, reuse_address=True)
+        self.port = self._listener.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """The server's process dies: nothing more is accepted, what is held is lost."""
-        if self.listener is not None:
-            self.listener.close()
-            self.listener = None
-        for task in self.tasks:
+        """The server's process dies: no connection is accepted, and held bytes are lost."""
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
+        for task in self._tasks:
             task.cancel()
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self.tasks.add(task)
+        self._tasks.add(task)
         port = 0
         try:
-            server = await asyncio.open_connection(self.host, self.server_port)
+            server = await asyncio.open_connection(self._host, self._server_port)
             port = server[1].get_extra_info("sockname")[1]
             relay = self.relays[port] = Relay(self, (reader, writer), server)
             await relay.run()
         except (OSError, asyncio.CancelledError):
-            pass  # the server has gone, or this proxy closes
+            pass  # the server is gone, or this proxy closes
         finally:
             writer.close()
             self.relays.pop(port, None)
-            self.tasks.discard(task)
+            self._tasks.discard(task)
 
-    # ---- faults -----------------------------------------------------------------------------------------
+    # ---- faults -------------------------------------------------------------------------------------------
 
-    def active(self, kind: LinkFaultKind) -> LinkFault | None:
-        """The fault of that kind that holds now."""
-        at = time.monotonic() - self.began
-        return next((f for f in self.faults if f.kind is kind and f.start <= at < f.end), None)
+    def _active_fault(self, kind: LinkFaultKind) -> LinkFault | None:
+        at = time.monotonic() - self._run_began
+        active = (fault for fault in self._faults if fault.kind is kind and fault.start <= at < fault.end)
+        return next(active, None)
 
-    def strikes(self, kind: LinkFaultKind) -> bool:
-        """Draws whether a fault that comes with a probability hits now."""
-        fault = self.active(kind)
-        return fault is not None and self.rng.random() < fault.probability
+    def draw_fault(self, kind: LinkFaultKind) -> bool:
+        """Draws whether a fault of that kind happens now."""
+        fault = self._active_fault(kind)
+        return fault is not None and self._rng.random() < fault.probability
 
-    async def hold(self, kind: LinkFaultKind) -> None:
-        """Waits as long as bytes of that direction are held or delayed."""
-        delay = self.active(LinkFaultKind.DELAY)
+    async def wait_for_link(self, held_kind: LinkFaultKind) -> None:
+        """Waits as long as bytes are delayed, and held by a fault of that kind."""
+        delay = self._active_fault(LinkFaultKind.DELAY)
         if delay is not None:
-            await asyncio.sleep(delay.seconds)
-        held = self.active(kind)
+            await asyncio.sleep(delay.delay)
+        held = self._active_fault(held_kind)
         if held is not None:
-            await asyncio.sleep(self.began + held.end - time.monotonic())
+            await asyncio.sleep(self._run_began + held.end - time.monotonic())
--- a/harecross/soak/records.py
+++ b/harecross/soak/records.py
@@ -3,37 +3,46 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import NamedTuple
 
 
-class Effect(Enum):
-    """What may be done with a request that may have run; the value is the settings' word."""
+class Idempotency(Enum):
+    """What a repeat of a request does. The values are those of the settings."""
 
-    SAFE = "free"
-    KEYED = "guarded"
-    UNSAFE = "single_shot"
+    IDEMPOTENT = "free"
+    IDEMPOTENCY_KEY = "guarded"
+    NON_IDEMPOTENT = "single_shot"
 
 
-class End(Enum):
-    """How a request ended for its client."""
+class ClientOutcome(Enum):
+    """How a request ended for its client. The values are those of the reports."""
 
     ANSWERED = "answered"
-    LEFT = "left"  # the client closed its connection first
-    CLOSED = "closed"  # the node closed the connection with no whole answer
-    NOT_TAKEN = "not taken"  # the node's machine accepted no connection
-    UNANSWERED = "unanswered"  # nothing came for half a second after its time
+    DISCONNECTED = "left"  # the client closed its connection first
+    CLOSED = "closed"  # the node closed the connection without a complete answer
+    NOT_ACCEPTED = "not taken"  # no connection could be made
+    UNANSWERED = "unanswered"  # nothing came within the client's patience after its deadline
 
 
-class Ran(Enum):
-    """What a server did with an attempt."""
+class AttemptOutcome(Enum):
+    """What a server did with an attempt. The values are those of the reports."""
 
     OK = "ok"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     RESET = "reset"
     SILENT = "no answer"
-    OUT = "not ended"
+    UNFINISHED = "not ended"
+
+
+class Lifecycle(StrEnum):
+    """The state of a server. The values are those of discovery, but for RESTARTED, which a plan alone has."""
+
+    IN_SERVICE = "in_service"
+    DRAINING = "terminating"
+    GONE = "terminated"
+    RESTARTED = "restarted"  # a new process, in service
 
 
 @dataclass(slots=True)
@@ -41,73 +50,73 @@
     """One request, as its client saw it."""
 
     id: str
-    node: str
-    effect: Effect
-    sent: float  # its last byte was written
+    node: str  # the node's process
+    idempotency: Idempotency
+    sent_at: float  # when its last byte was written
     timeout: float
-    fresh: bool  # it is the first on its connection
-    end: End | None = None
+    new_connection: bool  # it is the first on its connection
+    outcome: ClientOutcome | None = None
     status: int = 0
-    ended: float = 0.0
-    resent: bool = False  # its connection ended between requests: sent once more on a new one
+    ended_at: float = 0.0
+    resent: bool = False  # its connection ended between requests, and it was sent once more on a new one
 
 
 @dataclass(slots=True)
-class ServerRecord:
+class AttemptRecord:
     """One attempt, as its server saw it."""
 
-    id: str
+    id: str  # of the request
     server: str
-    first_byte: float
-    whole: float  # its last byte had come
+    first_byte_at: float
+    received_at: float  # when its last byte came
     timeout: float  # X-Timeout, in seconds
-    ran: Ran = Ran.OUT
-    ended: float = 0.0
+    outcome: AttemptOutcome = AttemptOutcome.UNFINISHED
+    ended_at: float = 0.0
 
 
-class Change(NamedTuple):
-    """The truth about one server changed."""
+class EndpointChange(NamedTuple):
+    """The state of one server changed."""
 
     at: float
     server: str
-    lifecycle: str  # discovery's word
-    started: int  # of the process, Unix milliseconds
+    lifecycle: str
+    started_ms: int  # of the process, Unix time; 0 for long ago
 
 
-class ToldRecord(NamedTuple):
-    """From when on a change counts as told to a node."""
+class NotificationRecord(NamedTuple):
+    """From when on a node counts as notified of a change."""
 
     node: str
     change: int  # its number
     at: float
-    how: str  # written by which discovery, or which term of the pages holds
+    reason: str  # written by which discovery, or which term of the protocol holds
 
 
 class SignalRecord(NamedTuple):
-    """Something was done to a node."""
+    """Something was done to a node's process, or happened to it."""
 
     node: str
     at: float
-    what: str
+    text: str
 
 
 @dataclass(slots=True)
 class Records:
-    """All of one run."""
+    """All records of one run."""
 
-    clients: dict[str, ClientRecord] = field(default_factory=dict)
-    servers: list[ServerRecord] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    told: list[ToldRecord] = field(default_factory=list)
+    clients: dict[str, ClientRecord] = field(default_factory=dict)  # by request
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    changes: list[EndpointChange] = field(default_factory=list)
+    notifications: list[NotificationRecord] = field(default_factory=list)
     signals: list[SignalRecord] = field(default_factory=list)
-    lag: float = 0.0  # the longest time that the recording process itself was held up
-    logs: dict[str, list[str]] = field(default_factory=dict)
+    max_delay: float = 0.0  # by which the recording process was late at most
+    logs: dict[str, list[str]] = field(default_factory=dict)  # by node process
     crashes: list[SignalRecord] = field(default_factory=list)
 
-    def told_at(self) -> dict[tuple[str, int], float]:
-        """From when on each change counts as told, by node and the change's number: the earliest of its records."""
+    def notified_at(self) -> dict[tuple[str, int], float]:
+        """From when on each node process counts as notified of each change, by process and the change's number."""
         earliest: dict[tuple[str, int], float] = {}
-        for told in self.told:
-            key = (told.node, told.change)
-            earliest[key] = min(told.at, earliest.get(key, told.at))
+        for notification in self.notifications:
+            key = (notification.node, notification.change)
+            earliest[key] = min(notification.at, earliest.get(key, notification.at))
         return earliest
--- a/harecross/soak/servers.py
+++ b/harecross/soak/servers.py
@@ -5,17 +5,17 @@
 import asyncio
 import os
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from random import Random
 from typing import cast
 
 from harecross.soak.plan import LinkFault, ServerPlan
 from harecross.soak.proxy import FaultProxy, Relay
-from harecross.soak.records import Ran, Records, ServerRecord
+from harecross.soak.records import AttemptOutcome, AttemptRecord, Lifecycle, Records
 from harecross.standins.http import answer, header
 
-SLOW_TIMES = 10.0  # of the mean time of work
-UNITS = {b"m": 1e-3, b"u": 1e-6}
+SLOW_FACTOR = 10.0  # of the work of a slow request
+TIMEOUT_UNITS_S = {b"m": 1e-3, b"u": 1e-6}
 
 
 def own_host() -> str:
@@ -23,14 +23,14 @@
     return f"127.77.{os.getpid() >> 8 & 0xFF}.{os.getpid() & 0xFF or 1}"
 
 
-def seconds_of(text: bytes) -> float:
-    """An X-Timeout in seconds; 0 for what is none."""
-    unit = UNITS.get(text[-1:])
-    return float(text[:-1]) * unit if unit is not None and text[:-1].isdigit() else 0.0
+def timeout_seconds(value: bytes) -> float:
+    """An X-Timeout in seconds; 0 for one that cannot be read."""
+    unit_s = TIMEOUT_UNITS_S.get(value[-1:])
+    return float(value[:-1]) * unit_s if unit_s is not None and value[:-1].isdigit() else 0.0
 
 
 class SoakServer:
-    """One server: its process of the moment and its listener, at one address all along."""
+    """One server: its present process and its listener, at one address in the whole run."""
 
     def __init__(
         self, plan: ServerPlan, seed: int, records: Records, faults: Sequence[LinkFault] = ()
@@ -39,166 +39,177 @@
         self.plan = plan
         self.rng = Random(f"{seed}/{plan.name}")
         self.records = records
-        self.lifecycle = "in_service"
-        self.started = 0  # Unix milliseconds, 0 for long ago
-        self.links: set[Link] = set()
-        self.listener: asyncio.Server | None = None
-        self.port = 0
+        self.lifecycle: str = Lifecycle.IN_SERVICE
+        self.started_ms = 0  # Unix time, 0 for long ago
+        self.connections: set[ServerConnection] = set()
         self.proxy: FaultProxy | None = None
+        self._listener: asyncio.Server | None = None
+        self._port = 0
         if faults:
             self.proxy = FaultProxy(own_host(), faults, Random(f"{seed}/{plan.name}/link"))
 
     @property
     def address(self) -> str:
         """Where nodes connect."""
-        return f"{own_host()}:{self.proxy.port if self.proxy is not None else self.port}"
+        return f"{own_host()}:{self.proxy.port if self.proxy is not None else self._port}"
 
     def begin(self, at: float) -> None:
         """The run began at that monotonic time."""
         if self.proxy is not None:
-            self.proxy.began = at
+            self.proxy.begin(at)
 
     async def open(self) -> None:
+        """Listens."""
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(
-            lambda: Link(self), own_host(), self.port, reuse_address=True
+        self._listener = await loop.create_server(
+            lambda: ServerConnection(self), own_host(), self._port, reuse_address=True
         )
-        self.port = self.listener.sockets[0].getsockname()[1]
+        self._port = self._listener.sockets[0].getsockname()[1]
         if self.proxy is not None:
-            await self.proxy.open(self.port)
+            await self.proxy.open(self._port)
 
     def close(self) -> None:
         """The process dies: its connections are reset, new ones refused."""
         if self.proxy is not None:
             self.proxy.close()
-        if self.listener is not None:
-            self.listener.close()
-            self.listener = None
-        for link in list(self.links):
-            link.abort()
-
-    async def change(self, lifecycle: str) -> str:
-        """Carries out a change of the truth; the lifecycle that discovery has for it."""
-        if lifecycle == "restarted":
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
+        for connection in list(self.connections):
+            connection.abort()
+
+    async def change(self, lifecycle: Lifecycle) -> str:
+        """Carries out a change, and returns the state that discovery has for it."""
+        if lifecycle == Lifecycle.RESTARTED:
             self.close()
-            self.started = time.time_ns() // 1_000_000
-        if lifecycle == "terminated":
+            self.started_ms = time.time_ns() // 1_000_000
+        if lifecycle == Lifecycle.GONE:
             self.close()
-        elif self.listener is None:
+        elif self._listener is None:
             await self.open()
-        self.lifecycle = "in_service" if lifecycle == "restarted" else lifecycle
+        self.lifecycle = Lifecycle.IN_SERVICE if lifecycle == Lifecycle.RESTARTED else lifecycle
         return self.lifecycle
 
 
-class Link(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection from a node. It carries one request at a time."""
 
     def __init__(self, server: SoakServer) -> None:
-        self.server = server
-        self.transport: asyncio.Transport | None = None
-        self.buffer = b""
-        self.first_byte = 0.0
-        self.record: ServerRecord | None = None
-        self.work: asyncio.TimerHandle | None = None
+        self._server = server
+        self._transport: asyncio.Transport | None = None
+        self._buffer = b""
+        self._first_byte_at = 0.0
+        self._record: AttemptRecord | None = None
+        self._work_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.server.links.add(self)
+        """The connection is open."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.links.discard(self)
-        self.transport = None
-        if self.work is not None:
-            self.work.cancel()
-        self.ended(Ran.OUT)
+        """The connection has ended, and the work with it."""
+        self._server.connections.discard(self)
+        self._transport = None
+        if self._work_timer is not None:
+            self._work_timer.cancel()
+        self._finish(AttemptOutcome.UNFINISHED)
 
     def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+        """Resets the connection."""
+        if self._transport is not None:
+            self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if not self.buffer:
-            self.first_byte = self.when_sent()
-        self.buffer += data
-        head, found, body = self.buffer.partition(b"\r\n\r\n")
-        if not found or len(body) < int(header(head, b"Content-Length") or 0):
+        """Begins the work of a request that is complete."""
+        if not self._buffer:
+            self._first_byte_at = self._sent_at()
+        self._buffer += data
+        head, separator, body = self._buffer.partition(b"\r\n\r\n")
+        if not separator or len(body) < int(header(head, b"Content-Length") or 0):
             return
-        self.buffer = b""
-        self.take(head)
+        self._buffer = b""
+        self._receive(head)
 
-    def relay(self) -> Relay | None:
-        """The proxy's end of this connection."""
-        if self.server.proxy is None or self.transport is None:
+    def _relay(self) -> Relay | None:
+        """The proxy's side of this connection."""
+        if self._server.proxy is None or self._transport is None:
             return None
-        return self.server.proxy.relays.get(self.transport.get_extra_info("peername")[1])
+        return self._server.proxy.relays.get(self._transport.get_extra_info("peername")[1])
 
-    def when_sent(self) -> float:
-        """When the first byte came that comes now, at the proxy if there is one: from then on its sender is judged."""
-        relay = self.relay()
-        came = relay.request_came if relay is not None else None
-        return time.monotonic() if came is None else came
+    def _sent_at(self) -> float:
+        """When the node sent the byte that comes now: at the proxy if there is one, since a link may hold it."""
+        relay = self._relay()
+        request_began = relay.request_began if relay is not None else None
+        return time.monotonic() if request_began is None else request_began
 
-    def take(self, head: bytes) -> None:
-        """A whole request has come."""
-        relay = self.relay()
+    def _receive(self, head: bytes) -> None:
+        """Records a complete request, and rejects it or begins its work."""
+        relay = self._relay()
         if relay is not None:
-            relay.request_came = None
-        plan, rng = self.server.plan, self.server.rng
-        self.record = ServerRecord(
+            relay.request_began = None
+        self._record = AttemptRecord(
             header(head, b"X-Request-ID").decode("latin-1"),
-            plan.name,
-            self.first_byte,
+            self._server.plan.name,
+            self._first_byte_at,
             time.monotonic(),
-            seconds_of(header(head, b"X-Timeout")),
+            timeout_seconds(header(head, b"X-Timeout")),
         )
-        self.server.records.servers.append(self.record)
-        if self.server.lifecycle != "in_service":
-            self.reply(Ran.TURNED_AWAY, answer(503, b"", b"X-Not-Processed: 1\r\n"))
-            return
-        drawn = rng.random()
-        span = plan.mean_time * rng.expovariate(1.0) * (SLOW_TIMES if rng.random() < plan.slow else 1.0)
-        for probability, act in (
-            (plan.reset, self.reset),
-            (plan.half_close, self.half_close),
-            (plan.silent, self.stay_silent),
-            (plan.error, self.fail),
+        self._server.records.attempts.append(self._record)
+        if self._server.lifecycle == Lifecycle.IN_SERVICE:
+            self._begin_work()
+        else:
+            self._answer(AttemptOutcome.REJECTED, answer(503, b"", b"X-Not-Processed: 1\r\n"))
+
+    def _begin_work(self) -> None:
+        plan, rng = self._server.plan, self._server.rng
+        draw = rng.random()
+        work_s = plan.mean_work * rng.expovariate(1.0)
+        if rng.random() < plan.slow_probability:
+            work_s *= SLOW_FACTOR
+        self._work_timer = asyncio.get_running_loop().call_later(work_s, self._end_of_work(draw))
+
+    def _end_of_work(self, draw: float) -> Callable[[], None]:
+        """What the server does after the work, by a draw from 0 to 1."""
+        plan = self._server.plan
+        for probability, action in (
+            (plan.reset_probability, self._reset),
+            (plan.half_close_probability, self._half_close),
+            (plan.silent_probability, self._stay_silent),
+            (plan.error_probability, self._fail),
         ):
-            drawn -= probability
-            if drawn < 0:
-                self.later(span, act)
-                return
-        self.later(span, self.succeed)
-
-    def later(self, span: float, act: object) -> None:
-        self.work = asyncio.get_running_loop().call_later(span, act)  # type: ignore[arg-type]
-
-    def ended(self, ran: Ran) -> None:
-        if self.record is not None:
-            self.record.ran, self.record.ended = ran, time.monotonic()
-            self.record = None
-
-    def reply(self, ran: Ran, text: bytes) -> None:
-        self.ended(ran)
-        if self.transport is not None:
-            self.transport.write(text)
-
-    def succeed(self) -> None:
-        closes = self.server.rng.random() < self.server.plan.closes
-        self.reply(Ran.OK, answer(200, b"ok", b"Connection: close\r\n" if closes else b""))
-        if closes and self.transport is not None:
-            self.transport.close()
-
-    def fail(self) -> None:
-        self.reply(Ran.ERROR, answer(500, b"no"))
-
-    def reset(self) -> None:
-        self.ended(Ran.RESET)
+            draw -= probability
+            if draw < 0:
+                return action
+        return self._succeed
+
+    def _finish(self, outcome: AttemptOutcome) -> None:
+        if self._record is not None:
+            self._record.outcome, self._record.ended_at = outcome, time.monotonic()
+            self._record = None
+
+    def _answer(self, outcome: AttemptOutcome, data: bytes) -> None:
+        self._finish(outcome)
+        if self._transport is not None:
+            self._transport.write(data)
+
+    def _succeed(self) -> None:
+        closes = self._server.rng.random() < self._server.plan.close_probability
+        self._answer(AttemptOutcome.OK, answer(200, b"ok", b"Connection: close\r\n" if closes else b""))
+        if closes and self._transport is not None:
+            self._transport.close()
+
+    def _fail(self) -> None:
+        self._answer(AttemptOutcome.ERROR, answer(500, b"no"))
+
+    def _reset(self) -> None:
+        self._finish(AttemptOutcome.RESET)
         self.abort()
 
-    def half_close(self) -> None:
-        self.ended(Ran.RESET)
-        if self.transport is not None:
-            self.transport.write_eof()
+    def _half_close(self) -> None:
+        self._finish(AttemptOutcome.RESET)
+        if self._transport is not None:
+            self._transport.write_eof()
 
-    def stay_silent(self) -> None:
-        self.ended(Ran.SILENT)
+    def _stay_silent(self) -> None:
+        self._finish(AttemptOutcome.SILENT)
--- a/harecross/soak/shim.py
+++ b/harecross/soak/shim.py
@@ -12,8 +12,9 @@
 from typing import NamedTuple
 
 SOURCE = Path(__file__).with_name("faults.c")
-CUT = -1  # in the place of an errno: the call moves a few bytes only
-HELD_UP = -2  # in the place of an errno: the process is held up for 50 ms before the call
+# In the place of an errno.
+CUT_SHORT = -1  # the call transfers a few bytes only
+DELAYED = -2  # the process sleeps for 50 ms before the call
 
 
 class CallFault(NamedTuple):
@@ -32,8 +33,9 @@
     @property
     def name(self) -> str:
         """For a report: the call and the name of its errno."""
-        how = {CUT: "cut short", HELD_UP: "held up"}.get(self.error) or errno.errorcode[self.error]
-        return f"{self.call} {how} {self.probability:g} from {self.start:g} to {self.end:g} s"
+        effect = {CUT_SHORT: "cut short", DELAYED: "held up"}.get(self.error)
+        effect = effect or errno.errorcode[self.error]
+        return f"{self.call} {effect} {self.probability:g} from {self.start:g} to {self.end:g} s"
 
 
 class ClockStep(NamedTuple):
@@ -49,23 +51,25 @@
 
 
 def build(folder: Path | None = None) -> Path | None:
-    """The compiled shim, None where it cannot be built. `folder` is a temporary one of its own by default."""
+    """The compiled shim, None where it cannot be built. `folder` is a new temporary one by default."""
     command = compiler()
     if command is None or not os.path.exists("/proc/self/fd"):
         return None
     target = (folder or Path(tempfile.mkdtemp(prefix="harecross-shim-"))) / "faults.so"
-    built = subprocess.run(
+    compilation = subprocess.run(
         [command, "-O1", "-shared", "-fPIC", "-o", str(target), str(SOURCE), "-ldl", "-lpthread"],
         capture_output=True,
         text=True,
     )
-    return target if built.returncode == 0 else None
+    return target if compilation.returncode == 0 else None
 
 
 def environment(
     shim: Path, seed: int, calls: Iterable[CallFault] = (), clock: Iterable[ClockStep] = ()
 ) -> dict[str, str]:
-    """What the process that is to have these faults finds in its environment."""
-    rules = ";".join(f"{c.call} {c.error} {c.probability} {c.start} {c.end}" for c in calls)
-    steps = ";".join(f"{s.at} {s.seconds}" for s in clock)
+    """The environment variables of a process that is to have these faults."""
+    rules = ";".join(
+        f"{fault.call} {fault.error} {fault.probability} {fault.start} {fault.end}" for fault in calls
+    )
+    steps = ";".join(f"{step.at} {step.seconds}" for step in clock)
     return {"LD_PRELOAD": str(shim), "FAULT_SEED": str(seed), "FAULT_RULES": rules, "FAULT_CLOCK": steps}
--- a/harecross/soak/slow_start.py
+++ b/harecross/soak/slow_start.py
@@ -1,10 +1,10 @@
 """Judges slow start: what all nodes together send a process that has just started, against what it may get.
 
-The terms are the protocol's and the standing test's: over any window of `tip_after`, with N requests being what the
-settings allow a cold server in it, N + 2 x root of N + 2 requests (under 30: N + 3 x root of N + 3) push it over, and
-the rule is broken where over two thirds of them came from nodes that had been told of the start. A capacity is not
-disclosed: it is taken to be what a warm server took at the time, or an even part of all that was sent if that is more.
-Judged only where another server has been warm and in service all along: nodes learn from it.
+The rules are the protocol's: over any window of the overload duration, with N requests being what the settings allow a
+server that warms up in it, N + 2 x root of N + 2 requests (under 30: N + 3 x root of N + 3) are an overload, and the
+rule is broken where over two thirds of them came from nodes that were notified of the start. A capacity is not
+disclosed: it is taken to be what a server at full capacity got at the time, or an even part of all requests if that is
+more. Judged only where another server was at full capacity and in service all the time: nodes learn from it.
 """
 
 from __future__ import annotations
@@ -15,153 +15,168 @@
 from math import sqrt
 from typing import NamedTuple
 
-from harecross.soak.records import Change, Records
+from harecross.soak.records import EndpointChange, Lifecycle, Records
 
-FEW = 30  # requests, below which the slack is larger
-TOLD_PART = 2 / 3  # of the requests came from nodes that had been told
+FEW_REQUESTS = 30  # below which the slack is larger
+NOTIFIED_FRACTION = 2 / 3  # of the requests of an overload that come from notified nodes
 
 
-class Terms(NamedTuple):
-    """The settings that nodes find. Times in seconds."""
+class SlowStartRules(NamedTuple):
+    """The settings of the nodes. Times in seconds."""
 
-    cold: float = 5.0
-    start_capacity: float = 0.15  # part of its capacity that a process has at its start
-    fall_multiple: float = 1.5  # of its present capacity at which it falls
-    tip_after: float = 2.0
+    window: float = 5.0  # from a process's start until its full capacity
+    start_capacity: float = 0.15  # at its start, as a fraction of the full one
+    overload_multiple: float = 1.5  # of its present capacity, at which it fails
+    overload_duration: float = 2.0
 
     def rules(self) -> dict[str, float]:
-        """The settings' own keys and units."""
+        """The settings by their own keys and units."""
         return {
-            "cold": int(self.cold * 1e6),
+            "cold": int(self.window * 1e6),
             "start_capacity": self.start_capacity,
-            "fall_multiple": self.fall_multiple,
-            "tip_after": int(self.tip_after * 1e6),
+            "fall_multiple": self.overload_multiple,
+            "tip_after": int(self.overload_duration * 1e6),
         }
 
 
-def most_requests(allowed: float) -> float:
-    """How many requests a cold server bears where the settings allow it so many."""
-    if allowed < FEW:
+def with_slack(allowed: float) -> float:
+    """How many requests are judged as an overload where the settings allow so many."""
+    if allowed < FEW_REQUESTS:
         return allowed + 3 * sqrt(allowed) + 3
     return allowed + 2 * sqrt(allowed) + 2
 
 
-def allowed_requests(terms: Terms, capacity: float, age: float) -> float:
-    """What the settings allow in the window that begins at that age; `capacity` is a warm server's in a window."""
-    middle = min(terms.cold, age + terms.tip_after / 2)
-    share = terms.start_capacity + (1 - terms.start_capacity) * middle / terms.cold
-    return terms.fall_multiple * share * capacity
+def allowed_requests(rules: SlowStartRules, capacity: float, age: float) -> float:
+    """What the settings allow in the overload duration that begins at that age of a process.
 
+    `capacity` is the requests that a server at full capacity gets in as long a time.
+    """
+    middle = min(rules.window, age + rules.overload_duration / 2)
+    fraction = rules.start_capacity + (1 - rules.start_capacity) * middle / rules.window
+    return rules.overload_multiple * fraction * capacity
 
-class Life(NamedTuple):
-    """One process of a server, while it is cold."""
+
+class WarmUp(NamedTuple):
+    """One process of a server, while it warms up."""
 
     server: str
-    change: int  # that told of its start
+    change: int  # the number of the change that is its start
     start: float
-    end: float  # it is warm, or gone
+    end: float  # it has its full capacity, or is gone
 
 
 @dataclass(frozen=True, slots=True)
-class Fall:
-    """A window in which a cold server got too much."""
+class Overload:
+    """A time in which a server that warms up got too many requests."""
 
     server: str
     at: float  # its end
     requests: int
-    most: float
-    age: float  # of the process at the window's begin
+    limit: float
+    age: float  # of the process at its beginning
 
 
-class SlowStart:
+class SlowStartOracle:
     """The evidence of one run, indexed."""
 
-    def __init__(self, records: Records, terms: Terms) -> None:
-        self.records = records
-        self.terms = terms
-        self.node_of = {client.id: client.node for client in records.clients.values()}
-        self.changes: dict[str, list[Change]] = defaultdict(list)
+    def __init__(self, records: Records, rules: SlowStartRules) -> None:
+        self._records = records
+        self._rules = rules
+        self._node_of = {client.id: client.node for client in records.clients.values()}  # by request
+        self._changes: dict[str, list[EndpointChange]] = defaultdict(list)  # by server
         for change in records.changes:
-            self.changes[change.server].append(change)
-        sent: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        for attempt in records.servers:
-            sent[attempt.server].append((attempt.first_byte, attempt.id))
-        self.sent = {server: sorted(attempts) for server, attempts in sent.items()}
-        self.times = {server: [at for at, _ in attempts] for server, attempts in self.sent.items()}
-        self.told = records.told_at()
-
-    def falls(self) -> list[Fall]:
-        """The first window of each process in which nodes that knew of its start pushed it over."""
-        found = (self.first_fall(life) for life in self.cold_lives())
-        return [fall for fall in found if fall is not None]
-
-    def cold_lives(self) -> list[Life]:
+            self._changes[change.server].append(change)
+        attempts: dict[str, list[tuple[float, str]]] = defaultdict(list)  # times and requests by server
+        for attempt in records.attempts:
+            attempts[attempt.server].append((attempt.first_byte_at, attempt.id))
+        self._attempts = {server: sorted(times) for server, times in attempts.items()}
+        self._times = {server: [at for at, _ in times] for server, times in self._attempts.items()}
+        self._notified_at = records.notified_at()
+
+    def overloads(self) -> list[Overload]:
+        """The first overload of each process by nodes that were notified of its start."""
+        found = (self._first_overload(warm_up) for warm_up in self._warm_ups())
+        return [overload for overload in found if overload is not None]
+
+    def _warm_ups(self) -> list[WarmUp]:
         """Every process that started in the run."""
-        lives = []
-        for number, change in enumerate(self.records.changes):
-            own = self.changes[change.server]
-            place = own.index(change)
-            is_start = change.started > 0 and (place == 0 or own[place - 1].started != change.started)
-            if change.lifecycle != "in_service" or not is_start:
-                continue
-            ends = (
-                c.at for c in own[place + 1 :] if c.lifecycle == "terminated" or c.started != change.started
-            )
-            warm = change.at + self.terms.cold
-            lives.append(Life(change.server, number, change.at, min(warm, next(ends, warm))))
-        return lives
-
-    def first_fall(self, life: Life) -> Fall | None:
-        """The first window that ends with one of its requests and holds too many of them."""
-        times = self.times.get(life.server, [])
-        span = self.terms.tip_after
-        for last in range(bisect_left(times, life.start), bisect_left(times, life.end)):
+        warm_ups = []
+        for number, change in enumerate(self._records.changes):
+            changes = self._changes[change.server]
+            index = changes.index(change)
+            if change.lifecycle == Lifecycle.IN_SERVICE and is_start(changes, index):
+                end = min(change.at + self._rules.window, end_of_process(changes, index))
+                warm_ups.append(WarmUp(change.server, number, change.at, end))
+        return warm_ups
+
+    def _first_overload(self, warm_up: WarmUp) -> Overload | None:
+        """The first overload duration that ends with a request of the process and has too many of them."""
+        times = self._times.get(warm_up.server, [])
+        duration = self._rules.overload_duration
+        for last in range(bisect_left(times, warm_up.start), bisect_left(times, warm_up.end)):
             end = times[last]
-            first = bisect_left(times, max(life.start, end - span))
+            first = bisect_left(times, max(warm_up.start, end - duration))
             count = last + 1 - first
-            age = max(0.0, end - span - life.start)
-            most = most_requests(allowed_requests(self.terms, self.capacity(end), age))
-            if count <= most or not self.one_is_warm(life.start, end):
+            age = max(0.0, end - duration - warm_up.start)
+            limit = with_slack(allowed_requests(self._rules, self._full_capacity(end), age))
+            if count <= limit or not self._any_at_full_capacity(warm_up.start, end):
                 continue
-            if self.from_told(life, first, last) > TOLD_PART * count:
-                return Fall(life.server, end, count, most, age)
+            if self._from_notified_nodes(warm_up, first, last) > NOTIFIED_FRACTION * count:
+                return Overload(warm_up.server, end, count, limit, age)
         return None
 
-    def from_told(self, life: Life, first: int, last: int) -> int:
-        """How many of these requests came from nodes that had been told of the start."""
+    def _from_notified_nodes(self, warm_up: WarmUp, first: int, last: int) -> int:
+        """How many of these requests came from nodes that were notified of the start."""
         count = 0
-        for at, request in self.sent[life.server][first : last + 1]:
-            told = self.told.get((self.node_of.get(request, ""), life.change))
-            count += told is not None and told <= at
+        for at, request in self._attempts[warm_up.server][first : last + 1]:
+            notified_at = self._notified_at.get((self._node_of.get(request, ""), warm_up.change))
+            count += notified_at is not None and notified_at <= at
         return count
 
-    def capacity(self, end: float) -> float:
-        """Requests that a warm server takes in one window, by the two windows that end there."""
-        span = self.terms.tip_after
+    def _full_capacity(self, end: float) -> float:
+        """The requests of a server at full capacity in one overload duration, by the two that end at that time."""
+        duration = self._rules.overload_duration
         most = 0.0
-        for until in (end, end - span):
+        for until in (end, end - duration):
             counts = {
-                server: bisect_right(times, until) - bisect_left(times, until - span)
-                for server, times in self.times.items()
+                server: bisect_right(times, until) - bisect_left(times, until - duration)
+                for server, times in self._times.items()
             }
-            warm = [n for server, n in counts.items() if self.is_warm(server, until - span, until)]
-            serving = sum(self.serves(server, until) for server in self.changes)
-            most = max(most, *warm, sum(counts.values()) / max(1, serving))
+            full = [
+                count for server, count in counts.items() if self._is_full(server, until - duration, until)
+            ]
+            in_service = sum(self._is_in_service(server, until) for server in self._changes)
+            most = max(most, *full, sum(counts.values()) / max(1, in_service))
         return most
 
-    def one_is_warm(self, start: float, end: float) -> bool:
-        """Whether some server was warm and in service all along."""
-        return any(self.is_warm(server, start, end) for server in self.changes)
+    def _any_at_full_capacity(self, start: float, end: float) -> bool:
+        """Whether a server was at full capacity and in service all the time."""
+        return any(self._is_full(server, start, end) for server in self._changes)
 
-    def is_warm(self, server: str, start: float, end: float) -> bool:
-        own = self.changes[server]
-        if not self.serves(server, start) or any(start < change.at < end for change in own):
+    def _is_full(self, server: str, start: float, end: float) -> bool:
+        """Whether a server was at full capacity and in service all the time."""
+        changes = self._changes[server]
+        if not self._is_in_service(server, start) or any(start < change.at < end for change in changes):
             return False
-        started = [change for change in own if change.at <= start][-1].started
-        begun = next(change.at for change in own if change.started == started)
-        return not started or begun + self.terms.cold <= start
-
-    def serves(self, server: str, at: float) -> bool:
-        """Whether it is in service by the truth of that moment."""
-        before = [change for change in self.changes[server] if change.at <= at]
-        return bool(before) and before[-1].lifecycle == "in_service"
+        started_ms = [change for change in changes if change.at <= start][-1].started_ms
+        began = next(change.at for change in changes if change.started_ms == started_ms)
+        return not started_ms or began + self._rules.window <= start
+
+    def _is_in_service(self, server: str, at: float) -> bool:
+        """Whether a server was in service at that time."""
+        before = [change for change in self._changes[server] if change.at <= at]
+        return bool(before) and before[-1].lifecycle == Lifecycle.IN_SERVICE
+
+
+def is_start(changes: list[EndpointChange], index: int) -> bool:
+    """Whether a process of the server starts with that change."""
+    started_ms = changes[index].started_ms
+    return started_ms > 0 and (index == 0 or changes[index - 1].started_ms != started_ms)
+
+
+def end_of_process(changes: list[EndpointChange], index: int) -> float:
+    """When the process of that change ends; inf if it does not."""
+    for change in changes[index + 1 :]:
+        if change.lifecycle == Lifecycle.GONE or change.started_ms != changes[index].started_ms:
+            return change.at
+    return float("inf")
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -40,15 +40,15 @@
 from harecross.soak.oracle import Breach, Oracle
 from harecross.soak.plan import Plan
 from harecross.soak.records import (
-    Change,
+    AttemptOutcome,
+    AttemptRecord,
+    ClientOutcome,
     ClientRecord,
-    Effect,
-    End,
-    Ran,
+    EndpointChange,
+    Idempotency,
+    NotificationRecord,
     Records,
-    ServerRecord,
     SignalRecord,
-    ToldRecord,
 )
 from harecross.sources.cache_file import CachedSet, write_cache_file
 from harecross.store.store import Store
@@ -310,34 +310,36 @@
 
 
 def soak_records() -> Records:
-    """A request that ran twice, and a drain that was told between."""
+    """A request that was sent twice, and a drain that the node was notified of between."""
     records = Records()
-    client = ClientRecord("one", "n0", Effect.UNSAFE, 100.5, 2.0, True, End.ANSWERED, 200, 101.25)
+    client = ClientRecord(
+        "one", "n0", Idempotency.NON_IDEMPOTENT, 100.5, 2.0, True, ClientOutcome.ANSWERED, 200, 101.25
+    )
     records.clients["one"] = client
-    records.servers += [
-        ServerRecord("one", "s0", 100.6, 100.625, 1.75, Ran.RESET, 100.7),
-        ServerRecord("one", "s1", 100.8, 100.825, 1.5, Ran.OK, 101.2),
+    records.attempts += [
+        AttemptRecord("one", "s0", 100.6, 100.625, 1.75, AttemptOutcome.RESET, 100.7),
+        AttemptRecord("one", "s1", 100.8, 100.825, 1.5, AttemptOutcome.OK, 101.2),
     ]
     records.changes += [
-        Change(100.0, "s0", "in_service", 0),
-        Change(100.0, "s1", "in_service", 0),
-        Change(100.65, "s0", "terminating", 0),
+        EndpointChange(100.0, "s0", "in_service", 0),
+        EndpointChange(100.0, "s1", "in_service", 0),
+        EndpointChange(100.65, "s0", "terminating", 0),
     ]
-    records.told.append(ToldRecord("n0", 2, 100.75, "written by 10.0.0.1:8500"))
+    records.notifications.append(NotificationRecord("n0", 2, 100.75, "written by 10.0.0.1:8500"))
     records.signals.append(SignalRecord("n0", 100.25, "held 0.050 s"))
     records.logs["n0"] = ["harecross: listening on 127.0.0.1:8081"]
-    records.lag = 0.004
+    records.max_delay = 0.004
     return records
 
 
 def write_soak_report(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def played(plan: Plan, shim: Path | None) -> tuple[Records, list[Breach]]:
+    async def play(plan: Plan, shim: Path | None) -> tuple[Records, list[Breach]]:
         records = soak_records()
         return records, Oracle(records).breaches()
 
     with monkeypatch.context() as patch:
-        patch.setattr(soak_main, "soak", played)
+        patch.setattr(soak_main, "soak", play)
         patch.setattr(time, "strftime", lambda form: "20231114T221320")
-        broken, _, lines = soak_main.play(SEED, 8.0, 1, None)
-        assert broken > 0
-        soak_main.keep_report(folder, SEED, lines)
+        result = soak_main.play(SEED, 8.0, 1, None)
+        assert result.breaches > 0
+        soak_main.store_report(folder, SEED, result.lines)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,19 +8,22 @@
 import uvloop
 
 from harecross.soak import shim as shim_module
-from harecross.soak.oracle import Oracle, Rule, report
-from harecross.soak.plan import CATCH_UP_MOST, FIRST_MOVE, make_plan
+from harecross.soak.oracle import Oracle, Rule
+from harecross.soak.plan import NodeAction
+from harecross.soak.planner import FIRST_MIGRATION_S, MAX_CAUGHT_UP_S, make_plan
 from harecross.soak.records import (
-    Change,
+    AttemptOutcome,
+    AttemptRecord,
+    ClientOutcome,
     ClientRecord,
-    Effect,
-    End,
-    Ran,
+    EndpointChange,
+    Idempotency,
+    Lifecycle,
+    NotificationRecord,
     Records,
-    ServerRecord,
     SignalRecord,
-    ToldRecord,
 )
+from harecross.soak.report import report
 from harecross.soak.run import soak
 
 SEEDS = [1, 4, 5, 12, 17, 36]
@@ -31,114 +34,138 @@
     """A seed gives the same plan every time; which request meets which fault is the machine's."""
     records, breaches = uvloop.run(soak(make_plan(seed), shim_module.build(tmp_path)))
     assert not breaches, "\n".join(report(records, breaches))
-    answered = sum(client.end is End.ANSWERED for client in records.clients.values())
+    answered = sum(client.outcome is ClientOutcome.ANSWERED for client in records.clients.values())
     assert answered > 0.5 * len(records.clients) > 50
-    assert records.told and records.signals
+    assert records.notifications and records.signals
 
 
-def test_a_seed_gives_the_same_plan_every_time_and_plans_keep_to_the_pages():
-    moves = recalls = 0
+def test_a_seed_gives_the_same_plan_every_time_and_plans_keep_to_the_protocol():
+    migrations = recalls = 0
     for seed in range(200):
-        plan = make_plan(seed, nodes_most=14)
-        assert plan == make_plan(seed, nodes_most=14)
+        plan = make_plan(seed, max_nodes=14)
+        assert plan == make_plan(seed, max_nodes=14)
         assert 1 <= len(plan.nodes) <= 14 and plan.changes
         for node in plan.nodes:
-            moves_of = [e for e in plan.events if e.node == node and e.what == "move"]
-            moves += len(moves_of)
-            assert all(e.at >= FIRST_MOVE for e in moves_of)
-            assert len(plan.discoveries[node]) >= len(moves_of) + 1
-            assert all(d.caught_up <= CATCH_UP_MOST for d in plan.discoveries[node])
-        recalls += any(c.lifecycle == "in_service" for c in plan.changes)
-    assert moves > 1000 and recalls > 50
+            times = [
+                event.at for event in plan.events if event.node == node and event.action is NodeAction.MIGRATE
+            ]
+            migrations += len(times)
+            assert all(at >= FIRST_MIGRATION_S for at in times)
+            discoveries = plan.discoveries[node]
+            assert len(discoveries) >= len(times) + 1
+            assert all(discovery.caught_up_after <= MAX_CAUGHT_UP_S for discovery in discoveries)
+        recalls += any(change.lifecycle == Lifecycle.IN_SERVICE for change in plan.changes)
+    assert migrations > 1000 and recalls > 50
     assert make_plan(1) != make_plan(2)
 
 
 # ---- the oracle -------------------------------------------------------------------------------------------
 
-CLIENT = ClientRecord("r", "n.1", Effect.UNSAFE, 10.0, 1.0, True, End.ANSWERED, 200, 10.2)
-ATTEMPT = ServerRecord("r", "s", 10.05, 10.05, 0.95, Ran.OK, 10.2)
-IN_SERVICE = Change(0.0, "s", "in_service", 0)
+CLIENT = ClientRecord(
+    "r", "n.1", Idempotency.NON_IDEMPOTENT, 10.0, 1.0, True, ClientOutcome.ANSWERED, 200, 10.2
+)
+ATTEMPT = AttemptRecord("r", "s", 10.05, 10.05, 0.95, AttemptOutcome.OK, 10.2)
+IN_SERVICE = EndpointChange(0.0, "s", "in_service", 0)
 
 
-def judged(*attempts: ServerRecord, client: ClientRecord = CLIENT, **more) -> list[Rule]:
-    records = Records({client.id: client}, [replace(a) for a in attempts], [IN_SERVICE], **more)
+def broken_rules(*attempts: AttemptRecord, client: ClientRecord = CLIENT, **further) -> list[Rule]:
+    records = Records(
+        {client.id: client}, [replace(attempt) for attempt in attempts], [IN_SERVICE], **further
+    )
     return [breach.rule for breach in Oracle(records).breaches()]
 
 
-def drained(*changes: Change, told: tuple[ToldRecord, ...]) -> list[Rule]:
-    records = Records({"r": CLIENT}, [ATTEMPT], [IN_SERVICE, *changes], list(told))
+def broken_after(*changes: EndpointChange, notified: tuple[NotificationRecord, ...]) -> list[Rule]:
+    records = Records({"r": CLIENT}, [ATTEMPT], [IN_SERVICE, *changes], list(notified))
     return [breach.rule for breach in Oracle(records).breaches()]
 
 
-def test_a_good_run_breaks_nothing():
-    assert judged(ATTEMPT) == []
-    assert judged(client=replace(CLIENT, status=503)) == []
-    assert judged(client=replace(CLIENT, end=End.NOT_TAKEN)) == []
+def test_a_run_without_faults_breaks_no_rule():
+    assert broken_rules(ATTEMPT) == []
+    assert broken_rules(client=replace(CLIENT, status=503)) == []
+    assert broken_rules(client=replace(CLIENT, outcome=ClientOutcome.NOT_ACCEPTED)) == []
 
 
 @pytest.mark.parametrize(
     "client, signals, broken",
     [
-        (replace(CLIENT, end=End.CLOSED), [], True),
-        (replace(CLIENT, end=End.UNANSWERED, ended=11.8), [], True),
-        (replace(CLIENT, ended=11.49), [], False),
-        (replace(CLIENT, ended=11.51), [], True),
-        (replace(CLIENT, end=End.CLOSED, ended=10.3), [("SIGKILL", 10.3)], False),
-        (replace(CLIENT, end=End.CLOSED, ended=10.3), [("SIGTERM", 9.4), ("SIGKILL", 10.3)], False),
-        (replace(CLIENT, end=End.CLOSED, ended=10.3), [("SIGTERM", 9.2), ("SIGKILL", 10.3)], True),
-        (replace(CLIENT, end=End.CLOSED, ended=10.3), [("SIGKILL", 9.9)], True),
-        (replace(CLIENT, end=End.CLOSED, ended=10.3), [("SIGKILL", 10.4)], True),
+        (replace(CLIENT, outcome=ClientOutcome.CLOSED), [], True),
+        (replace(CLIENT, outcome=ClientOutcome.UNANSWERED, ended_at=11.8), [], True),
+        (replace(CLIENT, ended_at=11.49), [], False),
+        (replace(CLIENT, ended_at=11.51), [], True),
+        (replace(CLIENT, outcome=ClientOutcome.CLOSED, ended_at=10.3), [("SIGKILL", 10.3)], False),
+        (
+            replace(CLIENT, outcome=ClientOutcome.CLOSED, ended_at=10.3),
+            [("SIGTERM", 9.4), ("SIGKILL", 10.3)],
+            False,
+        ),
+        (
+            replace(CLIENT, outcome=ClientOutcome.CLOSED, ended_at=10.3),
+            [("SIGTERM", 9.2), ("SIGKILL", 10.3)],
+            True,
+        ),
+        (replace(CLIENT, outcome=ClientOutcome.CLOSED, ended_at=10.3), [("SIGKILL", 9.9)], True),
+        (replace(CLIENT, outcome=ClientOutcome.CLOSED, ended_at=10.3), [("SIGKILL", 10.4)], True),
     ],
 )
-def test_a_request_without_its_answer_in_time_is_lost_unless_a_kill_found_it(client, signals, broken):
-    found = judged(client=client, signals=[SignalRecord("n.1", at, what) for what, at in signals])
-    assert found == ([Rule.LOST] if broken else [])
-
-
-@pytest.mark.parametrize("ran", list(Ran))
-@pytest.mark.parametrize("effect", list(Effect))
-def test_an_unsafe_request_goes_on_only_after_it_was_turned_away(ran, effect):
-    first = replace(ATTEMPT, ran=ran)
-    second = replace(ATTEMPT, server="t", first_byte=10.1, timeout=0.9)
-    broken = effect is Effect.UNSAFE and ran is not Ran.TURNED_AWAY
-    assert judged(second, first, client=replace(CLIENT, effect=effect)) == (
+def test_a_request_without_an_answer_in_time_is_lost_unless_a_kill_ended_it(client, signals, broken):
+    rules = broken_rules(client=client, signals=[SignalRecord("n.1", at, text) for text, at in signals])
+    assert rules == ([Rule.LOST] if broken else [])
+
+
+@pytest.mark.parametrize("outcome", list(AttemptOutcome))
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_a_non_idempotent_request_is_sent_again_only_after_a_rejection(outcome, idempotency):
+    first = replace(ATTEMPT, outcome=outcome)
+    second = replace(ATTEMPT, server="t", first_byte_at=10.1, timeout=0.9)
+    broken = idempotency is Idempotency.NON_IDEMPOTENT and outcome is not AttemptOutcome.REJECTED
+    assert broken_rules(second, first, client=replace(CLIENT, idempotency=idempotency)) == (
         [Rule.DUPLICATE] if broken else []
     )
 
 
-def test_new_work_to_a_server_that_leaves_is_broken_after_the_grace_and_not_after_a_recall():
-    drain, recall = Change(5.0, "s", "terminating", 0), Change(6.0, "s", "in_service", 0)
-    late, in_time = ToldRecord("n.1", 1, 9.74, ""), ToldRecord("n.1", 1, 9.76, "")
-    assert drained(drain, told=(late,)) == [Rule.DRAIN]
-    assert drained(drain, told=(in_time,)) == [] == drained(drain, told=())
-    assert drained(drain, told=(ToldRecord("n.2", 1, 5.0, ""),)) == [], "another node was told"
-    assert drained(drain, recall, told=(late,)) == []
-    again = Change(7.0, "s", "terminating", 0)
-    assert drained(drain, recall, again, told=(late,)) == [], "of the second drain it has not heard"
-    assert drained(drain, recall, again, told=(ToldRecord("n.1", 3, 9.0, ""),)) == [Rule.DRAIN]
-    gone = Change(8.0, "s", "terminated", 0)
-    assert drained(drain, gone, told=(late,)) == [Rule.DRAIN]
+def test_an_attempt_at_a_draining_server_is_a_breach_after_the_grace_and_not_after_a_recall():
+    drain, recall = EndpointChange(5.0, "s", "terminating", 0), EndpointChange(6.0, "s", "in_service", 0)
+    late, in_time = NotificationRecord("n.1", 1, 9.74, ""), NotificationRecord("n.1", 1, 9.76, "")
+    assert broken_after(drain, notified=(late,)) == [Rule.DRAIN]
+    assert broken_after(drain, notified=(in_time,)) == [] == broken_after(drain, notified=())
+    assert broken_after(drain, notified=(NotificationRecord("n.2", 1, 5.0, ""),)) == [], (
+        "another node was notified"
+    )
+    assert broken_after(drain, recall, notified=(late,)) == []
+    again = EndpointChange(7.0, "s", "terminating", 0)
+    assert broken_after(drain, recall, again, notified=(late,)) == [], (
+        "it was not notified of the second drain"
+    )
+    assert broken_after(drain, recall, again, notified=(NotificationRecord("n.1", 3, 9.0, ""),)) == [
+        Rule.DRAIN
+    ]
+    gone = EndpointChange(8.0, "s", "terminated", 0)
+    assert broken_after(drain, gone, notified=(late,)) == [Rule.DRAIN]
 
 
-def test_who_has_gone_gets_no_attempt_and_a_server_no_more_time_than_is_left():
-    left = replace(CLIENT, end=End.LEFT, ended=9.9)
-    assert judged(ATTEMPT, client=left) == [Rule.CLIENT_GONE]
-    assert judged(ATTEMPT, client=replace(left, ended=9.96)) == []
-    assert judged(replace(ATTEMPT, timeout=1.09)) == []
-    assert judged(replace(ATTEMPT, timeout=1.11)) == [Rule.DEADLINE]
+def test_no_attempt_for_a_disconnected_client_and_no_more_time_for_a_server_than_is_left():
+    left = replace(CLIENT, outcome=ClientOutcome.DISCONNECTED, ended_at=9.9)
+    assert broken_rules(ATTEMPT, client=left) == [Rule.CLIENT_GONE]
+    assert broken_rules(ATTEMPT, client=replace(left, ended_at=9.96)) == []
+    assert broken_rules(replace(ATTEMPT, timeout=1.09)) == []
+    assert broken_rules(replace(ATTEMPT, timeout=1.11)) == [Rule.DEADLINE]
 
 
-def test_bounds_are_wider_by_as_much_as_the_records_may_be_late_and_crashes_are_told():
-    assert judged(replace(ATTEMPT, timeout=1.11), lag=0.02) == []
+def test_bounds_are_wider_by_the_records_delay_and_a_crash_is_a_breach():
+    assert broken_rules(replace(ATTEMPT, timeout=1.11), max_delay=0.02) == []
     crash = SignalRecord("n.1", 3.0, "ended by itself: 1")
-    assert judged(ATTEMPT, crashes=[crash]) == [Rule.CRASH]
+    assert broken_rules(ATTEMPT, crashes=[crash]) == [Rule.CRASH]
 
 
-def test_a_report_has_the_request_its_attempts_the_signals_and_what_was_told():
-    drain = Change(5.0, "s", "terminating", 0)
-    told, signal = ToldRecord("n.1", 1, 9.0, "written, d:1"), SignalRecord("n.1", 8.0, "SIGHUP to d:1")
+def test_a_report_has_the_request_its_attempts_the_signals_and_the_notifications():
+    drain = EndpointChange(5.0, "s", "terminating", 0)
+    notification, signal = (
+        NotificationRecord("n.1", 1, 9.0, "written, d:1"),
+        SignalRecord("n.1", 8.0, "SIGHUP to d:1"),
+    )
     records = Records(
-        {"r": CLIENT}, [ATTEMPT], [IN_SERVICE, drain], [told], [signal], logs={"n.1": ["a line"]}
+        {"r": CLIENT}, [ATTEMPT], [IN_SERVICE, drain], [notification], [signal], logs={"n.1": ["a line"]}
     )
     text = "\n".join(report(records, Oracle(records).breaches()))
     for part in (
@@ -152,11 +179,11 @@
         assert part in text
 
 
-def test_every_fault_of_the_mutation_table_still_fits_the_program():
+def test_every_mutation_applies_to_the_program():
     from benchmarks.soak_mutations import MUTATIONS, ROOT
 
     for mutation in MUTATIONS:
-        for file, good, bad in mutation.changes:
+        for file, original, mutated in mutation.changes:
             text = (ROOT / "harecross" / file).read_text()
-            assert good in text, mutation.name
-            compile(text.replace(good, bad, 1), file, "exec")
+            assert original in text, mutation.name
+            compile(text.replace(original, mutated, 1), file, "exec")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,7 +12,7 @@
 import pytest
 from node_support import Client, Origin, config_of, entry, run
 
-from harecross.soak.shim import CUT, HELD_UP, CallFault, build, environment
+from harecross.soak.shim import CUT_SHORT, DELAYED, CallFault, build, environment
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import StandinDiscovery
 from harecross.standins.http import answer, read_message
@@ -149,7 +149,7 @@
     """Connections that the kernel has accepted and the process has not are reset with the listening socket."""
 
     async def test() -> None:
-        fault = CallFault("close_listener", HELD_UP, 1.0, 0, ALWAYS)
+        fault = CallFault("close_listener", DELAYED, 1.0, 0, ALWAYS)
         async with faulty_node(tmp_path, shim, fault) as world:
             await send_during_shutdown(world)
 
@@ -288,7 +288,7 @@
 @pytest.mark.parametrize("call", ["read", "write"])
 def test_short_reads_and_writes_change_nothing(call, shim, tmp_path):
     async def test() -> None:
-        async with faulty_node(tmp_path, shim, CallFault(call, CUT, 0.5, 0, ALWAYS)) as world:
+        async with faulty_node(tmp_path, shim, CallFault(call, CUT_SHORT, 0.5, 0, ALWAYS)) as world:
             client = await Client.open(world.node.address)
             for _ in range(100):
                 assert await world.request(client) == 200
