--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -134,6 +134,15 @@
     )
 
 
+def test_a_server_absent_from_a_full_list_on_an_open_watch_is_gone_and_quarantined_after_a_migration():
+    table = ProcessTable(OLD)
+    table.receive(0.0, OLD, list_with("in_service"), full=True)
+    table.receive(0.5, OLD, update(2, reset=True), full=False)
+    assert table.state("s") is ProcessState.GONE
+    table.receive(1.0, NEW, list_with("in_service"), full=True)
+    assert table.state("s") is ProcessState.QUARANTINED
+
+
 def test_an_entry_without_a_start_time_is_about_the_known_process():
     table = ProcessTable(OLD)
     table.receive(0.0, OLD, list_with("in_service"), full=True)
