--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -19,14 +19,14 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-import dns.message  # noqa: E402
-import dns.rrset  # noqa: E402
-
-from harecross.dns.frames import FrameDecoder, frame  # noqa: E402
-from harecross.dns.message import MessageError, Question, decode_reply  # noqa: E402
-from harecross.dns.srv import Resolution, SrvAnswer, SrvEndpoint  # noqa: E402
-from harecross.sources import address_file, cache_file  # noqa: E402
-from harecross.sources.statements import srv_statements  # noqa: E402
+import dns.message
+import dns.rrset
+
+from harecross.dns.frames import FrameDecoder, frame
+from harecross.dns.message import MessageError, Question, decode_reply
+from harecross.dns.srv import Resolution, SrvAnswer, SrvEndpoint
+from harecross.sources import address_file, cache_file
+from harecross.sources.statements import srv_statements
 
 NAME = "_a._tcp.example.org."
 TARGETS = ["t.example.org.", "u.example.org.", "v.other.example.", ".", NAME, "x" * 60 + ".example.org."]
--- a/benchmarks/node_rate.py
+++ b/benchmarks/node_rate.py
@@ -90,14 +90,13 @@
     """Starts a node of that checkout, and returns once it listens."""
     environment = {**os.environ, "LB_CONFIG": str(config), "PYTHONPATH": str(checkout)}
     environment.pop("HARECROSS_CONFIG", None)
-    node = subprocess.Popen(
+    return subprocess.Popen(
         [sys.executable, "-m", "harecross.node"],
         cwd=checkout,
         env=environment,
         stderr=subprocess.PIPE,
         text=True,
     )
-    return node
 
 
 def listening_port(node: subprocess.Popen[str]) -> int:
--- a/benchmarks/shifts.py
+++ b/benchmarks/shifts.py
@@ -22,10 +22,10 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from harecross.shifts.judge import FirstAttempt, Judge, UnitSets, Verdict  # noqa: E402
-from harecross.shifts.plan import JudgeSettings, Plan, Pool, Step  # noqa: E402
-from harecross.shifts.shift import Shift, ShiftState  # noqa: E402
-from harecross.shifts.simulation import LoadScenario, SimulationResult, simulate  # noqa: E402
+from harecross.shifts.judge import FirstAttempt, Judge, UnitSets, Verdict
+from harecross.shifts.plan import JudgeSettings, Plan, Pool, Step
+from harecross.shifts.shift import Shift, ShiftState
+from harecross.shifts.simulation import LoadScenario, SimulationResult, simulate
 
 SIZES = {
     "errors +1%": LoadScenario(errors=0.012),
--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -80,7 +80,7 @@
 class WireActions:
     """The actions of one node, packed into the reply of the process."""
 
-    __slots__ = ("out", "node")
+    __slots__ = ("node", "out")
 
     def __init__(self, out: bytearray, node: int) -> None:
         self.out = out
--- a/harecross/discovery/json_stream.py
+++ b/harecross/discovery/json_stream.py
@@ -42,7 +42,7 @@
 class JsonStreamParser:
     """Parses a stream of values. After a MalformedJsonError the stream is to be closed."""
 
-    __slots__ = ("buffer", "position", "line_start", "depth", "in_string", "value_on_line")
+    __slots__ = ("buffer", "depth", "in_string", "line_start", "position", "value_on_line")
 
     def __init__(self) -> None:
         # From the first byte of the present value on, or of the present line where there is no value:
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -53,7 +53,7 @@
 class ListReadiness:
     """The list of one process, from its start on. `may_send` is asked before anything is sent."""
 
-    __slots__ = ("wait_until", "has_list", "has_confirmed_list", "ready")
+    __slots__ = ("has_confirmed_list", "has_list", "ready", "wait_until")
 
     def __init__(self, now: float, max_wait_s: float) -> None:
         """`max_wait_s` is how long to wait for discovery."""
--- a/harecross/discovery/start_times.py
+++ b/harecross/discovery/start_times.py
@@ -25,7 +25,7 @@
 class StartTimes:
     """The start of each server's latest process. Times are monotonic microseconds unless their names say otherwise."""
 
-    __slots__ = ("unix_offset", "by_name", "complete_at")
+    __slots__ = ("by_name", "complete_at", "unix_offset")
 
     def __init__(self, unix_offset: int) -> None:
         """`unix_offset` is the wall clock's Unix time less the monotonic time, in microseconds, at one moment."""
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -127,20 +127,20 @@
     """
 
     __slots__ = (
-        "terms",
-        "rng",
-        "state",
-        "next_call_at",
+        "call_count",
         "call_started_at",
-        "last_heartbeat_at",
         "consecutive_failures",
-        "wait_count",
         "first_response_wait",
-        "update_received",
-        "call_count",
+        "last_end",
+        "last_heartbeat_at",
         "long_queue_calls",
         "migrating",
-        "last_end",
+        "next_call_at",
+        "rng",
+        "state",
+        "terms",
+        "update_received",
+        "wait_count",
     )
 
     def __init__(self, terms: DiscoveryTerms, rng: Random, *, migrating: bool = False) -> None:
--- a/harecross/dispatch/request.py
+++ b/harecross/dispatch/request.py
@@ -67,7 +67,7 @@
 class UpstreamAttempt(Exchange):
     """One attempt of a request."""
 
-    __slots__ = ("request", "number", "dispatcher")
+    __slots__ = ("dispatcher", "number", "request")
 
     request: DispatchedRequest
     number: int  # 0 for the first attempt
@@ -103,16 +103,16 @@
     """A request that was admitted."""
 
     __slots__ = (
-        "id",
-        "response_writer",
-        "parsed",
-        "deadline_us",
         "attempt_count",
-        "in_flight",
-        "deadline_timer",
         "being_admitted",
+        "deadline_timer",
+        "deadline_us",
         "first_run_us",
+        "id",
+        "in_flight",
         "last_outcome",
+        "parsed",
+        "response_writer",
     )
 
     def __init__(
--- a/harecross/dispatch/statistics.py
+++ b/harecross/dispatch/statistics.py
@@ -31,7 +31,7 @@
 class DispatchStatistics:
     """Counts since the process started."""
 
-    __slots__ = ("final_answers", "final_reasons", "outcomes", "close_reasons", "shed_without_list")
+    __slots__ = ("close_reasons", "final_answers", "final_reasons", "outcomes", "shed_without_list")
 
     def __init__(self) -> None:
         self.final_answers = dict.fromkeys(FinalAnswer, 0)
--- a/harecross/dns/client.py
+++ b/harecross/dns/client.py
@@ -30,7 +30,8 @@
         self, servers: Sequence[str], rng: Random, tls: ssl.SSLContext | None = None, tls_name: str = ""
     ) -> None:
         """`servers` are HOST:PORT, by IP address, with `tls://` before it for DNS over TLS. `tls_name` is the name that
-        their certificate must have in place of their address. ValueError without any server."""
+        their certificate must have in place of their address. ValueError without any server.
+        """
         self.loop = asyncio.get_running_loop()
         self.queries_sent = 0
         self._servers = NameServers(servers, rng)
--- a/harecross/dns/lifetime.py
+++ b/harecross/dns/lifetime.py
@@ -102,7 +102,8 @@
 
     def _confirm_empty(self, now: float, ttl: float, reason: str) -> bool:
         """Whether an empty answer has been repeated for long enough: a DNS server that has just been restarted
-        may answer NXDOMAIN for names that it does not have yet."""
+        may answer NXDOMAIN for names that it does not have yet.
+        """
         limits = self.limits
         if self.empty_since is None:
             self.empty_since = now
@@ -121,7 +122,8 @@
 
     def _with_known_addresses(self, answer: SrvAnswer) -> SrvAnswer:
         """The answer with the earlier addresses of targets whose lookup failed, so that one failed lookup of an
-        address removes no server."""
+        address removes no server.
+        """
         if not answer.unknown:
             return answer
         earlier = self.answer.endpoints if self.answer is not None else ()
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -209,7 +209,8 @@
 
     def _take_additional(self, additional: Iterable[Record], targets: Iterable[str]) -> None:
         """Takes the targets' addresses within the zone of the name: a server may add an address of a name that it has
-        no say in (RFC 2181, 5.4.1)."""
+        no say in (RFC 2181, 5.4.1).
+        """
         zone = zone_of(self._srv.names[-1])
         names = set(targets)
         for record in additional:
--- a/harecross/fleet/cli.py
+++ b/harecross/fleet/cli.py
@@ -1,5 +1,6 @@
 """`harecross fleet`: what all nodes do at once, on a model. Status 0 if the fleet recovers and keeps to its bounds,
-1 if not, 2 for wrong use, 130 after an interrupt."""
+1 if not, 2 for wrong use, 130 after an interrupt.
+"""
 
 from __future__ import annotations
 
--- a/harecross/fleet/discovery.py
+++ b/harecross/fleet/discovery.py
@@ -34,7 +34,7 @@
 class DiscoveryQueue:
     """The calls that wait for a discovery service."""
 
-    __slots__ = ("capacity", "idle_at", "accepted", "rejected", "wasted")
+    __slots__ = ("accepted", "capacity", "idle_at", "rejected", "wasted")
 
     def __init__(self, capacity: DiscoveryCapacity) -> None:
         self.capacity = capacity
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -47,7 +47,14 @@
     """One node of the rehearsal."""
 
     __slots__ = (
-        "schedule", "readiness", "stopped", "started_at", "ready_at", "subscribed_at", "change_times", "generation",
+        "change_times",
+        "generation",
+        "readiness",
+        "ready_at",
+        "schedule",
+        "started_at",
+        "stopped",
+        "subscribed_at",
     )  # fmt: skip
 
     def __init__(self, schedule: SubscriptionSchedule) -> None:
--- a/harecross/http/body_buffer.py
+++ b/harecross/http/body_buffer.py
@@ -41,14 +41,14 @@
     """
 
     __slots__ = (
-        "length",
-        "buffered",
         "buffer_start",
-        "read_position",
+        "buffered",
         "complete",
         "discarded",
-        "on_data",
+        "length",
         "on_consumed",
+        "on_data",
+        "read_position",
     )
 
     def __init__(self, length: int | None, on_consumed: Callable[[], None] = ignore_progress) -> None:
--- a/harecross/platform/descriptor_budget.py
+++ b/harecross/platform/descriptor_budget.py
@@ -10,7 +10,7 @@
     upstream connections grows with their number, so that many new clients cannot stop the requests of present ones.
     """
 
-    __slots__ = ("total", "client_connections", "upstream_connections")
+    __slots__ = ("client_connections", "total", "upstream_connections")
 
     def __init__(self, total: int) -> None:
         self.total = total
--- a/harecross/policy/tenant_quotas.py
+++ b/harecross/policy/tenant_quotas.py
@@ -15,7 +15,7 @@
     traffic scales all quotas by how far the median tenant exceeds its own.
     """
 
-    __slots__ = ("quotas", "tokens", "counts", "pool", "scale", "refilled_at")
+    __slots__ = ("counts", "pool", "quotas", "refilled_at", "scale", "tokens")
 
     def __init__(self, quotas: list[float]) -> None:
         self.quotas = quotas  # requests a second at this node; 0: none
--- a/harecross/replay/clients.py
+++ b/harecross/replay/clients.py
@@ -37,7 +37,7 @@
 class ClientConnection(asyncio.Protocol):
     """A connection to a node, and the one attempt that is in flight on it."""
 
-    __slots__ = ("pool", "transport", "buffer", "on_response")
+    __slots__ = ("buffer", "on_response", "pool", "transport")
 
     def __init__(self, pool: NodePool) -> None:
         self.pool = pool
@@ -126,7 +126,7 @@
 class ClientRequest:
     """A request and its attempts."""
 
-    __slots__ = ("number", "arrival", "attempts", "connection", "deadline_timer")
+    __slots__ = ("arrival", "attempts", "connection", "deadline_timer", "number")
 
     def __init__(self, number: int, arrival: Arrival) -> None:
         self.number = number
--- a/harecross/shifts/controller.py
+++ b/harecross/shifts/controller.py
@@ -31,7 +31,8 @@
         now: float,
     ) -> None:  # fmt: skip
         """`holder` names this controller in the lease. `publish_share` sends the share to the nodes; it is called at
-        every window, also where nothing changes, as nodes without contact go back to the control pool."""
+        every window, also where nothing changes, as nodes without contact go back to the control pool.
+        """
         self.plan, self.classes, self.store, self.holder = plan, classes, store, holder
         self.shift = Shift(plan, classes, now)
         self.lease: Lease | None = None
@@ -71,7 +72,8 @@
 
     def order(self, now: float, wall: float, order: Order) -> Decision:
         """Carries out an operator's order. OrderRefusedError where it does not fit, this controller does not lead, or
-        it cannot be stored; an undo is carried out all the same."""
+        it cannot be stored; an undo is carried out all the same.
+        """
         if not self.renew_lease(now, wall):
             raise OrderRefusedError(f"{order}: another controller leads")
         before = self.shift.to_json()
@@ -84,7 +86,8 @@
 
     def _must_apply(self, decision: Decision) -> bool:
         """Whether a decision applies though it cannot be stored: one that takes the candidate's traffic away, or a
-        full disk would let it go on doing harm. It is stored later."""
+        full disk would let it go on doing harm. It is stored later.
+        """
         return self.lease is not None and decision.share == 0.0
 
     def _publish(self) -> None:
--- a/harecross/shifts/judge.py
+++ b/harecross/shifts/judge.py
@@ -189,7 +189,8 @@
 
     def _gross(self) -> bool:
         """Whether half of the candidate's units had an event, and under a tenth of the control's: what anybody can
-        see is acted upon while the tests still count evidence."""
+        see is acted upon while the tests still count evidence.
+        """
         at_risk = events = PoolCounts(0, 0)
         for window in self._recent:
             at_risk, events = at_risk.plus(window.at_risk), events.plus(window.events)
--- a/harecross/shifts/plan.py
+++ b/harecross/shifts/plan.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from harecross.operators import OperatorsFileError, read_toml
+import itertools
 
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=7 * 86_400)]
@@ -110,7 +111,7 @@
     def steps(self, steps: tuple[Step, ...]) -> None:
         """The shares must rise."""
         self.require(bool(steps), "steps", "one [[steps]] at least")
-        for index, (before, step) in enumerate(zip(steps, steps[1:], strict=False), 1):
+        for index, (before, step) in enumerate(itertools.pairwise(steps), 1):
             rises = step.share > before.share
             self.require(rises, f"steps[{index}].share", f"above the one before it ({before.share:g})")
 
--- a/harecross/shifts/shift.py
+++ b/harecross/shifts/shift.py
@@ -306,7 +306,8 @@
 
     def restore(self, now: float, document: Mapping[str, Any]) -> None:
         """Goes on from the stored form. A running shift whose plan has changed since is paused, at the step where it
-        stood, or at the last."""
+        stood, or at the last.
+        """
         self.state = ShiftState(document["state"])
         self.cause = PauseCause(document["cause"]) if document["cause"] else None
         self.step = min(int(document["step"]), len(self.plan.steps) - 1)
--- a/harecross/soak/oracle.py
+++ b/harecross/soak/oracle.py
@@ -14,6 +14,7 @@
 
 from harecross.soak.records import ClientRecord, Effect, End, Ran, Records, ServerRecord
 from harecross.soak.slow_start import SlowStart, Terms
+import itertools
 
 GRACE = 0.3  # seconds after a drain was told, 250 ms and the sockets' slack of 50
 CLIENT_GONE = 0.1  # an attempt that begins so long after its client closed is a break
@@ -109,7 +110,7 @@
         if client.effect is not Effect.UNSAFE:
             return
         in_order = sorted(attempts, key=lambda attempt: attempt.first_byte)
-        for before, after in zip(in_order, in_order[1:], strict=False):
+        for before, after in itertools.pairwise(in_order):
             if before.ran is not Ran.TURNED_AWAY:
                 text = f"at {after.server} after {before.server}: {before.ran.value}"
                 yield Breach(Rule.DUPLICATE, after.first_byte, text, client.id)
--- a/harecross/sources/cache_file.py
+++ b/harecross/sources/cache_file.py
@@ -82,7 +82,8 @@
 
 def read_cache_file(path: str) -> dict[str, CachedSet]:
     """The sets in the file; none where there is no file. CacheFileError for a bad one, OSError for one that cannot
-    be read."""
+    be read.
+    """
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -1,5 +1,6 @@
 """The sources of one cluster at work: DNS names are resolved, files are read, good sets are cached on disk, and the
-merged list goes from the platform's watch and the other sources to the endpoint registry."""
+merged list goes from the platform's watch and the other sources to the endpoint registry.
+"""
 
 from __future__ import annotations
 
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -97,7 +97,8 @@
         wait_until: float = 0.0,
     ) -> None:
         """`watch_rank` is None where the platform's watch is no source. Up to `wait_until` sources that have said
-        nothing yet are waited for: until then no endpoint is published as not listed."""
+        nothing yet are waited for: until then no endpoint is published as not listed.
+        """
         self.host = host
         self.reconciler = MembershipReconciler(limits)
         self.overflow = overflow or PriorityOverflow()
--- a/harecross/sources/reconciler.py
+++ b/harecross/sources/reconciler.py
@@ -127,7 +127,8 @@
 
     def set_confidence(self, name: str, confidence: Confidence) -> None:
         """Lowers the confidence in a source's list. One that is lost stays so until the source's next list, or its
-        old statements would count again."""
+        old statements would count again.
+        """
         source = self.sources[name]
         if source.confidence not in (Confidence.LOST, confidence):
             source.confidence = confidence
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -65,7 +65,8 @@
 
 def watch_lines_by_address(lines: Iterable[Mapping[str, Any]]) -> dict[str, Mapping[str, Any]]:
     """The watch's lines by address: the younger one where a server has taken over another's address, and of two as
-    young the one that drains. Lines without a usable address are left out."""
+    young the one that drains. Lines without a usable address are left out.
+    """
     by_address: dict[str, Mapping[str, Any]] = {}
     for line in lines:
         where = str(line.get(wire_format.HOST_PORT, ""))
--- a/harecross/standins/cluster.py
+++ b/harecross/standins/cluster.py
@@ -123,7 +123,8 @@
         return started
 
     async def _read_log(self) -> None:
-        assert self.process is not None and self.process.stderr is not None
+        assert self.process is not None
+        assert self.process.stderr is not None
         async for line in self.process.stderr:
             self._receive_log_line(line.decode(errors="replace").strip().removeprefix("harecross: "))
 
--- a/harecross/standins/model.py
+++ b/harecross/standins/model.py
@@ -68,7 +68,15 @@
     """The slots and the queue of one server process."""
 
     __slots__ = (
-        "capacity", "started_us", "slowdown", "running", "waiting", "draining", "rejected", "completed", "worked_us",
+        "capacity",
+        "completed",
+        "draining",
+        "rejected",
+        "running",
+        "slowdown",
+        "started_us",
+        "waiting",
+        "worked_us",
     )  # fmt: skip
 
     def __init__(self, capacity: ServerCapacity, started_us: int) -> None:
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -46,7 +46,7 @@
 class NodeConnection(asyncio.Protocol):
     """A connection from a node. It carries one request at a time."""
 
-    __slots__ = ("request", "buffer", "_server", "_transport")
+    __slots__ = ("_server", "_transport", "buffer", "request")
 
     def __init__(self, server: StandinServer) -> None:
         self.request: ReceivedRequest | None = None
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -24,7 +24,7 @@
 class ServerProcess:
     """One process of a server, as discovery lists it. A restart makes a new one."""
 
-    __slots__ = ("server", "host", "port", "started_at", "in_service", "idle", "connection_count")
+    __slots__ = ("connection_count", "host", "idle", "in_service", "port", "server", "started_at")
 
     def __init__(self, server: int, host: str, port: int, started_at: int) -> None:
         self.server = server
@@ -75,22 +75,22 @@
     """A connection to one server process."""
 
     __slots__ = (
-        "pool",
-        "process",
-        "transport",
-        "parser",
+        "closed_record",
+        "descriptor",
         "exchange",
-        "sent",
         "idle_since_us",
-        "usable",
-        "upload_unfinished",
-        "write_blocked",
-        "read_paused",
+        "parser",
+        "pool",
+        "process",
         "progress_us",
+        "read_paused",
         "receive_buffer_bytes",
-        "descriptor",
         "reusable_from_us",
-        "closed_record",
+        "sent",
+        "transport",
+        "upload_unfinished",
+        "usable",
+        "write_blocked",
     )
 
     def __init__(self, pool: ConnectionOwner, process: ServerProcess) -> None:
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -43,20 +43,20 @@
     """
 
     __slots__ = (
-        "server",
-        "process",
-        "head",
         "body",
-        "deadline_us",
-        "started_us",
-        "deadline_timer",
         "connection",
+        "deadline_timer",
+        "deadline_us",
         "finished",
+        "head",
         "on_ended",
-        "upload",
-        "upload_timeout_us",
+        "process",
         "response_begun",
+        "server",
         "start_by_us",
+        "started_us",
+        "upload",
+        "upload_timeout_us",
     )
 
     def __init__(
--- a/tests/test_accept_filter.py
+++ b/tests/test_accept_filter.py
@@ -82,7 +82,8 @@
         listener = Listener(sock, lambda waiting: asyncio.Protocol(), lambda: None)
         await listener.refuse_new()
         client, said = start_connect(sock.getsockname())
-        assert said == errno.EINPROGRESS and not failures
+        assert said == errno.EINPROGRESS
+        assert not failures
         await listener.close()
         client.close()
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -65,7 +65,9 @@
     reply = run(frame(create(), members(), accept()) + frame(now=2000))
     (size,) = struct.unpack_from("<I", reply)
     code, node, request, server, timeout = struct.unpack_from("<BHQII", reply, 4)
-    assert (code, node, request) == (65, 3, 1) and server in (11, 12) and 0 < timeout <= 5000000
+    assert (code, node, request) == (65, 3, 1)
+    assert server in (11, 12)
+    assert 0 < timeout <= 5000000
     assert (size, reply[4 + 19]) == (19 + 15, 69)  # behind it the timer of its per-try timeout
     assert reply[4 + size :] == b"\0\0\0\0"
 
@@ -129,7 +131,8 @@
 
     monkeypatch.setattr(adapter.Balancer, "request", broken)
     reply = run(frame(create(), members(), accept()))
-    assert reply[4] == 74 and b"request: RuntimeError: boom" in reply
+    assert reply[4] == 74
+    assert b"request: RuntimeError: boom" in reply
 
 
 MALFORMED = {
@@ -182,12 +185,15 @@
     assert bad.returncode == 2
     assert bad.stdout == struct.pack("<I", 0), "standard output carries the wire only"
     (line,) = bad.stderr.decode().splitlines()
-    assert line.startswith("harecross: batch 1") and re.search(message, line)
+    assert line.startswith("harecross: batch 1")
+    assert re.search(message, line)
 
 
 def test_the_end_of_input_ends_the_process():
     good = start(frame(create(), members(), accept()))
-    assert good.returncode == 0 and good.stderr == b"" and good.stdout[4] == 65
+    assert good.returncode == 0
+    assert good.stderr == b""
+    assert good.stdout[4] == 65
     assert start(b"").returncode == 0
 
 
@@ -213,12 +219,15 @@
     assert parse_settings_json(json.dumps(ENV).encode()).classes[1].idempotency == Idempotency.NON_IDEMPOTENT
     # An outcome never heard of may have run: this request of an unsafe class is failed, not sent again.
     reply = run(frame(create(), members(), accept(request_class=1)) + frame(verdict(status=599)))
-    assert reply[4] == 65 and reply[-11] == 67
+    assert reply[4] == 65
+    assert reply[-11] == 67
 
 
 def test_settings_are_read_with_their_own_names():
     s = parse_settings_json(json.dumps(ENV).encode())
-    assert s.report_fields == ("inflight", "odd") and s.instance_count == 2 and s.tiers == 2
+    assert s.report_fields == ("inflight", "odd")
+    assert s.instance_count == 2
+    assert s.tiers == 2
     assert [int(c.idempotency) for c in s.classes] == [1, 2]
 
 
--- a/tests/test_admin_operations.py
+++ b/tests/test_admin_operations.py
@@ -25,11 +25,10 @@
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
             monkeypatch.setattr(durable_file, "sync_folder", failing)
             status, text = await tell(node, "/maintenance/exit", "s0")
-            assert status == 500 and b"may undo it" in text
-            assert (
-                not node.registry.in_maintenance
-                and node.admin_operations.store.maintenance.servers == frozenset()
-            )
+            assert status == 500
+            assert b"may undo it" in text
+            assert not node.registry.in_maintenance
+            assert node.admin_operations.store.maintenance.servers == frozenset()
             monkeypatch.undo()
             assert (await tell(node, "/maintenance/enter", "s0"))[0] == 200
 
@@ -68,7 +67,8 @@
             await tell(node, "/maintenance/exit", "s0")
             number = node.registry.numbers["s0"]
             cold = server[number].slow_start_until
-            assert cold > 0 and server[number].in_subset
+            assert cold > 0
+            assert server[number].in_subset
             # The list has not heard of a restart: its line changes nothing.
             _, watch = await site.catalog.watches.get()
             site.catalog.push(watch, line(42, site.entries[0]))
@@ -180,18 +180,22 @@
             other = await site.origins[0].arrived.get()
             other.answer()
             status, head, _ = await kept.answer()
-            assert status == 200 and b"Connection: close" in head
+            assert status == 200
+            assert b"Connection: close" in head
             # Nothing is held idle, what never spoke among it; what is out is waited for.
-            assert await idle.reader.read() == b"" and await fresh.reader.read() == b""
+            assert await idle.reader.read() == b""
+            assert await fresh.reader.read() == b""
             at.answer()
             status, head, _ = await busy.answer()
-            assert status == 200 and b"Connection: close" in head
+            assert status == 200
+            assert b"Connection: close" in head
             await until(lambda: not node.client_connections.open)
             assert (await tell(node, "/active"))[0] == 200
             back = await site.client()
             back.send("/_health")
             status, head, _ = await back.answer()
-            assert status == 200 and b"close" not in head
+            assert status == 200
+            assert b"close" not in head
             assert await site.called() == 0
 
     with_site(test, tmp_path)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -24,7 +24,8 @@
         ask(node, recorder, 0, i)
     node.request(0, 99, 0, 0, 3 * SEC, False)
     ((_, request, retry_after),) = recorder.take()
-    assert request == 99 and 0 < retry_after <= 2 * SEC
+    assert request == 99
+    assert 0 < retry_after <= 2 * SEC
 
 
 def test_shed_requests_are_counted():
@@ -76,11 +77,13 @@
     for i in range(40):
         node.request(0, i, 0, 0, 3 * SEC, False)
     queued = len(node.queue)
-    assert queued > 0 and recorder.take("shed")
+    assert queued > 0
+    assert recorder.take("shed")
     node.client_disconnected(10, node.queue[0].id)
     assert len(node.queue) == queued - 1
     node.request(20, 99, 0, 0, 3 * SEC, False)
-    assert len(node.queue) == queued and not recorder.take("shed", "fail", "send")
+    assert len(node.queue) == queued
+    assert not recorder.take("shed", "fail", "send")
 
 
 def test_a_tenant_above_its_quota_leaves_headroom_to_the_others():
@@ -90,7 +93,8 @@
     for i in range(60):
         node.request(0, i, 0, 0, 3 * SEC, False)
         answers += [a[0] for a in recorder.take("send", "shed")]
-    assert answers[:8] == ["send"] * 8 and answers[-1] == "shed"
+    assert answers[:8] == ["send"] * 8
+    assert answers[-1] == "shed"
     node.request(0, 99, 0, 1, 3 * SEC, False)
     assert recorder.take()[0][0] == "send"
 
@@ -133,15 +137,17 @@
             action = ask(node, recorder, now, now, 2)
             if action[0] == "send":
                 out.append(action)
-            if len(out) > 10 or action[0] != "send" and out:
+            if len(out) > 10 or (action[0] != "send" and out):
                 _, request, server, _ = out.pop(0)
                 end(node, recorder, now, request, 0, server, outcome, 100_000)
 
     play(1500, Outcome.OK)
     baseline = node.controller.baseline_in_flight
-    assert baseline > 8 and node.controller.current_limit() > 12
+    assert baseline > 8
+    assert node.controller.current_limit() > 12
     play(1500, Outcome.ERROR)
-    assert node.controller.floor < baseline and node.controller.limit < 0.6 * baseline
+    assert node.controller.floor < baseline
+    assert node.controller.limit < 0.6 * baseline
 
 
 def given_up_after(waited: int):
@@ -162,4 +168,5 @@
 def test_a_client_that_leaves_late_counts_as_a_slow_answer():
     """Clients that leave before any time-out end their requests as cancelled: without a sample no limit acts."""
     samples, slower = given_up_after(2 * SEC)
-    assert samples == 1 and slower > 0
+    assert samples == 1
+    assert slower > 0
--- a/tests/test_balancer_events.py
+++ b/tests/test_balancer_events.py
@@ -40,7 +40,8 @@
     node.timer(0, 2 << 56 | 5)
     node.health_checked(0, 1, True, 5, ())
     node.peer_message(0, 1, b"x")
-    assert recorder.take() == [] and node.controller.in_flight == 0
+    assert recorder.take() == []
+    assert node.controller.in_flight == 0
     _, _, server, _ = ask(node, recorder, 0, 1)
     end(node, recorder, 1, 1, 0, server, Outcome.OK)
     assert node.controller.in_flight == 0
@@ -66,4 +67,5 @@
     recorder.take()
     members = list(node.subset.members)
     node.endpoint_update(0, EndpointUpdateKind.FAILED, [])
-    assert node.subset.members == members and recorder.take() == []
+    assert node.subset.members == members
+    assert recorder.take() == []
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -43,8 +43,11 @@
 )
 def test_bad_input_is_one_line_and_status_2(args, says):
     done = call(*args)
-    assert done.returncode == 2 and done.stdout == ""
-    assert says in done.stderr and done.stderr.count("\n") == 1 and done.stderr.startswith("harecross: ")
+    assert done.returncode == 2
+    assert done.stdout == ""
+    assert says in done.stderr
+    assert done.stderr.count("\n") == 1
+    assert done.stderr.startswith("harecross: ")
 
 
 @pytest.mark.parametrize(
@@ -64,7 +67,8 @@
     config.write_text(json.dumps({}))
     for args, env in ((["node", "--config", str(path)], {}), (["node"], {"HARECROSS_CONFIG": str(path)})):
         done = call(*args, LB_CONFIG=str(config), **env)
-        assert done.returncode == 2 and done.stderr.count("\n") == 1
+        assert done.returncode == 2
+        assert done.stderr.count("\n") == 1
     # What the file names is told once the configuration can be used.
     from harecross.node.config import ConfigError
     from harecross.node.operators_file import options_from_operators_file
@@ -75,7 +79,8 @@
             options_from_operators_file()
     finally:
         del os.environ["HARECROSS_CONFIG"]
-    assert says in str(e.value) and str(path) in str(e.value)
+    assert says in str(e.value)
+    assert str(path) in str(e.value)
 
 
 def test_the_example_of_the_operators_file_changes_nothing():
@@ -139,9 +144,12 @@
         "asked", "served_in_time", "served_late", "refused", "failed", "worth_asked", "worth_in_time", "service",
         "valid", "by_class", "windows",
     )  # fmt: skip
-    assert all(k in told for k in keys) and told["asked"] == 5
+    assert all(k in told for k in keys)
+    assert told["asked"] == 5
     text = html.read_text()
-    assert text.startswith("<!doctype html>") and "http://" not in text and "<script" not in text
+    assert text.startswith("<!doctype html>")
+    assert "http://" not in text
+    assert "<script" not in text
 
 
 def children_of(parent: int) -> list[int]:
@@ -219,4 +227,5 @@
     monkeypatch.setenv("HARECROSS_CONFIG", str(path))
     with pytest.raises(ConfigError) as e:
         options_from_operators_file()
-    assert says in str(e.value) and str(path) in str(e.value)
+    assert says in str(e.value)
+    assert str(path) in str(e.value)
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -20,7 +20,9 @@
 
 def assert_nothing_counted(world: World) -> None:
     balancer = world.node.dispatcher.balancer
-    assert not world.node.dispatcher.requests and not balancer.requests and balancer.controller.in_flight == 0
+    assert not world.node.dispatcher.requests
+    assert not balancer.requests
+    assert balancer.controller.in_flight == 0
     assert all(server_state.in_flight == 0 for server_state in balancer.subset.servers.values())
 
 
@@ -38,9 +40,8 @@
             held.release()
             await until(lambda: not world.node.pool.connect_tasks)
             await turns()
-            assert (
-                requests_at_servers(world) == 0 and world.node.pool.open_connections == 1
-            )  # the connection is kept for other requests
+            assert requests_at_servers(world) == 0
+            assert world.node.pool.open_connections == 1
             assert_nothing_counted(world)
         else:
             held.release()
--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -110,7 +110,8 @@
         before(w.node.client_connections, "drain_listener", come)
         w.node.stop_requested.set()
         await w.task
-        assert all([await status(c) in (200, 503) for c in clients]) and len(clients) == 40
+        assert all([await status(c) in (200, 503) for c in clients])
+        assert len(clients) == 40
 
     with_node(test, settings=QUICK)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -120,7 +120,8 @@
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             listed = service.publisher_loop.feeds["orders"].listed_endpoints
-            assert listed.has_remembered_list and not listed.has_full_list
+            assert listed.has_remembered_list
+            assert not listed.has_full_list
             await proxy.stop()
 
     run(body())
@@ -150,7 +151,8 @@
             while not any(ASSIGNMENT in s.stream.types for s in site.service.server.proxies):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
-            assert len(health(again)) == 3 and set(again.held[CLUSTER]) == {"orders"}
+            assert len(health(again)) == 3
+            assert set(again.held[CLUSTER]) == {"orders"}
             await again.stop()
 
     run(body())
@@ -188,7 +190,8 @@
                     await proxy.until(lambda proxy, n=name: n not in health(proxy))
                     catalog.put(entry(name, site.servers[name].address))
                     await proxy.until(lambda proxy, n=name: health(proxy).get(n) == 1)
-                assert min(seen[began:], default=6) >= 5 and proxy.streams >= 4
+                assert min(seen[began:], default=6) >= 5
+                assert proxy.streams >= 4
                 service.send_signal(signal.SIGTERM)
                 assert await asyncio.to_thread(service.wait) == 0
                 await proxy.stop()
@@ -216,7 +219,8 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.05)
             assert set(site.service.publisher_loop.feeds) == {"orders", "stock"}
-            assert len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2
+            assert len(health(proxy)) == 3
+            assert len(health(proxy, "stock")) == 2
 
     run(body())
 
@@ -254,7 +258,8 @@
                 await asyncio.sleep(0.01)
                 output += capfd.readouterr().err
             assert "control, tls, limits, clients will count from the next start" in output
-            assert service.config.tls is None and not service.config.clients
+            assert service.config.tls is None
+            assert not service.config.clients
             late = XdsProxy(site.channel).start()
             await late.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -101,7 +101,8 @@
                     "control", "status", "--address", f"127.0.0.1:{site.service.server.port}",
                     "--ca", tmp_path / "ca.pem", "--cert", tmp_path / "me.pem", "--key", tmp_path / "me.key",
                 )  # fmt: skip
-                assert word in out and code == (0 if word == "streams" else 1)
+                assert word in out
+                assert code == (0 if word == "streams" else 1)
 
     run(body())
 
@@ -127,16 +128,21 @@
                 states = {n: {t["type"]: t for t in r["types"]} for n, r in rows.items()}
                 if "EDS" in states.get("bad", {}) and states["bad"]["EDS"]["reason"]:
                     break
-            assert code == 0 and states["good"]["EDS"]["state"] == "SYNCED"
+            assert code == 0
+            assert states["good"]["EDS"]["state"] == "SYNCED"
             assert states["bad"]["EDS"]["state"] == "ERROR"
             assert states["bad"]["EDS"]["reason"] == "no such locality"
             code, out = await command("control", "status", "--address", address)
-            assert code == 0 and "no such locality" in out and "SYNCED" in out
+            assert code == 0
+            assert "no such locality" in out
+            assert "SYNCED" in out
             await good.stop()
             await bad.stop()
             await site.leave()
             code, out = await command("control", "status", "--address", address)
-            assert code == 1 and "UNAVAILABLE" in out and len(out.splitlines()) <= 2
+            assert code == 1
+            assert "UNAVAILABLE" in out
+            assert len(out.splitlines()) <= 2
 
     run(body())
 
@@ -166,7 +172,9 @@
     path.write_text(text)
     with pytest.raises(OperatorsFileError) as e:
         read_control(path)
-    assert str(path) in str(e.value) and all(w in str(e.value) for w in words) and "\n" not in str(e.value)
+    assert str(path) in str(e.value)
+    assert all(w in str(e.value) for w in words)
+    assert "\n" not in str(e.value)
 
 
 def test_the_command_ends_with_status_2_on_a_bad_file_or_a_port_in_use(tmp_path):
@@ -177,12 +185,15 @@
             f"harecross: {path}: No such file or directory\n",
         )
         code, out = await command("control")
-        assert code == 2 and "--config" in out
+        assert code == 2
+        assert "--config" in out
         taken = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = taken.sockets[0].getsockname()[1]
         path.write_text(f'[control]\nlisten = "127.0.0.1:{port}"\n[clusters.a]\ndiscovery = "127.0.0.1:1"')
         code, out = await command("control", "--config", path)
-        assert code == 2 and "control.listen" in out and "Traceback" not in out
+        assert code == 2
+        assert "control.listen" in out
+        assert "Traceback" not in out
         taken.close()
 
     run(body())
--- a/tests/test_control_rules.py
+++ b/tests/test_control_rules.py
@@ -105,7 +105,8 @@
                 call = method()
                 await call.write(lrs_pb2.LoadStatsRequest())
                 answer = await call.read()
-                assert answer.send_all_clusters and answer.load_reporting_interval.ToMilliseconds() == 100
+                assert answer.send_all_clusters
+                assert answer.load_reporting_interval.ToMilliseconds() == 100
                 while True:
                     request = lrs_pb2.LoadStatsRequest()
                     c = request.cluster_stats.add(cluster_name="orders")
@@ -165,7 +166,8 @@
                 # What it did comes back as load reports, server by server.
                 while reported.total() < 400:
                     await asyncio.sleep(0.02)
-                assert set(reported) == {"b0", "b1", "b2"} and reported.total() == 400
+                assert set(reported) == {"b0", "b1", "b2"}
+                assert reported.total() == 400
             finally:
                 await caller.stop()
                 for server, _ in made.values():
--- a/tests/test_control_workers.py
+++ b/tests/test_control_workers.py
@@ -91,7 +91,8 @@
         async with worker_site(tmp_path) as workers:
             code, out = await command("control", "status", "--address", workers.target, "--json", "-")
             nodes = {row["node"] for row in json.loads(out)["proxies"]}
-            assert code == 0 and nodes == {f"p{i}" for i in range(16)}
+            assert code == 0
+            assert nodes == {f"p{i}" for i in range(16)}
 
     run(body())
 
@@ -166,6 +167,8 @@
             path = tmp_path / "second.toml"
             path.write_text(site.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
             code, out = await command("control", "--config", path)
-            assert code == 2 and "control.listen" in out and "in use" in out
+            assert code == 2
+            assert "control.listen" in out
+            assert "in use" in out
 
     run(body())
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -103,7 +103,8 @@
     controller.record_sample(10, 0, 500)
     controller.record_sample(20, 0, 700)
     controller.record_sample(controller.min_rtt_window_end + 3 * 10 * WINDOW_US, 0, 600)
-    assert not controller.measuring_min_rtt and controller.min_rtt[0] == 700
+    assert not controller.measuring_min_rtt
+    assert controller.min_rtt[0] == 700
 
 
 def test_limit_follows_gradient_and_square_root_headroom():
@@ -152,7 +153,8 @@
             break
         fill(controller, 1_000_000, start)
         start += WINDOW_US
-    assert controller.measuring_min_rtt and controller.limit == controller.floor
+    assert controller.measuring_min_rtt
+    assert controller.limit == controller.floor
 
 
 def test_windows_at_the_baseline_start_no_min_rtt_window():
@@ -160,19 +162,17 @@
     controller = after_min_rtt_window(limit=50.0, in_flight=40, baseline_in_flight=40.0)
     for i in range(20):
         fill(controller, 1_000_000, 1000 + i * WINDOW_US)
-    assert controller.limit == pytest.approx(40.0) and not controller.measuring_min_rtt
+    assert controller.limit == pytest.approx(40.0)
+    assert not controller.measuring_min_rtt
 
 
 def test_a_min_rtt_window_recurs_after_a_jittered_interval_and_keeps_the_limit():
     controller = after_min_rtt_window(limit=36.0, in_flight=30, baseline_in_flight=20.0)
     assert 60_000_000 <= controller.next_min_rtt_at - 1000 <= 66_000_000
     fill(controller, 125_000, controller.next_min_rtt_at)
+    assert controller.measuring_min_rtt
     assert (
-        controller.measuring_min_rtt
-        and 5 * MIN_CONCURRENCY
-        < controller.current_limit()
-        == controller.baseline_in_flight
-        < controller.limit
+        5 * MIN_CONCURRENCY < controller.current_limit() == controller.baseline_in_flight < controller.limit
     )
     run_min_rtt_window(controller, 100_000, controller.next_min_rtt_at + 1)
     assert controller.current_limit() == pytest.approx(42.0)
@@ -232,7 +232,8 @@
 def test_the_quick_start_ends_when_the_limit_does_not_bind():
     controller = after_min_rtt_window(allowance=200_000, limit=100.0, in_flight=20)
     fill(controller, 100_000)
-    assert not controller.ramping and controller.baseline_in_flight == pytest.approx(10.0)
+    assert not controller.ramping
+    assert controller.baseline_in_flight == pytest.approx(10.0)
 
 
 def test_the_baseline_follows_traffic_that_doubles_in_good_time_within_round_trips():
@@ -241,10 +242,12 @@
         allowance=200_000, limit=100.0, in_flight=40, baseline_in_flight=40.0, ramping=False
     )
     fill(controller, 100_000)  # the limit does not bind: as slowly as ever
-    assert not controller.ramping and controller.baseline_in_flight == pytest.approx(40.0)
+    assert not controller.ramping
+    assert controller.baseline_in_flight == pytest.approx(40.0)
     controller.limit, controller.in_flight = 100.0, 80
     fill(controller, 100_000, start=1000 + WINDOW_US)
-    assert controller.ramping and controller.baseline_in_flight == pytest.approx(60.0)
+    assert controller.ramping
+    assert controller.baseline_in_flight == pytest.approx(60.0)
 
 
 def test_failures_mean_overload_where_requests_are_late_too_or_most_are_lost():
@@ -284,7 +287,8 @@
 def test_one_sample_does_not_make_a_window():
     controller = after_min_rtt_window(limit=20.0, in_flight=5, baseline_in_flight=15.0)
     controller.record_sample(1000 + WINDOW_US, 0, 10_000_000)
-    assert controller.limit == 20.0 and len(controller.samples) == 1
+    assert controller.limit == 20.0
+    assert len(controller.samples) == 1
 
 
 def test_the_floor_is_divided_by_the_nodes():
@@ -350,9 +354,8 @@
     """Hundreds of nodes that refuse nothing while they measure bury servers that never drop a request."""
     controller = new_controller(members=24)
     controller.resize(24, 60, 400)
-    assert controller.measuring_min_rtt and controller.current_limit() == pytest.approx(
-        MIN_RTT_FLOORS * 60 * MIN_CONCURRENCY / 400
-    )
+    assert controller.measuring_min_rtt
+    assert controller.current_limit() == pytest.approx(MIN_RTT_FLOORS * 60 * MIN_CONCURRENCY / 400)
     controller.resize(24, 600, 4000)
     assert controller.current_limit() == pytest.approx(MIN_RTT_FLOORS * 60 * MIN_CONCURRENCY / 400), (
         "ten times the fleet, same node"
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -69,7 +69,8 @@
             assert 0 < seconds(arrived.header(b"X-Timeout")) <= left + 0.03
             arrived.answer()
             assert (await clients[0].answer())[0] == 200
-            assert (await clients[1].answer())[0] == 503 and origin.arrived.empty()
+            assert (await clients[1].answer())[0] == 503
+            assert origin.arrived.empty()
 
     run(test())
 
@@ -151,7 +152,8 @@
         sock.listen(100)
         heartbeat = Heartbeat()
         listener = Listener(sock, lambda waiting: asyncio.Protocol(), lambda: None, heartbeat)
-        assert listener.accept() is AcceptFailure.NO_CONNECTION and listener.waiting_since is None
+        assert listener.accept() is AcceptFailure.NO_CONNECTION
+        assert listener.waiting_since is None
         callers = [socket.create_connection(sock.getsockname()) for _ in range(3)]
         before, came = monotonic_us(), []
         for pause in (0.0, 0.05, 0.1):
@@ -161,7 +163,8 @@
             taken.close()
             came.append(listener.came_after)
         assert before <= came[0] == came[1] == came[2], "since the first of them was taken"
-        assert listener.accept() is AcceptFailure.NO_CONNECTION and listener.waiting_since is None
+        assert listener.accept() is AcceptFailure.NO_CONNECTION
+        assert listener.waiting_since is None
         for caller in callers:
             caller.close()
         await listener.close()
@@ -185,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    "held, kernel, waited",
+    ("held", "kernel", "waited"),
     [
         (0, 500, 0),
         (20, 500, 0),
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -28,10 +28,8 @@
         elif step == "done" and budget.upstream_connections:
             budget.upstream_connections -= 1
         assert budget.client_connections + budget.upstream_connections <= total
-        assert (
-            budget.client_connections <= total - total // 4
-            and budget.upstream_connections <= total - total // 3
-        )
+        assert budget.client_connections <= total - total // 4
+        assert budget.upstream_connections <= total - total // 3
         # Whoever holds less than its least part always gets the next one.
         assert (
             budget.client_connections >= min(total // 3, total // 4)
@@ -90,9 +88,11 @@
         late.send("/_health")
         answer = asyncio.create_task(late.answer())
         await until(lambda: w.node.client_connections.budget_full_since is not None)
-        assert not answer.done() and w.node.client_connections.refused_connections == 0
+        assert not answer.done()
+        assert w.node.client_connections.refused_connections == 0
         w.node.descriptor_budget.client_connections -= 1000
-        assert (await answer)[0] == 200 and w.node.client_connections.refused_connections == 0
+        assert (await answer)[0] == 200
+        assert w.node.client_connections.refused_connections == 0
 
     with_node(test)
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "newest, version, full, first, order",
+    ("newest", "version", "full", "first", "order"),
     [
         (None, 3, True, True, VersionOrder.NEWER),
         (7, 8, False, False, VersionOrder.NEWER),
@@ -59,7 +59,8 @@
         Catalog.push(watch, line(43, {**before[0], "lifecycle": "terminating"}))
         await until(lambda: len(w.node.registry.listed) == 1)
         await w.node.discovery.poll_once()
-        assert len(w.node.registry.listed) == 1 and w.node.discovery.current.generation == 43
+        assert len(w.node.registry.listed) == 1
+        assert w.node.discovery.current.generation == 43
         Catalog.push(watch, line(42, *before, reset=True))  # nor on the watch itself
         Catalog.push(watch, line(44, before[0]))
         await until(lambda: w.node.discovery.current.generation == 44)
@@ -109,7 +110,8 @@
         host, port = other.address.split(":")
         assert w.node.discovery.migrate((host, int(port)))
         await other.watches.get()
-        assert w.node.discovery.current.generation == 5 and len(w.node.registry.listed) == 1
+        assert w.node.discovery.current.generation == 5
+        assert len(w.node.registry.listed) == 1
 
     with_node(test, servers=2)
 
@@ -128,7 +130,8 @@
         again = asyncio.ensure_future(w.origins[at].arrived.get())
         answered = asyncio.ensure_future(client.answer())
         await asyncio.wait([again, answered], return_when=asyncio.FIRST_COMPLETED)
-        assert not arrived[1 - at].done() and w.origins[1 - at].links == 0
+        assert not arrived[1 - at].done()
+        assert w.origins[1 - at].links == 0
         for task in (again, answered, arrived[1 - at]):
             task.cancel()
 
@@ -258,7 +261,8 @@
             nonlocal now
             discovery, versions = watch.listener, sorted(fleet.versions)
             at = max(0, len(versions) - 1 - behind)
-            assert discovery is not None and discovery.migrate(("d", discovery.address[1] + 1))
+            assert discovery is not None
+            assert discovery.migrate(("d", discovery.address[1] + 1))
             discovery.pending.close()
             new = discovery.pending = watching(discovery, None)
             new.update_received(fleet.whole(versions[at]), first=True)
--- a/tests/test_discovery_races.py
+++ b/tests/test_discovery_races.py
@@ -71,7 +71,8 @@
         late.append(node.loop.time() - silent_since - STALENESS_LIMIT_S)
 
     with_polling_nodes(one)
-    assert len(late) == 4 and max(late) < 0
+    assert len(late) == 4
+    assert max(late) < 0
 
 
 @pytest.mark.parametrize("how", ["refused", "503"])
@@ -97,7 +98,8 @@
         late.append(node.loop.time() - back - STALENESS_LIMIT_S)
 
     with_polling_nodes(one)
-    assert len(late) == 4 and max(late) < 0
+    assert len(late) == 4
+    assert max(late) < 0
 
 
 def test_a_migration_whose_first_call_is_not_answered_keeps_to_the_migration_limit():
@@ -121,7 +123,8 @@
         )
 
     with_polling_nodes(one)
-    assert len(late) == 4 and max(late) < 0
+    assert len(late) == 4
+    assert max(late) < 0
 
 
 @pytest.mark.parametrize("then", ["receives the drain", "lists a restart", "sends a heartbeat"])
@@ -224,7 +227,8 @@
         third.whole = line(9, entry("s0", w.origins[0].address), reset=True)
         assert w.node.discovery.migrate(host_and_port(unanswered))
         call = await calls.get()
-        assert w.node.discovery.migrate(host_and_port(w.catalog.address)) and w.node.discovery.pending is None
+        assert w.node.discovery.migrate(host_and_port(w.catalog.address))
+        assert w.node.discovery.pending is None
         assert w.node.discovery.current is first
         whole = line(99, reset=True)
         call.write(
@@ -235,6 +239,7 @@
         assert w.node.discovery.migrate(host_and_port(unanswered))
         assert w.node.discovery.migrate(host_and_port(third.address))
         await third.watches.get()
-        assert w.node.discovery.current.generation == 9 and w.node.discovery.pending is None
+        assert w.node.discovery.current.generation == 9
+        assert w.node.discovery.pending is None
 
     with_node(test)
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -35,12 +35,15 @@
         for count in (3, 400):
             wanted = fill_site(server, count)
             assert address_pairs(await client.resolve(NAME)) == wanted
-        assert server.queries[NAME, "SRV", "udp"] == 2 and server.queries[NAME, "SRV", "tcp"] == 1
+        assert server.queries[NAME, "SRV", "udp"] == 2
+        assert server.queries[NAME, "SRV", "tcp"] == 1
         # Addresses that did not fit in the message are queried, many at once; concurrent callers share a query.
         before = server.queries.total()
         found = await asyncio.gather(*(client.resolve(NAME) for _ in range(5)))
-        assert all(address_pairs(f) == wanted for f in found) and server.connections == 1
-        assert server.queries[NAME, "SRV", "udp"] == 3 and server.queries.total() - before < 3 * (2 + 400)
+        assert all(address_pairs(f) == wanted for f in found)
+        assert server.connections == 1
+        assert server.queries[NAME, "SRV", "udp"] == 3
+        assert server.queries.total() - before < 3 * (2 + 400)
 
     with_servers(test)
 
@@ -156,7 +159,8 @@
         server.set_records(f"other.{ZONE}", "A", "10.9.9.9")
         server.remove_records(f"t0.{ZONE}", "A")
         theirs = await asyncio.to_thread(resolve_by_cares, server.address)
-        assert ("10.9.9.9", 1000) in theirs and theirs == address_pairs(await client.resolve(NAME))
+        assert ("10.9.9.9", 1000) in theirs
+        assert theirs == address_pairs(await client.resolve(NAME))
 
     with_servers(test)
 
@@ -188,7 +192,8 @@
         for _ in range(60):
             seen.add(frozenset(address_pairs(await client.resolve(NAME))))
             one.reply_delay_s, two.reply_delay_s = two.reply_delay_s, 0.0 if one.reply_delay_s else 0.003
-        assert seen <= {frozenset(a), frozenset(b)} and seen
+        assert seen <= {frozenset(a), frozenset(b)}
+        assert seen
 
     with_servers(test, 2)
 
@@ -203,7 +208,7 @@
         def change(exchange: standin.Exchange) -> None:
             if exchange.query.question[0].rdtype == dns.rdatatype.SRV:
                 exchange.server.remove_records(f"t3.{ZONE}", "A")
-            return None
+            return
 
         server.faults.append(change)
         found = await client.resolve(NAME)
@@ -249,7 +254,8 @@
             client = DnsClient([server.tls_address], Random(1), trust, name)
             if good:
                 assert address_pairs(await client.resolve(NAME)) == wanted
-                assert server.queries.total() > 0 and not any(t == "udp" for _, _, t in server.queries)
+                assert server.queries.total() > 0
+                assert not any(t == "udp" for _, _, t in server.queries)
             else:
                 with pytest.raises(LookupFailedError, match="(?i)tls|certificate"):
                     await client.resolve(NAME)
@@ -269,13 +275,18 @@
             return done.returncode, done.stdout, done.stderr
 
         code, out, _ = await query(NAME, "--resolver", server.address, "--json")
-        assert code == 0 and [endpoint["port"] for endpoint in json.loads(out)["endpoints"]] == [1000, 1001]
+        assert code == 0
+        assert [endpoint["port"] for endpoint in json.loads(out)["endpoints"]] == [1000, 1001]
         code, out, _ = await query(NAME, "--resolver", server.address)
-        assert code == 0 and "10.0.0.1" in out
+        assert code == 0
+        assert "10.0.0.1" in out
         code, _, err = await query("_none._tcp.site3.example.org", "--resolver", server.address)
-        assert code == 1 and "NXDOMAIN" in err
+        assert code == 1
+        assert "NXDOMAIN" in err
         for arguments in (("a..b", "--resolver", server.address), (NAME, "--resolver", "localhost:53")):
             code, _, err = await query(*arguments)
-            assert code == 2 and "Traceback" not in err and len(err.splitlines()) == 1
+            assert code == 2
+            assert "Traceback" not in err
+            assert len(err.splitlines()) == 1
 
     with_servers(test)
--- a/tests/test_dns_messages.py
+++ b/tests/test_dns_messages.py
@@ -46,7 +46,8 @@
         cut = data.draw(st.integers(1, len(whole)))
         found += frames.feed(whole[:cut])
         whole = whole[cut:]
-    assert found == messages and not frames.buffer
+    assert found == messages
+    assert not frames.buffer
 
 
 @pytest.mark.parametrize("name", ["", ".", "a..b", "x" * 64 + ".org", "a." * 200])
--- a/tests/test_dns_srv.py
+++ b/tests/test_dns_srv.py
@@ -47,7 +47,8 @@
     server.set_records(NAME, "SRV", "0 1 80 www.elsewhere.example.")
     server.set_records("www.elsewhere.example.", "A", "10.9.9.9", ttl=3)
     found = resolve_directly(server)
-    assert server.queries["www.elsewhere.example.", "A", "tcp"] == 1 and found.ttl == 3
+    assert server.queries["www.elsewhere.example.", "A", "tcp"] == 1
+    assert found.ttl == 3
     assert any("not believed: outside site3.example.org." in n for n in found.notes)
 
 
@@ -58,10 +59,10 @@
     server.set_records(f"a.{ZONE}", "CNAME", f"b.{ZONE}", ttl=2)
     server.set_records(f"b.{ZONE}", "A", "10.0.0.7", "10.0.0.8")
     found = resolve_directly(server)
-    assert [endpoint.address for endpoint in found.endpoints] == ["10.0.0.7", "10.0.0.8"] and found.ttl == 2
-    assert found.endpoints[0].target == f"a.{ZONE}" and any(
-        "which RFC 2782 forbids" in n for n in found.notes
-    )
+    assert [endpoint.address for endpoint in found.endpoints] == ["10.0.0.7", "10.0.0.8"]
+    assert found.ttl == 2
+    assert found.endpoints[0].target == f"a.{ZONE}"
+    assert any("which RFC 2782 forbids" in n for n in found.notes)
     server.remove_records(f"b.{ZONE}", "A")
     server.set_records(f"b.{ZONE}", "CNAME", f"a.{ZONE}")
     assert resolve_directly(server).empty == "no target has an address"
@@ -85,7 +86,8 @@
     server = DnsServer()
     if records:
         server.set_records(NAME, "SRV", *records)
-    assert resolve_directly(server).empty == empty and not resolve_directly(server).endpoints
+    assert resolve_directly(server).empty == empty
+    assert not resolve_directly(server).endpoints
 
 
 def test_a_target_whose_lookup_fails_keeps_its_earlier_address():
@@ -95,9 +97,13 @@
     name.receive_answer(0.0, resolve_directly(server))
     whole = name.view(0.0).endpoints
     found = resolve_directly(server, fail=frozenset({f"b.{ZONE}"}))
-    assert len(found.endpoints) == 1 and found.unknown == (f"b.{ZONE}",) and not found.empty
+    assert len(found.endpoints) == 1
+    assert found.unknown == (f"b.{ZONE}",)
+    assert not found.empty
     name.receive_answer(1.0, found)
-    assert name.view(1.0).endpoints == whole and name.view(1.0).remaining_s <= 2
+    assert name.view(1.0).endpoints == whole
+    assert name.view(1.0).remaining_s <= 2
     fresh = CachedName(CacheLimits(), Random(1), 0.0)
     fresh.receive_answer(0.0, resolve_directly(server, fail=frozenset({f"a.{ZONE}", f"b.{ZONE}"})))
-    assert fresh.view(0.0).status == CacheStatus.UNKNOWN and fresh.failures == 1
+    assert fresh.view(0.0).status == CacheStatus.UNKNOWN
+    assert fresh.failures == 1
--- a/tests/test_drain_after_migration.py
+++ b/tests/test_drain_after_migration.py
@@ -100,7 +100,8 @@
 
 def test_a_server_recalled_and_drained_again_gets_nothing_when_the_new_discovery_has_caught_up(tmp_path):
     """The new discovery's first list is older than the drain that the old one sent. Then it recalls the servers, and
-    they drain again: the entries of that first list must not come back over the newer drain."""
+    they drain again: the entries of that first list must not come back over the newer drain.
+    """
 
     async def test() -> None:
         async with running_node(tmp_path) as world:
--- a/tests/test_endpoint_picker.py
+++ b/tests/test_endpoint_picker.py
@@ -11,7 +11,7 @@
 
 def test_overdue_requests_show_a_member_that_has_just_become_slow():
     """Its averages still look good: what tells is that its requests have been out for longer than the mean."""
-    node, recorder = balancer(2)
+    node, _recorder = balancer(2)
     slow, quick = node.subset.members
     slow.in_flight, slow.last_progress_at = 1, 0
     quick.in_flight, quick.last_progress_at = 2, 900_000
@@ -73,7 +73,7 @@
 
 def test_a_member_without_outcomes_counts_as_its_machine_type_reports():
     """At a start most members of a thin copy are strangers; the slowest kind must not get an even share."""
-    node, recorder = balancer(two_machine_types(), report_fields=("latency_ms", "util"))
+    node, _recorder = balancer(two_machine_types(), report_fields=("latency_ms", "util"))
     for kind, shown in ((0, (30.0, 0.4)), (1, (90.0, 0.9))):
         node.traffic.record_load_report(node.subset.servers[2 + kind], shown)
     fast, slow = node.subset.servers[4], node.subset.servers[5]
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -108,7 +108,8 @@
         await asyncio.gather(*tasks[:4])
         over = True
         await asyncio.gather(*callers)
-        assert lost == 0 and served > 50
+        assert lost == 0
+        assert served > 50
         assert all(not n.dispatcher.requests for n in fleet[:4])
         for task in tasks[4:]:
             task.cancel()
@@ -116,7 +117,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("path, key, runs", [("/read/1", "", 2), ("/put/1", "k", 2), ("/pay/1", "", 1)])
+@pytest.mark.parametrize(("path", "key", "runs"), [("/read/1", "", 2), ("/put/1", "k", 2), ("/pay/1", "", 1)])
 def test_a_reset_after_the_last_byte_and_before_the_answer(path, key, runs):
     """Safe and keyed requests go on; an unsafe one may have run, and its caller is told that it failed."""
 
@@ -158,7 +159,9 @@
         recorder.take()
     assert bad <= 3, "answered as failed or refused"
     usual = sum(sent[s] for s in range(1, 25) if s != 7) / 23
-    assert sent[7] < 1.0 * usual and not node.requests and len(node.subset.servers) == 24
+    assert sent[7] < 1.0 * usual
+    assert not node.requests
+    assert len(node.subset.servers) == 24
 
 
 def test_six_in_ten_servers_replaced_by_ids_at_old_addresses_and_no_table_outlives_them():
@@ -189,7 +192,8 @@
             assert (
                 len(directory.numbers) == len(directory.listed) == len(directory.owner_by_address) == servers
             )
-            assert len(w.node.pool.processes) == servers and not directory.draining
+            assert len(w.node.pool.processes) == servers
+            assert not directory.draining
             assert len(w.node.dispatcher.balancer.subset.servers) == servers
             assert len(directory.zones.dynamic) <= 6
 
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -23,13 +23,15 @@
 
 def test_a_day_is_played_and_drawn():
     done = call("--nodes", "40", "--discovery-rate", "8")
-    assert done.exit_code == 0 and "by arithmetic all can be answered after 7.5 s" in done.output
+    assert done.exit_code == 0
+    assert "by arithmetic all can be answered after 7.5 s" in done.output
     assert "seconds after the trigger" in done.output
 
 
 def test_a_fleet_that_stays_out_is_status_1_and_said():
     done = call("--nodes", "40", "--discovery-rate", "6", "--waits", "former", "--no-plot", "--seeds", "2")
-    assert done.exit_code == 1 and "2 of 2 days: nodes were still without a list" in done.output
+    assert done.exit_code == 1
+    assert "2 of 2 days: nodes were still without a list" in done.output
 
 
 def test_json_has_a_row_for_each_seed(tmp_path):
@@ -37,7 +39,8 @@
     path.write_text('[fleet]\nnodes = 10\n[discovery]\nrate = 5\n[trigger]\nwhat = "restart"\n')
     done = call(str(path), "--json", "--seeds", "3", "--seed", "7")
     rows = json.loads(done.output)
-    assert [r["seed"] for r in rows] == [7, 8, 9] and all(r["recovered"] and r["nodes"] == 10 for r in rows)
+    assert [r["seed"] for r in rows] == [7, 8, 9]
+    assert all(r["recovered"] and r["nodes"] == 10 for r in rows)
     assert all(0 < r["listen_again_s"]["0.5"] <= r["listen_again_s"]["1"] for r in rows)
 
 
@@ -53,7 +56,8 @@
     whole = Rehearsal.run
     monkeypatch.setattr(Rehearsal, "run", run)
     done = call("--nodes", "5", "--seeds", "9", "--no-plot")
-    assert done.exit_code == 130 and "the worst of 2" in done.output
+    assert done.exit_code == 130
+    assert "the worst of 2" in done.output
     assert "interrupted after 2 of 9 days" in done.stderr
 
 
@@ -72,14 +76,17 @@
     path = tmp_path / "day.toml"
     path.write_text(text)
     done = call(str(path))
-    assert done.exit_code == 2 and len(done.stderr.strip().splitlines()) == 1
-    assert "day.toml" in done.stderr and says in done.stderr
+    assert done.exit_code == 2
+    assert len(done.stderr.strip().splitlines()) == 1
+    assert "day.toml" in done.stderr
+    assert says in done.stderr
 
 
 @pytest.mark.parametrize("args", [("--waits", "none"), ("--trigger", "asleep"), ("nowhere.toml",)])
 def test_wrong_use_is_one_line_and_status_2(args):
     done = call(*args)
-    assert done.exit_code == 2 and len(done.stderr.strip().splitlines()) == 1
+    assert done.exit_code == 2
+    assert len(done.stderr.strip().splitlines()) == 1
 
 
 def test_the_example_file_holds_what_holds_without_it(tmp_path):
--- a/tests/test_fleet_rehearsal.py
+++ b/tests/test_fleet_rehearsal.py
@@ -26,8 +26,11 @@
     assert all(result.succeeded for result in results[:4])
     assert [(result.ended_at, result.succeeded) for result in results[4:9]] == [(2.0, False)] * 5
     assert queue.wasted == 5
-    assert results[9].ended_at == 0.0 and queue.rejected == 3 and queue.backlog_s(0.0) == 4.5
-    assert not queue.call(2.4).succeeded and queue.call(4.6).succeeded
+    assert results[9].ended_at == 0.0
+    assert queue.rejected == 3
+    assert queue.backlog_s(0.0) == 4.5
+    assert not queue.call(2.4).succeeded
+    assert queue.call(4.6).succeeded
 
 
 def rehearse(nodes: int, seconds: float, schedule: str = "turns", **changes) -> RehearsalResult:
@@ -50,7 +53,8 @@
         assert sum(result.calls.values()) <= 5 * nodes
     for seconds in (6.0, 8.0):
         former = rehearse(nodes, seconds, "former")
-        assert former.recovery_time(0.5) == inf and sum(former.answers.values()) < 0.2 * nodes
+        assert former.recovery_time(0.5) == inf
+        assert sum(former.answers.values()) < 0.2 * nodes
         # In the last minute no call was answered, and the queue never got shorter.
         assert sum(count for second, count in former.answers.items() if second > 60) == 0
         assert min(backlog for second, backlog in former.backlog_s.items() if second > 20) > 2.0
@@ -58,40 +62,40 @@
 
 def test_without_round_positions_the_fleet_calls_at_once_and_fails_at_once():
     mutant, turns = rehearse(40, 4.9, "together"), rehearse(40, 4.9)
-    assert turns.recovered and turns.wasted_calls < 10
-    assert (
-        mutant.wasted_calls > 2 * turns.wasted_calls
-        and mutant.recovery_times[-1] > 2 * turns.recovery_times[-1]
-    )
+    assert turns.recovered
+    assert turns.wasted_calls < 10
+    assert mutant.wasted_calls > 2 * turns.wasted_calls
+    assert mutant.recovery_times[-1] > 2 * turns.recovery_times[-1]
 
 
 def test_two_nodes_recover_within_one_round():
     result = rehearse(2, 2.0, backlog=0.0)
     assert (
         result.recovery_times[-1] <= WATCH_HEARTBEAT_TIMEOUT_S + MIN_CALL_DELAY_S + LONG_QUEUE_ROUND_S + 2.0
-        and result.wasted_calls == 0
     )
+    assert result.wasted_calls == 0
 
 
 @pytest.mark.parametrize("trigger", [Trigger.ENDED, Trigger.BROKEN, Trigger.RESTART, Trigger.DOWN])
 def test_the_fleet_recovers_from_every_other_trigger(trigger):
     for seconds in (2.0, 4.9, 8.0):
         result = rehearse(40, seconds, trigger=trigger, backlog=0.0)
-        assert (
-            result.recovered
-            and result.recovery_times[-1] <= 4 * result.scenario.earliest_recovery_s + FAILED_CALL_PAUSE_S
-        )
+        assert result.recovered
+        assert result.recovery_times[-1] <= 4 * result.scenario.earliest_recovery_s + FAILED_CALL_PAUSE_S
 
 
 def test_a_fleet_too_large_for_the_longest_poll_interval_still_recovers():
     """Most nodes have no heartbeat for longer than the staleness limit, but none for good."""
     result = rehearse(200, 16.0, max_poll_interval=10.0)
-    assert result.recovered and result.late_drains > 0 and result.first_drain_delays[-1] < 130
+    assert result.recovered
+    assert result.late_drains > 0
+    assert result.first_drain_delays[-1] < 130
 
 
 def test_malformed_responses_do_not_prevent_recovery():
     result = rehearse(40, 4.9, malformed_fraction=0.3)
-    assert result.recovered and result.recovery_times[-1] < 4 * result.scenario.earliest_recovery_s
+    assert result.recovered
+    assert result.recovery_times[-1] < 4 * result.scenario.earliest_recovery_s
 
 
 def test_a_thousand_seeds_recover_and_replay_exactly():
@@ -107,4 +111,5 @@
 def test_with_enough_discovery_capacity_no_drain_passes_the_staleness_limit_unnoticed():
     for seed in range(200):
         result = rehearse(40, 2.0, seed=seed, drain_delay=2.5, drain_interval=1.0, duration=40.0, backlog=0.0)
-        assert result.recovered and result.late_drains == 0
+        assert result.recovered
+        assert result.late_drains == 0
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -86,7 +86,8 @@
     )
     assert [e.fields["fresh"] for e in r.events if e.name == "written"] == [True, False]
     shown = run("one", path)
-    assert shown.exit_code == 0 and shown.output.count("n0 one") == 8
+    assert shown.exit_code == 0
+    assert shown.output.count("n0 one") == 8
 
 
 def test_a_request_is_followed_into_the_tier_below(tmp_path):
@@ -101,7 +102,10 @@
     paths = write_logs(tmp_path, a=front, b=beside, c=other)
     assert read_logs(paths).neighbours == {"s1": "n1", "s2": "n2"}
     out = run("f3", *paths).output
-    assert "n1 c3 taken" in out and "d3" not in out and "c2" not in out and "another one" not in out
+    assert "n1 c3 taken" in out
+    assert "d3" not in out
+    assert "c2" not in out
+    assert "another one" not in out
     assert out.index("f3 written") < out.index("c3 taken") < out.index("f3 ended")
 
 
@@ -130,7 +134,8 @@
     found = run("--ended-badly", *path)
     assert found.exit_code == 1
     assert [row.split()[0] for row in found.output.splitlines()] == ["twice", "late", "never", "3"]
-    assert "may have run 2 times" in found.output and "0.60 s after" in found.output
+    assert "may have run 2 times" in found.output
+    assert "0.60 s after" in found.output
     assert (
         run("--ended-badly", "--effect", "0=safe", *path).output.splitlines()[-1]
         == "2 of 7 requests ended badly"
@@ -158,14 +163,16 @@
 def test_bad_input_is_one_line_and_status_2(tmp_path, words, text, said):
     result = run(*words, *write_logs(tmp_path, n=text))
     assert result.exit_code == 2
-    assert len(result.stderr.splitlines()) == 1 and said in result.stderr
+    assert len(result.stderr.splitlines()) == 1
+    assert said in result.stderr
 
 
 def test_a_log_that_begins_within_a_request_is_read(tmp_path):
     whole = served_request_lines("n", "r", 1.0, 9.0, "s").splitlines(keepends=True)
     paths = write_logs(tmp_path, n="".join(whole[2:]) + served_request_lines("n", "other", 20.0, 1.0, "s"))
     shown = run("r", *paths)
-    assert shown.exit_code == 0 and shown.output.splitlines()[0].startswith("   0.0000 n r written")
+    assert shown.exit_code == 0
+    assert shown.output.splitlines()[0].startswith("   0.0000 n r written")
     assert run("--ended-badly", *paths).output == "0 of 2 requests ended badly\n"
 
 
@@ -174,7 +181,8 @@
     assert run("r").exit_code == 2
     whole = served_request_lines("n", "r", 1.0, 1.0, "s")
     result = run("r", *write_logs(tmp_path, n=whole + whole[:40]))
-    assert result.exit_code == 0 and "torn, passed over" in result.stderr
+    assert result.exit_code == 0
+    assert "torn, passed over" in result.stderr
 
 
 def list_line(
@@ -200,9 +208,12 @@
     shown = run("--leaving", *write_logs(tmp_path, a=first, b=herd, c=silent))
     assert shown.exit_code == 1
     late, later, total = shown.output.splitlines()
-    assert late.startswith("late node=n1 server=s1: 0.301 s after") and "read=never" in late
-    assert "listed=4.000 started=7.000" in late and "first read by n0" in late
-    assert later.startswith("later node=n1 server=s1: 1.000 s after") and "read=7.320" in later
+    assert late.startswith("late node=n1 server=s1: 0.301 s after")
+    assert "read=never" in late
+    assert "listed=4.000 started=7.000" in late
+    assert "first read by n0" in late
+    assert later.startswith("later node=n1 server=s1: 1.000 s after")
+    assert "read=7.320" in later
     assert total == "2 sends to servers announced as leaving"
 
 
@@ -219,7 +230,8 @@
     n1 += served_request_lines("n1", "late", 8.0, 0.4, "s1") + state("n1", 9.0, "s1", "draining", "said")
     shown = run("--leaving", *write_logs(tmp_path, a=n0, b=n1))
     late, state_line, total = shown.output.splitlines()
-    assert late.startswith("late node=n1 server=s1") and total.startswith("1 sends")
+    assert late.startswith("late node=n1 server=s1")
+    assert total.startswith("1 sends")
     assert state_line == "  at 6.000 held -> in service, caught up: d:1 v42 said in service, 11.9 s before"
 
 
@@ -235,7 +247,8 @@
     with_node(test)
     changes = [e for events in read_logs([path]).node_events.values() for e in events if e.name == "process"]
     (change,) = changes
-    assert change.server == "s0" and change.fields["generation"] == 42
+    assert change.server == "s0"
+    assert change.fields["generation"] == 42
     assert [change.fields[k] for k in ("before", "server.state", "cause", "said")] == [
         "in service", "draining", "said", "draining",
     ]  # fmt: skip
@@ -249,11 +262,13 @@
         + served_request_lines("n1", "late", 11.31, 0.4, "s1")
     )
     shown = run("--leaving", *write_logs(tmp_path, a=a, b=b))
-    assert shown.exit_code == 1 and shown.output.startswith("late ") and "1 sends" in shown.output
+    assert shown.exit_code == 1
+    assert shown.output.startswith("late ")
+    assert "1 sends" in shown.output
 
 
 @pytest.mark.parametrize(
-    "words, says",
+    ("words", "says"),
     [
         (["--leaving", "--ended-badly", "a"], "one of"),
         (["--leaving", "torn"], "line 1: not an event"),
@@ -267,4 +282,6 @@
     )
     monkeypatch.chdir(tmp_path)
     shown = run(*words)
-    assert shown.exit_code == 2 and says in shown.output and len(shown.output.splitlines()) == 1
+    assert shown.exit_code == 2
+    assert says in shown.output
+    assert len(shown.output.splitlines()) == 1
--- a/tests/test_hand_count.py
+++ b/tests/test_hand_count.py
@@ -73,9 +73,11 @@
     assert told["asked"] == sum(classes.values())
     assert {k: c["asked"] for k, c in told["by_class"].items() if c["asked"]} == classes
     ends = ("served_in_time", "served_late", "refused", "failed", "open")
-    assert sum(told[k] for k in ends) == told["asked"] and told["open"] == 0
+    assert sum(told[k] for k in ends) == told["asked"]
+    assert told["open"] == 0
     # Nothing is in the way of three idle servers: all of it is served, and all the worth with it.
-    assert told["served_in_time"] == told["asked"] and told["service"] == 1.0
+    assert told["served_in_time"] == told["asked"]
+    assert told["service"] == 1.0
     worth = {k: c["worth"] for k, c in told["class_settings"].items()}
     assert told["worth_asked"] == sum(worth[k] * n for k, n in classes.items())
     # At twice the rate the last request is due after half of the span, and no run ends before that.
@@ -94,7 +96,9 @@
         "--mean-work",
         "2",
     )
-    assert told["rows_read"] == 8 and told["asked"] == 7 == told["served_in_time"] and told["seconds"] > 15
+    assert told["rows_read"] == 8
+    assert told["asked"] == 7 == told["served_in_time"]
+    assert told["seconds"] > 15
     assert {k: c["asked"] for k, c in told["by_class"].items() if c["asked"]} == {
         "http": 3,
         "queue": 2,
@@ -123,5 +127,6 @@
     told = replay(*command)
     assert [(e["what"], e["name"], e["done"]) for e in told["events"]] == [("remove", "m2", True)]
     assert abs(told["events"][0]["at_s"] - 0.2) < 0.001  # 1.4 s of the trace, 0.4 s after its first request
-    assert set(told["servers"]) == {"m1", "m2", "m3"} and told["asked"] == 5
+    assert set(told["servers"]) == {"m1", "m2", "m3"}
+    assert told["asked"] == 5
     assert told["servers"]["m2"]["latest_after_told_us"] <= 250_000
--- a/tests/test_handover_store.py
+++ b/tests/test_handover_store.py
@@ -22,7 +22,8 @@
     one.update(lambda held: held.with_server("a"))
     two.update(lambda held: held.with_server("b").with_standby(standby=True))
     one.update(lambda held: held.without_server("a"))
-    assert not one.refresh() and two.refresh()
+    assert not one.refresh()
+    assert two.refresh()
     assert one.maintenance == two.maintenance == MaintenanceState(frozenset("b"), True)
     assert HandoverStore(str(tmp_path), "other").refresh() is False
 
@@ -34,7 +35,8 @@
     for bad in (b"", b"[]", b'{"out": 1, "standby": false}', b'{"out": [], "standby": 1}'):
         store.maintenance_path.unlink()
         store.maintenance_path.write_bytes(bad)
-        assert not store.refresh() and store.maintenance.servers == {"a"}
+        assert not store.refresh()
+        assert store.maintenance.servers == {"a"}
     assert capfd.readouterr().err.count("cannot be read") == 4
 
 
@@ -50,7 +52,8 @@
         [sys.executable, "-c", script, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
     )
     try:
-        assert other.stdout is not None and other.stdout.readline() == "lives\n"
+        assert other.stdout is not None
+        assert other.stdout.readline() == "lives\n"
         assert store.other_processes() == 1
         assert HandoverStore(str(tmp_path), "n1").other_processes() == 0
     finally:
@@ -81,12 +84,16 @@
     with pytest.raises(OSError, match=os.strerror(error)):
         store.update(lambda held: held.with_server("b"))
     monkeypatch.undo()
-    assert written and store.maintenance.servers == {"a"} and not store.refresh()
+    assert written
+    assert store.maintenance.servers == {"a"}
+    assert not store.refresh()
     after = HandoverStore(str(tmp_path), "n0")
-    assert after.refresh() and after.maintenance.servers == {"a"}
+    assert after.refresh()
+    assert after.maintenance.servers == {"a"}
     assert not list(tmp_path.glob("*.new")), "it takes no space for the next try"
     store.update(lambda held: held.with_server("b"))
-    assert after.refresh() and after.maintenance.servers == {"a", "b"}
+    assert after.refresh()
+    assert after.maintenance.servers == {"a", "b"}
 
 
 def test_a_kill_at_any_step_of_an_update_leaves_the_old_state_or_the_new_one(tmp_path):
@@ -108,6 +115,7 @@
         command = [sys.executable, "-c", script, str(tmp_path), call, how]
         assert subprocess.run(command, cwd=ROOT).returncode == -signal.SIGKILL
         store = HandoverStore(str(tmp_path), "n0")
-        assert store.refresh() and store.maintenance.servers == {"a"}
+        assert store.refresh()
+        assert store.maintenance.servers == {"a"}
     store.update(lambda held: held.with_server("c"))
     assert store.maintenance.servers == {"a", "c"}
--- a/tests/test_http_bodies.py
+++ b/tests/test_http_bodies.py
@@ -16,6 +16,7 @@
     stream_buffer_bytes,
 )
 from harecross.http.response_parser import ReadResult, ResponseParser
+import itertools
 
 
 @given(st.lists(st.one_of(st.integers(1, 40_000), st.none()), max_size=30))
@@ -56,14 +57,15 @@
     upload.feed(BIG)
     upload.discard()
     upload.feed(BIG)
-    assert not upload.buffered and not upload.full
+    assert not upload.buffered
+    assert not upload.full
 
 
 def parse_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[ReadResult, bytes, ResponseParser]:
     """Parses a response that comes in pieces, and the end of its connection."""
     answer, body, reading = ResponseParser(), b"", ReadResult.INCOMPLETE
     marks = [0, *sorted(cuts), len(text)]
-    for a, b in zip(marks, marks[1:], strict=False):
+    for a, b in itertools.pairwise(marks):
         if reading == ReadResult.INCOMPLETE and b > a:
             reading = answer.feed(text[a:b])
             if answer.streaming:
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -86,7 +86,8 @@
 
 def test_a_stream_that_ends_within_a_value_and_a_value_without_end_raise():
     parser = JsonStreamParser()
-    assert list(parser.feed(b'\n{"a": [1, ')) == [BLANK_LINE] and parser.has_partial_value
+    assert list(parser.feed(b'\n{"a": [1, ')) == [BLANK_LINE]
+    assert parser.has_partial_value
     with pytest.raises(MalformedJsonError):
         parser.finish()
     parser = JsonStreamParser()
@@ -115,7 +116,8 @@
     parser, found = JsonStreamParser(), []
     for at in range(0, len(text), 16):
         found += parser.feed(text[at : at + 16])
-    assert len(found) == 1 and scanned_bytes == len(text)
+    assert len(found) == 1
+    assert scanned_bytes == len(text)
 
 
 @pytest.mark.parametrize(
@@ -141,12 +143,14 @@
             await asyncio.sleep(0)
         if end == "broken off":
             path, watch = await w.catalog.watches.get()
-            assert path.endswith(b"after=41") and len(w.node.registry.listed) == 2
+            assert path.endswith(b"after=41")
+            assert len(w.node.registry.listed) == 2
         else:
             while len(w.node.registry.listed) == 2:
                 await asyncio.sleep(0.005)
-            assert w.node.discovery.current.generation == 42 and w.catalog.watches.empty()
-        host, _, port = w.catalog.address.partition(":")
+            assert w.node.discovery.current.generation == 42
+            assert w.catalog.watches.empty()
+        _host, _, _port = w.catalog.address.partition(":")
         w.node.discovery.generation = None
         entries = [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
         w.catalog.whole = json.dumps(update(50, *entries, reset=True), **layout).encode()
@@ -154,7 +158,8 @@
         w.node.discovery.generation = None
         w.node.discovery.subscribe()
         path, watch = await w.catalog.watches.get()
-        assert path.endswith(b"after=50") and len(w.node.registry.listed) == 2
+        assert path.endswith(b"after=50")
+        assert len(w.node.registry.listed) == 2
 
     with_node(test, servers=2)
 
@@ -193,11 +198,13 @@
         for at in range(-(piece // 2), len(text) - piece, piece):
             part = text[max(0, at) : at + piece]
             call.http_parser.feed_data(b"%x\r\n%s\r\n" % (len(part), part))
-            assert call.json_parser.has_partial_value and call.counts_as_heartbeat(now)
+            assert call.json_parser.has_partial_value
+            assert call.counts_as_heartbeat(now)
             now += 0.5
         assert len(updates) == 49
         while call.counts_as_heartbeat(now):
             now += 0.5
-        assert now > 20 and now - call.partial_since == watch_module.PARTIAL_UPDATE_TIMEOUT_S
+        assert now > 20
+        assert now - call.partial_since == watch_module.PARTIAL_UPDATE_TIMEOUT_S
 
     run(test())
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -34,7 +34,8 @@
         server = action[2]
         outcome = Outcome.ERROR if server == 4 else Outcome.OK
         end(node, recorder, now + MS, i, 0, server, outcome, latency=90 * MS if server == 3 else 20 * MS)
-    assert node.controller.min_rtt_windows and node.outliers.ejected
+    assert node.controller.min_rtt_windows
+    assert node.outliers.ejected
     return node
 
 
@@ -70,7 +71,8 @@
 def test_an_ejected_zone_is_taken_over_but_not_the_last_one():
     text = json.dumps({**json.loads(TEXT), "cut": [0, 1], "servers": {}}).encode()
     new = successor(text)
-    assert len(new.outliers.ejected_zones) == 1 and new.subset.eligible
+    assert len(new.outliers.ejected_zones) == 1
+    assert new.subset.eligible
     assert all(m.zone != new.outliers.ejected_zones[0].id for m in new.subset.eligible)
 
 
@@ -91,7 +93,8 @@
     new, _ = balancer(ENTRIES, seed=2)
     with pytest.raises(ValueError):
         import_learned_state(new, NAMES, json.dumps(stored).encode(), 7)
-    assert new.controller.measuring_min_rtt and new.controller.min_rtt_windows == 0
+    assert new.controller.measuring_min_rtt
+    assert new.controller.min_rtt_windows == 0
     assert not new.outliers.ejected
 
 
@@ -168,6 +171,7 @@
             async with site.node() as new:
                 assert new.dispatcher.balancer.controller.measuring_min_rtt
         err = capfd.readouterr().err
-        assert "is taken over" in err and "not taken over" in err
+        assert "is taken over" in err
+        assert "not taken over" in err
 
     with_site(test, tmp_path)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,7 +11,8 @@
 
 def test_entering_maintenance_twice_is_ended_by_one_exit():
     held = MaintenanceState().with_server("a").with_server("a").without_server("a")
-    assert held == MaintenanceState() and held.without_server("a") == MaintenanceState()
+    assert held == MaintenanceState()
+    assert held.without_server("a") == MaintenanceState()
 
 
 @given(st.frozensets(st.text(max_size=8)), st.booleans(), st.data())
@@ -26,4 +27,6 @@
 @given(st.sets(st.text(max_size=2)), st.sets(st.text(max_size=2)))
 def test_maintenance_changes_lead_from_one_state_to_the_other(old, new):
     out, back = maintenance_changes(old, new)
-    assert (old | set(out)) - set(back) == new and not set(out) & old and set(back) <= old
+    assert (old | set(out)) - set(back) == new
+    assert not set(out) & old
+    assert set(back) <= old
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -88,7 +88,8 @@
 def test_a_restored_set_is_stale_and_refreshed_at_once():
     name = CachedName(CacheLimits(), Random(1), 0.0)
     name.restore(0.0, SETS["_a._tcp.example.org"].answer, 0.0, -0.001)
-    assert name.view(0.0).status == CacheStatus.STALE and name.due(0.0)
+    assert name.view(0.0).status == CacheStatus.STALE
+    assert name.due(0.0)
 
 
 # ---- files of addresses -------------------------------------------------------------------------------------
@@ -404,9 +405,12 @@
 
 def test_what_is_remembered_of_removed_endpoints_is_bounded(reconciler_of_many_removed):
     reconciler = reconciler_of_many_removed
-    assert len(reconciler.tombstones) <= 1000 and len(reconciler.sources_by_address) < 20
-    assert len(reconciler.remembered_drops) < 20 and len(reconciler.recent_drops) < 20
-    assert len(reconciler.sources["a"].dropped) < 20 and len(reconciler.sources["a"].drop_times) < 20
+    assert len(reconciler.tombstones) <= 1000
+    assert len(reconciler.sources_by_address) < 20
+    assert len(reconciler.remembered_drops) < 20
+    assert len(reconciler.recent_drops) < 20
+    assert len(reconciler.sources["a"].dropped) < 20
+    assert len(reconciler.sources["a"].drop_times) < 20
 
 
 # ---- many days of failures ----------------------------------------------------------------------------------
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -34,7 +34,8 @@
             else:
                 received.answer()
             assert (await client.answer())[0] == (502 if i % 8 == 7 else 200)
-        assert controller.lost_fraction == 0 and max(controller.samples)[0] < 1
+        assert controller.lost_fraction == 0
+        assert max(controller.samples)[0] < 1
 
     with_node(test)
 
@@ -74,10 +75,12 @@
         await asyncio.wait([answer, again], return_when=asyncio.FIRST_COMPLETED)
         assert not answer.done()
         second, received = await again
-        assert second != first and b"/read/1" in received.head
+        assert second != first
+        assert b"/read/1" in received.head
         await lost.gone.wait()
         received.answer()
-        assert (await answer)[0] == 200 and world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
+        assert (await answer)[0] == 200
+        assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
         # A non-idempotent request keeps its whole timeout.
         assert not kept.gone.is_set()
         kept.answer()
@@ -165,7 +168,9 @@
                 received.answer()
         again, _ = await arrivals(world)  # the first of the three, after its per-try timeout
         stats = world.node.dispatcher.balancer.stats()
-        assert again == 0 and stats["rq_per_try_timeout"] == 1 and stats["zones_cut"] == 0
+        assert again == 0
+        assert stats["rq_per_try_timeout"] == 1
+        assert stats["zones_cut"] == 0
 
     with_node(test, servers=2, zones="ht")
 
@@ -193,7 +198,8 @@
             assert (await clients[0].answer())[0] == 502
             while world.node.dispatcher.requests:
                 await asyncio.sleep(0)
-            assert sum(took >= 1_400_000 for took in seen) == 1 and len(seen) == 1 + i
+            assert sum(took >= 1_400_000 for took in seen) == 1
+            assert len(seen) == 1 + i
         assert world.node.dispatcher.balancer.stats()["rq_overtaken"] == 1
 
     with_node(test)
@@ -244,7 +250,8 @@
             clients[0].send("/pay/1")
             number, received = await arrivals(world)
             received.answer()
-            assert number == 0 and (await clients[0].answer())[0] == 200
+            assert number == 0
+            assert (await clients[0].answer())[0] == 200
 
     with_node(test, servers=4, zones="httt", settings={"deductions": {"cross_zone": 0.04}})
 
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -42,7 +42,8 @@
         client.send("/_health")
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
-        assert not w.node.client_connections.open and w.node.descriptor_budget.client_connections == 0
+        assert not w.node.client_connections.open
+        assert w.node.descriptor_budget.client_connections == 0
 
     with_node(test)
 
@@ -128,10 +129,8 @@
         extra = [await w.client() for _ in range(most)]
         with contextlib.suppress(ConnectionError):
             assert await extra[-1].reader.read() == b""
-        assert (
-            w.node.client_connections.refused_connections > 0
-            and w.node.descriptor_budget.client_connections <= most
-        )
+        assert w.node.client_connections.refused_connections > 0
+        assert w.node.descriptor_budget.client_connections <= most
         at.answer()
         assert (await usual.answer())[0] == 200
         assert len(silent) == most + 20
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -40,7 +40,8 @@
         try:
             config_from(config)
         except ConfigError as e:
-            assert str(e) and "\n" not in str(e)
+            assert str(e)
+            assert "\n" not in str(e)
 
 
 def test_unknown_keys_are_ignored():
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -54,11 +54,13 @@
         while w.node.discovery.current.generation < 43:
             await asyncio.sleep(0)
         at.answer(body=b"finished")  # what it has it finishes
-        assert at.link == 1 and (await client.answer())[2] == b"finished"
+        assert at.link == 1
+        assert (await client.answer())[2] == b"finished"
         assert await origin.closed.get() == 1
         client.send()
         assert (await client.answer())[0] == 503
-        assert origin.arrived.empty() and origin.links == 2
+        assert origin.arrived.empty()
+        assert origin.links == 2
 
     with_node(test)
 
@@ -95,7 +97,8 @@
         client = await w.client()
         client.send("/pay/1")
         (await w.origins[1].arrived.get()).answer()
-        assert (await client.answer())[0] == 200 and w.origins[0].links == 0
+        assert (await client.answer())[0] == 200
+        assert w.origins[0].links == 0
 
     with_node(test, servers=2)
 
@@ -122,11 +125,13 @@
         (kind, (a, b, _)), (later, (b2, c)) = host.got
         assert (kind, later) == (EndpointUpdateKind.CACHED, EndpointUpdateKind.CHANGES)
         assert (a.ready_at, b.cell, b.zone, b.machine_type) == (0, 3, 1, 1)
-        assert b == b2 and c.state == EndpointState.DRAINING  # the same number and start in every list
+        assert b == b2
+        assert c.state == EndpointState.DRAINING
         assert abs(monotonic_us() - b.ready_at) < 60_000_000
         # A line on a server that goes holds even where the rest of it is missing.
         directory.apply(update(3, {"instanceId": "a", "lifecycle": "terminated"}))
-        assert host.got[-1][1][0].state == EndpointState.GONE and a.server not in pool.processes
+        assert host.got[-1][1][0].state == EndpointState.GONE
+        assert a.server not in pool.processes
         directory.apply(update(4, item, reset=True))
         assert host.got[-1][0] == EndpointUpdateKind.FULL
         # What has gone, and holds nothing, is forgotten; a line on one never heard of makes nothing.
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -96,12 +96,14 @@
             idle.send("/_health")
             status, head, _ = await idle.answer()
         # It is to be taken out, and until others have taken over it serves whoever still comes.
-        assert status == 503 and b"Connection: close" not in head
+        assert status == 503
+        assert b"Connection: close" not in head
         new = await Client.open(address)  # connections go on coming
         new.send()
         (await origin.arrived.get()).answer()
         status, head, _ = await new.answer()
-        assert status == 200 and b"Connection: close" not in head
+        assert status == 200
+        assert b"Connection: close" not in head
         assert await idle.reader.read() == b""  # closed between requests, when its time is up
         held.answer(body=b"late")
         assert (await old.answer())[2] == b"late"
@@ -130,7 +132,8 @@
         late.send()
         second = await origin.arrived.get()
         status, head, _ = await late.answer()  # its server has said nothing
-        assert status in (502, 503) and b"Connection: close" in head
+        assert status in (502, 503)
+        assert b"Connection: close" in head
         assert monotonic_us() < w.node.dispatcher.deadlines.shutdown_deadline_us + 200_000
         await second.gone.wait()
         first.answer(body=b"came early")  # what came before does not count as lost, and is still served
@@ -179,7 +182,9 @@
         for _ in range(6):
             client.send()
             (await origins[1].arrived.get()).answer()
-            assert (await client.answer())[0] == 200 and origins[0].links == 0 and old.watches.empty()
+            assert (await client.answer())[0] == 200
+            assert origins[0].links == 0
+            assert old.watches.empty()
         Catalog.push(second, line(8, entry("t", origins[1].address, "terminated")))
         status = 200
         while status == 200:
@@ -217,4 +222,5 @@
     process = start_node(tmp_path, config)
     _, text = process.communicate(timeout=60)
     assert process.returncode == 2
-    assert len(text.splitlines()) == 1 and text.startswith("harecross: ")
+    assert len(text.splitlines()) == 1
+    assert text.startswith("harecross: ")
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -28,13 +28,14 @@
             X_Request_ID="r1",
         )
         received = await world.origins[0].arrived.get()
-        assert received.head.startswith(b"POST /put/user-7?x=1 HTTP/1.1\r\n") and received.body == b"\x00body"
+        assert received.head.startswith(b"POST /put/user-7?x=1 HTTP/1.1\r\n")
+        assert received.body == b"\x00body"
         assert (received.header(b"X-Request-ID"), received.header(b"Idempotency-Key")) == (b"r1", b"k1")
-        assert (
-            b"Cookie" not in received.head and b"Not-Processed" not in received.head
-        )  # only known headers are forwarded
+        assert b"Cookie" not in received.head
+        assert b"Not-Processed" not in received.head
         left = received.header(b"X-Timeout")
-        assert left.endswith(b"u") and 0 < int(left[:-1]) < 20_000_000
+        assert left.endswith(b"u")
+        assert 0 < int(left[:-1]) < 20_000_000
         received.answer(body=b"\xffanswer", extra=b"X-Server-Load: util=0.5,eps=0\r\n")
         status, _, body = await client.answer()
         assert (status, body) == (200, b"\xffanswer")
@@ -56,7 +57,8 @@
         assert (await client.answer())[2] == b"one"
         client.writer.write(text % (2, 2) + text % (3, 3))
         first = await world.origins[0].arrived.get()
-        assert b"/read/2" in first.head and world.origins[0].arrived.empty()
+        assert b"/read/2" in first.head
+        assert world.origins[0].arrived.empty()
         first.answer(body=b"two")
         second = await world.origins[0].arrived.get()
         second.answer(body=b"three")
@@ -74,7 +76,8 @@
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
         received = await world.origins[0].arrived.get()
-        assert received.body == b"abcde" and b"chunked" not in received.head
+        assert received.body == b"abcde"
+        assert b"chunked" not in received.head
         received.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwxyz\r\n0\r\n\r\n")
         assert (await client.answer())[2] == b"wxyz"
 
@@ -128,8 +131,10 @@
         client = await world.client()
         client.writer.write(text)
         got, head, _ = await client.answer()
-        assert got == status and b"Connection: close" in head
-        assert world.node.dispatcher.last_request_number == 0 and world.origins[0].links == 0
+        assert got == status
+        assert b"Connection: close" in head
+        assert world.node.dispatcher.last_request_number == 0
+        assert world.origins[0].links == 0
         assert await client.reader.read() == b""
         client = await world.client()
         client.send()
@@ -164,7 +169,8 @@
         assert (await second.answer())[0] == 409
         received.answer()
         assert (await first.answer())[0] == 200
-        assert world.origins[0].links == 1 and not world.node.dispatcher.open_request_ids
+        assert world.origins[0].links == 1
+        assert not world.node.dispatcher.open_request_ids
         first.send(
             "/pay/1", X_Request_ID="same"
         )  # the first request has its answer: the id may be used again
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -35,7 +35,8 @@
         received = await world.origins[0].arrived.get()
         received.writer.close()
         assert (await client.answer())[0] == 502  # failed: it may have run
-        assert received.link == 0 and all(o.arrived.empty() for o in world.origins)
+        assert received.link == 0
+        assert all(o.arrived.empty() for o in world.origins)
 
     with_node(test)
 
@@ -86,7 +87,8 @@
         received = await world.origins[0].arrived.get()
         received.writer.write(MALFORMED[name])
         status, _, body = await client.answer()
-        assert (status, body) == (502, b"") and world.origins[0].arrived.empty()
+        assert (status, body) == (502, b"")
+        assert world.origins[0].arrived.empty()
         if name != "never run, says another answer":
             await received.gone.wait()
 
@@ -183,7 +185,8 @@
         client = await world.client()
         client.send("/pay/1")
         status, head, _ = await client.answer()
-        assert status == 503 and b"Retry-After: 1.500\r\n" in head
+        assert status == 503
+        assert b"Retry-After: 1.500\r\n" in head
 
     with_node(test)
 
@@ -205,7 +208,8 @@
         client.send()
         again = await world.origins[0].arrived.get()
         again.answer(body=b"right")
-        assert again.link == 1 and (await client.answer())[2] == b"right"
+        assert again.link == 1
+        assert (await client.answer())[2] == b"right"
 
     with_node(test)
 
@@ -225,7 +229,8 @@
         last = target.idle[-1]
         clients[0].send()
         received = await world.origins[0].arrived.get()
-        assert last.exchange is not None and len(target.idle) == 1
+        assert last.exchange is not None
+        assert len(target.idle) == 1
         received.answer()
         await clients[0].answer()
         # An idle connection is closed before the server would close it.
@@ -323,7 +328,8 @@
         assert {(await c.answer())[0] for c in clients[:2]} == {200}
         clients[3].send()
         (await world.origins[0].arrived.get()).answer()
-        assert (await clients[3].answer())[0] == 200 and world.origins[0].links == 2
+        assert (await clients[3].answer())[0] == 200
+        assert world.origins[0].links == 2
 
     with_node(test)
 
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -151,7 +151,8 @@
         async with site.node() as node:
             await tell(node, "/maintenance/enter", "s1")
             status, body = await tell(node, "/servers", method="GET")
-            assert status == 200 and json.loads(body) == {
+            assert status == 200
+            assert json.loads(body) == {
                 "name": "n0",
                 "standby": False,
                 "others": 0,
@@ -226,9 +227,11 @@
     zone = node.subset.zones[0]
     for number in (2, 4) * 20:
         node.outliers.record_zone_outcome(10**9, node.subset.servers[number], Outcome.TIMEOUT)
-    assert zone.ejected and logged(recorder) == ["cut zone=0"]
+    assert zone.ejected
+    assert logged(recorder) == ["cut zone=0"]
     node.outliers.record_zone_outcome(2 * 10**9, node.subset.servers[2], Outcome.OK)
-    assert not zone.ejected and logged(recorder) == ["restore zone=0"]
+    assert not zone.ejected
+    assert logged(recorder) == ["restore zone=0"]
 
 
 def test_a_node_says_where_it_listens_and_what_it_was_told_in_these_words(tmp_path, capfd):
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -40,7 +40,8 @@
     node.endpoint_update(1, EndpointUpdateKind.CHANGES, [Endpoint(drained, EndpointState.DRAINING)])
     for request, server in in_flight:
         end(node, recorder, 2, request, 0, server, Outcome.ERROR if server == drained else Outcome.OK)
-    assert sum(server == drained for _, server in in_flight) >= 3 and node.outliers.ejected == []
+    assert sum(server == drained for _, server in in_flight) >= 3
+    assert node.outliers.ejected == []
     for i in range(100, 200):
         _, _, server, _ = ask(node, recorder, i * SEC, i)
         assert server != drained
@@ -75,7 +76,8 @@
         end(node, recorder, now + 100, i, 0, action[2], Outcome.OK, 250_000)
         if i % 100 == 99:
             now += 10 * SEC
-    assert not node.subset.servers[3].ejected and node.subset.servers[3].outcomes > before
+    assert not node.subset.servers[3].ejected
+    assert node.subset.servers[3].outcomes > before
 
 
 def test_an_unresponsive_member_is_ejected_and_frees_the_limit():
@@ -90,7 +92,8 @@
         if len(out) > 6:
             end(node, recorder, now, out[0][0], 0, out[0][1], Outcome.OK, 200_000)
             del out[0]
-    assert node.subset.servers[3].ejected and node.subset.servers[3].unresponsive
+    assert node.subset.servers[3].ejected
+    assert node.subset.servers[3].unresponsive
     assert node.controller.in_flight == 6
 
 
@@ -141,7 +144,8 @@
 
 def test_an_unreachable_tier_gets_no_more_than_the_attempt_cap_and_comes_back():
     node, tries = refusing(1000, lambda server: True)
-    assert 1 <= max(tries) <= 4 and node.requests.keys() <= set(range(0, 20_000_000, 5_000))
+    assert 1 <= max(tries) <= 4
+    assert node.requests.keys() <= set(range(0, 20_000_000, 5_000))
     limit, recorder, now = node.controller.limit, node.actions, 11_000_000
     served = 0
     for _ in range(200):
@@ -150,7 +154,8 @@
         if action[0] == "send":
             end(node, recorder, now + 5_000, now, 0, action[2], Outcome.OK, 5_000)
             served += 1
-    assert served > 195 and node.controller.limit >= limit / 2
+    assert served > 195
+    assert node.controller.limit >= limit / 2
 
 
 def losing_answers(
@@ -191,7 +196,8 @@
 @pytest.mark.parametrize("share", [0.2, 0.4, 0.9])
 def test_no_member_is_ejected_for_lost_answers_where_all_lose_them(share):
     node, got = losing_answers(share, tuple(range(1, 11)))
-    assert sum(srv.ejections for srv in node.subset.servers.values()) <= 1 and min(got.values()) > 0
+    assert sum(srv.ejections for srv in node.subset.servers.values()) <= 1
+    assert min(got.values()) > 0
 
 
 def test_a_few_ejected_members_leave_the_limit_as_it_is():
@@ -199,11 +205,12 @@
     limit = node.controller.limit
     for m in node.subset.members[:4]:
         node.outliers.eject(0, m, unresponsive=False)
-    assert len(node.subset.eligible) == 8 and node.controller.limit == limit
+    assert len(node.subset.eligible) == 8
+    assert node.controller.limit == limit
 
 
 def test_a_failing_member_is_more_loaded_before_it_is_ejected():
-    node, recorder = balancer(4)
+    node, _recorder = balancer(4)
     node.subset.servers[1].failure_rate = 0.25
     node.subset.servers[1].last_progress_at = 0
     assert node.subset.servers[1].load(0, 100_000.0, RETENTION_US) == pytest.approx(
@@ -225,18 +232,19 @@
 
 
 def test_no_more_than_a_third_of_the_members_is_ejected():
-    node, recorder = balancer(9)
+    node, _recorder = balancer(9)
     for server in range(1, 10):
         node.outliers.eject(0, node.subset.servers[server], unresponsive=False)
     assert len(node.outliers.ejected) == 3
 
 
 def test_a_restarted_server_is_measured_anew():
-    node, recorder = balancer(4)
+    node, _recorder = balancer(4)
     node.outliers.eject(0, node.subset.servers[1], unresponsive=False)
     node.subset.servers[1].slowness = 5.0
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC - 1)])
-    assert not node.subset.servers[1].ejected and node.subset.servers[1].slowness == 1.0
+    assert not node.subset.servers[1].ejected
+    assert node.subset.servers[1].slowness == 1.0
     assert node.subset.servers[1].slow_start_until == SEC - 1 + 4 * SEC
 
 
@@ -251,7 +259,8 @@
     node.outliers.eject(0, node.subset.servers[1], unresponsive=True)
     ask(node, recorder, 3 * SEC, 1, request_class=2)
     action = ask(node, recorder, 5 * SEC, 2, request_class=0, left=3 * SEC)
-    assert action[2] == 1 and action[3] < 3 * SEC
+    assert action[2] == 1
+    assert action[3] < 3 * SEC
 
 
 def little_traffic_with_two_failing_members() -> tuple[Balancer, list[int]]:
@@ -304,4 +313,5 @@
         _, _, server, _ = ask(node, recorder, now, i)
         drawn.add(server)
         end(node, recorder, now + 1000, i, 0, server, Outcome.OK, 1000)
-    assert 1 in drawn and not node.outliers.ejected
+    assert 1 in drawn
+    assert not node.outliers.ejected
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -54,13 +54,14 @@
     return starts[0] if starts else None
 
 
-@pytest.mark.parametrize("present, earlier, state, started", ROWS)
+@pytest.mark.parametrize(("present", "earlier", "state", "started"), ROWS)
 def test_the_state_follows_from_the_statements_of_two_sources(present, earlier, state, started):
     table = ProcessTable(OLD)
     table.receive(0.0, OLD, list_with(*earlier) if earlier else update(1), full=True)
     change = update(1) if present is None else list_with(present)
     result = table.receive(1.0, NEW, change, full=True)
-    assert table.state("s") is state and used_start(result.update["instances"]) == started
+    assert table.state("s") is state
+    assert used_start(result.update["instances"]) == started
     # The same if the earlier source states it after the migration, on its watch that is still open.
     if earlier and present:
         late = ProcessTable(OLD)
@@ -73,10 +74,11 @@
     assert table.state("s") is (ProcessState.IN_SERVICE if present == "in_service" else state)
     if state is ProcessState.QUARANTINED or (started or 5) > 5:
         assert used_start(used) == 5
-    assert not table.earlier_statements and not table.heartbeat(AFTER + 1, NEW).update["instances"]
+    assert not table.earlier_statements
+    assert not table.heartbeat(AFTER + 1, NEW).update["instances"]
 
 
-@pytest.mark.parametrize("behind_until, first_list", [(5.0, 1.0), (5.0, 4.5), (0.0, 1.0)])
+@pytest.mark.parametrize(("behind_until", "first_list"), [(5.0, 1.0), (5.0, 4.5), (0.0, 1.0)])
 def test_quarantine_ends_at_the_first_heartbeat_after_the_source_has_caught_up_and_never_by_time(
     behind_until, first_list
 ):
@@ -84,23 +86,21 @@
     table.receive(0.0, OLD, list_with("terminating"), full=True)
     table.receive(first_list, new, list_with("in_service"), full=True)
     ends = max(behind_until, first_list + REPLAY_SETTLE_S)
-    assert (
-        not table.heartbeat(ends - 0.01, new).update["instances"]
-        and table.state("s") is ProcessState.QUARANTINED
-    )
-    assert (
-        not table.heartbeat(ends + 60, OLD).update["instances"]
-        and table.state("s") is ProcessState.QUARANTINED
-    )
+    assert not table.heartbeat(ends - 0.01, new).update["instances"]
+    assert table.state("s") is ProcessState.QUARANTINED
+    assert not table.heartbeat(ends + 60, OLD).update["instances"]
+    assert table.state("s") is ProcessState.QUARANTINED
     result = table.heartbeat(ends, new)
-    assert used_start(result.update["instances"]) == 5 and table.state("s") is ProcessState.IN_SERVICE
+    assert used_start(result.update["instances"]) == 5
+    assert table.state("s") is ProcessState.IN_SERVICE
     (change,) = result.transitions
     assert (change.before, change.after, change.cause) == (
         ProcessState.QUARANTINED,
         ProcessState.IN_SERVICE,
         TransitionCause.CAUGHT_UP,
     )
-    assert change.statement.stated_at == first_list and change.statement.source == new
+    assert change.statement.stated_at == first_list
+    assert change.statement.source == new
 
 
 def test_a_recall_by_an_earlier_source_ends_only_the_quarantine_that_it_caused():
@@ -128,10 +128,8 @@
     late.receive(0.0, OLD, list_with("in_service"), full=True)
     late.receive(1.0, NEW, list_with("in_service"), full=True)
     result = late.receive(1.2, OLD, update(2, reset=True), full=False)
-    assert (
-        late.state("s") is ProcessState.QUARANTINED
-        and result.update["instances"][0]["lifecycle"] == "terminating"
-    )
+    assert late.state("s") is ProcessState.QUARANTINED
+    assert result.update["instances"][0]["lifecycle"] == "terminating"
 
 
 def test_a_server_absent_from_a_full_list_on_an_open_watch_is_gone_and_quarantined_after_a_migration():
@@ -156,7 +154,8 @@
     table = ProcessTable(OLD)
     for i in range(50):
         table.receive(0.0, OLD, update(i, entry(f"s{i}", "h:1", "terminated")), full=False)
-    assert len(table.current_statements) == 3 and table.state("s49") is ProcessState.GONE
+    assert len(table.current_statements) == 3
+    assert table.state("s49") is ProcessState.GONE
     table.receive(0.0, OLD, list_with("terminating"), full=False)
     for number in range(1, 50):
         source = DiscoverySource(f"d{number}:1", number, 100.0)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -216,7 +216,8 @@
     def sent(self, request: int, server: int, timeout: int) -> None:
         r = self.open[request]  # rule 1: nothing is sent after the end
         c = self.settings.classes[r["request_class"]]
-        assert timeout > 0 and self.now + timeout <= r["until"]
+        assert timeout > 0
+        assert self.now + timeout <= r["until"]
         assert len(r["attempts"]) < self.settings.max_attempts
         assert not any(a["request"] == request for a in self.in_flight), "two attempts out at once"
         assert server in self.entries and server not in self.removed_at, "rule 3"
@@ -265,7 +266,8 @@
             check=True,
         )
         outputs.add(result.stdout)
-    assert len(outputs) == 1 and len(outputs.pop()) > 10_000
+    assert len(outputs) == 1
+    assert len(outputs.pop()) > 10_000
 
 
 def test_instances_do_not_touch_each_other():
@@ -274,9 +276,10 @@
     assert alone == again[::-1]
 
 
-DECISION_FILES = ["harecross/interface.py"] + sorted(
-    f"harecross/policy/{path.name}" for path in (ROOT / "harecross/policy").glob("*.py")
-)
+DECISION_FILES = [
+    "harecross/interface.py",
+    *sorted(f"harecross/policy/{path.name}" for path in (ROOT / "harecross/policy").glob("*.py")),
+]
 
 
 @pytest.mark.parametrize("file", DECISION_FILES)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -93,7 +93,8 @@
             client.send("/put/1", key="k")
         writer = await s.came.get()
         await asyncio.sleep(0.1)  # time enough for a node that does not wait
-        assert s.a.arrived.empty() and s.b.links == 0
+        assert s.a.arrived.empty()
+        assert s.b.links == 0
         writer.write(STARTED + chunk(line(42, entry("a", s.a.address, "terminating"))))
         assert [(await c.answer())[0] for c in clients] == [200] * 2
         assert s.a.arrived.empty(), "nothing went to the server that leaves"
@@ -109,8 +110,10 @@
         assert await health(client) == 503
         client.send()
         status, head, _ = await client.answer()
-        assert status == 503 and b"Retry-After: 0.250" in head
-        assert s.node.dispatcher.statistics.shed_without_list == 1 and s.a.links == s.b.links == 0
+        assert status == 503
+        assert b"Retry-After: 0.250" in head
+        assert s.node.dispatcher.statistics.shed_without_list == 1
+        assert s.a.links == s.b.links == 0
         await s.tell(b"")  # nothing has changed since the version asked after
         await until(s.node.membership.first_list_received.is_set)
         assert await health(client) == 200
@@ -220,11 +223,11 @@
 
 def test_freshness_and_readiness_from_the_start_to_a_stale_list():
     schedule, list_readiness = SubscriptionSchedule(DiscoveryTerms(), Random(1)), ListReadiness(100.0, 6.0)
-    assert list_readiness.freshness(100.0, schedule) is Freshness.NONE and not list_readiness.may_send(100.0)
+    assert list_readiness.freshness(100.0, schedule) is Freshness.NONE
+    assert not list_readiness.may_send(100.0)
     list_readiness.configured_list_loaded()
-    assert list_readiness.freshness(100.0, schedule) is Freshness.CONFIGURED and not list_readiness.may_send(
-        105.9
-    )
+    assert list_readiness.freshness(100.0, schedule) is Freshness.CONFIGURED
+    assert not list_readiness.may_send(105.9)
     schedule.start(100.0)
     schedule.call_started(100.0)
     schedule.heartbeat_received(100.1)
@@ -239,7 +242,8 @@
 def test_the_wait_ends_once_and_for_all():
     list_readiness = ListReadiness(100.0, 6.0)
     list_readiness.configured_list_loaded()
-    assert not list_readiness.may_send(105.99) and list_readiness.may_send(106.0)
+    assert not list_readiness.may_send(105.99)
+    assert list_readiness.may_send(106.0)
     assert list_readiness.may_send(100.0), "the wait does not begin again"
 
 
@@ -289,7 +293,8 @@
     quick = start_at_once(nodes, 1, queue_s=1.5)
     assert quick.ready_times[-1] < 0.3 + 1.5 + 0.1, "one queue"
     slow = start_at_once(nodes, 1, queue_s=5.0)
-    assert slow.ready_time(0.3) < 0.3 + 2.0 + 0.1 and slow.ready_times[-1] < MAX_POLLED_WAIT_S
+    assert slow.ready_time(0.3) < 0.3 + 2.0 + 0.1
+    assert slow.ready_times[-1] < MAX_POLLED_WAIT_S
     assert start_at_once(nodes, 1, queue_s=60.0).ready_times[-1] == MAX_POLLED_WAIT_S, "never for ever"
 
 
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    "happens, reason",
+    ("happens", "reason"),
     [
         (client_disconnects, CloseReason.PEER),
         (client_asks_for_close, CloseReason.LAST_RESPONSE),
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize(
-    "happens, reason, request_id",
+    ("happens", "reason", "request_id"),
     [
         (server_closes, CloseReason.PEER, "lost"),
         (server_closes_with_its_response, CloseReason.LAST_RESPONSE, "last"),
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize(
-    "happens, answer, reason",
+    ("happens", "answer", "reason"),
     [
         (non_idempotent_request_fails, "failed", FinalReason.MAY_HAVE_RUN),
         (no_answer_in_time, "failed", None),
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -170,8 +170,11 @@
         w = world(seed, batch, 0)
         w.play([])
         r = w.release
-        assert not r.stop_reason and not r.servers_out() and not any(w.out.values())
-        assert w.restarts == Counter(NAMES[:6]) and all(s.phase == Phase.DONE for s in r.servers)
+        assert not r.stop_reason
+        assert not r.servers_out()
+        assert not any(w.out.values())
+        assert w.restarts == Counter(NAMES[:6])
+        assert all(s.phase == Phase.DONE for s in r.servers)
         assert w.most_out == min(batch, 4), "four of eight stay in use"
 
 
@@ -190,9 +193,11 @@
         assert w.most_out <= r.limits.batch
         assert all(n == 1 for n in w.restarts.values())
         if not r.stop_reason:
-            assert set(w.restarts) == set(NAMES[:6]) and not held
+            assert set(w.restarts) == set(NAMES[:6])
+            assert not held
         if r.interrupts < 2:
-            assert not w.running and not r.running_restarts()
+            assert not w.running
+            assert not r.running_restarts()
             left = {s.id for s in r.servers if s.phase == Phase.LEFT_OUT}
             assert {name for _, name in held} <= left
             if not (restart_fails or w.seen["door dies"] or w.seen["restart hangs"]):
@@ -213,7 +218,9 @@
         w.release = Release([name], DOORS, Limits(min_in_use=keep))
         w.out["b:1"] = {out} - {""}
         w.play([])
-        assert why in w.release.stop_reason and not w.restarts and not w.release.servers_out()
+        assert why in w.release.stop_reason
+        assert not w.restarts
+        assert not w.release.servers_out()
 
 
 # ---- the command, against real nodes -------------------------------------------------------------------------
@@ -302,19 +309,25 @@
         waiting = asyncio.create_task(site.door("out", busy, *site.at(), "--wait", "--within", "25"))
         await until(lambda: site.out() == [{busy}, {busy}])
         code, text = await site.door("servers", busy, *site.at()[:2])
-        assert code == 0 and "out" in text and " 1 " in text
+        assert code == 0
+        assert "out" in text
+        assert " 1 " in text
         assert not waiting.done()
         arrived.answer()
         assert (await client.answer())[0] == 200
         code, text = await waiting
-        assert code == 0 and f"{busy} has 1 at" in text and "nothing is out" in text
+        assert code == 0
+        assert f"{busy} has 1 at" in text
+        assert "nothing is out" in text
         code, text = await site.door("status", *site.at())
-        assert code == 0 and text.count(f"servers out: {busy}") == 2
+        assert code == 0
+        assert text.count(f"servers out: {busy}") == 2
         assert (await site.door("back", busy, *site.at()))[0] == 0
         assert site.out() == [set(), set()]
         # A no is status 1 and says who said it; wrong use is status 2.
         code, text = await site.door("out", "nobody", *site.at())
-        assert code == 1 and text.count("nobody: no such server") == 2
+        assert code == 1
+        assert text.count("nobody: no such server") == 2
         nowhere = ["--at", "127.0.0.1:1"]
         assert (await site.door("status", *nowhere))[0] == 1
         for wrong in (["out", "s0"], ["out", "s0", "--at", "here"], ["release", "s0", "s0", *nowhere]):
@@ -330,11 +343,14 @@
         restart = f'echo $HARECROSS_SERVER >> {log}; test "$HARECROSS_SERVER" != s2'
         code, text = await site.door("release", "s0", "s1", *site.at(), "--restart", restart, "--keep", "0.3")
         assert code == 0 and "2 of 2 restarted" in text, text
-        assert log.read_text().split() == ["s0", "s1"] and site.out() == [set(), set()]
+        assert log.read_text().split() == ["s0", "s1"]
+        assert site.out() == [set(), set()]
         code, text = await site.door("release", "s2", "s0", *site.at(), "--restart", restart)
-        assert code == 1 and "ended with status 1; it stays out" in text
+        assert code == 1
+        assert "ended with status 1; it stays out" in text
         assert text.count("harecross door back s2 --at") == 1
-        assert log.read_text().split() == ["s0", "s1", "s2"] and site.out() == [{"s2"}, {"s2"}]
+        assert log.read_text().split() == ["s0", "s1", "s2"]
+        assert site.out() == [{"s2"}, {"s2"}]
 
     with_site(test)
 
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -41,7 +41,8 @@
 
 def test_the_body_of_a_post_is_framed_by_its_length():
     request = parse(b"POST", b"/pay/1", b"body")
-    assert request.head.endswith(b"Content-Length: 4\r\n") and request.body == b"body"
+    assert request.head.endswith(b"Content-Length: 4\r\n")
+    assert request.body == b"body"
 
 
 def test_the_timeout_is_no_longer_than_the_deadline_of_the_class():
@@ -70,7 +71,8 @@
 def test_a_bad_request_has_its_status_and_names_the_value(method, url, headers, status, text):
     with pytest.raises(BadRequestError) as raised:
         parse(method, url, **headers)
-    assert raised.value.status == status and text in str(raised.value)
+    assert raised.value.status == status
+    assert text in str(raised.value)
 
 
 def test_a_get_with_a_body_is_a_bad_request():
@@ -91,4 +93,5 @@
 def test_a_message_whose_end_is_in_doubt_is_a_bad_request(version, headers, status, text):
     with pytest.raises(BadRequestError) as raised:
         request_parser().check_framing(version, headers)
-    assert raised.value.status == status and text in str(raised.value)
+    assert raised.value.status == status
+    assert text in str(raised.value)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -69,7 +69,9 @@
 def test_a_retry_with_an_idempotency_key_goes_to_another_server_of_the_deduplication_scope(scope, field):
     for seed in range(10):
         _, _, server, (action, _, other, _) = failed_with_a_key(scope, field, seed)
-        assert action == "send" and other % 2 == server % 2 and other != server
+        assert action == "send"
+        assert other % 2 == server % 2
+        assert other != server
 
 
 @pytest.mark.parametrize(("scope", "field"), SCOPES)
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -85,10 +85,10 @@
         slow = 6.0 if 12 <= second < 18 else 1.0 + server % 3
         took = int(rng.expovariate(1 / (30 * MS * slow))) + 2 * MS
         chance = rng.random()
-        silent = server == 5 and 20 <= second < 26 or server % 2 == 1 and 30 <= second < 32
+        silent = (server == 5 and 20 <= second < 26) or (server % 2 == 1 and 30 <= second < 32)
         if silent or took >= timeout or chance < 0.01:
             self.verdict(now, now + timeout, request, server, TIMEOUT)
-        elif chance < 0.03 or server == 7 and 8 <= second < 11:
+        elif chance < 0.03 or (server == 7 and 8 <= second < 11):
             self.verdict(now, now + took // 4, request, server, ERROR)
         elif chance < 0.05:
             self.verdict(now, now + 2 * MS, request, server, rng.choice((REJECTED, CONNECT, RESET)))
--- a/tests/test_shifts.py
+++ b/tests/test_shifts.py
@@ -96,7 +96,8 @@
         attempts += [FirstAttempt(1000, "read", True, 0.1, True, False)] * 20
         judge.add(attempts)
         verdict = judge.close_window(float(now))
-        assert not verdict.harm and not verdict.gross
+        assert not verdict.harm
+        assert not verdict.gross
     assert verdict.evidence < 10
 
 
@@ -139,7 +140,8 @@
 def test_silence_pauses_until_there_is_traffic_again():
     shift = started_shift()
     now = close_windows(shift, 0.0, 45, units=0)
-    assert shift.state == ShiftState.PAUSED and shift.cause == PauseCause.NO_DATA
+    assert shift.state == ShiftState.PAUSED
+    assert shift.cause == PauseCause.NO_DATA
     close_windows(shift, now, RESUME_AFTER_S + 2)
     assert shift.state == ShiftState.RUNNING
 
@@ -149,7 +151,8 @@
     now = close_windows(shift, 0.0, 45, units=0)
     running_s = shift.step_running_s
     close_windows(shift, now, RESUME_AFTER_S + 2)
-    assert shift.state == ShiftState.RUNNING and shift.step_running_s <= running_s + 2
+    assert shift.state == ShiftState.RUNNING
+    assert shift.step_running_s <= running_s + 2
 
 
 def test_an_empty_candidate_pauses_until_it_lists_servers():
@@ -164,7 +167,8 @@
     shift = started_shift()
     now = close_windows(shift, 0.0, 15)
     close_windows(shift, now, 40, listed=EMPTY_CANDIDATE)
-    assert shift.state == ShiftState.UNDONE and shift.share == 0.0
+    assert shift.state == ShiftState.UNDONE
+    assert shift.share == 0.0
 
 
 @pytest.mark.parametrize("order", [Order.PAUSE, Order.RESUME, Order.UNDO, Order.DONE])
@@ -183,7 +187,8 @@
     shift = started_shift()
     shift.order(1.0, 1.0, Order.PAUSE)
     close_windows(shift, 1.0, 60)
-    assert shift.state == ShiftState.PAUSED and shift.share == 0.05
+    assert shift.state == ShiftState.PAUSED
+    assert shift.share == 0.05
 
 
 @pytest.mark.parametrize("order", list(Order))
@@ -203,7 +208,8 @@
     before: set[bytes] = set()
     for share in (0.01, 0.05, 0.3, 0.6, 1.0):
         chosen = {unit for unit in units if goes_to_candidate("x", unit, share)}
-        assert before <= chosen and abs(len(chosen) / len(units) - share) < 0.03
+        assert before <= chosen
+        assert abs(len(chosen) / len(units) - share) < 0.03
         before = chosen
 
 
@@ -309,12 +315,14 @@
     controllers.two.close_window(1.0, 1.0, [], LISTED, 0)
     with pytest.raises(OrderRefusedError, match="another controller leads"):
         controllers.two.order(1.0, 1.0, Order.UNDO)
-    assert controllers.accepted == ["one"] and not controllers.two.leads
+    assert controllers.accepted == ["one"]
+    assert not controllers.two.leads
 
 
 def test_another_controller_goes_on_from_what_is_stored_once_the_lease_expires(controllers):
     controllers.two.close_window(1.0 + LEASE_S, 1.0 + LEASE_S, [], LISTED, 0)
-    assert controllers.two.leads and controllers.two.shift.state == ShiftState.RUNNING
+    assert controllers.two.leads
+    assert controllers.two.shift.state == ShiftState.RUNNING
 
 
 def test_a_leader_paused_past_its_lease_is_fenced_at_the_store_and_at_the_nodes(controllers):
@@ -325,7 +333,8 @@
         one.store.put(COLLECTION, PLAN.name, one.shift.to_json(), 12.0, lease=one.lease)
     assert not controllers.node.receive(12.0, one.lease.fencing_token, 0.9)
     one.close_window(12.0, 12.0, [], LISTED, 0)
-    assert not one.leads and controllers.accepted[-1] == "two"
+    assert not one.leads
+    assert controllers.accepted[-1] == "two"
 
 
 def full_disk(*args, **more):
@@ -339,7 +348,8 @@
     store.put = full_disk
     with pytest.raises(OrderRefusedError, match="disk full"):
         controller.order(1.0, 1.0, Order.PAUSE)
-    assert controller.shift.state == ShiftState.RUNNING and shares[-1] == 0.05
+    assert controller.shift.state == ShiftState.RUNNING
+    assert shares[-1] == 0.05
 
 
 def test_without_the_store_an_undo_is_carried_out_and_stored_later(tmp_path):
@@ -365,7 +375,8 @@
         attempts = [FirstAttempt(now * 100 + n, "read", n % 2 == 0, 0.1, False, False) for n in range(20)]
         controller.close_window(float(now), float(now), attempts, LISTED, 0)
     test = controller.shift.judge.tests["read", "errors"]
-    assert test.at_risk == (150, 150) and controller.shift.step_running_s == 15.0
+    assert test.at_risk == (150, 150)
+    assert controller.shift.step_running_s == 15.0
     with pytest.raises(OrderRefusedError):
         controller.order(16.0, 16.0, Order.PAUSE)
     assert test.at_risk == (150, 150)
@@ -390,7 +401,8 @@
     for _ in range(30):
         two.close_window(now, now, [], LISTED, 0)
         now += 1
-    assert two.shift.state == ShiftState.PAUSED and two.shift.cause == PauseCause.PLAN_CHANGED
+    assert two.shift.state == ShiftState.PAUSED
+    assert two.shift.cause == PauseCause.PLAN_CHANGED
     two.order(now, now, Order.RESUME)
     assert two.shift.state == ShiftState.RUNNING
 
@@ -401,7 +413,8 @@
 def test_a_node_without_contact_keeps_its_share_for_a_while_and_then_uses_the_control_pool():
     node = NodeShare(30.0, 0.0)
     node.receive(10.0, 1, 0.3)
-    assert node.share(39.0) == 0.3 and node.share(40.0) == 0.0
+    assert node.share(39.0) == 0.3
+    assert node.share(40.0) == 0.0
 
 
 def test_a_node_without_contact_stays_with_a_shift_that_is_done():
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -31,7 +31,7 @@
 
 def test_the_bucket_of_a_warming_up_server_starts_empty():
     """A request saved up while nobody watched would come on top of every other node's."""
-    node, recorder = balancer(2)
+    node, _recorder = balancer(2)
     node.slow_start.warm_rate = 10.0
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(1, ready_at=SEC)])
     cold = node.subset.servers[1]
@@ -99,7 +99,8 @@
             node.subset.servers[i].slow_start_until = 10 * SEC
         node.on_window_end(now)
         parts.append(node.slow_start.all_warming_up_fraction)
-    assert parts[0] < 1 < parts[15] <= parts[29] and parts[39] == parts[29]
+    assert parts[0] < 1 < parts[15] <= parts[29]
+    assert parts[39] == parts[29]
     node.controller.lost_fraction = 0.5
     node.on_window_end(now + 100_000)
     assert node.slow_start.all_warming_up_fraction == parts[0] < 1
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -33,7 +33,8 @@
     assert not breaches, "\n".join(report(records, breaches))
     answered = sum(client.end is End.ANSWERED for client in records.clients.values())
     assert answered > 0.5 * len(records.clients) > 50
-    assert records.told and records.signals
+    assert records.told
+    assert records.signals
 
 
 def test_a_seed_gives_the_same_plan_every_time_and_plans_keep_to_the_pages():
@@ -41,7 +42,8 @@
     for seed in range(200):
         plan = make_plan(seed, nodes_most=14)
         assert plan == make_plan(seed, nodes_most=14)
-        assert 1 <= len(plan.nodes) <= 14 and plan.changes
+        assert 1 <= len(plan.nodes) <= 14
+        assert plan.changes
         for node in plan.nodes:
             moves_of = [e for e in plan.events if e.node == node and e.what == "move"]
             moves += len(moves_of)
@@ -49,7 +51,8 @@
             assert len(plan.discoveries[node]) >= len(moves_of) + 1
             assert all(d.caught_up <= CATCH_UP_MOST for d in plan.discoveries[node])
         recalls += any(c.lifecycle == "in_service" for c in plan.changes)
-    assert moves > 1000 and recalls > 50
+    assert moves > 1000
+    assert recalls > 50
     assert make_plan(1) != make_plan(2)
 
 
@@ -77,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "client, signals, broken",
+    ("client", "signals", "broken"),
     [
         (replace(CLIENT, end=End.CLOSED), [], True),
         (replace(CLIENT, end=End.UNANSWERED, ended=11.8), [], True),
--- a/tests/test_soak_discoveries.py
+++ b/tests/test_soak_discoveries.py
@@ -64,7 +64,8 @@
         await asyncio.sleep(0)
         discovery.look()
         await down
-        assert discovery.due[0] >= time.monotonic() + LISTED_BINDING - 0.1 and told_at(discovery) == []
+        assert discovery.due[0] >= time.monotonic() + LISTED_BINDING - 0.1
+        assert told_at(discovery) == []
 
     run(test())
 
@@ -77,7 +78,8 @@
     later = discovery_of(PLAIN, asked=True)
     later.records.changes[0] = Change(time.monotonic(), "s0", "terminating", 0)
     later.new_life("n.2")
-    assert told_at(later) == [] and 0 in later.due
+    assert told_at(later) == []
+    assert 0 in later.due
 
 
 def test_some_runs_ask_for_their_lists():
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -59,8 +59,9 @@
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         began = time.monotonic()
         writer.write(REQUEST)
-        head, body = await read_message(reader)
-        assert time.monotonic() > began + HELD - 0.01 and body == b"ok"
+        _head, body = await read_message(reader)
+        assert time.monotonic() > began + HELD - 0.01
+        assert body == b"ok"
         assert server.records.servers[0].ran is Ran.OK
 
     with_link(LinkFault("s0", LinkFaultKind.ANSWERS_HELD, 0, HELD), test)
@@ -76,7 +77,7 @@
     with_link(LinkFault("s0", LinkFaultKind.DELAY, 0, 100, seconds=0.1), test)
 
 
-@pytest.mark.parametrize("kind, most", [(LinkFaultKind.RESET, CUT_AT), (LinkFaultKind.HALF_CLOSE, 0)])
+@pytest.mark.parametrize(("kind", "most"), [(LinkFaultKind.RESET, CUT_AT), (LinkFaultKind.HALF_CLOSE, 0)])
 def test_an_answer_that_is_cut_has_run_all_the_same(kind, most):
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(REQUEST)
--- a/tests/test_soak_slow_start.py
+++ b/tests/test_soak_slow_start.py
@@ -62,8 +62,10 @@
 
 def test_a_cold_server_that_gets_what_a_warm_one_does_falls():
     (fall,) = SlowStart(records_of(cold_rate=3 * WARM_RATE), TERMS).falls()
-    assert fall.server == "s2" and START < fall.at < START + 2.0
-    assert fall.requests > fall.most and fall.age == 0.0
+    assert fall.server == "s2"
+    assert START < fall.at < START + 2.0
+    assert fall.requests > fall.most
+    assert fall.age == 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -125,7 +125,8 @@
             lists[name] = [a for a in lists[name] if a != ALL[i]] + [f"10.1.0.{i}:80"]
             reconciler.update_source(at, name, statements(*lists[name]))
             seen.append(in_service(reconciler, at))
-            assert len(seen[-1]) >= 10 and f"10.1.0.{i}:80" in seen[-1]
+            assert len(seen[-1]) >= 10
+            assert f"10.1.0.{i}:80" in seen[-1]
         assert ALL[i] not in seen[-1], "gone once both have dropped it"
 
 
@@ -153,7 +154,8 @@
 def test_one_dropped_endpoint_goes_by_rank_once_the_time_to_disagree_is_over(dropping, stays):
     reconciler = watch_and_srv_with(*ALL)
     reconciler.update_source(10, dropping, statements(*ALL[1:]))
-    assert ALL[0] in in_service(reconciler, 69) and (ALL[0] in in_service(reconciler, 71)) == stays
+    assert ALL[0] in in_service(reconciler, 69)
+    assert (ALL[0] in in_service(reconciler, 71)) == stays
     evidence = reconciler.evidence(ALL[0], 71)
     assert {item.status for item in evidence.values()} == {ListingStatus.LISTED, ListingStatus.DROPPED}
 
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -206,11 +206,9 @@
             await steady(1.5, {0, 2, 3})
             code, reply = await site.admin_call("GET /sources")
             rows = {r["source"]: r for r in json.loads(reply)["sources"]}
-            assert (
-                code == 200
-                and rows[f"srv:{NAME}"]["credit"] == "stale"
-                and "SERVFAIL" in rows[f"srv:{NAME}"]["why"]
-            )
+            assert code == 200
+            assert rows[f"srv:{NAME}"]["credit"] == "stale"
+            assert "SERVFAIL" in rows[f"srv:{NAME}"]["why"]
             # It comes back with a new box; the watch takes back its drain.
             site.dns.faults = []
             site.srv(0, 1, 4)
@@ -241,7 +239,8 @@
             code, reply = await site.admin_call(
                 f"GET /sources?box=box2.site3.example.org:{site.boxes[2].port}"
             )
-            assert code == 200 and json.loads(reply)["boxes"][0]["spare"]
+            assert code == 200
+            assert json.loads(reply)["boxes"][0]["spare"]
             # Operators take both of the first priority out: the second comes in.
             assert (await site.admin_call("POST /maintenance/enter", site.boxes[0].address))[0] == 200
             assert (
@@ -266,14 +265,12 @@
             assert (await site.admin_call("POST /maintenance/enter", "s-0"))[0] == 200
             assert site.up() == {1}
             code, reply = await site.admin_call("GET /servers?id=s-0")
-            assert (
-                json.loads(reply)["servers"][0]["state"] == "out"
-                and json.loads(reply)["servers"][0]["id"] == "s-0"
-            )
+            assert json.loads(reply)["servers"][0]["state"] == "out"
+            assert json.loads(reply)["servers"][0]["id"] == "s-0"
             site.srv(0, 1, 2)
             await until(lambda: site.up() == {1, 2})
             site.catalog.put(*site.line(0, 1))
-            code, reply = await site.admin_call("GET /sources?box=s-0")
+            _code, reply = await site.admin_call("GET /sources?box=s-0")
             assert json.loads(reply)["boxes"][0]["held_out"]
             assert (await site.admin_call("POST /maintenance/enter", "s-9"))[0] == 404
             assert (await site.admin_call("POST /maintenance/exit", site.boxes[0].address))[0] == 200
@@ -422,7 +419,9 @@
 
             await boxes(2)
             code, out = await explain(site.boxes[0].address)
-            assert code == 0 and "line 2" in out and f"srv:{NAME}" in out
+            assert code == 0
+            assert "line 2" in out
+            assert f"srv:{NAME}" in out
             assert (await explain("nobody"))[0] == 1
             extra = tmp_path / "boxes"
             extra.write_text(f"{site.boxes[2].address}\n")
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -20,16 +20,21 @@
     model = ServerModel(ServerCapacity(slots=1, queue=1), 0)
     assert model.add(0, "a", 100) == 100
     assert model.add(0, "b", 100) == 0
-    assert model.add(0, "c", 100) is None and model.rejected == 1
+    assert model.add(0, "c", 100) is None
+    assert model.rejected == 1
     assert model.complete(100, "a") == ("b", 200)
-    assert model.complete(200, "b") is None and model.completed == 2 and model.worked_us == 200
+    assert model.complete(200, "b") is None
+    assert model.completed == 2
+    assert model.worked_us == 200
 
 
 def test_a_waiting_request_can_be_cancelled_and_a_running_one_cannot():
     model = ServerModel(ServerCapacity(slots=1), 0)
     model.add(0, "a", 100)
     model.add(0, "b", 100)
-    assert model.cancel("b") and not model.cancel("a") and model.complete(100, "a") is None
+    assert model.cancel("b")
+    assert not model.cancel("a")
+    assert model.complete(100, "a") is None
 
 
 def test_the_speed_rises_evenly_in_slow_start():
@@ -51,12 +56,15 @@
     model.add(0, "a", 100)
     model.add(0, "b", 100)
     model.draining = True
-    assert model.add(0, "c", 100) is None and model.complete(100, "a") == ("b", 200)
+    assert model.add(0, "c", 100) is None
+    assert model.complete(100, "a") == ("b", 200)
 
 
 def test_a_key_takes_effect_once_in_its_window():
     cache = KeyCache(window_us=100)
-    assert cache.add(0, b"k") and not cache.add(99, b"k") and cache.add(100, b"k")
+    assert cache.add(0, b"k")
+    assert not cache.add(99, b"k")
+    assert cache.add(100, b"k")
     assert (cache.effects, cache.repeats) == (2, 1)
 
 
@@ -91,7 +99,8 @@
         stdout=subprocess.PIPE,
         text=True,
     )
-    assert child.stdin is not None and child.stdout is not None
+    assert child.stdin is not None
+    assert child.stdout is not None
     child.stdin.write('{"do": "add", "name": "s"}\n{"do": "list"}\nnot json\n')
     child.stdin.flush()
     assert json.loads(child.stdout.readline()) == {"ok": True}
@@ -106,8 +115,8 @@
         cluster = Cluster([{"name": "s"}], 1, [])  # no classes: no settings of a node
         with pytest.raises(ClusterError, match="n0 did not start: .*classes"):
             await cluster.__aenter__()
-        assert (
-            not cluster.nodes[0].alive and cluster.world is not None and cluster.world.returncode is not None
-        )
+        assert not cluster.nodes[0].alive
+        assert cluster.world is not None
+        assert cluster.world.returncode is not None
 
     run(body())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -61,7 +61,8 @@
         child.wait()
         store = Store(str(path))
         document, records = store.get("k", "x"), store.records("k", "x")
-        assert reported <= document.body["n"] <= reported + 1 and reported > previous
+        assert reported <= document.body["n"] <= reported + 1
+        assert reported > previous
         assert [record.body["n"] for record in records] == list(range(1, document.body["n"] + 1))
         store.close()
         previous = reported
@@ -113,7 +114,9 @@
 
 def test_the_check_command_names_a_row_with_a_wrong_checksum(file_with_a_changed_row):
     done = run_command("check", str(file_with_a_changed_row))
-    assert done.returncode == 1 and "document shift s1" in done.stderr and len(done.stderr.splitlines()) == 1
+    assert done.returncode == 1
+    assert "document shift s1" in done.stderr
+    assert len(done.stderr.splitlines()) == 1
 
 
 @pytest.fixture
@@ -131,8 +134,11 @@
 
 def test_a_write_to_a_full_store_changes_nothing(full_store):
     store, written = full_store
-    assert written > 3 and len(store.keys("k")) == written and store.check() == []
-    assert len(store.records("k", f"x{written - 1}")) == 1 and store.records("k", f"x{written}") == []
+    assert written > 3
+    assert len(store.keys("k")) == written
+    assert store.check() == []
+    assert len(store.records("k", f"x{written - 1}")) == 1
+    assert store.records("k", f"x{written}") == []
 
 
 def test_an_urgent_write_takes_the_reserved_space_of_a_full_store(full_store):
@@ -160,7 +166,8 @@
 def test_compaction_deletes_old_records_and_returns_their_space(store_with_many_records):
     before, after = store_with_many_records.compact(5)
     records = store_with_many_records.records("k", "x")
-    assert after < before and [record.body["n"] for record in records] == list(range(115, 120))
+    assert after < before
+    assert [record.body["n"] for record in records] == list(range(115, 120))
 
 
 @pytest.fixture
@@ -231,7 +238,8 @@
     path = tmp_path / "store"
     fill(path)
     checked = run_command("check", str(path))
-    assert checked.returncode == 0 and "3 shift" in checked.stdout
+    assert checked.returncode == 0
+    assert "3 shift" in checked.stdout
     dumped = run_command("dump", str(path))
     assert dumped.returncode == 0
     assert len([json.loads(line) for line in dumped.stdout.splitlines()]) == 3 + 24
@@ -241,10 +249,13 @@
 
 def test_the_check_command_refuses_a_file_that_does_not_exist(tmp_path):
     done = run_command("check", str(tmp_path / "none"))
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+    assert done.returncode == 2
+    assert len(done.stderr.splitlines()) == 1
 
 
 def test_the_check_command_reports_a_file_that_is_no_store(tmp_path):
     (tmp_path / "text").write_text("no store, but a text of some length\n" * 100)
     done = run_command("check", str(tmp_path / "text"))
-    assert done.returncode == 1 and "not a database" in done.stderr and os.linesep * 2 not in done.stderr
+    assert done.returncode == 1
+    assert "not a database" in done.stderr
+    assert os.linesep * 2 not in done.stderr
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -122,7 +122,8 @@
 def test_documents_and_records_of_a_stored_file_are_read(tmp_path, name, records):
     store = Store(str(stored(name, tmp_path)))
     assert list(store.dump()) == [NOTE, ORDERS, *records]
-    assert store.keys("_reserve") == [""] and store.get("_reserve", "").body == {"free": "x" * 65_536}
+    assert store.keys("_reserve") == [""]
+    assert store.get("_reserve", "").body == {"free": "x" * 65_536}
     store.close()
 
 
@@ -273,7 +274,8 @@
     assert (errors.windows, list(errors.at_risk), list(errors.events)) == (4, [80, 34], [0, 4])
     assert errors.log_wealths == [[0.7002, 1.5616, 2.6791, 3.7041]]
     assert (late.windows, list(late.at_risk), list(late.events)) == (4, [74, 40], [4, 0])
-    assert controller.lease is not None and controller.lease.fencing_token == 2
+    assert controller.lease is not None
+    assert controller.lease.fencing_token == 2
     store.close()
 
 
@@ -314,7 +316,8 @@
 def test_an_old_process_can_read_what_a_new_one_makes_of_its_held_file(tmp_path):
     shutil.copy(DATA / HELD_NAME, tmp_path)
     store = NodeStore(str(tmp_path), "n/0")
-    assert store.refresh() and store.maintenance == MaintenanceState(frozenset({"s1", "s2"}), standby=True)
+    assert store.refresh()
+    assert store.maintenance == MaintenanceState(frozenset({"s1", "s2"}), standby=True)
     store.update(lambda held: held.without_server("s2"))
     assert (tmp_path / HELD_NAME).read_bytes() == b'{"out": ["s1"], "standby": true}'
     store.update(lambda held: held.with_server("s2"))
@@ -339,19 +342,24 @@
 def test_a_new_process_takes_over_the_figures_of_an_old_ones_learned_file(tmp_path, monkeypatch):
     """With no server ejected and no zone cut off: what that takes of the tier lowers the limit at once."""
     text = learned_from_file(tmp_path, monkeypatch)
-    assert text is not None and text.count(b'"cut": [1]') == text.count(b"true") == 1
+    assert text is not None
+    assert text.count(b'"cut": [1]') == text.count(b"true") == 1
     node, _ = balancer(states.SERVERS, seed=2)
     whole = text.replace(b'"cut": [1]', b'"cut": []').replace(b"true", b"false")
     import_learned_state(node, states.SERVER_NAMES, whole, 7)
     controller = node.controller
     assert (controller.limit, controller.baseline_in_flight) == (24.5, 18.25)
-    assert controller.min_rtt == [900.0, 1100.5, 1300.0] and controller.target == [2500.0, 2600.0, 2700.0]
-    assert node.traffic.mean_rtt == [1500.0, 1600.0, 1700.0] and node.traffic.deviation == [
+    assert controller.min_rtt == [900.0, 1100.5, 1300.0]
+    assert controller.target == [2500.0, 2600.0, 2700.0]
+    assert node.traffic.mean_rtt == [1500.0, 1600.0, 1700.0]
+    assert node.traffic.deviation == [
         125.0,
         150.5,
         175.0,
     ]
-    assert node.slow_start.warm_rate == 7.5 and not node.outliers.ejected_zones and not node.outliers.ejected
+    assert node.slow_start.warm_rate == 7.5
+    assert not node.outliers.ejected_zones
+    assert not node.outliers.ejected
 
 
 def test_a_new_process_takes_over_the_servers_and_zones_of_an_old_ones_learned_file(tmp_path, monkeypatch):
@@ -359,9 +367,8 @@
     assert text is not None
     node, _ = balancer(states.SERVERS, seed=2)
     import_learned_state(node, states.SERVER_NAMES, text, 7)
-    assert [zone.id for zone in node.outliers.ejected_zones] == [1] and [
-        server.id for server in node.outliers.ejected
-    ] == [4]
+    assert [zone.id for zone in node.outliers.ejected_zones] == [1]
+    assert [server.id for server in node.outliers.ejected] == [4]
     servers = [(node.subset.servers[n].slowness, node.subset.servers[n].failure_rate) for n in (1, 2, 4)]
     assert servers == [(1.25, 0.0), (0.75, 0.125), (2.5, 0.625)]
 
@@ -450,11 +457,9 @@
         service = states.control_service(path)
         service.start_cluster("orders", service.remembered_lists.load()["orders"])
         feed = service.publisher_loop.feeds["orders"]
-        assert (
-            feed.listed_endpoints.has_remembered_list
-            and not feed.listed_endpoints.has_full_list
-            and feed.listed_endpoints.is_publishable()
-        )
+        assert feed.listed_endpoints.has_remembered_list
+        assert not feed.listed_endpoints.has_full_list
+        assert feed.listed_endpoints.is_publishable()
         assert feed.listed_endpoints.entries == {
             "s1": {
                 "instanceId": "s1",
@@ -466,7 +471,8 @@
             "s2": {"instanceId": "s2", "hostPort": "10.2.0.2:8082", "lifecycle": "terminating"},
         }
         number = feed.registry.numbers["s1"]
-        assert list(feed.registry.listed) == [number] and list(feed.registry.draining) == ["s2"]
+        assert list(feed.registry.listed) == [number]
+        assert list(feed.registry.draining) == ["s2"]
         # What it remembers of them has the same bytes again.
         service.remembered_lists.save(service.publisher_loop.feeds)
         await states.stop_control(service)
@@ -567,7 +573,8 @@
         15_000_000_000,
         250_000_000,
     )
-    assert late.state_change is not None and late.state_change.fields["server.state"] == "draining"
+    assert late.state_change is not None
+    assert late.state_change.fields["server.state"] == "draining"
 
 
 def test_an_attempt_log_is_written_with_the_same_bytes(tmp_path, monkeypatch):
@@ -738,14 +745,20 @@
 
 def test_the_rest_of_a_platforms_configuration_is_read():
     config = config_from(node_config())
-    assert config.name == "n3" and config.seed == 0x8C1F30D27A5BE964
-    assert config.listen == ("10.0.0.4", 8081) and config.admin == ("10.0.0.4", 8089)
+    assert config.name == "n3"
+    assert config.seed == 0x8C1F30D27A5BE964
+    assert config.listen == ("10.0.0.4", 8081)
+    assert config.admin == ("10.0.0.4", 8089)
     assert config.discovery == ("10.2.0.1", 8500)
-    assert config.sockets == 4096 and config.memory == 2048 * 1024 * 1024
-    assert config.connect_timeout == 350_000 and config.idle_time == 6_000_000
+    assert config.sockets == 4096
+    assert config.memory == 2048 * 1024 * 1024
+    assert config.connect_timeout == 350_000
+    assert config.idle_time == 6_000_000
     assert config.columns == ["concurrent", "depth", "load_share", "mean_ms", "tps", "err_ps", "other"]
-    assert config.classes == ["read", "put", "log", "pay"] and config.tenants == ["gold", "free"]
-    assert config.zones == ["north", "south", "east"] and config.kinds == ["m1", "m2"]
+    assert config.classes == ["read", "put", "log", "pay"]
+    assert config.tenants == ["gold", "free"]
+    assert config.zones == ["north", "south", "east"]
+    assert config.kinds == ["m1", "m2"]
     assert config.known == {
         "generation": 41,
         "reset": True,
@@ -761,7 +774,8 @@
         place = ROOT / module.replace(".", "/")
         assert start == "exec .venv/bin/python"
         assert place.with_suffix(".py").is_file() or (place / "__main__.py").is_file()
-    assert told["policy"] and told["node"]
+    assert told["policy"]
+    assert told["node"]
     assert all((ROOT / name).exists() for name in told["policy"] + told["node"])
 
 
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -37,7 +37,8 @@
         client = await world.client()
         client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
         text = await client.reader.read()
-        assert b"chunked" not in text and text.partition(b"\r\n\r\n")[2] == BIG
+        assert b"chunked" not in text
+        assert text.partition(b"\r\n\r\n")[2] == BIG
 
     with_peers(test, server_that_sends(FORMS["chunks"](BIG)))
 
@@ -76,7 +77,8 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
         await until(lambda: not (world.node.dispatcher.requests))
-        assert len(asked) == 1 and world.node.dispatcher.statistics.final_answers["failed"] == 1
+        assert len(asked) == 1
+        assert world.node.dispatcher.statistics.final_answers["failed"] == 1
         assert max(s.failure_rate for s in world.node.dispatcher.balancer.subset.servers.values()) > 0
 
     with_peers(test, breaks, breaks)
@@ -157,7 +159,8 @@
         # What was written is in the kernel's buffers, those of the test among them, and not in the node.
         assert written[0] < 12_000_000
         await until(lambda: not (world.node.client_connections.open))
-        assert not world.node.dispatcher.requests and not world.node.dispatcher.open_request_ids
+        assert not world.node.dispatcher.requests
+        assert not world.node.dispatcher.open_request_ids
         client.writer.close()
 
     with_peers(test, pours)
@@ -191,9 +194,8 @@
             for c in world.node.client_connections.open
             if c.transport is not None
         ]
-        assert (
-            max(here) <= 3 * MIN_STREAM_BUFFER_BYTES and pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
-        )
+        assert max(here) <= 3 * MIN_STREAM_BUFFER_BYTES
+        assert pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         for client in clients:
             client.writer.transport.abort()
         await until(lambda: not pool.streaming)
--- a/tests/test_streamed_uploads.py
+++ b/tests/test_streamed_uploads.py
@@ -26,16 +26,18 @@
     node.uploading(9_000_000, request, False)
     assert (server_state.in_flight, controller.in_flight) == (1, 1)
     r = node.requests[request]
-    assert r.sent_at == 9_000_000 and r.deadline > 9_000_000
+    assert r.sent_at == 9_000_000
+    assert r.deadline > 9_000_000
     end(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
-    assert (server_state.in_flight, controller.in_flight) == (0, 0) and not node.requests
+    assert (server_state.in_flight, controller.in_flight) == (0, 0)
+    assert not node.requests
     node.uploading(9_200_000, request, True)  # there is no request any more
     assert (server_state.in_flight, controller.in_flight) == (0, 0)
 
 
 def test_no_per_try_timeout_while_the_body_is_being_sent():
     node, recorder = balancer(servers=2)
-    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    _, request, _server, _ = ask(node, recorder, 1000, 1, request_class=1)
     node.uploading(1000, request, True)
     node.per_try_timeout(2_900_000, node.requests[request])
     assert not recorder.take("cancel", "set_timer")
@@ -98,9 +100,8 @@
             (open_request,) = world.node.dispatcher.requests.values()
             while not (held := world.node.dispatcher.balancer.requests[open_request.id]).uploading:
                 await asyncio.sleep(0.005)
-            assert (
-                held.server.in_flight == 0 and len(bodies) == i
-            )  # a slow client takes no slot of the server
+            assert held.server.in_flight == 0
+            assert len(bodies) == i
             client.writer.write(text[150_000:])
             assert (await client.answer())[0] == 200
         assert bodies == [BIG, BIG]
@@ -163,7 +164,9 @@
         client = await world.client()
         client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:280_000])
         status, head, _ = await client.answer()
-        assert status == 503 and b"Retry-After: " in head and len(heads) == before
+        assert status == 503
+        assert b"Retry-After: " in head
+        assert len(heads) == before
         # The rest of that body is discarded, and the connection is kept.
         client.writer.write(BIG[280_000:])
         client.send("/_health")
@@ -182,16 +185,13 @@
         client = await world.client()
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
         status, head, _ = await client.answer()
-        assert status == 408 and b"Connection: close" in head
+        assert status == 408
+        assert b"Connection: close" in head
         await until(lambda: not (world.node.pool.open_connections))
-        assert (
-            not world.node.dispatcher.requests
-            and world.node.dispatcher.statistics.final_answers["served"] == 0
-        )
-        assert (
-            world.node.dispatcher.balancer.controller.in_flight == 0
-            and world.node.client_connections.buffered_body_bytes == 0
-        )
+        assert not world.node.dispatcher.requests
+        assert world.node.dispatcher.statistics.final_answers["served"] == 0
+        assert world.node.dispatcher.balancer.controller.in_flight == 0
+        assert world.node.client_connections.buffered_body_bytes == 0
 
     with_peers(test, server_that_stores(heads, []))
 
@@ -226,7 +226,8 @@
         client.writer.write(b"\r\nno chunk\r\n" * 2000)
         assert (await client.answer())[0] == 400
         await until(lambda: not (world.node.pool.open_connections))
-        assert not bodies and not world.node.dispatcher.requests
+        assert not bodies
+        assert not world.node.dispatcher.requests
 
     with_peers(test, server_that_stores([], bodies))
 
@@ -244,7 +245,8 @@
         client.writer.write(BIG[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
         assert (await client.answer())[0] == 200
-        assert bodies == [b"hi"] and world.node.client_connections.buffered_body_bytes == 0
+        assert bodies == [b"hi"]
+        assert world.node.client_connections.buffered_body_bytes == 0
 
     with_peers(test, server_that_stores([], bodies))
 
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -57,32 +57,28 @@
 
 def test_states_response_deadlines_and_the_staleness_limit():
     schedule = SubscriptionSchedule(FLEET, Random(1))
-    assert (
-        schedule.state is SubscriptionState.IDLE
-        and schedule.next_call_at == inf
-        and schedule.response_deadline() == inf
-    )
+    assert schedule.state is SubscriptionState.IDLE
+    assert schedule.next_call_at == inf
+    assert schedule.response_deadline() == inf
     schedule.start(1.0)
     assert schedule.state is SubscriptionState.WAITING
     schedule.call_started(1.0)
-    assert (
-        schedule.state is SubscriptionState.CALLING and schedule.response_deadline() == 1.0 + POLL_TIMEOUT_S
-    )
+    assert schedule.state is SubscriptionState.CALLING
+    assert schedule.response_deadline() == 1.0 + POLL_TIMEOUT_S
     schedule.heartbeat_received(2.9)  # just before discovery would have failed it
     schedule.update_applied()
-    assert schedule.state is SubscriptionState.SUBSCRIBED and schedule.first_response_wait == pytest.approx(
-        1.9
-    )
-    assert (
-        schedule.response_deadline() == 2.9 + WATCH_HEARTBEAT_TIMEOUT_S
-        and schedule.staleness_limit_at() == 2.9 + STALENESS_LIMIT_S
-    )
-    assert not schedule.staleness_limit_passed(8.8) and schedule.staleness_limit_passed(9.0)
+    assert schedule.state is SubscriptionState.SUBSCRIBED
+    assert schedule.first_response_wait == pytest.approx(1.9)
+    assert schedule.response_deadline() == 2.9 + WATCH_HEARTBEAT_TIMEOUT_S
+    assert schedule.staleness_limit_at() == 2.9 + STALENESS_LIMIT_S
+    assert not schedule.staleness_limit_passed(8.8)
+    assert schedule.staleness_limit_passed(9.0)
     schedule.heartbeat_received(4.0)
     assert not schedule.staleness_limit_passed(9.0)
     schedule.stop()
     schedule.call_ended(5.0, CallEnd.ENDED)
-    assert schedule.state is SubscriptionState.IDLE and schedule.next_call_at == inf
+    assert schedule.state is SubscriptionState.IDLE
+    assert schedule.next_call_at == inf
 
 
 def test_an_ended_watch_is_reopened_soon_and_a_silent_one_in_its_slot_of_the_round():
@@ -155,7 +151,8 @@
             assert bool(schedule.long_queue_calls) == still_long
     schedule.call_started(30.0)
     schedule.heartbeat_received(31.9)
-    assert schedule.long_queue_calls and schedule.round_length() == LONG_QUEUE_ROUND_S
+    assert schedule.long_queue_calls
+    assert schedule.round_length() == LONG_QUEUE_ROUND_S
 
 
 def test_failed_calls_pause_and_rounds_grow_until_a_list_is_received():
@@ -169,7 +166,8 @@
         wait = schedule.next_call_at - now - 2
         assert FAILED_CALL_PAUSE_S <= wait <= FAILED_CALL_PAUSE_S + schedule.round_length()
         longest.append(schedule.round_length())
-    assert longest[:3] == [5.0, 10.0, 20.0] and longest[-1] == MAX_ROUND_POLL_INTERVALS * 10.0
+    assert longest[:3] == [5.0, 10.0, 20.0]
+    assert longest[-1] == MAX_ROUND_POLL_INTERVALS * 10.0
     schedule.call_started(now)
     schedule.heartbeat_received(now + 1)
     schedule.update_applied()
@@ -188,7 +186,8 @@
         assert schedule.next_call_at - 1.0 <= MIN_CALL_DELAY_S + (
             SINGLE_FAILURE_ROUND_S if len(waits) < 2 else schedule.round_length()
         )
-    assert waits[-1] > waits[0] and schedule.consecutive_failures == 4
+    assert waits[-1] > waits[0]
+    assert schedule.consecutive_failures == 4
 
 
 def test_an_agent_is_called_again_with_a_short_backoff():
@@ -229,14 +228,16 @@
         writer.write(chunk(line(42)))
         await until(lambda: schedule.state is SubscriptionState.SUBSCRIBED)
         writer = await came.get()  # the first watch has fallen silent
-        assert schedule.consecutive_failures == 0 and schedule.call_count == 2
+        assert schedule.consecutive_failures == 0
+        assert schedule.call_count == 2
         writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         writer = await came.get()
         assert schedule.consecutive_failures == 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(43, entry("s1", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.registry.listed)
-        assert schedule.consecutive_failures == 0 and schedule.state is SubscriptionState.SUBSCRIBED
+        assert schedule.consecutive_failures == 0
+        assert schedule.state is SubscriptionState.SUBSCRIBED
         task.cancel()
 
     run(test())
@@ -251,9 +252,11 @@
     reply = bytes(host.batch(1, failed, 2_000_000))
     assert reply[4] == 69
     _, _, delay, token = struct.unpack("<BHIQ", reply[4:19])
-    assert token == SUBSCRIBE_TOKEN and delay >= FAILED_CALL_PAUSE_S * 1e6
+    assert token == SUBSCRIBE_TOKEN
+    assert delay >= FAILED_CALL_PAUSE_S * 1e6
     reply = host.batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
-    assert reply[4] == 75 and host.schedule[3].call_count == 2
+    assert reply[4] == 75
+    assert host.schedule[3].call_count == 2
     host.batch(1, struct.pack("<BH", 9, 3), 9_000_000)
     assert not host.schedule
 
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -56,7 +56,8 @@
     size = len(node.subset.members)
     first = node.subset.members[0].id
     node.endpoint_update(1, EndpointUpdateKind.CHANGES, [Endpoint(first, EndpointState.GONE)])
-    assert len(node.subset.members) == size and first not in {m.id for m in node.subset.members}
+    assert len(node.subset.members) == size
+    assert first not in {m.id for m in node.subset.members}
 
 
 @pytest.mark.parametrize(
@@ -108,12 +109,16 @@
     in_flight = node.controller.in_flight
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 241)])
     displaced = before - set(node.subset.members)
-    assert displaced and len(before) == 10 and len(node.subset.members) == 24
+    assert displaced
+    assert len(before) == 10
+    assert len(node.subset.members) == 24
     assert {c[1] for c in recorder.take("close_idle")} >= {m.id for m in displaced}
-    assert node.controller.in_flight == in_flight and displaced & out
+    assert node.controller.in_flight == in_flight
+    assert displaced & out
     for n, r in list(node.requests.items()):
         end(node, recorder, SEC + 1000, n, 0, r.server.id, Outcome.OK)
-    assert node.controller.in_flight == 0 and all(m.in_flight == 0 for m in before)
+    assert node.controller.in_flight == 0
+    assert all(m.in_flight == 0 for m in before)
     assert displaced <= set(node.subset.servers.values()), (
         "it is listed, and may be drawn into the subset again"
     )
@@ -124,13 +129,15 @@
     before = list(node.subset.members)
     for n in range(50):
         node.endpoint_update(n, EndpointUpdateKind.FULL, [Endpoint(i + 1) for i in range(120)])
-    assert node.subset.members == before and not recorder.take("close_idle")
+    assert node.subset.members == before
+    assert not recorder.take("close_idle")
 
 
 def test_an_ejected_member_is_not_replaced_by_a_newly_listed_server():
-    node, recorder = balancer(40, instance_count=80)
+    node, _recorder = balancer(40, instance_count=80)
     for m in node.subset.members[:3]:
         node.outliers.eject(0, m, unresponsive=False)
     ejected = list(node.outliers.ejected)
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 401)])
-    assert ejected and all(m.in_subset and m in node.subset.members for m in ejected)
+    assert ejected
+    assert all(m.in_subset and m in node.subset.members for m in ejected)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -184,7 +184,8 @@
             await asyncio.sleep(1.0)
             for _ in range(6):
                 answers = await asyncio.gather(*(world.request() for _ in range(40)))
-                assert set(answers) <= {200, 503} and answers.count(200) > 20
+                assert set(answers) <= {200, 503}
+                assert answers.count(200) > 20
             assert not world.tracebacks()
 
     run(test())
@@ -222,7 +223,8 @@
             assert (await admin_call(first, "POST", "/maintenance/enter", "s0"))[0] == 200
             await asyncio.sleep(1.6)
             status, text = await admin_call(first, "POST", "/maintenance/enter", "s1")
-            assert status == 500 and "cannot be written" in text
+            assert status == 500
+            assert "cannot be written" in text
             assert (await admin_call(first, "GET", "/status"))[1] == "active; servers out: s0\n"
             await first.end()
             await second.start(None)
@@ -259,7 +261,9 @@
 ]
 
 
-@pytest.mark.parametrize("call, error, local", CONNECT_FAILURES, ids=lambda v: str(errno.errorcode.get(v, v)))
+@pytest.mark.parametrize(
+    ("call", "error", "local"), CONNECT_FAILURES, ids=lambda v: str(errno.errorcode.get(v, v))
+)
 def test_a_failing_connect_loses_no_request_and_ejects_no_server_for_a_local_shortage(
     call, error, local, shim, tmp_path
 ):
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -28,4 +28,5 @@
 
 def test_a_node_with_much_traffic_scales_all_quotas():
     flood, *others = served_fractions(100, [40, 5, 5, 5], [1.1, 0.4, 0.4, 0.4])
-    assert min(others) > 0.85 and flood < 0.5
+    assert min(others) > 0.85
+    assert flood < 0.5
--- a/tests/test_tier_load.py
+++ b/tests/test_tier_load.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("event", TierEvent)
-@pytest.mark.parametrize("nodes, servers", [(36, 115), (200, 120), (2000, 1000)])
+@pytest.mark.parametrize(("nodes", "servers"), [(36, 115), (200, 120), (2000, 1000)])
 def test_the_bounds_hold_at_any_size(nodes, servers, event):
     assert not exceeded(nodes=nodes, servers=servers, event=event, duration=6.0 if nodes < 1000 else 2.0)
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, wrong, exceeded_sum",
+    ("name", "wrong", "exceeded_sum"),
     [
         ("subset_size", lambda servers, nodes, most=0: servers, "connections"),
         ("limit_floor", lambda servers, nodes: 3.0 * servers, "calls that nobody refuses"),
@@ -84,14 +84,18 @@
 
     shown = run("--nodes", "40", "--servers", "30", "--event", "herd", "--seeds", "2", "--json")
     rows = json.loads(shown.stdout)
-    assert shown.exit_code == 0 and [row["seed"] for row in rows] == [1, 2]
+    assert shown.exit_code == 0
+    assert [row["seed"] for row in rows] == [1, 2]
     assert all(entry["most"] <= entry["bound"] * 1.001 for row in rows for entry in row["sums"].values())
     table = run("--nodes", "40", "--servers", "30")
-    assert table.exit_code == 0 and "handshakes a second" in table.output
+    assert table.exit_code == 0
+    assert "handshakes a second" in table.output
     monkeypatch.setattr(fleet_limits, "limit_floor", lambda servers, nodes: 1e6)
     assert run("--nodes", "40", "--servers", "30").exit_code == 1
     bad = tmp_path / "fleet.toml"
     bad.write_text("[tier]\nuneven = 0.1\n")
     for arguments, message in (((str(bad),), "tier.uneven"), (("--event", "x"), "one of calm, herd")):
         wrong = run(*arguments)
-        assert wrong.exit_code == 2 and message in wrong.output and len(wrong.output.splitlines()) == 1
+        assert wrong.exit_code == 2
+        assert message in wrong.output
+        assert len(wrong.output.splitlines()) == 1
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -67,19 +67,23 @@
 )
 def test_a_bad_row_has_one_cause_and_its_neighbours_are_kept(tmp_path, line, cause):
     found = told(tmp_path, GOOD, line, task(1500000, 7))
-    assert found["rows_dropped"] == {cause: 1} and found["rows_kept"] == 2 and found["requests"] == 2
+    assert found["rows_dropped"] == {cause: 1}
+    assert found["rows_kept"] == 2
+    assert found["requests"] == 2
     assert found["first_dropped"] == {cause: [f"{tmp_path}/trace.csv:2"]}
 
 
 def test_a_row_that_polars_doubts_and_that_is_good_is_kept(tmp_path):
     quoted = b'" 1100000","","2","0","m,1","0","bob","3","9","0.1","0.1","0.1","0"'
     found = told(tmp_path, GOOD, quoted, b" 1200000 ,,3,0,m1,0,bob,3,9,0.1,0.1,0.1,0")
-    assert found["rows_kept"] == 3 and found["rows_dropped"] == {}
+    assert found["rows_kept"] == 3
+    assert found["rows_dropped"] == {}
 
 
 def test_bom_and_crlf_are_no_part_of_a_row(tmp_path):
     found = told(tmp_path, b"\xef\xbb\xbf" + GOOD, task(1500000, 7), end=b"\r\n")
-    assert found["rows_kept"] == 2 and found["rows_dropped"] == {}
+    assert found["rows_kept"] == 2
+    assert found["rows_dropped"] == {}
 
 
 def test_a_negative_duration(tmp_path):
@@ -94,7 +98,8 @@
 def test_order_is_put_right_within_the_window_and_dropped_beyond_it(tmp_path):
     lines = [task(100_000_000, 1), task(40_000_000, 2), task(39_999_999, 3), task(99_000_000, 4)]
     found = told(tmp_path, *lines)
-    assert found["rows_reordered"] == 2 and found["rows_dropped"] == {DropCause.OUT_OF_ORDER: 1}
+    assert found["rows_reordered"] == 2
+    assert found["rows_dropped"] == {DropCause.OUT_OF_ORDER: 1}
     assert found["first_dropped"] == {DropCause.OUT_OF_ORDER: [f"{tmp_path}/trace.csv:3"]}
 
 
@@ -107,12 +112,15 @@
 def test_a_clock_that_jumps_back_loses_what_comes_until_it_has_caught_up(tmp_path):
     times = [500_000_000, 501_000_000, 1_000_000, 2_000_000, 502_000_000]
     found = told(tmp_path, *(task(t, i) for i, t in enumerate(times)))
-    assert found["rows_dropped"] == {DropCause.OUT_OF_ORDER: 2} and found["rows_kept"] == 3
+    assert found["rows_dropped"] == {DropCause.OUT_OF_ORDER: 2}
+    assert found["rows_kept"] == 3
 
 
 def test_what_lies_before_and_after_the_trace_is_neither_late_nor_a_request(tmp_path):
     found = told(tmp_path, task(900_000_000), task(0, 2), task((1 << 63) - 1, 3), task(901_000_000, 4))
-    assert found["rows_kept"] == 4 and found["requests"] == 2 and found["span_s"] == 1.0
+    assert found["rows_kept"] == 4
+    assert found["requests"] == 2
+    assert found["span_s"] == 1.0
 
 
 def test_a_row_again_after_the_window_is_out_of_order_and_not_a_duplicate(tmp_path):
@@ -130,7 +138,8 @@
     parts[0].write_bytes(pack(GOOD + b"\n" + task(2_000_000, 5)))  # no line end at the end
     parts[1].write_bytes(pack(task(3_000_000, 6) + b"\nrubbish\n"))
     found = inspect(Trace(parts))
-    assert found["rows_read"] == 4 and found["requests"] == 3
+    assert found["rows_read"] == 4
+    assert found["requests"] == 3
     assert found["first_dropped"] == {DropCause.SHORT: [f"{parts[1]}:2"]}
 
 
@@ -189,7 +198,9 @@
 def test_a_call_graph_without_a_header_and_with_an_index_is_told():
     lines = (HERE / "ms_calls.csv").read_text().split("\n")[1:]
     found, header = recognise_format("x", lines)
-    assert found.table == "MSCallGraph" and not header and found.columns[0].at == 1
+    assert found.table == "MSCallGraph"
+    assert not header
+    assert found.columns[0].at == 1
 
 
 @pytest.mark.parametrize(
@@ -217,9 +228,8 @@
         return sorted(pl.concat(list(trace.requests()))["due"].to_list())
 
     assert due(1) == due(1) != due(2)
-    assert all(0 <= at < 60_000_000 for at in due(1)[:4]) and all(
-        60_000_000 <= at < 120_000_000 for at in due(1)[4:]
-    )
+    assert all(0 <= at < 60_000_000 for at in due(1)[:4])
+    assert all(60_000_000 <= at < 120_000_000 for at in due(1)[4:])
 
 
 # ---- whatever the rows are --------------------------------------------------------------------------
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -71,17 +71,17 @@
                 await until(lambda: old.client_connections.draining)
                 # What comes now is the other's, also what lay in the backlog.
                 assert {await site.called() for _ in range(8)} == {0}
-                assert (
-                    new.dispatcher.statistics.final_answers["served"] == 8
-                    and old.dispatcher.statistics.final_answers["served"] == 1
-                )
+                assert new.dispatcher.statistics.final_answers["served"] == 8
+                assert old.dispatcher.statistics.final_answers["served"] == 1
                 # Health on a kept connection does not say no: the node serves on.
                 kept.send("/_health")
                 status, head, _ = await kept.answer()
-                assert status == 200 and b"Connection: close" in head
+                assert status == 200
+                assert b"Connection: close" in head
                 at.answer()
                 status, head, _ = await busy.answer()
-                assert status == 200 and b"Connection: close" in head
+                assert status == 200
+                assert b"Connection: close" in head
                 await until(lambda: not old.client_connections.open)
                 await until(lambda: new.admin_operations.store.other_processes() == 0)
 
@@ -159,7 +159,8 @@
                 other.writer.close()
             client.send()  # the old one still answers here, and says that this is the last
             status, head, _ = await client.answer()
-            assert status == 200 and b"Connection: close" in head
+            assert status == 200
+            assert b"Connection: close" in head
             assert await asyncio.to_thread(old.wait) == 0
             assert new.poll() is None
         finally:
@@ -185,4 +186,6 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "LB_INHERITED_FD" in done.stderr
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
+    assert "LB_INHERITED_FD" in done.stderr
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -56,7 +56,8 @@
     balancer = balancer_of(200)
     before = balancer.stats()
     snapshots = balancer.endpoint_snapshots(0)
-    assert {s.server for s in snapshots} == set(range(1, 201)) and balancer.stats() == before
+    assert {s.server for s in snapshots} == set(range(1, 201))
+    assert balancer.stats() == before
     assert all(
         s.state == EndpointState.READY and not s.ejected and s.slow_start_factor == 1 and s.cost == 1
         for s in snapshots
@@ -115,7 +116,8 @@
         {s.server: s.slow_start_factor for s in balancer.endpoint_snapshots(now)}
         for now in (SECOND + 20, 6 * SECOND, 11 * SECOND)
     ]
-    assert 0.19 < factors[0][4] < 0.21 and 0.55 < factors[1][4] < 0.65
+    assert 0.19 < factors[0][4] < 0.21
+    assert 0.55 < factors[1][4] < 0.65
     assert set(factors[2].values()) == {1.0}
 
 
@@ -159,7 +161,8 @@
         released_abc.offer("a", cluster(weight, 100))
         assert released_abc.take_due(5 * SECOND + weight) is None
     batch = released_abc.take_due(6 * SECOND)
-    assert not batch.urgent and batch.clusters["a"].endpoints[0].weight == 59
+    assert not batch.urgent
+    assert batch.clusters["a"].endpoints[0].weight == 59
 
 
 def test_a_drain_goes_at_once_with_its_own_cluster_alone(released_abc):
@@ -168,11 +171,13 @@
     assert released_abc.take_due(5 * SECOND + 59) is None
     released_abc.offer("b", cluster(100, 60, drained=0))
     batch = released_abc.take_due(5 * SECOND + 100)
-    assert batch.urgent == {"b"} and batch.clusters["b"].endpoints[1].weight == 60
+    assert batch.urgent == {"b"}
+    assert batch.clusters["b"].endpoints[1].weight == 60
     assert batch.clusters["a"].endpoints[0].weight == 100
     assert released_abc.take_due(5 * SECOND + 200) is None
     batch = released_abc.take_due(6 * SECOND)
-    assert not batch.urgent and batch.clusters["a"].endpoints[0].weight == 59
+    assert not batch.urgent
+    assert batch.clusters["a"].endpoints[0].weight == 59
 
 
 def test_a_change_that_is_taken_back_before_its_release_does_not_go_out():
@@ -227,7 +232,8 @@
 
 def test_the_request_limit_is_twice_a_proxys_part_of_the_capacity():
     views = [ServerView(f"s{i}", "h:1") for i in range(10)]
-    assert request_limit(views, 10, 1) == 100 and request_limit(views, 10, 10) == 20
+    assert request_limit(views, 10, 1) == 100
+    assert request_limit(views, 10, 10) == 20
 
 
 def test_without_a_capacity_per_server_there_is_no_request_limit():
@@ -290,9 +296,9 @@
     endpoints.apply({"instances": [line("a")]}, full=True, cached=False)
     restarted = ListedEndpoints()
     restarted.apply(endpoints.memory(), full=True, cached=True)
-    assert (
-        restarted.is_publishable() and not restarted.has_full_list and restarted.entries == endpoints.entries
-    )
+    assert restarted.is_publishable()
+    assert not restarted.has_full_list
+    assert restarted.entries == endpoints.entries
 
 
 def test_an_empty_remembered_list_is_not_known():
@@ -315,7 +321,8 @@
 
 def test_one_proxy_whose_way_to_a_server_is_broken_makes_no_failures():
     (load,) = reports(True, False, False, False, False).take()
-    assert load.bad == 0 and load.good == 1400
+    assert load.bad == 0
+    assert load.good == 1400
 
 
 def test_the_failures_that_most_proxies_report_count():
@@ -333,7 +340,9 @@
     collected = LoadReports()
     collected.add("p", "s", 1 << 60, -5, 1 << 60, 1e30)
     (load,) = collected.take()
-    assert load.good == 10_000 and load.bad == 0 and load.latency_ms <= 3.6e6
+    assert load.good == 10_000
+    assert load.bad == 0
+    assert load.latency_ms <= 3.6e6
 
 
 def test_latency_is_the_requests_in_progress_over_their_rate():
@@ -349,7 +358,8 @@
     schedule, servers = HealthCheckSchedule(SECOND, Random(1)), range(100)
     assert schedule.take_due(0, servers) == []
     counts = [len(schedule.take_due(now, servers)) for now in range(0, SECOND + 1, SECOND // 10)]
-    assert sum(counts) == 100 and max(counts) < 30
+    assert sum(counts) == 100
+    assert max(counts) < 30
 
 
 def test_a_server_has_one_health_check_in_progress():
@@ -364,7 +374,8 @@
 def test_a_server_that_is_no_longer_listed_is_forgotten():
     schedule = HealthCheckSchedule(SECOND, Random(1))
     schedule.take_due(0, range(100))
-    assert schedule.take_due(9 * SECOND, []) == [] and not schedule.due_at
+    assert schedule.take_due(9 * SECOND, []) == []
+    assert not schedule.due_at
 
 
 # ---- access -------------------------------------------------------------------------------------------------
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -40,7 +40,8 @@
     assert [endpoint.health for endpoint in after] == [
         Health.DRAINING, Health.UNHEALTHY, Health.HEALTHY, Health.HEALTHY,
     ]  # fmt: skip
-    assert is_urgent(before, after) and not is_urgent(after, after)
+    assert is_urgent(before, after)
+    assert not is_urgent(after, after)
 
 
 def test_a_weight_alone_is_not_urgent():
@@ -48,7 +49,8 @@
     before = publisher.update_endpoints(0, views())
     changed = [replace(view, cost=1.0 + 3 * (view.name == "s0")) for view in views()]
     after = publisher.update_endpoints(1, changed)
-    assert before != after and not is_urgent(before, after)
+    assert before != after
+    assert not is_urgent(before, after)
 
 
 def test_with_most_servers_ejected_all_stay_healthy_with_small_weights():
@@ -152,7 +154,8 @@
     endpoints.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
     endpoints.apply(update(2, entry("a", "h:1", "terminated")), full=False, cached=False)
     endpoints.apply(update(3, entry("b", "h:2"), reset=True), full=True, cached=False)
-    assert set(endpoints.ended) == {"a"} and set(endpoints.entries) == {"b"}
+    assert set(endpoints.ended) == {"a"}
+    assert set(endpoints.entries) == {"b"}
     endpoints.apply(update(4, entry("a", "h:1")), full=False, cached=False)
     assert not endpoints.ended
 
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -102,7 +102,8 @@
             while not any(s["types"].get(EDS, {}).get("reason") for s in status_table(control)):
                 await asyncio.sleep(0.005)
             (s,) = status_table(control)
-            assert s["node"] == "proxy" and s["types"][EDS]["reason"] == "no such locality"
+            assert s["node"] == "proxy"
+            assert s["types"][EDS]["reason"] == "no such locality"
             control.publish(of(HERE))  # the same content: no loop
             await asyncio.sleep(0.1)
             assert len(proxy.responses) == 1
@@ -125,7 +126,8 @@
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel).start()
             await asyncio.sleep(0.2)
-            assert proxy.streams == 1 and not proxy.responses
+            assert proxy.streams == 1
+            assert not proxy.responses
             control.publish(of(HERE))
             await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             await gathered(proxy)
@@ -143,10 +145,8 @@
             bad = XdsProxy(channel, ["x"], delta, types=("type.googleapis.com/nonsense",)).start()
             await good.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             await bad.until(lambda proxy: proxy.error is not None)
-            assert (
-                bad.error.code() == grpc.StatusCode.INVALID_ARGUMENT
-                and "not served here" in bad.error.details()
-            )
+            assert bad.error.code() == grpc.StatusCode.INVALID_ARGUMENT
+            assert "not served here" in bad.error.details()
             control.publish(snapshot({}))
             await good.until(lambda proxy: not proxy.held[CDS])
             assert good.streams == 1
@@ -217,7 +217,8 @@
                     lambda proxy, w=weight: len(e := proxy.endpoints("svc")) > 0 and e[0].weight == w
                 )
             await good.until(lambda proxy, w=weight: proxy.endpoints("svc")[0].weight == w)
-            assert {proxy.node for proxy in control.proxies} == {"good"} and control.slow_proxies_dropped >= 1
+            assert {proxy.node for proxy in control.proxies} == {"good"}
+            assert control.slow_proxies_dropped >= 1
             await gathered(good, lazy)
         await control.stop()
 
@@ -457,8 +458,10 @@
         caller = await Caller.start(address, tmp_path)
         try:
             found = await caller.calls(500)
-            assert set(found) == {"b0", "b1", "b2"} and found.total() == 500
-            assert 0.5 < found["b0"] / 500 < 0.7 and abs(found["b1"] - found["b2"]) < 50  # 3 : 1 : 1
+            assert set(found) == {"b0", "b1", "b2"}
+            assert found.total() == 500
+            assert 0.5 < found["b0"] / 500 < 0.7
+            assert abs(found["b1"] - found["b2"]) < 50
             # A drained server gets nothing new, once the client has acknowledged what says so.
             control.publish(of(addresses, drained=(1,)), urgent={"svc"})
             while not any(
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -71,10 +71,10 @@
     stream = SotwStream(A1)
     response = only(ask(stream, EDS, "", ["a"]))
     assert [resource.body for resource in response.resources] == [b"e1"]
-    assert (
-        ask(stream, EDS, response.nonce, ["a"]) == [] and stream.types[EDS].status.acked == response.version
-    )
-    assert only(push(stream, A2)).resources[0].body == b"e2" and push(stream, A2) == []
+    assert ask(stream, EDS, response.nonce, ["a"]) == []
+    assert stream.types[EDS].status.acked == response.version
+    assert only(push(stream, A2)).resources[0].body == b"e2"
+    assert push(stream, A2) == []
 
 
 def test_a_nack_is_not_sent_again_until_there_is_something_new():
@@ -87,7 +87,8 @@
     status = stream.types[EDS].status
     assert (status.acked, status.refused, status.reason) == (first.version, bad.version, "no such thing")
     good = only(push(stream, A3))
-    assert ask(stream, EDS, good.nonce, ["a"]) == [] and (status.acked, status.refused) == (
+    assert ask(stream, EDS, good.nonce, ["a"]) == []
+    assert (status.acked, status.refused) == (
         good.version,
         "",
     )
@@ -97,7 +98,8 @@
     stream = SotwStream(A1)
     first = only(ask(stream, EDS, "", ["a"]))
     second = only(push(stream, A2))  # two updates, the first without its ACK
-    assert ask(stream, EDS, first.nonce, ["a", "b"]) == [] and stream.types[EDS].names == {"a"}
+    assert ask(stream, EDS, first.nonce, ["a", "b"]) == []
+    assert stream.types[EDS].names == {"a"}
     assert stream.types[EDS].status.acked == ""
     ask(stream, EDS, second.nonce, ["a"])
     assert stream.types[EDS].status.acked == second.version
@@ -151,13 +153,15 @@
     }
     stream = DeltaStream(snapshot(eds={"a": "e1", "b": "f2"}))
     response = only(ask(stream, EDS, subscribe=["a", "b", "gone"], initial=held))
-    assert [resource.name for resource in response.resources] == ["b"] and response.removed == ["gone"]
+    assert [resource.name for resource in response.resources] == ["b"]
+    assert response.removed == ["gone"]
 
 
 def test_a_delta_nack_is_not_sent_again_until_there_is_something_new():
     stream = DeltaStream(A1)
     response = only(ask(stream, EDS, subscribe=["a"]))
-    assert ask(stream, EDS, nonce=response.nonce, error="bad") == [] and push(stream, A1) == []
+    assert ask(stream, EDS, nonce=response.nonce, error="bad") == []
+    assert push(stream, A1) == []
     assert only(push(stream, A2)).resources[0].body == b"e2"
 
 
@@ -168,7 +172,8 @@
 def test_unsubscribing_ends_updates_and_subscribing_again_sends_anew():
     stream = DeltaStream(A1)
     ask(stream, EDS, subscribe=["a"])
-    assert ask(stream, EDS, unsubscribe=["a"]) == [] and push(stream, A2) == []
+    assert ask(stream, EDS, unsubscribe=["a"]) == []
+    assert push(stream, A2) == []
     assert only(ask(stream, EDS, subscribe=["a"])).resources[0].body == b"e2"
     assert (
         only(ask(stream, EDS, subscribe=["a"])).resources[0].body == b"e2"
@@ -204,7 +209,8 @@
         (response.type_url, sorted(resource.name for resource in response.resources))
         for response in push(stream, after)
     ]
-    assert sent[0] == (CDS, ["a", "b"]) and sent[-1][1] in (["b"], [])
+    assert sent[0] == (CDS, ["a", "b"])
+    assert sent[-1][1] in (["b"], [])
     assert sent.index((RDS, ["r"])) < sent.index((CDS, ["b"]))
     assert update_steps(before, before) == (before,)
 
@@ -304,9 +310,8 @@
             else:
                 client.connect(now)
             # At every step: nothing held that was never published under that name, no more than asked for.
-            assert set(client.held[EDS]) <= set(NAMES) and all(
-                name == resource.name for name, resource in client.held[EDS].items()
-            )
+            assert set(client.held[EDS]) <= set(NAMES)
+            assert all(name == resource.name for name, resource in client.held[EDS].items())
         # Where something was refused, a change after it; and time to read all of it.
         after = now
         if seed % 2:
@@ -336,11 +341,13 @@
         else:
             stream.request(EDS, subscribe=list(many))
         first = stream.next()
-        assert first is not None and len(first.resources) == 14  # 64 KiB: the rest follows in parts
+        assert first is not None
+        assert len(first.resources) == 14
         drained = snapshot(eds={**many, "c099": "drained", "c098": "heavier"})
         stream.push(drained, urgent={"c099"})
         urgent = stream.next(urgent_only=True)
-        assert urgent is not None and [resource.name for resource in urgent.resources] == ["c099"]
+        assert urgent is not None
+        assert [resource.name for resource in urgent.resources] == ["c099"]
         assert stream.next(urgent_only=True) is None
         rest = [resource.name for response in take_all(stream) for resource in response.resources]
         assert sorted([resource.name for resource in first.resources] + rest + ["c099"]) == sorted(many)
@@ -366,7 +373,8 @@
                 stream.request(EDS, nonce=response.nonce, error="bad" if bad else "")
             inbox += take_all(stream)
             assert len(inbox) < 10, "sent in a loop"
-        assert held == {"a": b"1", "c": b"1"} and refused == 2
+        assert held == {"a": b"1", "c": b"1"}
+        assert refused == 2
         assert stream.types[EDS].status.reason == "bad"
         assert [
             resource.name
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -38,7 +38,8 @@
         far += i >= 1000 and server % 2 == 0
         crowded = i >= 500 and server % 2 == 1
         end(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
-    assert node.zone_preference.fraction > 0.5 and far > 300
+    assert node.zone_preference.fraction > 0.5
+    assert far > 300
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
@@ -59,7 +60,7 @@
 
 def test_unused_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
     entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
-    node, recorder = balancer(entries, cross_zone_cost=0.04, instance_count=12)
+    node, _recorder = balancer(entries, cross_zone_cost=0.04, instance_count=12)
     (
         node.zone_preference.remote_ratio,
         node.zone_preference.best_local_ratio,
@@ -67,7 +68,8 @@
     ) = 5.0, 0.2, 0.6
     for i in range(1, 60):
         node.on_window_end(i * 100_000)
-    assert node.zone_preference.remote_ratio < 3.0 and node.zone_preference.fraction > 0
+    assert node.zone_preference.remote_ratio < 3.0
+    assert node.zone_preference.fraction > 0
 
 
 def two_zones() -> list[Endpoint]:
@@ -136,11 +138,13 @@
                 end(node, recorder, now, i, 0, action[2], Outcome.TIMEOUT, 3 * SEC)
         elif action[0] == "send":
             end(node, recorder, now, i, 0, action[2], Outcome.OK, 50_000)
-    assert [zone.id for zone in node.outliers.ejected_zones] == [1] and stuck > 4
+    assert [zone.id for zone in node.outliers.ejected_zones] == [1]
+    assert stuck > 4
     assert node.controller.in_flight == 0
     for i, r in list(node.requests.items()):  # late answers bring the zone back, and the count stays right
         end(node, recorder, now, i, 0, r.server.id, Outcome.OK, 50_000)
-    assert node.outliers.ejected_zones == [] and node.controller.in_flight == 0
+    assert node.outliers.ejected_zones == []
+    assert node.controller.in_flight == 0
 
 
 def alone_in_its_zone():
@@ -169,7 +173,8 @@
         if action[0] == "send":
             end(node, recorder, now + 50_000, i, 0, action[2], Outcome.OK, 50_000)
     assert node.outliers.ejected_zones == []
-    assert set(node.subset.members) == first and not node.subset.substitutes
+    assert set(node.subset.members) == first
+    assert not node.subset.substitutes
 
 
 def test_the_limit_follows_what_is_left_of_the_subset():
@@ -179,9 +184,8 @@
     node.subset.zones[1].ejected = True
     node.subset.refill()
     assert len(node.subset.eligible) == 2
-    assert (
-        node.controller.limit == pytest.approx(96 * 2 / 16 / 0.66) and node.controller.baseline_in_flight < 16
-    )
+    assert node.controller.limit == pytest.approx(96 * 2 / 16 / 0.66)
+    assert node.controller.baseline_in_flight < 16
     node.subset.zones[1].ejected = False
     node.subset.refill()
     assert (node.controller.limit, node.controller.baseline_in_flight) == (
