--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -36,7 +36,8 @@
     assert not breaches, "\n".join(report(records, breaches))
     answered = sum(client.outcome is ClientOutcome.ANSWERED for client in records.clients.values())
     assert answered > 0.5 * len(records.clients) > 50
-    assert records.notifications and records.signals
+    assert records.notifications
+    assert records.signals
 
 
 def test_a_seed_gives_the_same_plan_every_time_and_plans_keep_to_the_protocol():
@@ -44,7 +45,8 @@
     for seed in range(200):
         plan = make_plan(seed, max_nodes=14)
         assert plan == make_plan(seed, max_nodes=14)
-        assert 1 <= len(plan.nodes) <= 14 and plan.changes
+        assert 1 <= len(plan.nodes) <= 14
+        assert plan.changes
         for node in plan.nodes:
             times = [
                 event.at for event in plan.events if event.node == node and event.action is NodeAction.MIGRATE
@@ -55,7 +57,8 @@
             assert len(discoveries) >= len(times) + 1
             assert all(discovery.caught_up_after <= MAX_CAUGHT_UP_S for discovery in discoveries)
         recalls += any(change.lifecycle == Lifecycle.IN_SERVICE for change in plan.changes)
-    assert migrations > 1000 and recalls > 50
+    assert migrations > 1000
+    assert recalls > 50
     assert make_plan(1) != make_plan(2)
 
 
@@ -87,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    "client, signals, broken",
+    ("client", "signals", "broken"),
     [
         (replace(CLIENT, outcome=ClientOutcome.CLOSED), [], True),
         (replace(CLIENT, outcome=ClientOutcome.UNANSWERED, ended_at=11.8), [], True),
--- a/tests/test_soak_discoveries.py
+++ b/tests/test_soak_discoveries.py
@@ -65,10 +65,8 @@
         await asyncio.sleep(0)
         discovery.learn()
         await down
-        assert (
-            discovery.pending[0] >= time.monotonic() + LISTED_NOTIFIED_S - 0.1
-            and notified_at(discovery) == []
-        )
+        assert discovery.pending[0] >= time.monotonic() + LISTED_NOTIFIED_S - 0.1
+        assert notified_at(discovery) == []
 
     run(test())
 
@@ -83,7 +81,8 @@
     later = discovery_of(FIRST, polled=True)
     later.records.changes[0] = EndpointChange(time.monotonic(), "s0", "terminating", 0)
     later.begin_process("n.2")
-    assert notified_at(later) == [] and 0 in later.pending
+    assert notified_at(later) == []
+    assert 0 in later.pending
 
 
 def test_some_runs_poll_their_lists():
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -63,8 +63,9 @@
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         began = time.monotonic()
         writer.write(REQUEST)
-        head, body = await read_message(reader)
-        assert time.monotonic() > began + HELD_S - 0.01 and body == b"ok"
+        _head, body = await read_message(reader)
+        assert time.monotonic() > began + HELD_S - 0.01
+        assert body == b"ok"
         assert server.records.attempts[0].outcome is AttemptOutcome.OK
 
     with_link(LinkFault("s0", LinkFaultKind.ANSWERS_HELD, 0, HELD_S), test)
@@ -81,7 +82,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, most", [(LinkFaultKind.RESET, RESET_AFTER_BYTES), (LinkFaultKind.HALF_CLOSE, 0)]
+    ("kind", "most"), [(LinkFaultKind.RESET, RESET_AFTER_BYTES), (LinkFaultKind.HALF_CLOSE, 0)]
 )
 def test_a_request_whose_answer_is_cut_off_was_processed(kind, most):
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_soak_slow_start.py
+++ b/tests/test_soak_slow_start.py
@@ -73,8 +73,10 @@
 
 def test_a_server_without_slow_start_is_overloaded():
     (overload,) = SlowStartOracle(records_of(rate=3 * FULL_RATE), RULES).overloads()
-    assert overload.server == "s2" and START < overload.at < START + 2.0
-    assert overload.requests > overload.limit and overload.age == 0.0
+    assert overload.server == "s2"
+    assert START < overload.at < START + 2.0
+    assert overload.requests > overload.limit
+    assert overload.age == 0.0
 
 
 @pytest.mark.parametrize(
