--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -262,12 +262,12 @@
         for channel in channels:
             names = ["c0", *(f"c{c}" for c in rng.sample(range(1, clusters), each - 1))]
             p = XdsProxy(channel, names, delta, types=(ASSIGNMENT,))
-            p.track = {"c0"}
+            p.tracked_clusters = {"c0"}
             proxies.append(p.start())
 
         async def held() -> None:
             for p in proxies:
-                await p.until(lambda x: len(x.held[ASSIGNMENT]) >= each, 300)
+                await p.until(lambda x: len(x.accepted[ASSIGNMENT]) >= each, 300)
 
         while True:
             what, *args = await loop.run_in_executor(None, pipe.recv)
@@ -280,7 +280,7 @@
                 times: list[float | None] = [None]
                 while None in times:
                     await asyncio.sleep(0.6)
-                    times = [p.told_at("c0", name, DRAINING, told) for p in proxies]
+                    times = [p.first_seen_at("c0", name, DRAINING, told) for p in proxies]
                 pipe.send([t - told for t in times if t is not None])
                 for p in proxies:
                     p.arrivals.clear()
@@ -288,23 +288,23 @@
                 # All streams end at once; those of a state-of-the-world proxy lose what they held.
                 began = time.monotonic()
                 for p in proxies:
-                    p.keep_state = args[0]
-                    p.held[ASSIGNMENT].clear()
+                    p.keeps_state = args[0]
+                    p.accepted[ASSIGNMENT].clear()
                     if not args[0]:
                         p.versions[ASSIGNMENT].clear()
                         p.version.clear()
-                    p.cut()
+                    p.cancel_stream()
                 ends = []
                 for p in proxies:
                     if not args[0]:
-                        await p.until(lambda x: len(x.held[ASSIGNMENT]) >= each, 300)
+                        await p.until(lambda x: len(x.accepted[ASSIGNMENT]) >= each, 300)
                     ends.append(time.monotonic() - began)
                 pipe.send(ends)
             elif what == "bare":
                 began = args[0]
                 for p in proxies:
                     await p.until(lambda x: bool(x.responses), 60)
-                pipe.send([p.took - began for p in proxies])
+                pipe.send([p.received_at - began for p in proxies])
                 for p in proxies:
                     p.responses.clear()
             else:
--- a/harecross/standins/xds.py
+++ b/harecross/standins/xds.py
@@ -1,7 +1,7 @@
-"""A stand-in xDS client and proxy, both variants, with scripted misbehaviour. Needs the extra `xds`.
+"""A stand-in xDS client and proxy, state of the world and delta, with scripted faults. Needs the extra `xds`.
 
-Written from the published protocol (Envoy's xDS REST and gRPC protocol page): it holds what it is sent, ACKs or
-refuses it, comes back with the versions it holds, and picks endpoints as Envoy does: by priority, health and weight.
+Written from the published protocol (Envoy's xDS REST and gRPC protocol page): it ACKs or NACKs the resources that it
+is sent, reconnects with the versions that it has, and picks endpoints as Envoy does: by priority, health and weight.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One endpoint as the proxy understands it."""
+    """One endpoint of an assignment."""
 
     name: str
     port: int
@@ -39,33 +39,34 @@
 
 def targets(body: bytes) -> list[Target]:
     """The endpoints of one assignment."""
-    a = endpoint_pb2.ClusterLoadAssignment.FromString(body)
+    assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
     return [
         Target(
-            locality.locality.sub_zone, e.endpoint.address.socket_address.port_value, e.health_status,
+            locality.locality.sub_zone, item.endpoint.address.socket_address.port_value, item.health_status,
             locality.load_balancing_weight.value, locality.priority,
         )
-        for locality in a.endpoints
-        for e in locality.lb_endpoints
+        for locality in assignment.endpoints
+        for item in locality.lb_endpoints
     ]  # fmt: skip
 
 
 def pick(rng: Random, endpoints: list[Target]) -> Target | None:
-    """One call's endpoint: the lowest priority with a healthy one, there by weight; degraded ones if none is."""
-    for fits in (lambda t: t.health in HEALTHY, lambda t: t.health == DEGRADED):
-        able = [t for t in endpoints if fits(t)]
-        if able:
-            least = min(t.priority for t in able)
-            able = [t for t in able if t.priority == least]
-            return rng.choices(able, [t.weight for t in able])[0]
+    """One request's endpoint: of the lowest priority with a healthy one, by weight; a degraded one if none is."""
+    for usable_health in (HEALTHY, (DEGRADED,)):
+        usable = [target for target in endpoints if target.health in usable_health]
+        if usable:
+            priority = min(target.priority for target in usable)
+            usable = [target for target in usable if target.priority == priority]
+            return rng.choices(usable, [target.weight for target in usable])[0]
     return None
 
 
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.5
 WRITE_FAILED = "Internal error from Core"  # grpc.aio's own text for a write that could not be carried out
 
 
 class XdsProxy:
-    """One proxy over one stream at a time. Misbehaves as `refuse`, `reading` and `acks` say."""
+    """One proxy, over one stream at a time. `rejection_reason`, `may_read` and `acknowledges` are its faults."""
 
     def __init__(
         self,
@@ -83,22 +84,26 @@
         self.node, self.zone = node, zone
         self.types = types
         self.path = path or ADS + ("DeltaAggregatedResources" if delta else "StreamAggregatedResources")
-        self.held: dict[str, dict[str, bytes]] = {t: {} for t in types}
-        self.versions: dict[str, dict[str, str]] = {t: {} for t in types}  # delta
+        self.accepted: dict[str, dict[str, bytes]] = {type_url: {} for type_url in types}
+        self.versions: dict[str, dict[str, str]] = {type_url: {} for type_url in types}  # delta
         self.version: dict[str, str] = {}  # state of the world
         self.nonce: dict[str, str] = {}
         self.wanted: set[str] = set(names or ())
-        self.refuse: Callable[[str, list[str]], str] = lambda type_url, names: ""  # a reason refuses
-        self.reading = asyncio.Event()
-        self.reading.set()
-        self.acks = True
-        self.keep_state = True  # what was held before a reconnect is told, and served meanwhile
+        self.rejection_reason: Callable[[str, list[str]], str] = lambda type_url, names: (
+            ""
+        )  # a reason refuses
+        self.may_read = asyncio.Event()
+        self.may_read.set()
+        self.acknowledges = True
+        self.keeps_state = True  # it keeps its resources in a reconnect, and sends their versions
         self.changed = asyncio.Event()
         self.arrivals: list[tuple[float, str, bytes]] = []  # assignments with their monotonic times, unread
-        self.track: set[str] | None = None  # clusters whose assignments are kept there; None for all
+        self.tracked_clusters: set[str] | None = (
+            None  # clusters whose assignments are kept there; None for all
+        )
         self.responses: list[tuple[str, list[str], list[str]]] = []  # type, names, removed
-        self.resources = 0  # received since the last connect
-        self.took = 0.0  # when the newest response came, monotonic
+        self.received_count = 0  # received since the last connect
+        self.received_at = 0.0  # when the newest response came, monotonic
         self.streams = 0
         self.stopping = False
         self.error: grpc.aio.AioRpcError | None = None
@@ -107,76 +112,82 @@
         self.on_response: Callable[[XdsProxy, str, list[str]], None] = lambda proxy, type_url, names: None
 
     def start(self) -> XdsProxy:
-        self.task = asyncio.create_task(self.run())
+        """Connects, and reconnects until `stop`."""
+        self.task = asyncio.create_task(self._run())
         return self
 
     async def stop(self) -> None:
+        """Ends the stream for good."""
         self.stopping = True
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
-    async def run(self) -> None:
+    async def _run(self) -> None:
         """Streams, one after the other, until `stop`."""
-        wait = 0.01
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             self.error = None
             try:
-                await self.stream()
-                wait = 0.01
-            except grpc.aio.AioRpcError as e:
+                await self._run_stream()
+                backoff_s = INITIAL_BACKOFF_S
+            except grpc.aio.AioRpcError as error:
                 # Where a write meets the server's end of the stream, grpc has this in the place of its status.
-                own_write = e.code() is grpc.StatusCode.INTERNAL and e.details() == WRITE_FAILED
+                own_write = error.code() is grpc.StatusCode.INTERNAL and error.details() == WRITE_FAILED
                 if not own_write:
-                    self.error = e
+                    self.error = error
                     self.changed.set()
-            await asyncio.sleep(wait)
-            wait = min(0.5, 2 * wait)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
-    def cut(self) -> None:
-        """Ends the stream now; the proxy comes back by itself."""
+    def cancel_stream(self) -> None:
+        """Ends the stream now; the proxy reconnects by itself."""
         if self.call is not None:
             self.call.cancel()
 
-    async def stream(self) -> None:
-        kind, reply = discovery_pb2.DiscoveryRequest, discovery_pb2.DiscoveryResponse
+    async def _run_stream(self) -> None:
+        """One stream, until it ends."""
+        request_type, response_type = discovery_pb2.DiscoveryRequest, discovery_pb2.DiscoveryResponse
         if self.delta:
-            kind, reply = discovery_pb2.DeltaDiscoveryRequest, discovery_pb2.DeltaDiscoveryResponse
+            request_type = discovery_pb2.DeltaDiscoveryRequest
+            response_type = discovery_pb2.DeltaDiscoveryResponse
         method = self.channel.stream_stream(
-            self.path, request_serializer=kind.SerializeToString, response_deserializer=reply.FromString
+            self.path,
+            request_serializer=request_type.SerializeToString,
+            response_deserializer=response_type.FromString,
         )
         self.nonce.clear()
-        self.resources = 0
-        if not self.keep_state:
+        self.received_count = 0
+        if not self.keeps_state:
             self.version.clear()
-            for t in self.types:
-                self.held[t].clear()
-                self.versions[t].clear()
+            for type_url in self.types:
+                self.accepted[type_url].clear()
+                self.versions[type_url].clear()
         self.call = method()
         self.streams += 1
         self.changed.set()
-        for t in self.types:
-            if t in (CLUSTER, LISTENER) or self.wanted:
-                await self.ask(t)
+        for type_url in self.types:
+            if type_url in (CLUSTER, LISTENER) or self.wanted:
+                await self._send_request(type_url)
         while True:
-            await self.reading.wait()
+            await self.may_read.wait()
             try:
                 response = await self.call.read()
             except asyncio.CancelledError:
-                if not self.stopping:  # `cut`
+                if not self.stopping:  # `cancel_stream`
                     return
                 raise
             if response is grpc.aio.EOF:
                 await self.call.code()
                 return
-            await self.take(response)
+            await self._receive(response)
 
-    def names_of(self, type_url: str) -> list[str]:
+    def _subscribed_names(self, type_url: str) -> list[str]:
         return [] if type_url in (CLUSTER, LISTENER) else sorted(self.wanted)
 
-    async def ask(self, type_url: str, error: str = "") -> None:
+    async def _send_request(self, type_url: str, error: str = "") -> None:
         """A first request, an ACK, a NACK or another subscription (state of the world)."""
-        names = self.names_of(type_url)
+        names = self._subscribed_names(type_url)
         if self.delta:
             request = discovery_pb2.DeltaDiscoveryRequest(
                 type_url=type_url, response_nonce=self.nonce.get(type_url, "")
@@ -201,10 +212,10 @@
         added, dropped = names - self.wanted, self.wanted - names
         self.wanted = set(names)
         for name in dropped:
-            self.held[ASSIGNMENT].pop(name, None)
+            self.accepted[ASSIGNMENT].pop(name, None)
             self.versions[ASSIGNMENT].pop(name, None)
         if not self.delta or ASSIGNMENT not in self.nonce:
-            await self.ask(ASSIGNMENT)
+            await self._send_request(ASSIGNMENT)
         elif added or dropped:
             await self.call.write(
                 discovery_pb2.DeltaDiscoveryRequest(
@@ -213,55 +224,58 @@
                 )
             )  # fmt: skip
 
-    async def take(self, response: Any) -> None:
+    async def _receive(self, response: Any) -> None:
+        """Takes a response: stores its resources, or rejects it, and answers."""
         type_url = response.type_url
         if self.delta:
-            found = {r.name: r.resource.value for r in response.resources}
+            found = {item.name: item.resource.value for item in response.resources}
         else:
-            found = {name_of(r.value): r.value for r in response.resources}
+            found = {name_of(item.value): item.value for item in response.resources}
         removed = list(response.removed_resources) if self.delta else []
         self.nonce[type_url] = response.nonce
         self.responses.append((type_url, list(found), removed))
-        self.resources += len(found)
-        self.took = time.monotonic()
-        error = self.refuse(type_url, list(found))
+        self.received_count += len(found)
+        self.received_at = time.monotonic()
+        error = self.rejection_reason(type_url, list(found))
         if not error:
-            held = self.held[type_url]
+            accepted = self.accepted[type_url]
             if not self.delta and type_url in (CLUSTER, LISTENER):
-                for name in held.keys() - found.keys():
-                    del held[name]
-            held.update(found)
+                for name in accepted.keys() - found.keys():
+                    del accepted[name]
+            accepted.update(found)
             for name in removed:
-                held.pop(name, None)
+                accepted.pop(name, None)
                 self.versions[type_url].pop(name, None)
             if self.delta:
-                self.versions[type_url].update({r.name: r.version for r in response.resources})
+                self.versions[type_url].update({item.name: item.version for item in response.resources})
             self.version[type_url] = "" if self.delta else response.version_info
             if type_url == ASSIGNMENT:
-                tracked = found if self.track is None else found.keys() & self.track
-                self.arrivals += [(self.took, n, found[n]) for n in tracked]
-        if self.acks:
-            await self.ask(type_url, error)
-        if type_url == CLUSTER and self.names is None and set(self.held[CLUSTER]) != self.wanted:
-            await self.subscribe(set(self.held[CLUSTER]))
+                tracked = found if self.tracked_clusters is None else found.keys() & self.tracked_clusters
+                self.arrivals += [(self.received_at, name, found[name]) for name in tracked]
+        if self.acknowledges:
+            await self._send_request(type_url, error)
+        if type_url == CLUSTER and self.names is None and set(self.accepted[CLUSTER]) != self.wanted:
+            await self.subscribe(set(self.accepted[CLUSTER]))
         self.on_response(self, type_url, list(found))
         self.changed.set()
 
-    def told_at(self, cluster: str, server: str, health: int, since: float = 0.0) -> float | None:
-        """When the proxy first heard that of a server, after `since`; read only when it is asked for."""
+    def first_seen_at(self, cluster: str, server: str, health: int, since: float = 0.0) -> float | None:
+        """When the proxy first got that health of a server, after `since`, in monotonic seconds."""
         for at, name, body in self.arrivals:
-            fits = at >= since and name == cluster
-            if fits and any(t.name == server and t.health == health for t in targets(body)):
+            if at < since or name != cluster:
+                continue
+            if any(target.name == server and target.health == health for target in targets(body)):
                 return at
         return None
 
     def endpoints(self, cluster: str) -> list[Target]:
-        return targets(self.held[ASSIGNMENT].get(cluster, b""))
+        """The endpoints of a cluster."""
+        return targets(self.accepted[ASSIGNMENT].get(cluster, b""))
 
-    async def until(self, fits: Callable[[XdsProxy], bool], seconds: float = 20.0) -> None:
-        """Waits for what the proxy holds to fit. TimeoutError if it never does."""
+    async def until(self, condition: Callable[[XdsProxy], bool], seconds: float = 20.0) -> None:
+        """Waits until the condition holds. TimeoutError after so many seconds."""
         async with asyncio.timeout(seconds):
-            while not fits(self):
+            while not condition(self):
                 self.changed.clear()
                 await self.changed.wait()
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -47,7 +47,7 @@
             changed_at = asyncio.get_running_loop().time()
             site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, "terminating"))
             await proxy.until(lambda proxy: health(proxy).get("orders1") == DRAINING)
-            assert proxy.told_at("orders", "orders1", DRAINING) - changed_at < DRAIN_GRACE
+            assert proxy.first_seen_at("orders", "orders1", DRAINING) - changed_at < DRAIN_GRACE
 
     run(body())
 
@@ -137,14 +137,14 @@
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
             held = (
-                {t: dict(h) for t, h in proxy.held.items()},
+                {t: dict(h) for t, h in proxy.accepted.items()},
                 {t: dict(v) for t, v in proxy.versions.items()},
             )
             await site.leave()
             await catalog.stop()
             await site.serve(control="wait_s = 0.2")
             again = XdsProxy(site.channel, delta=delta)
-            again.held, again.versions = held
+            again.accepted, again.versions = held
             again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
             again.start()
             await again.until(lambda proxy: proxy.streams >= 1)
@@ -152,7 +152,7 @@
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
             assert len(health(again)) == 3
-            assert set(again.held[CLUSTER]) == {"orders"}
+            assert set(again.accepted[CLUSTER]) == {"orders"}
             await again.stop()
 
     run(body())
@@ -174,7 +174,7 @@
                 seen: list[int] = []
                 proxy.on_response = lambda proxy, t, names: seen.append(
                     len(health(proxy))
-                    if "orders" in proxy.held[ASSIGNMENT] and "orders" in proxy.held[CLUSTER]
+                    if "orders" in proxy.accepted[ASSIGNMENT] and "orders" in proxy.accepted[CLUSTER]
                     else -1
                 )
                 proxy.start()
@@ -231,7 +231,7 @@
             orders = {"orders": site.catalogs["orders"]}
             site.path.write_text(text_of(orders, cluster="cross_zone_price = 0.5"))
             os.kill(os.getpid(), signal.SIGHUP)
-            await proxy.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
+            await proxy.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"orders"})
             assert len(health(proxy)) == 3
 
     run(body())
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -82,7 +82,7 @@
             for proxy in proxies:
                 await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("svc")))
             # Every proxy has it, and the slowest within what the users allow.
-            slowest = max(proxy.told_at("svc", "s1", DRAINING) for proxy in proxies) - changed_at
+            slowest = max(proxy.first_seen_at("svc", "s1", DRAINING) for proxy in proxies) - changed_at
             print(f"slowest of 20: {slowest * 1000:.0f} ms")
             assert slowest < DRAIN_GRACE
             await gathered(*proxies)
@@ -97,7 +97,7 @@
         control, address = await started(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, ["svc"], delta, types=(ASSIGNMENT,))
-            proxy.refuse = lambda type_url, names: "no such locality"
+            proxy.rejection_reason = lambda type_url, names: "no such locality"
             proxy.start()
             while not any(s["types"].get(EDS, {}).get("reason") for s in status_table(control)):
                 await asyncio.sleep(0.005)
@@ -107,7 +107,7 @@
             control.publish(of(HERE))  # the same content: no loop
             await asyncio.sleep(0.1)
             assert len(proxy.responses) == 1
-            proxy.refuse = lambda type_url, names: ""
+            proxy.rejection_reason = lambda type_url, names: ""
             control.publish(of(HERE, drained=(0,)))
             await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             while status_table(control)[0]["types"][EDS]["reason"]:
@@ -148,7 +148,7 @@
             assert bad.error.code() == grpc.StatusCode.INVALID_ARGUMENT
             assert "not served here" in bad.error.details()
             control.publish(snapshot({}))
-            await good.until(lambda proxy: not proxy.held[CDS])
+            await good.until(lambda proxy: not proxy.accepted[CDS])
             assert good.streams == 1
             await gathered(good, bad)
         await control.stop()
@@ -179,7 +179,7 @@
                 XdsProxy(stuck, ["svc"], delta, f"lazy{i}") for i in range(20)
             ]  # more than there are turns
             for proxy in lazy:
-                proxy.reading.clear()
+                proxy.may_read.clear()
                 proxy.start()
             while sum(proxy.blocked for proxy in control.proxies) < len(lazy):
                 await asyncio.sleep(0.02)
@@ -205,7 +205,7 @@
         narrow = grpc.aio.insecure_channel(address, options=NARROW)
         async with narrow as stuck, grpc.aio.insecure_channel(address) as fine:
             lazy = XdsProxy(stuck, ["svc"], delta, "lazy")
-            lazy.reading.clear()
+            lazy.may_read.clear()
             lazy.start()
             good = XdsProxy(fine, ["svc"], delta, "good").start()
             weight = 0
@@ -232,7 +232,7 @@
         control, address = await started(of(HERE))
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, ["svc"], types=(ASSIGNMENT,))
-            proxy.acks = False
+            proxy.acknowledges = False
             proxy.start()
             weight = 0
             while not control.slow_proxies_dropped:
@@ -258,15 +258,17 @@
 
                 def cut(proxy: XdsProxy, type_url: str, names: list[str], at: int = at) -> None:
                     if len(proxy.responses) == at:
-                        proxy.cut()
+                        proxy.cancel_stream()
 
                 proxy.on_response = cut
                 proxy.start()
                 await proxy.until(lambda proxy: proxy.streams == 2)
                 now = {**many, "c7": (endpoints([f"127.0.0.1:{at}"], drained=(0,)), 0)}
                 control.publish(snapshot(now), urgent={"c7"})
-                await proxy.until(lambda proxy: len(proxy.held[EDS]) == 8 and len(proxy.endpoints("c7")) == 1)
-                assert proxy.held[EDS] == {n: r.body for n, r in control.source.get(EDS).items()}
+                await proxy.until(
+                    lambda proxy: len(proxy.accepted[EDS]) == 8 and len(proxy.endpoints("c7")) == 1
+                )
+                assert proxy.accepted[EDS] == {n: r.body for n, r in control.source.get(EDS).items()}
                 await gathered(proxy)
                 control.publish(snapshot(many))
         await control.stop()
@@ -284,7 +286,7 @@
         port = address.rpartition(":")[2]
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, delta=delta).start()
-            await proxy.until(lambda proxy: len(proxy.held[EDS]) == 2)
+            await proxy.until(lambda proxy: len(proxy.accepted[EDS]) == 2)
             await first.stop()
             second = ControlServer()
             await second.start(f"127.0.0.1:{port}")
@@ -294,7 +296,7 @@
                 await asyncio.sleep(0.005)
             second.publish(snapshot({**two, "b": (endpoints(HERE, drained=(0,)), 0)}))
             await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("b")))
-            assert proxy.resources == 1  # of the four it would be sent anew
+            assert proxy.received_count == 1  # of the four it would be sent anew
             await gathered(proxy)
         await second.stop()
 
@@ -308,17 +310,17 @@
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, delta=delta)
             proxy.on_response = lambda proxy, t, names: seen.append(
-                {c: len(proxy.endpoints(c)) for c in proxy.held[CDS] if c in proxy.held[EDS]}
+                {c: len(proxy.endpoints(c)) for c in proxy.accepted[CDS] if c in proxy.accepted[EDS]}
             )
             seen: list[dict[str, int]] = []
             proxy.start()
-            await proxy.until(lambda proxy: len(proxy.held[EDS]) == 2)
+            await proxy.until(lambda proxy: len(proxy.accepted[EDS]) == 2)
             for turn in range(20):
                 with_b = {"a": (endpoints(HERE), 0), "b": (endpoints(HERE, weights={0: turn + 1}), 0)}
                 control.publish(snapshot(with_b))
                 await asyncio.sleep(0)
                 control.publish(snapshot({"a": (endpoints(HERE), 0)}))
-            await proxy.until(lambda proxy: set(proxy.held[CDS]) == {"a"})
+            await proxy.until(lambda proxy: set(proxy.accepted[CDS]) == {"a"})
             assert all(count == 2 for held in seen for count in held.values()), seen
             await gathered(proxy)
         await control.stop()
@@ -373,7 +375,7 @@
                 await asyncio.sleep(0.005)
             two = [XdsProxy(channel).start() for _ in range(2)]
             for proxy in two:
-                await proxy.until(lambda proxy: proxy.held[EDS])
+                await proxy.until(lambda proxy: proxy.accepted[EDS])
             third = XdsProxy(channel).start()
             await third.until(lambda proxy: proxy.error is not None)
             assert third.error.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
