--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -138,7 +138,7 @@
         self.out += BAIL_OUT.pack(BAIL_OUT_CODE, self.node, len(data)) + data
 
 
-class Host:
+class InstanceHost:
     """The nodes of one process. They share nothing but the numbered endpoint lists of the wire."""
 
     def __init__(self) -> None:
@@ -305,17 +305,17 @@
 
 
 EVENT_READERS = {
-    1: Host.read_directory,
-    2: Host.read_wake,
-    3: Host.read_accept,
-    4: Host.read_peer_data,
-    5: Host.read_check_result,
-    6: Host.read_create,
-    7: Host.read_targets,
-    8: Host.read_verdict,
-    9: Host.read_shutdown,
-    10: Host.read_opened,
-    11: Host.read_client_left,
+    1: InstanceHost.read_directory,
+    2: InstanceHost.read_wake,
+    3: InstanceHost.read_accept,
+    4: InstanceHost.read_peer_data,
+    5: InstanceHost.read_check_result,
+    6: InstanceHost.read_create,
+    7: InstanceHost.read_targets,
+    8: InstanceHost.read_verdict,
+    9: InstanceHost.read_shutdown,
+    10: InstanceHost.read_opened,
+    11: InstanceHost.read_client_left,
 }
 FLOATS = [Struct(f"<{count}f") for count in range(256)]
 
@@ -342,7 +342,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers batches until the input ends. WireError for input that cannot be read."""
-    host = Host()
+    host = InstanceHost()
     batch = 0
     while True:
         first = source.read(1)
--- a/harecross/admin_client/cli.py
+++ b/harecross/admin_client/cli.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 
 if TYPE_CHECKING:
     from harecross.admin_client.calls import CallResult, NodeStatus
@@ -38,7 +38,7 @@
     try:
         return list(dict.fromkeys(node_address(address) for address in addresses))
     except ValueError as error:
-        stop(f"--at: {error}")
+        exit_with_error(f"--at: {error}")
 
 
 def print_result(node: str, result: CallResult) -> None:
@@ -101,14 +101,14 @@
     """Send nothing more to servers, until they are put back."""
     nodes = checked_nodes(at)
     if within <= 0:
-        stop("--within: above 0")
+        exit_with_error("--within: above 0")
     if not call_all(nodes, "/maintenance/enter", ids):
         raise typer.Exit(REFUSED_STATUS)
     if wait:
         try:
             wait_until_drained(nodes, tuple(ids), within)
         except KeyboardInterrupt:
-            stop(f"interrupted; {', '.join(ids)} stay out", INTERRUPTED_STATUS)
+            exit_with_error(f"interrupted; {', '.join(ids)} stay out", INTERRUPTED_STATUS)
 
 
 def wait_until_drained(nodes: list[str], ids: tuple[str, ...], timeout_s: float) -> None:
@@ -123,7 +123,7 @@
             printed = "; ".join(left)
             print(printed, flush=True)
         if time.monotonic() >= end:
-            stop(f"not empty after {timeout_s:g} s: {printed}", REFUSED_STATUS)
+            exit_with_error(f"not empty after {timeout_s:g} s: {printed}", REFUSED_STATUS)
         time.sleep(DRAIN_POLL_INTERVAL_S)
 
 
@@ -207,7 +207,7 @@
     check_above_zero("--warm-within", warm_within)
     ids = release_ids(list(named or ()), ids_from)
     if restart is None and not sys.stdin.isatty():
-        stop("release: --restart CMD is needed where standard input is no terminal")
+        exit_with_error("release: --restart CMD is needed where standard input is no terminal")
     limits = Limits(batch, keep, empty_within, restart_within, warm_within)
     raise typer.Exit(run_release(Release(ids, nodes, limits), restart))
 
@@ -215,7 +215,7 @@
 def check_above_zero(option: str, value: float) -> None:
     """Exits for a time that is not above 0."""
     if value <= 0:
-        stop(f"{option}: above 0")
+        exit_with_error(f"{option}: above 0")
 
 
 def release_ids(ids: list[str], file: Path | None) -> list[str]:
@@ -224,12 +224,12 @@
         try:
             ids += [line.strip() for line in file.read_text().splitlines() if line.strip()]
         except (OSError, UnicodeDecodeError) as error:
-            stop(f"--ids-from {file}: {getattr(error, 'strerror', None) or 'not UTF-8'}")
+            exit_with_error(f"--ids-from {file}: {getattr(error, 'strerror', None) or 'not UTF-8'}")
     if not ids:
-        stop("release: no servers are named")
+        exit_with_error("release: no servers are named")
     repeated = sorted({name for name in ids if ids.count(name) > 1})
     if repeated:
-        stop(f"given twice: {', '.join(repeated)}")
+        exit_with_error(f"given twice: {', '.join(repeated)}")
     return ids
 
 
--- a/harecross/dns/cli.py
+++ b/harecross/dns/cli.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 
 if TYPE_CHECKING:
     from harecross.dns.srv import SrvAnswer
@@ -48,7 +48,7 @@
         try:
             server_address(server, "--resolver")
         except ValueError as error:
-            stop(str(error))
+            exit_with_error(str(error))
 
 
 def resolve(name: str, resolvers: list[str]) -> tuple[SrvAnswer, int]:
@@ -59,7 +59,7 @@
     try:
         from harecross.dns.client import DnsClient, LookupFailedError
     except ImportError as error:
-        stop(f"dns query needs the extra `dns`: {error}")
+        exit_with_error(f"dns query needs the extra `dns`: {error}")
 
     async def run() -> tuple[SrvAnswer, int]:
         client = DnsClient(resolvers, SystemRandom())
@@ -71,11 +71,11 @@
     try:
         return asyncio.run(run())
     except LookupFailedError as error:
-        stop(str(error), 1)
+        exit_with_error(str(error), 1)
     except ValueError as error:
-        stop(str(error))
+        exit_with_error(str(error))
     except KeyboardInterrupt:
-        stop("interrupted", 130)
+        exit_with_error("interrupted", 130)
 
 
 def print_json(name: str, answer: SrvAnswer, queries_sent: int) -> None:
--- a/harecross/exits.py
+++ b/harecross/exits.py
@@ -12,7 +12,7 @@
 STANDARD_OUTPUT = "-"
 
 
-def stop(text: str, status: int = 2) -> NoReturn:
+def exit_with_error(text: str, status: int = 2) -> NoReturn:
     """Ends the command with one line on standard error and that status."""
     print(f"harecross: {text}", file=sys.stderr)
     raise typer.Exit(status)
@@ -26,4 +26,4 @@
         try:
             Path(destination).write_text(json.dumps(value, indent=1) + "\n")
         except OSError as error:
-            stop(f"--json {destination}: {error.strerror}")
+            exit_with_error(f"--json {destination}: {error.strerror}")
--- a/harecross/fleet/cli.py
+++ b/harecross/fleet/cli.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 
 if TYPE_CHECKING:
     from harecross.fleet.fleet_file import FleetFile
@@ -59,12 +59,12 @@
     from harecross.fleet.schedules import SCHEDULES
 
     if waits not in SCHEDULES:
-        stop(f"--waits {waits}: one of {', '.join(SCHEDULES)}")
+        exit_with_error(f"--waits {waits}: one of {', '.join(SCHEDULES)}")
     fleet = read(path, nodes, discovery_rate, trigger)
     try:
         results = play_rehearsals(fleet, waits, seed, seeds)
     except ValueError as error:
-        stop(f"{path or 'options'}: {error}")
+        exit_with_error(f"{path or 'options'}: {error}")
     from harecross.fleet.report import print_rehearsals, rehearsal_row
 
     if as_json:
@@ -139,14 +139,14 @@
                 progress.advance(task)
         except KeyboardInterrupt:
             if not played:
-                stop("interrupted before the first day was over", 130)
+                exit_with_error("interrupted before the first day was over", 130)
     return played
 
 
 def check_complete(count: int, seeds: int) -> None:
     """Ends the command with status 130 if an interrupt left some days out."""
     if count < seeds:
-        stop(f"interrupted after {count} of {seeds} days", 130)
+        exit_with_error(f"interrupted after {count} of {seeds} days", 130)
 
 
 def read(path: Path | None, nodes: int | None, rate: float | None, trigger: str | None) -> FleetFile:
@@ -158,13 +158,13 @@
         from harecross.fleet.scenario import Trigger
         from harecross.operators import OperatorsFileError
     except ImportError as error:
-        stop(f"fleet needs the extra `demo`: {error}")
+        exit_with_error(f"fleet needs the extra `demo`: {error}")
     try:
         fleet = read_fleet(path) if path is not None else FleetFile()
     except OperatorsFileError as error:
-        stop(str(error))
+        exit_with_error(str(error))
     if trigger is not None and trigger not in list(Trigger):
-        stop(f"--trigger {trigger}: one of {', '.join(Trigger)}")
+        exit_with_error(f"--trigger {trigger}: one of {', '.join(Trigger)}")
     if nodes is not None:
         fleet = replace(fleet, fleet=replace(fleet.fleet, nodes=nodes))
     if rate is not None:
@@ -181,7 +181,7 @@
     from harecross.fleet.tier_scenario import TierEvent
 
     if event is not None and event not in list(TierEvent):
-        stop(f"--event {event}: one of {', '.join(TierEvent)}")
+        exit_with_error(f"--event {event}: one of {', '.join(TierEvent)}")
     tier = fleet.tier
     if servers is not None:
         tier = replace(tier, servers=servers)
--- a/harecross/follow/cli.py
+++ b/harecross/follow/cli.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 from harecross.interface import Idempotency
 
 if TYPE_CHECKING:
@@ -40,11 +40,11 @@
     """A request's way through all nodes and tiers, in order. 1 where some have ended badly, 2 for bad input."""
     idempotency = dict(class_idempotency(text) for text in effect or [])
     if ended_badly and leaving:
-        stop("follow: one of --ended-badly and --leaving")
+        exit_with_error("follow: one of --ended-badly and --leaving")
     listing = ended_badly or leaving
     paths = [Path(word) for word in (words if listing else words[1:])]
     if not paths:
-        stop("follow: no log is named" if listing else "follow: an id and at least one log")
+        exit_with_error("follow: no log is named" if listing else "follow: an id and at least one log")
     logs = read_or_stop(paths)
     if leaving:
         list_late_sends(logs)
@@ -58,7 +58,7 @@
     """Parses CLASS=WORD; ends the command for another text."""
     name, sign, word = text.partition("=")
     if not sign or word not in IDEMPOTENCY_BY_WORD:
-        stop(f"--effect {text}: CLASS=one of {', '.join(IDEMPOTENCY_BY_WORD)}")
+        exit_with_error(f"--effect {text}: CLASS=one of {', '.join(IDEMPOTENCY_BY_WORD)}")
     return name, IDEMPOTENCY_BY_WORD[word]
 
 
@@ -70,7 +70,7 @@
     try:
         logs = read_logs(paths)
     except BadLogError as error:
-        stop(str(error))
+        exit_with_error(str(error))
     for line in logs.torn_lines:
         typer.echo(f"{line}: torn, passed over", err=True)
     return logs
@@ -95,7 +95,9 @@
     from harecross.follow.late_sends import late_sends
 
     if not any(logs.node_events.values()):
-        stop("follow: no list was read in these logs: they are older than that line, or begin after it")
+        exit_with_error(
+            "follow: no list was read in these logs: they are older than that line, or begin after it"
+        )
     begin_ns = min(event.time_ns for events in logs.node_events.values() for event in events)
     found = late_sends(logs)
     for send in found:
@@ -133,7 +135,7 @@
     try:
         request = logs.first_of(request_id)
     except KeyError:
-        stop(f"follow: no request {request_id} in {log_count} logs")
+        exit_with_error(f"follow: no request {request_id} in {log_count} logs")
     show_events(logs, request, request.events[0].time_ns, 0)
 
 
--- a/harecross/replay/cli.py
+++ b/harecross/replay/cli.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from harecross.exits import STANDARD_OUTPUT, stop, write_json
+from harecross.exits import STANDARD_OUTPUT, exit_with_error, write_json
 from harecross.traces.cli import Files, FormatName, JsonFile, Late, MappingFile, Window, trace_opener
 
 if TYPE_CHECKING:
@@ -95,9 +95,9 @@
         events = [read_event(text) for text in event or []]
         plan = plan_replay(trace_opener(files, name, mapping, window, late, seed), options)
     except (TraceError, ValueError) as error:
-        stop(str(error))
+        exit_with_error(str(error))
     except KeyboardInterrupt:
-        stop("interrupted", INTERRUPTED_STATUS)
+        exit_with_error("interrupted", INTERRUPTED_STATUS)
     title = f"Replay of {files[0].name} at {speed:g} times its rate"
     console = err if json_to == STANDARD_OUTPUT else out
     _print_plan(console, plan, nodes)
@@ -122,7 +122,7 @@
     )
     for option, in_range, allowed in checks:
         if not in_range:
-            stop(f"{option}: {allowed}")
+            exit_with_error(f"{option}: {allowed}")
 
 
 def _play_plan(
@@ -170,9 +170,9 @@
 
             return uvloop.run(start(observe))
     except ClusterError as error:
-        stop(str(error), 1)
+        exit_with_error(str(error), 1)
     except KeyboardInterrupt:
-        stop("interrupted; nothing is left running", INTERRUPTED_STATUS)
+        exit_with_error("interrupted; nothing is left running", INTERRUPTED_STATUS)
 
 
 def _print_plan(console: Console, plan: ReplayPlan, nodes: int) -> None:
@@ -223,7 +223,7 @@
     try:
         path.write_text(html_report(report, title))
     except OSError as error:
-        stop(f"--html {path}: {error.strerror}")
+        exit_with_error(f"--html {path}: {error.strerror}")
 
 
 def _print_report(console: Console, report: dict[str, Any], title: str) -> None:
--- a/harecross/shifts/cli.py
+++ b/harecross/shifts/cli.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 
 if TYPE_CHECKING:
     from harecross.shifts.plan import Plan
@@ -38,11 +38,11 @@
         from harecross.operators import OperatorsFileError
         from harecross.shifts.plan import read_plan
     except ImportError as error:
-        stop(f"shift needs the extra `operators`: {error}")
+        exit_with_error(f"shift needs the extra `operators`: {error}")
     try:
         return read_plan(path)
     except OperatorsFileError as error:
-        stop(str(error))
+        exit_with_error(str(error))
 
 
 @shift_app.command("rehearse")
@@ -59,9 +59,9 @@
     from harecross.shifts.simulation import simulate
 
     if fault not in FAULTS:
-        stop(f"--fault {fault}: one of {', '.join(FAULTS)}")
+        exit_with_error(f"--fault {fault}: one of {', '.join(FAULTS)}")
     if fault == "errors" and size > 1:
-        stop(f"--size {size:g}: a share of errors is at most 1")
+        exit_with_error(f"--size {size:g}: a share of errors is at most 1")
     plan = load_plan(path)
     result = simulate(
         plan,
--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 
 sources_app = typer.Typer(no_args_is_help=True, help="Where the list of servers comes from.")
 
@@ -110,7 +110,7 @@
     try:
         from harecross.operators import OperatorsFile, OperatorsFileError, read_toml
     except ImportError as error:
-        stop(f"sources check needs the extra `operators`: {error}")
+        exit_with_error(f"sources check needs the extra `operators`: {error}")
     from harecross.sources.address_file import read_address_file
     from harecross.sources.config import check
 
@@ -119,7 +119,7 @@
         check(table)
         endpoints = sum(len(read_address_file(file.path)) for file in table.file)
     except OperatorsFileError as error:
-        stop(str(error))
+        exit_with_error(str(error))
     except ValueError as error:
-        stop(f"{config}: {error}")
+        exit_with_error(f"{config}: {error}")
     print(f"{config}: {len(table.srv)} SRV names, {len(table.file)} files with {endpoints} boxes")
--- a/harecross/store/cli.py
+++ b/harecross/store/cli.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from harecross.exits import stop
+from harecross.exits import exit_with_error
 from harecross.store.errors import DamagedError, StoreError
 from harecross.store.store import Store
 
@@ -24,13 +24,13 @@
 def open_store(path: Path) -> Store:
     """Opens a store that exists; ends the command with its status where that fails."""
     if not path.is_file():
-        stop(f"{path}: no such file")
+        exit_with_error(f"{path}: no such file")
     try:
         return Store(str(path))
     except DamagedError as error:
-        stop(str(error), 1)
+        exit_with_error(str(error), 1)
     except StoreError as error:
-        stop(str(error))
+        exit_with_error(str(error))
 
 
 @store_app.command("check")
@@ -50,7 +50,7 @@
         for item in store.dump():
             print(json.dumps(item))
     except StoreError as error:
-        stop(str(error), 1)
+        exit_with_error(str(error), 1)
     finally:
         store.close()
 
@@ -64,7 +64,7 @@
     try:
         before, after = store.compact(keep)
     except StoreError as error:
-        stop(str(error), 1)
+        exit_with_error(str(error), 1)
     finally:
         store.close()
     print(f"{path}: {before} bytes before, {after} after")
--- a/harecross/traces/cli.py
+++ b/harecross/traces/cli.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from harecross.exits import STANDARD_OUTPUT, stop, write_json
+from harecross.exits import STANDARD_OUTPUT, exit_with_error, write_json
 
 if TYPE_CHECKING:
     from harecross.traces.summary import Trace
@@ -63,9 +63,9 @@
     try:
         summary = _inspect_with_progress(trace_opener(files, name, mapping, window, late, 1))
     except TraceError as error:
-        stop(str(error))
+        exit_with_error(str(error))
     except KeyboardInterrupt:
-        stop("interrupted", 130)
+        exit_with_error("interrupted", 130)
     write_json(summary, json_to)
     if json_to != STANDARD_OUTPUT:
         _print_summary(summary)
--- a/harecross/xds/cli.py
+++ b/harecross/xds/cli.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from harecross.exits import STANDARD_OUTPUT, stop, write_json
+from harecross.exits import STANDARD_OUTPUT, exit_with_error, write_json
 
 control_app = typer.Typer(invoke_without_command=True)
 
@@ -21,17 +21,17 @@
     if context.invoked_subcommand is not None:
         return
     if config is None:
-        stop("control: --config FILE is needed (deploy/control.toml is one)")
+        exit_with_error("control: --config FILE is needed (deploy/control.toml is one)")
     try:
         from harecross.xds.service import main as serve
     except ImportError as error:
-        stop(f"control needs the extra `xds`: {error}")
+        exit_with_error(f"control needs the extra `xds`: {error}")
     from harecross.operators import OperatorsFileError
 
     try:
         serve(config)
     except OperatorsFileError as error:
-        stop(str(error))
+        exit_with_error(str(error))
 
 
 @control_app.command("status")
@@ -46,13 +46,13 @@
     try:
         from harecross.xds.status_client import StatusError, fetch_status
     except ImportError as error:
-        stop(f"control status needs the extra `xds`: {error}")
+        exit_with_error(f"control status needs the extra `xds`: {error}")
     try:
         streams = fetch_status(address, ca, cert, key)
     except StatusError as error:
-        stop(str(error), 1)
+        exit_with_error(str(error), 1)
     except OSError as error:
-        stop(f"{error.filename}: {error.strerror}")
+        exit_with_error(f"{error.filename}: {error.strerror}")
     write_json({"proxies": streams}, json_to)
     if json_to != STANDARD_OUTPUT:
         _print_streams(streams)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 from harecross import adapter
-from harecross.adapter import Host, WireActions, WireError, parse_settings_json, serve
+from harecross.adapter import InstanceHost, WireActions, WireError, parse_settings_json, serve
 from harecross.interface import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent
@@ -74,7 +74,7 @@
 
 def test_an_outcome_with_a_report_is_read_to_its_end():
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
-    host = Host()
+    host = InstanceHost()
     host.batch(3, create() + members(servers=(11,)), 0)
     host.batch(1, accept(request_class=1), 0)
     assert host.batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
@@ -233,7 +233,7 @@
 
 def day(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
     """The replies of one process that hosts these instances, over some requests and outcomes."""
-    host = Host()
+    host = InstanceHost()
     replies = []
     for node in nodes:
         replies.append(host.batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from harecross.adapter import Host
+from harecross.adapter import InstanceHost
 
 MS = 1000
 TICK = 5 * MS
@@ -45,7 +45,7 @@
 
     def __init__(self, seed: int, tier: int) -> None:
         self.rng = Random(seed)
-        self.host = Host()
+        self.host = InstanceHost()
         self.due: list[tuple[int, int, bytes, tuple[int, int] | None]] = []  # heap of events to come
         self.turn = 0
         self.out: dict[tuple[int, int], tuple[int, int, int]] = {}  # request: attempt, server, sent
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -11,7 +11,7 @@
 from node_support import SETTINGS, config_from, config_of, held_calls, run, until
 from test_adapter import ENV
 
-from harecross.adapter import SUBSCRIBE_TOKEN, Host
+from harecross.adapter import SUBSCRIBE_TOKEN, InstanceHost
 from harecross.discovery import subscription_schedule
 from harecross.discovery.subscription_schedule import (
     AGENT_BACKOFF_INITIAL_S,
@@ -244,7 +244,7 @@
 
 
 def test_the_adapter_calls_again_by_the_same_schedule():
-    host = Host()
+    host = InstanceHost()
     text = json.dumps({**ENV, "discovery": "ask"}).encode()
     host.batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
     assert host.schedule[3].state is SubscriptionState.CALLING
