--- a/harecross/standins/xds.py
+++ b/harecross/standins/xds.py
@@ -65,9 +65,18 @@
 WRITE_FAILED = "Internal error from Core"  # grpc.aio's own text for a write that could not be carried out
 
 
+def accept_all(type_url: str, names: list[str]) -> str:
+    """Accepts a response: there is no reason to reject it."""
+    return ""
+
+
 class XdsProxy:
     """One proxy, over one stream at a time. `rejection_reason`, `may_read` and `acknowledges` are its faults."""
 
+    rejection_reason: Callable[
+        [str, list[str]], str
+    ]  # by type and names; not empty: the response is rejected
+
     def __init__(
         self,
         channel: Any,
@@ -89,18 +98,14 @@
         self.version: dict[str, str] = {}  # state of the world
         self.nonce: dict[str, str] = {}
         self.wanted: set[str] = set(names or ())
-        self.rejection_reason: Callable[[str, list[str]], str] = lambda type_url, names: (
-            ""
-        )  # a reason refuses
+        self.rejection_reason = accept_all
         self.may_read = asyncio.Event()
         self.may_read.set()
         self.acknowledges = True
         self.keeps_state = True  # it keeps its resources in a reconnect, and sends their versions
         self.changed = asyncio.Event()
         self.arrivals: list[tuple[float, str, bytes]] = []  # assignments with their monotonic times, unread
-        self.tracked_clusters: set[str] | None = (
-            None  # clusters whose assignments are kept there; None for all
-        )
+        self.tracked_clusters: set[str] | None = None  # whose assignments are in `arrivals`; None: all
         self.responses: list[tuple[str, list[str], list[str]]] = []  # type, names, removed
         self.received_count = 0  # received since the last connect
         self.received_at = 0.0  # when the newest response came, monotonic
