--- a/harecross/standins/xds.py
+++ b/harecross/standins/xds.py
@@ -65,7 +65,7 @@
 WRITE_FAILED = "Internal error from Core"  # grpc.aio's own text for a write that could not be carried out
 
 
-def accept_all(type_url: str, names: list[str]) -> str:
+def accept_all(_type_url: str, _names: list[str]) -> str:
     """Accepts a response: there is no reason to reject it."""
     return ""
 
