--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -65,10 +65,12 @@
                     proxy = XdsProxy(c).start()
                     try:
                         await proxy.until(
-                            lambda proxy: proxy.error is not None or bool(proxy.held[ASSIGNMENT])
+                            lambda proxy: proxy.error is not None or bool(proxy.accepted[ASSIGNMENT])
                         )
                         return (
-                            proxy.error.code().name if proxy.error is not None else set(proxy.held[CLUSTER])
+                            proxy.error.code().name
+                            if proxy.error is not None
+                            else set(proxy.accepted[CLUSTER])
                         )
                     finally:
                         await proxy.stop()
@@ -82,13 +84,15 @@
             rules = site.path.read_text()
             async with channel(ours, "edge.example") as c:
                 open_one = XdsProxy(c).start()
-                await open_one.until(lambda proxy: len(proxy.held[CLUSTER]) == 2)
+                await open_one.until(lambda proxy: len(proxy.accepted[CLUSTER]) == 2)
                 site.path.write_text(rules.replace('"edge.example" = ["*"]', '"edge.example" = ["stock"]'))
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda proxy: set(proxy.held[CLUSTER]) == {"stock"})
+                await open_one.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"stock"})
                 site.path.write_text(rules)
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda proxy: len(proxy.held[CLUSTER]) == 2 and open_one.streams == 1)
+                await open_one.until(
+                    lambda proxy: len(proxy.accepted[CLUSTER]) == 2 and open_one.streams == 1
+                )
                 await open_one.stop()
             put(theirs)
             assert await sees(theirs, "edge.example") == {"orders", "stock"}
@@ -117,7 +121,7 @@
             await site.serve()
             good = XdsProxy(site.channel, node="good").start()
             bad = XdsProxy(site.channel, node="bad", delta=True)
-            bad.refuse = lambda t, names: "no such locality" if t == ASSIGNMENT else ""
+            bad.rejection_reason = lambda t, names: "no such locality" if t == ASSIGNMENT else ""
             bad.start()
             await good.until(lambda proxy: len(health(proxy)) == 3)
             await bad.until(lambda proxy: any(t == ASSIGNMENT for t, _, _ in proxy.responses))
