--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -222,7 +222,10 @@
 
 
 class Client:
-    """A caller on one connection."""
+    """A client on one connection."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
 
     @classmethod
     async def open(cls, address: tuple[str, int]) -> Client:
--- a/tests/test_control_workers.py
+++ b/tests/test_control_workers.py
@@ -103,7 +103,7 @@
             changed_at = asyncio.get_running_loop().time()
             workers.drain("orders0")
             await workers.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
-            arrivals = [proxy.told_at("orders", "orders0", DRAINING) for proxy in workers.proxies]
+            arrivals = [proxy.first_seen_at("orders", "orders0", DRAINING) for proxy in workers.proxies]
             assert max(arrivals) - changed_at < DRAIN_GRACE
 
     run(body())
@@ -115,7 +115,7 @@
             pool, seen = workers.pool, []
 
             def on_response(proxy: XdsProxy, type_url: str, names: list[str]) -> None:
-                seen.append(len(health(proxy)) if "orders" in proxy.held[CLUSTER] else -1)
+                seen.append(len(health(proxy)) if "orders" in proxy.accepted[CLUSTER] else -1)
 
             for proxy in workers.proxies:
                 proxy.on_response = on_response
@@ -135,7 +135,7 @@
         async with worker_site(tmp_path) as workers:
             workers.site.path.write_text(text_of({"orders": workers.orders}, control=WORKER_OPTIONS))
             os.kill(os.getpid(), signal.SIGHUP)
-            await workers.until(lambda proxy: set(proxy.held[CLUSTER]) == {"orders"})
+            await workers.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"orders"})
 
     run(body())
 
--- a/tests/xds_support.py
+++ b/tests/xds_support.py
@@ -54,6 +54,8 @@
 class Caller:
     """grpcio's own xDS client, in a process of its own."""
 
+    process: asyncio.subprocess.Process
+
     @classmethod
     async def start(cls, address: str, folder: Path) -> Caller:
         bootstrap = {
