--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -139,15 +139,19 @@
 
 
 class InstanceHost:
-    """The nodes of one process. They share nothing but the numbered endpoint lists of the wire."""
+    """The balancers of one process, one for each node.
+
+    The nodes share nothing but the numbered endpoint lists of the wire. `subscription_schedules` holds an
+    entry for each node that subscribes to its endpoint list.
+    """
 
     def __init__(self) -> None:
         self.out = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.schedule: dict[int, SubscriptionSchedule] = {}  # of nodes that subscribe to the endpoint list
+        self.subscription_schedules: dict[int, SubscriptionSchedule] = {}
         self.lists: dict[int, list[Endpoint]] = {}
 
-    def batch(self, count: int, body: bytes, now: int) -> bytes:
+    def handle_batch(self, count: int, body: bytes, now: int) -> bytes:
         """Handles one batch and returns the framed reply. WireError for a batch that cannot be read."""
         self.out.clear()
         pos = 0
@@ -188,8 +192,8 @@
         settings = parse_settings_json(read_bytes(body, pos, size))
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
         if settings.discovery_polled:
-            self.schedule[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
-            self.schedule[node].call_started(now / 1e6)
+            self.subscription_schedules[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
+            self.subscription_schedules[node].call_started(now / 1e6)
         self.deliver(node, "start", now)
         return pos + int(size)
 
@@ -225,13 +229,13 @@
                 raise WireError(f"list {number} was never sent")
             entries = self.lists[number]
         self.deliver(node, "endpoint_update", now, kind, entries)
-        if node in self.schedule and kind != EndpointUpdateKind.CACHED:
+        if node in self.subscription_schedules and kind != EndpointUpdateKind.CACHED:
             self._update_schedule(now / 1e6, node, succeeded=kind != EndpointUpdateKind.FAILED)
         return pos + TARGETS.size
 
     def _update_schedule(self, now: float, node: int, *, succeeded: bool) -> None:
         """A call for the list was answered or failed, or its subscription brought a change or ended."""
-        schedule = self.schedule[node]
+        schedule = self.subscription_schedules[node]
         if succeeded:
             schedule.heartbeat_received(now)
             schedule.update_applied()
@@ -276,7 +280,7 @@
         if token != SUBSCRIBE_TOKEN:
             self.deliver(node, "timer", now, token)
         elif node in self.nodes:
-            self.schedule[node].call_started(now / 1e6)
+            self.subscription_schedules[node].call_started(now / 1e6)
             WireActions(self.out, node).subscribe(True)
         return pos + WAKE.size
 
@@ -284,7 +288,7 @@
         """A node stops."""
         (node,) = SHUTDOWN.unpack_from(body, pos)
         self.nodes.pop(node, None)
-        self.schedule.pop(node, None)
+        self.subscription_schedules.pop(node, None)
         return pos + SHUTDOWN.size
 
     def read_peer_data(self, now: int, body: bytes, pos: int) -> int:
@@ -355,7 +359,7 @@
             raise WireError(f"{where} header: length {size} is too short")
         body = read_exactly(source, size - 8, where)
         try:
-            reply = host.batch(count, body, now)
+            reply = host.handle_batch(count, body, now)
         except WireError as error:
             raise WireError(f"{where}: {error}") from None
         sink.write(reply)
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -14,7 +14,7 @@
 from harecross.dispatch.statistics import ClientCounts, UpstreamCounts
 from harecross.http.request_parser import ParsedRequest
 from harecross.interface import (
-    NEVER_RAN,
+    NOT_PROCESSED,
     Endpoint,
     EndpointUpdateKind,
     FinalReason,
@@ -271,7 +271,7 @@
         request.last_outcome = outcome
         if self.tracer is not None:
             self.tracer.attempt_ended(exchange, outcome, report)
-        if request.first_run_us is None and outcome not in NEVER_RAN:
+        if request.first_run_us is None and outcome not in NOT_PROCESSED:
             request.first_run_us = exchange.started_us
         if exchange.response_begun:
             self.streamed_response_ended(exchange, outcome)
--- a/harecross/interface.py
+++ b/harecross/interface.py
@@ -61,7 +61,7 @@
     INTERNAL = "internal"  # an exception, which is in the log
 
 
-NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+NOT_PROCESSED = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class EndpointState(IntEnum):
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from harecross.interface import (
-    NEVER_RAN,
+    NOT_PROCESSED,
     Actions,
     Endpoint,
     EndpointSnapshot,
@@ -190,7 +190,7 @@
             if final or outcome == Outcome.OK:
                 del self.requests[request_id]
             elif request.response_started:
-                never_ran = outcome in NEVER_RAN and request.ran_on is None
+                never_ran = outcome in NOT_PROCESSED and request.ran_on is None
                 self._finish(request, FinalReason.RESPONSE_BROKEN, shed=never_ran)
             else:
                 self._retry_or_finish(now, request, server, outcome)
@@ -338,12 +338,12 @@
 
     def _retry_or_finish(self, now: int, request: Request, server: Server | None, outcome: Outcome) -> None:
         """Sends a further attempt where one is allowed; gives the final answer otherwise."""
-        if outcome not in NEVER_RAN and request.ran_on is None:
+        if outcome not in NOT_PROCESSED and request.ran_on is None:
             request.ran_on = server
             request.ran_at = request.sent_at
         request.previous = server
         # The per-try timeout has paid for its retry; after an attempt that never ran a retry is free.
-        price = int(outcome not in NEVER_RAN and not request.timed_out)
+        price = int(outcome not in NOT_PROCESSED and not request.timed_out)
         request.timed_out = False
         reason = self._no_retry_reason(now, request, price)
         if reason is not None:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -75,9 +75,9 @@
 def test_an_outcome_with_a_report_is_read_to_its_end():
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = InstanceHost()
-    host.batch(3, create() + members(servers=(11,)), 0)
-    host.batch(1, accept(request_class=1), 0)
-    assert host.batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
+    host.handle_batch(3, create() + members(servers=(11,)), 0)
+    host.handle_batch(1, accept(request_class=1), 0)
+    assert host.handle_batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
 
 
 def test_every_other_event_is_read():
@@ -236,16 +236,16 @@
     host = InstanceHost()
     replies = []
     for node in nodes:
-        replies.append(host.batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
+        replies.append(host.handle_batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
     for i in range(60):
         for node in nodes:
-            reply = host.batch(1, accept(node, i, request_class=i % 2), 1000 * i)
+            reply = host.handle_batch(1, accept(node, i, request_class=i % 2), 1000 * i)
             replies.append(reply)
             if reply[4:5] == b"\x41":
                 server = struct.unpack_from("<I", reply, 15)[0]
                 status = 502 if i % 7 == 0 else 200
                 ended = verdict(node, i, status, server)
-                replies.append(host.batch(1, ended, 1000 * i + 900))
+                replies.append(host.handle_batch(1, ended, 1000 * i + 900))
     return replies
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -13,7 +13,7 @@
 from support import BASE, SEC, Recorder
 
 from harecross.interface import (
-    NEVER_RAN,
+    NOT_PROCESSED,
     ClassSettings,
     DeduplicationScope,
     Endpoint,
@@ -146,7 +146,7 @@
         if outcome == Outcome.OK and r is not None:
             del self.open[request]
             self.closed.add(request)
-        if r is not None and outcome not in NEVER_RAN and r["ran"] is None:
+        if r is not None and outcome not in NOT_PROCESSED and r["ran"] is None:
             r["ran"] = a
         odd = [0.0, 0.5, 1.0, 40.0, -1.0, float("inf"), float("nan")]
         report = [self.rng.choice(odd) for _ in range(self.rng.randrange(4))]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,7 +6,7 @@
 from support import IDEMPOTENT, SEC, ask, balancer, end
 
 from harecross.interface import (
-    NEVER_RAN,
+    NOT_PROCESSED,
     ClassSettings,
     DeduplicationScope,
     Endpoint,
@@ -15,10 +15,10 @@
     Outcome,
 )
 
-MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
+MAY_HAVE_RUN = [o for o in Outcome if o not in NOT_PROCESSED and o != Outcome.OK]
 
 
-@pytest.mark.parametrize("outcome", sorted(NEVER_RAN))
+@pytest.mark.parametrize("outcome", sorted(NOT_PROCESSED))
 @pytest.mark.parametrize("request_class", [0, 1, 2])
 def test_an_attempt_that_never_ran_is_retried(outcome, request_class):
     node, recorder = balancer()
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -161,7 +161,7 @@
                 self.pending.append(record)
             records, self.pending = self.pending, []
             count = len(records)
-            reply = self.host.batch(count, b"".join(records), now)
+            reply = self.host.handle_batch(count, b"".join(records), now)
             self.digest.update(reply)
             self.act(now, reply[4:])
         return self.digest.hexdigest()[:16]
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -246,19 +246,19 @@
 def test_the_adapter_calls_again_by_the_same_schedule():
     host = InstanceHost()
     text = json.dumps({**ENV, "discovery": "ask"}).encode()
-    host.batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
-    assert host.schedule[3].state is SubscriptionState.CALLING
+    host.handle_batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
+    assert host.subscription_schedules[3].state is SubscriptionState.CALLING
     failed = struct.pack("<BHBII", 7, 3, 3, 0, 0)
-    reply = bytes(host.batch(1, failed, 2_000_000))
+    reply = bytes(host.handle_batch(1, failed, 2_000_000))
     assert reply[4] == 69
     _, _, delay, token = struct.unpack("<BHIQ", reply[4:19])
     assert token == SUBSCRIBE_TOKEN
     assert delay >= FAILED_CALL_PAUSE_S * 1e6
-    reply = host.batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
+    reply = host.handle_batch(1, struct.pack("<BHQ", 2, 3, token), 2_000_000 + delay)
     assert reply[4] == 75
-    assert host.schedule[3].call_count == 2
-    host.batch(1, struct.pack("<BH", 9, 3), 9_000_000)
-    assert not host.schedule
+    assert host.subscription_schedules[3].call_count == 2
+    host.handle_batch(1, struct.pack("<BH", 9, 3), 9_000_000)
+    assert not host.subscription_schedules
 
 
 def test_an_agent_that_is_silent_or_refuses_for_long_is_called_again_within_the_send_stop_grace():
