--- a/harecross/__init__.py
+++ b/harecross/__init__.py
@@ -1,3 +1,3 @@
-"""harecross: the decisions of a load balancer for services that call services."""
+"""harecross: a load balancer for services that call other services."""
 
 __version__ = "0.1.0"
--- a/harecross/__main__.py
+++ b/harecross/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m harecross`: the command line."""
+"""Runs the command line with `python -m harecross`."""
 
 from harecross.cli import main
 
--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output, and the balancers behind it. It decides nothing.
+"""Connects balancers to the simulator, whose binary protocol it speaks on standard input and output.
 
-The layouts and their names are those of the wire's own description. Input that cannot be read ends the process
-with status 2 and one line on standard error.
+The adapter makes no decisions. The layouts and names of events and actions are those of the simulator's
+protocol. Input that cannot be read ends the process with exit status 2 and one line on standard error.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 BATCH_HEADER = Struct("<IIQ")
 REPLY_LENGTH = Struct("<I")
-# Events, without their code.
+# Events, without their leading code.
 CREATE = Struct("<HQI")
 DIRECTORY = Struct("<II")
 ENTRY = Struct("<IHQHfBH")
@@ -33,7 +33,7 @@
 SHUTDOWN = Struct("<H")
 PEER_DATA = Struct("<HHH")
 VERDICT = Struct("<HQBIIBHB")
-# Actions, each after its code.
+# Actions, each with its code as the first field.
 RELAY, RELAY_CODE = Struct("<BHQII"), 65
 BOUNCE, BOUNCE_CODE = Struct("<BHQI"), 66
 END_FAILED, END_FAILED_CODE = Struct("<BHQ"), 67
@@ -70,15 +70,16 @@
 MAX_TEXT_BYTES = 0xFFFF
 MAX_TIMER_DELAY_US = 4_260_000_000
 ALL_PEERS = 0xFFFF
-SUBSCRIBE_TOKEN = 1 << 56  # of the adapter's own timer; the balancer's tokens have another top byte
+# The token of the adapter's own timer. Tokens of the balancer have a different top byte.
+SUBSCRIBE_TOKEN = 1 << 56
 
 
 class WireError(Exception):
-    """Input that is not a frame of the wire."""
+    """The input does not follow the simulator's protocol."""
 
 
 class WireActions:
-    """The actions of one node, packed into the reply of the process."""
+    """Appends the actions of one node to the reply of the process, encoded for the simulator."""
 
     __slots__ = ("node", "out")
 
@@ -91,7 +92,7 @@
         self.out += RELAY.pack(RELAY_CODE, self.node, request, server, min(max(timeout, 1), MAX_UINT32))
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Stops waiting for an attempt."""
+        """Cancels an attempt."""
         self.out += WITHDRAW.pack(WITHDRAW_CODE, self.node, request, attempt)
 
     def shed(self, request: int, retry_after: int) -> None:
@@ -99,20 +100,20 @@
         self.out += BOUNCE.pack(BOUNCE_CODE, self.node, request, min(max(retry_after, 0), MAX_UINT32))
 
     def fail(self, request: int) -> None:
-        """Answers a request as failed."""
+        """Gives the final answer that a request failed."""
         self.out += END_FAILED.pack(END_FAILED_CODE, self.node, request)
 
     def health_check(self, server: int) -> None:
-        """Tests a server."""
+        """Sends a health check to a server."""
         self.out += PROBE.pack(PROBE_CODE, self.node, server)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Asks for a timer event."""
+        """Requests a timer event."""
         delay = min(max(delay, 0), MAX_TIMER_DELAY_US)
         self.out += NOTIFY_ME.pack(NOTIFY_ME_CODE, self.node, delay, token)
 
     def send_peer_message(self, peer: int, data: bytes) -> None:
-        """Sends a message to another node, or to all for a negative number."""
+        """Sends a message to another node, or to all nodes if `peer` is negative."""
         self.out += NOTIFY.pack(NOTIFY_CODE, self.node, ALL_PEERS if peer < 0 else peer, len(data)) + data
 
     def subscribe(self, on: bool) -> None:
@@ -120,20 +121,20 @@
         self.out += LISTEN.pack(LISTEN_CODE, self.node, on)
 
     def poll_endpoints(self) -> None:
-        """Asks for the endpoint list once."""
+        """Requests the full endpoint list once."""
         self.out += QUERY_ALL.pack(QUERY_ALL_CODE, self.node)
 
     def close_idle(self, server: int) -> None:
-        """Closes idle connections."""
+        """Closes the idle connections to a server."""
         self.out += RELEASE.pack(RELEASE_CODE, self.node, server)
 
     def log_event(self, text: str) -> None:
-        """Logs a line."""
+        """Writes a log line, cut to the longest text of the protocol."""
         data = text.encode()[:MAX_TEXT_BYTES]
         self.out += JOURNAL_LINE.pack(JOURNAL_LINE_CODE, self.node, len(data)) + data
 
     def fault(self, text: str) -> None:
-        """Reports that the node's balancer has failed."""
+        """Reports that the balancer of the node raised an exception."""
         data = text.encode()[:MAX_TEXT_BYTES]
         self.out += BAIL_OUT.pack(BAIL_OUT_CODE, self.node, len(data)) + data
 
@@ -141,8 +142,13 @@
 class InstanceHost:
     """The balancers of one process, one for each node.
 
-    The nodes share nothing but the numbered endpoint lists of the wire. `subscription_schedules` holds an
-    entry for each node that subscribes to its endpoint list.
+    The nodes share only the endpoint lists, which the protocol numbers.
+
+    Attributes:
+        out: The actions that answer the current batch, encoded.
+        nodes: The balancers by node number.
+        subscription_schedules: The schedules of nodes that subscribe to the endpoint list, by node number.
+        lists: The endpoint lists by their number.
     """
 
     def __init__(self) -> None:
@@ -152,12 +158,15 @@
         self.lists: dict[int, list[Endpoint]] = {}
 
     def handle_batch(self, count: int, body: bytes, now: int) -> bytes:
-        """Handles one batch and returns the framed reply. WireError for a batch that cannot be read."""
+        """Handles one batch of events and returns the reply with its length.
+
+        Raises WireError for a batch that cannot be read.
+        """
         self.out.clear()
         pos = 0
         for record in range(count):
             if pos >= len(body):
-                raise WireError(f"record {record}: batch ends early")
+                raise WireError(f"record {record}: batch ends early, at byte {pos}")
             code = body[pos]
             where = f"record {record} at byte {pos}"
             if code not in EVENT_READERS:
@@ -173,20 +182,20 @@
         return REPLY_LENGTH.pack(len(self.out)) + self.out
 
     def deliver(self, node: int, event: str, *args: Any) -> None:
-        """Passes an event on; an exception of the balancer becomes the wire's fault action."""
+        """Calls a method of the node's balancer. An exception becomes a BAIL_OUT action and ends the node."""
         balancer = self.nodes.get(node)
         if balancer is None:
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as error:  # the wire wants any failure reported, whatever it is
+        except Exception as error:  # the protocol requires that every failure is reported
             del self.nodes[node]
             WireActions(self.out, node).fault(f"{event}: {type(error).__name__}: {error}")
 
-    # ---- readers of one event each: they return the position after it ---------------------------------
+    # ---- Readers. Each reads one event at `pos` and returns the position after it. --------------------
 
     def read_create(self, now: int, body: bytes, pos: int) -> int:
-        """A node starts."""
+        """Reads the start of a node, with its seed and its settings as JSON."""
         node, seed, size = CREATE.unpack_from(body, pos)
         pos += CREATE.size
         settings = parse_settings_json(read_bytes(body, pos, size))
@@ -198,12 +207,12 @@
         return pos + int(size)
 
     def read_directory(self, now: int, body: bytes, pos: int) -> int:
-        """An endpoint list, by a number that update events refer to."""
+        """Reads an endpoint list and its number, by which later endpoint updates refer to it."""
         number, count = DIRECTORY.unpack_from(body, pos)
         pos += DIRECTORY.size
         raw = read_bytes(body, pos, count * ENTRY.size)
         self.lists[number] = [
-            # The platform's weights are nominal sizes; the balancer measures speeds itself.
+            # All weights are 1.0: the platform's weights are nominal sizes, and the balancer measures speeds.
             Endpoint(
                 server,
                 ENDPOINT_STATES.get(state, EndpointState.DRAINING),
@@ -218,15 +227,15 @@
         return pos + int(count) * ENTRY.size
 
     def read_targets(self, now: int, body: bytes, pos: int) -> int:
-        """An endpoint update for one node."""
+        """Reads an endpoint update for one node."""
         node, code, _, number = TARGETS.unpack_from(body, pos)
         if code >= len(UPDATE_KINDS):
-            raise WireError(f"unknown list kind {code}")
+            raise WireError(f"unknown endpoint list kind {code}")
         kind = UPDATE_KINDS[code]
         entries: list[Endpoint] = []
         if kind != EndpointUpdateKind.FAILED:
             if number not in self.lists:
-                raise WireError(f"list {number} was never sent")
+                raise WireError(f"endpoint list {number} was not sent before this update")
             entries = self.lists[number]
         self.deliver(node, "endpoint_update", now, kind, entries)
         if node in self.subscription_schedules and kind != EndpointUpdateKind.CACHED:
@@ -234,7 +243,7 @@
         return pos + TARGETS.size
 
     def _update_schedule(self, now: float, node: int, *, succeeded: bool) -> None:
-        """A call for the list was answered or failed, or its subscription brought a change or ended."""
+        """Tells the schedule that a call for the endpoint list or its subscription succeeded or failed."""
         schedule = self.subscription_schedules[node]
         if succeeded:
             schedule.heartbeat_received(now)
@@ -248,20 +257,20 @@
         WireActions(self.out, node).set_timer(delay, SUBSCRIBE_TOKEN)
 
     def read_accept(self, now: int, body: bytes, pos: int) -> int:
-        """A request came."""
+        """Reads a new request."""
         node, request, _, tenant, flags, time_left, _, request_class = ACCEPT.unpack_from(body, pos)
         repeat = bool(flags & REPEAT_FLAG)
         self.deliver(node, "request", now, request, request_class, tenant, time_left, repeat)
         return pos + ACCEPT.size
 
     def read_client_left(self, now: int, body: bytes, pos: int) -> int:
-        """The client of a request has left."""
+        """Reads that the client of a request has disconnected."""
         node, request = CLIENT_LEFT.unpack_from(body, pos)
         self.deliver(node, "client_disconnected", now, request)
         return pos + CLIENT_LEFT.size
 
     def read_check_result(self, now: int, body: bytes, pos: int) -> int:
-        """A health check has ended."""
+        """Reads the result of a health check."""
         node, latency, status, server, count = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
         report = read_floats(body, pos, count)
@@ -269,13 +278,13 @@
         return pos + 4 * int(count)
 
     def read_opened(self, now: int, body: bytes, pos: int) -> int:
-        """A response has started."""
+        """Reads that the response of an attempt has started."""
         node, request, attempt, server, latency = OPENED.unpack_from(body, pos)
         self.deliver(node, "response_started", now, request, attempt, server, latency)
         return pos + OPENED.size
 
     def read_wake(self, now: int, body: bytes, pos: int) -> int:
-        """A timer has expired: the balancer's, or the one to subscribe again."""
+        """Reads an expired timer: one of the balancer's, or the adapter's own for the next subscription."""
         node, token = WAKE.unpack_from(body, pos)
         if token != SUBSCRIBE_TOKEN:
             self.deliver(node, "timer", now, token)
@@ -285,21 +294,21 @@
         return pos + WAKE.size
 
     def read_shutdown(self, now: int, body: bytes, pos: int) -> int:
-        """A node stops."""
+        """Reads that a node stops."""
         (node,) = SHUTDOWN.unpack_from(body, pos)
         self.nodes.pop(node, None)
         self.subscription_schedules.pop(node, None)
         return pos + SHUTDOWN.size
 
     def read_peer_data(self, now: int, body: bytes, pos: int) -> int:
-        """A message of another node."""
+        """Reads a message from another node."""
         node, peer, size = PEER_DATA.unpack_from(body, pos)
         pos += PEER_DATA.size
         self.deliver(node, "peer_message", now, peer, read_bytes(body, pos, size))
         return pos + int(size)
 
     def read_verdict(self, now: int, body: bytes, pos: int) -> int:
-        """An attempt has ended."""
+        """Reads the outcome of an attempt."""
         node, request, attempt, latency, server, final, status, count = VERDICT.unpack_from(body, pos)
         pos += VERDICT.size
         outcome = OUTCOME_BY_STATUS.get(status, Outcome.UNKNOWN)
@@ -325,19 +334,19 @@
 
 
 def read_bytes(body: bytes, pos: int, size: int) -> bytes:
-    """So many bytes of a batch. StructError if it ends before."""
+    """Returns `size` bytes of a batch. Raises StructError if the batch ends earlier."""
     if pos + size > len(body):
         raise StructError("cut short")
     return body[pos : pos + size]
 
 
 def read_floats(body: bytes, pos: int, count: int) -> tuple[float, ...]:
-    """So many 32-bit floats of a batch. StructError if it ends before."""
+    """Returns `count` 32-bit floats of a batch. Raises StructError if the batch ends earlier."""
     return FLOATS[count].unpack_from(body, pos)
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
-    """So many bytes of the input. WireError, with `what`, if it ends before."""
+    """Returns `size` bytes of the input. Raises WireError, which names `what`, if the input ends earlier."""
     data = stream.read(size)
     if len(data) != size:
         raise WireError(f"{what}: input ends after {len(data)} of {size} bytes")
@@ -345,7 +354,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends. WireError for input that cannot be read."""
+    """Answers batches until the input ends. Raises WireError for input that cannot be read."""
     host = InstanceHost()
     batch = 0
     while True:
@@ -356,7 +365,7 @@
         rest = read_exactly(source, BATCH_HEADER.size - 1, where + " header")
         count, size, now = BATCH_HEADER.unpack(first + rest)
         if size < 8:
-            raise WireError(f"{where} header: length {size} is too short")
+            raise WireError(f"{where} header: length {size} is less than 8")
         body = read_exactly(source, size - 8, where)
         try:
             reply = host.handle_batch(count, body, now)
@@ -368,7 +377,7 @@
 
 
 def main() -> int:
-    """Serves standard input; the exit status."""
+    """Answers the batches on standard input and returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/harecross/policy/__init__.py
+++ b/harecross/policy/__init__.py
@@ -1,5 +1,6 @@
-"""Every decision of harecross, free of I/O; its interface is harecross/interface.py. Times are microseconds.
+"""All decisions of harecross, without any I/O. The interface is `harecross.interface`.
 
-A request passes the concurrency limit of a gradient controller and goes to the less loaded of two random
-members of the node's subset. docs/design.md tells what was kept of the source, what was changed and why.
+A request is admitted under the adaptive concurrency limit of a gradient controller and is sent to the less
+loaded of two random members of the node's subset. docs/design.md describes which parts follow their published
+source and which differ, with the reasons. Times are in microseconds.
 """
--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: a host's events in, actions out, over the life of each request."""
+"""The balancer, which turns the events of a host into actions over the lifetime of each request."""
 
 from __future__ import annotations
 
@@ -33,24 +33,28 @@
 from harecross.policy.zone_preference import ZonePreference
 
 RETRY_BUDGET_RATIO = 0.1  # retries allowed for each first attempt
-TIMEOUT_DEVIATIONS = 4  # mean deviations above the mean round-trip after which an attempt may be lost...
-LOST_DEVIATIONS = 8  # ...and after which it is, though its server has answered no later one
-DEVIATIONS_PER_TIER = 2  # more of them for each tier below, which is to give up first
-MIN_OVER_QUOTA_WEIGHT = 0.5  # requests above a quota with less weight are shed at once
-TIMER_QUEUED, TIMER_ATTEMPT = 2, 3  # the top byte of a timer's token
+# An attempt may be lost once it has taken the mean round-trip plus this many mean deviations.
+TIMEOUT_DEVIATIONS = 4
+# An attempt that has taken the mean round-trip plus this many mean deviations is lost even if its server has
+# answered no later attempt.
+LOST_DEVIATIONS = 8
+# Each tier below adds this many mean deviations to the per-try timeout, so that lower tiers give up first.
+DEVIATIONS_PER_TIER = 2
+MIN_OVER_QUOTA_WEIGHT = 0.5  # requests above a quota are shed at once if their weight is below this
+TIMER_QUEUED, TIMER_ATTEMPT = 2, 3  # values of the top byte of a timer's token
 TOKEN_BITS, ATTEMPT_BITS = 56, 8
 
 
 class Balancer:
-    """The decisions of one node, from its own traffic alone. Implements `interface.Events`."""
+    """Makes the decisions of one node from its own traffic alone. Implements `interface.Events`."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         self.settings, self.actions = settings, actions
         rng = Random(seed)
         fraction = OBJECTIVE_FRACTION * (settings.tiers - settings.tier) / settings.tiers
         objectives = [c.latency_objective for c in settings.classes]
-        allowances = [int(objective * fraction) for objective in objectives]
-        self.controller = controller = GradientController(allowances, settings.max_open, rng, 0)
+        latency_allowances = [int(objective * fraction) for objective in objectives]
+        self.controller = controller = GradientController(latency_allowances, settings.max_open, rng, 0)
         self.traffic = traffic = TrafficStats(settings, fraction)
         self.zone_preference = preference = ZonePreference(settings)
         self.slow_start = SlowStart(settings)
@@ -62,34 +66,35 @@
         self.requests: dict[int, Request] = {}
         self.queue: deque[Request] = deque()
         self.retry_tokens = float(MIN_CONCURRENCY)
-        self.tier_deviations = DEVIATIONS_PER_TIER * (settings.tiers - 1 - settings.tier)
-        self.final_reason = FinalReason.NO_SERVER  # of the last request shed or failed, within that action
+        self.lower_tier_deviations = DEVIATIONS_PER_TIER * (settings.tiers - 1 - settings.tier)
+        # The reason of the last request that was shed or failed; the host reads it during that action.
+        self.final_reason = FinalReason.NO_SERVER
         self.window_start = self.shed_requests = self.per_try_timeouts = 0
         self._rank_classes()
 
     def start(self, now: int) -> None:
-        """Starts to measure min_rtt, and subscribes where discovery does not push."""
+        """Starts the first minRTT window, and subscribes to the endpoint list if it is not pushed."""
         self.controller.start_min_rtt_window(now)
         self.window_start = self.tenant_quotas.refilled_at = now
         if self.settings.discovery_polled:
             self.actions.subscribe(True)
 
     def endpoint_update(self, now: int, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
-        """Takes over the endpoint list and renews the subset."""
+        """Applies an endpoint update and refills the subset."""
         if kind == EndpointUpdateKind.FAILED:
-            return  # the present list holds; the host calls discovery again
+            return  # The current list stays in use, and the host calls discovery again.
         latest = {entry.server: entry for entry in entries}
         if kind != EndpointUpdateKind.CHANGES:
             for server in self.subset.servers.values():
                 if server.listed and server.id not in latest:
                     self.outliers.remove(server)
         for entry in latest.values():
-            self._apply(now, entry)
+            self._apply_entry(now, entry)
         self.subset.remove_unused()
         self.subset.refill()
 
-    def _apply(self, now: int, entry: Endpoint) -> None:
-        """Takes over one entry; a server that has started again is measured anew."""
+    def _apply_entry(self, now: int, entry: Endpoint) -> None:
+        """Applies one entry. The measurements of a server that has restarted are reset."""
         server = self.subset.servers.get(entry.server)
         if entry.state != EndpointState.READY:
             if server is not None:
@@ -106,9 +111,9 @@
     def request(
         self, now: int, request_id: int, request_class: int, tenant: int, time_left: int, repeat: bool
     ) -> None:
-        """Sends a first attempt, sheds the request, or has it wait below the first tier."""
+        """Sends the first attempt, sheds the request or, below the first tier, queues it."""
         settings, controller = self.settings, self.controller
-        # A class that the settings do not have might be one that must not run twice.
+        # A class that the settings do not define may contain requests that must not be processed twice.
         unknown = request_class >= len(settings.classes)
         request_class = min(request_class, len(settings.classes) - 1)
         class_settings = settings.classes[request_class]
@@ -116,7 +121,7 @@
             class_settings.late_priority_weight <= 0
             and class_settings.latency_objective - 2 * settings.tick < time_left
         ):
-            # A late answer would be worth nothing: it is not waited for.
+            # A late response has no weight in this class, so the node does not wait for one.
             time_left = max(settings.tick, class_settings.latency_objective - 2 * settings.tick)
         self.slow_start.requests += 1
         if now - self.window_start >= WINDOW_US:
@@ -136,9 +141,9 @@
         self._send_attempt(now, request)
 
     def _shed_reason(self, now: int, request_class: int, tenant: int) -> FinalReason | None:
-        """Why a request is not admitted; None if it is.
+        """Returns why a request is not admitted, or None if it is admitted.
 
-        Classes of less weight and tenants above their quota leave headroom free for the others.
+        Classes of low weight and tenants above their quota get a lower limit; the others keep the headroom.
         """
         over_quota = not self.tenant_quotas.take_token(now, tenant)
         reserved = (self.class_rank[request_class] + 2 * over_quota) * self.controller.headroom()
@@ -151,14 +156,14 @@
         return FinalReason.OVER_QUOTA if admitted else FinalReason.AT_LIMIT
 
     def _rank_classes(self) -> None:
-        """Rank 1 for classes whose weight for their time is below half the best class's."""
+        """Gives rank 1 to classes whose weight per mean round-trip is below half of the best, else 0."""
         classes = zip(self.settings.classes, self.traffic.mean_rtt, strict=True)
-        density = [c.priority_weight / max(1.0, rtt) for c, rtt in classes]
-        best = max(density)
-        self.class_rank = [int(weight < best / 2) for weight in density]
+        weight_per_time = [c.priority_weight / max(1.0, rtt) for c, rtt in classes]
+        best = max(weight_per_time)
+        self.class_rank = [int(weight < best / 2) for weight in weight_per_time]
 
     def on_window_end(self, now: int) -> None:
-        """Renews what changes slowly: slow-start rates, ranks of classes, cross-zone fraction."""
+        """Updates the slow-start rate, the ranks of the classes and the cross-zone fraction."""
         span, self.window_start = now - self.window_start, now
         self.slow_start.on_window_end(now, span, self.subset.members, self.controller.answers_on_time())
         self._rank_classes()
@@ -176,13 +181,13 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """Books the outcome and retries or finishes the request."""
+        """Records the outcome and retries or finishes the request."""
         server = self.subset.servers.get(server_id)
         request = self.requests.get(request_id)
         if request is not None and request.timed_out and outcome == Outcome.CANCELLED:
             outcome = Outcome.TIMEOUT
         if server is not None and server.in_flight > 0:
-            if report and self.traffic.columns:
+            if report and self.traffic.report_columns:
                 self.traffic.record_load_report(server, report)
             self.recorder.record(now, server, request, outcome, latency)
         if request is not None and request.server is not None and attempt == request.attempts - 1:
@@ -190,27 +195,30 @@
             if final or outcome == Outcome.OK:
                 del self.requests[request_id]
             elif request.response_started:
-                never_ran = outcome in NOT_PROCESSED and request.ran_on is None
-                self._finish(request, FinalReason.RESPONSE_BROKEN, shed=never_ran)
+                not_processed = outcome in NOT_PROCESSED and request.possibly_processed_by is None
+                self._finish(request, FinalReason.RESPONSE_BROKEN, shed=not_processed)
             else:
                 self._retry_or_finish(now, request, server, outcome)
         if self.queue:
             self._serve_queue(now)
 
     def response_started(self, now: int, request_id: int, attempt: int, server_id: int, latency: int) -> None:
-        """From now on the request is not retried."""
+        """Notes that the request cannot be retried any more."""
         request = self.requests.get(request_id)
         if request is not None:
             request.response_started = True
 
     def uploading(self, now: int, request_id: int, on: bool) -> None:
-        """While its body is passed on, a request is not in flight; its time counts from the last byte."""
+        """Takes a request out of the requests in flight while its body is forwarded.
+
+        Its round-trip and its deadline count from the last byte of the body.
+        """
         request = self.requests.get(request_id)
         if request is None or request.server is None or request.uploading == on:
             return
         change, request.uploading = -1 if on else 1, on
         request.server.in_flight += change
-        if not request.server.excluded:
+        if not request.server.excluded_from_limit:
             limit, mean_rtt = self.controller.current_limit(), self.traffic.mean_rtt[request.request_class]
             self.controller.change_in_flight(now, change, limit, mean_rtt)
         if not on:
@@ -218,7 +226,7 @@
             request.sent_at = request.server.last_progress_at = now
 
     def client_disconnected(self, now: int, request_id: int) -> None:
-        """Forgets the request and cancels its attempt."""
+        """Removes the request and cancels its attempt."""
         request = self.requests.pop(request_id, None)
         if request is None:
             return
@@ -228,8 +236,8 @@
         if request.server is None or request.response_started:
             return
         waited = now - request.sent_at
-        if waited > self.controller.target[request.request_class] and not request.server.excluded:
-            # Clients that give up before any time-out show that answers are late.
+        if waited > self.controller.target[request.request_class] and not request.server.excluded_from_limit:
+            # Clients that give up before a time-out leave no other sample of the high latency.
             self.controller.record_sample(now, request.request_class, waited)
             self.traffic.record_slowness(request.server, request.request_class, waited)
         if self.settings.cancel:
@@ -238,17 +246,17 @@
     def health_checked(
         self, now: int, server_id: int, ok: bool, latency: int, report: Sequence[float]
     ) -> None:
-        """The balancer asks for no health checks: a control service checks by itself."""
+        """Records a health check. The balancer requests none, because a control service runs its own."""
         self.load_reported(now, server_id, int(ok), int(not ok), report)
 
     def load_reported(self, now: int, server_id: int, good: int, bad: int, report: Sequence[float]) -> None:
-        """Books outcomes that others saw."""
+        """Records outcomes that were observed elsewhere."""
         server = self.subset.servers.get(server_id)
         if server is not None:
             self.outliers.record_outcomes(now, server, good, bad, report)
 
     def timer(self, now: int, token: int) -> None:
-        """A request has waited long enough in the queue, or an attempt may be lost."""
+        """Sheds a request that has waited too long in the queue, or checks an attempt that may be lost."""
         kind, value = token >> TOKEN_BITS, token & ((1 << TOKEN_BITS) - 1)
         if kind == TIMER_QUEUED:
             request = self.requests.get(value)
@@ -263,32 +271,32 @@
                 self.per_try_timeout(now, request)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Not used: a node decides from its own traffic."""
+        """Does nothing: a node decides from its own traffic alone."""
 
     def stats(self) -> dict[str, float]:
-        """Statistics, for logs and metrics."""
+        """Returns the statistics for logs and metrics, by name."""
         parts = self.controller, self.subset, self.outliers, self.recorder
         return balancer_stats.stats(*parts, self.shed_requests, self.per_try_timeouts)
 
     def endpoint_snapshots(self, now: int) -> list[EndpointSnapshot]:
-        """What is known of each server."""
+        """Returns a snapshot of each known server."""
         return balancer_stats.snapshots(now, self.subset, self.outliers, self.slow_start)
 
     def _send_attempt(self, now: int, request: Request) -> None:
-        """Sends the request to the server picked for it, or finishes it if there is none."""
+        """Picks a server and sends the request to it, or finishes the request if there is no server."""
         server = self.picker.pick(now, request)
         if server is None:
-            return self._finish(request, FinalReason.NO_SERVER, shed=request.ran_on is None)
+            return self._finish(request, FinalReason.NO_SERVER, shed=request.possibly_processed_by is None)
         mean = self.traffic.mean_rtt[request.request_class]
         repeatable = request.idempotency != Idempotency.NON_IDEMPOTENT
         timeout = request.deadline - now
-        if server.excluded and repeatable:
-            # A recovery probe must not cost the request its whole time.
+        if server.excluded_from_limit and repeatable:
+            # A recovery probe that fails must leave the request enough time for a retry.
             timeout = min(timeout, max(self.settings.tick, int(UNRESPONSIVE_RTTS * mean)))
         if server.in_flight == 0:
             server.last_progress_at = now
         server.in_flight += 1
-        if not server.excluded:
+        if not server.excluded_from_limit:
             self.controller.change_in_flight(now, 1, self.controller.current_limit(), mean)
         zone = self.subset.zones[server.zone]
         if zone.sends == 0:
@@ -301,21 +309,22 @@
         self.actions.send(request.id, server.id, timeout)
         if repeatable:
             deviation = self.traffic.deviation[request.request_class]
-            first = mean + (TIMEOUT_DEVIATIONS + self.tier_deviations) * deviation
-            wait = min(first, timeout - mean - deviation)
-            if wait >= first / 2:
+            full_wait = mean + (TIMEOUT_DEVIATIONS + self.lower_tier_deviations) * deviation
+            wait = min(full_wait, timeout - mean - deviation)
+            if wait >= full_wait / 2:
                 self._start_attempt_timer(request, wait)
 
     def _start_attempt_timer(self, request: Request, wait: float) -> None:
-        """Has `per_try_timeout` called for this attempt."""
+        """Starts the timer that calls `per_try_timeout` for this attempt."""
         token = request.id << ATTEMPT_BITS | request.attempts
         self.actions.set_timer(max(1, int(wait)), TIMER_ATTEMPT << TOKEN_BITS | token)
 
     def per_try_timeout(self, now: int, request: Request) -> None:
-        """Gives up an attempt that is lost, not slow.
+        """Cancels an attempt that is lost rather than slow.
 
-        It is lost when its server has answered one that was sent a mean round-trip later, or when it is long
-        overdue while hardly any request is late. Until then this is asked again every mean deviation.
+        It is lost if its server has answered an attempt that was sent a mean round-trip later, or if it is
+        long overdue. It is not cancelled while many requests are late. An attempt that is not cancelled is
+        checked again after a mean deviation.
         """
         settings, server = self.settings, request.server
         assert server is not None
@@ -325,9 +334,9 @@
             return
         mean = self.traffic.mean_rtt[request.request_class]
         deviation = self.traffic.deviation[request.request_class]
-        answered = server.answered_send_at > request.sent_at + mean
-        patience = mean + (LOST_DEVIATIONS + self.tier_deviations) * deviation
-        lost = answered or now - request.sent_at >= patience
+        answered = server.newest_answered_sent_at > request.sent_at + mean
+        longest = mean + (LOST_DEVIATIONS + self.lower_tier_deviations) * deviation
+        lost = answered or now - request.sent_at >= longest
         if lost and self.controller.late_fraction <= MAX_LATE_FRACTION and self.retry_tokens >= 1:
             self.retry_tokens -= 1
             self.per_try_timeouts += 1
@@ -337,50 +346,51 @@
             self._start_attempt_timer(request, max(deviation, settings.tick))
 
     def _retry_or_finish(self, now: int, request: Request, server: Server | None, outcome: Outcome) -> None:
-        """Sends a further attempt where one is allowed; gives the final answer otherwise."""
-        if outcome not in NOT_PROCESSED and request.ran_on is None:
-            request.ran_on = server
-            request.ran_at = request.sent_at
+        """Sends a further attempt if one is allowed, and gives the final answer otherwise."""
+        if outcome not in NOT_PROCESSED and request.possibly_processed_by is None:
+            request.possibly_processed_by = server
+            request.possibly_processed_at = request.sent_at
         request.previous = server
-        # The per-try timeout has paid for its retry; after an attempt that never ran a retry is free.
-        price = int(outcome not in NOT_PROCESSED and not request.timed_out)
+        # The per-try timeout has already taken a retry token; a retry of an unprocessed attempt needs none.
+        tokens = int(outcome not in NOT_PROCESSED and not request.timed_out)
         request.timed_out = False
-        reason = self._no_retry_reason(now, request, price)
+        reason = self._no_retry_reason(now, request, tokens)
         if reason is not None:
-            harmless = request.ran_on is None or request.idempotency == Idempotency.IDEMPOTENT
+            harmless = request.possibly_processed_by is None or request.idempotency == Idempotency.IDEMPOTENT
             return self._finish(request, reason, shed=harmless)
-        self.retry_tokens -= price
+        self.retry_tokens -= tokens
         self._send_attempt(now, request)
 
-    def _no_retry_reason(self, now: int, request: Request, price: int) -> FinalReason | None:
-        """What forbids a retry that costs so many retry tokens; None if nothing does."""
+    def _no_retry_reason(self, now: int, request: Request, tokens: int) -> FinalReason | None:
+        """Returns why a retry that needs this many retry tokens is not allowed, or None if it is allowed."""
         window = self.settings.classes[request.request_class].deduplication_window
         repeatable = request.idempotency == Idempotency.IDEMPOTENT or (
-            request.idempotency == Idempotency.IDEMPOTENCY_KEY and now < request.ran_at + window
+            request.idempotency == Idempotency.IDEMPOTENCY_KEY
+            and now < request.possibly_processed_at + window
         )
-        if request.ran_on is not None and not repeatable:
+        if request.possibly_processed_by is not None and not repeatable:
             return FinalReason.MAY_HAVE_RUN
         if request.attempts >= self.settings.max_attempts:
             return FinalReason.ATTEMPTS_USED
-        if self.retry_tokens < price:
+        if self.retry_tokens < tokens:
             return FinalReason.RETRY_BUDGET
         if now + self.traffic.mean_rtt[request.request_class] >= request.deadline:
             return FinalReason.NO_TIME_TO_RETRY
         return None
 
     def _finish(self, request: Request, reason: FinalReason, *, shed: bool) -> None:
-        """Gives the one final answer; `shed` only where a retry by the client does no harm."""
+        """Gives the final answer; `shed` requires that a retry by the client does no harm."""
         del self.requests[request.id]
         self.final_reason = reason
         if not shed:
             return self.actions.fail(request.id)
-        # Clients that come back after the latency objective get little for their retries.
+        # A retry that the client sends after the latency objective has little weight left.
         objective = self.settings.classes[request.request_class].latency_objective
         after = min(self.settings.max_retry_after, objective // 8) if self.settings.retry_after else 0
         self.actions.shed(request.id, after)
 
     def _enqueue(self, now: int, request: Request) -> None:
-        """Below the first tier a request waits at the limit: shedding it would waste the work done above."""
+        """Queues a request below the first tier, where shedding would waste the work of the tiers above."""
         if not self.subset.eligible or len(self.queue) >= self.controller.limit:
             self.shed_requests += 1
             reason = FinalReason.QUEUE_FULL if self.subset.eligible else FinalReason.NO_SERVER
@@ -390,7 +400,7 @@
         self.actions.set_timer(max(1, (request.deadline - now) // 2), TIMER_QUEUED << TOKEN_BITS | request.id)
 
     def _serve_queue(self, now: int) -> None:
-        """Sends queued requests while the limit has room for them."""
+        """Sends queued requests while the concurrency limit allows it."""
         queue, controller = self.queue, self.controller
         while queue and (not queue[0].queued or controller.in_flight < controller.current_limit()):
             request = queue.popleft()
--- a/harecross/policy/balancer_stats.py
+++ b/harecross/policy/balancer_stats.py
@@ -1,4 +1,4 @@
-"""Statistics of a balancer's parts, and a snapshot of each server. Reading them changes nothing."""
+"""Statistics of a balancer and snapshots of its servers. Reading them changes no state."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     shed_requests: int,
     per_try_timeouts: int,
 ) -> dict[str, float]:
-    """Statistics, by Envoy's names where it has them.
+    """Returns the statistics by name; those that Envoy has too use its names.
 
-    `zones_cut` counts ejected zones, `spill` is the cross-zone fraction.
+    `zones_cut` is the number of ejected zones, `spill` the cross-zone fraction, `lost` the lost fraction.
     """
     return {
         "concurrency_limit": controller.current_limit(),
@@ -44,14 +44,14 @@
 def snapshots(
     now: int, subset: Subset, outliers: OutlierDetector, slow_start: SlowStart
 ) -> list[EndpointSnapshot]:
-    """What is known of each server."""
+    """Returns a snapshot of each known server."""
     traffic = outliers.traffic
     mean_rtt, retention = min(traffic.mean_rtt), traffic.retention(len(subset.members))
     limit = subset.controller.current_limit() / max(1, len(subset.eligible))
-    found = []
+    result = []
     for server in subset.servers.values():
         cost = server.load(now, mean_rtt, retention, traffic.mean_cost) / (server.in_flight + 1)
         state = EndpointState.READY if server.listed else EndpointState.DRAINING
         factor = slow_start.factor(now, server)
-        found.append(EndpointSnapshot(server.id, state, server.ejected, factor, cost, limit))
-    return found
+        result.append(EndpointSnapshot(server.id, state, server.ejected, factor, cost, limit))
+    return result
--- a/harecross/policy/endpoint_picker.py
+++ b/harecross/policy/endpoint_picker.py
@@ -1,4 +1,4 @@
-"""Picks the server of each attempt."""
+"""The choice of a server for each attempt."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from harecross.policy.subset import Subset
 from harecross.policy.traffic_stats import TrafficStats
 
-MAX_DRAWS = 3  # pairs of servers that are drawn before the first that may get the request is taken
-CROWDED_FACTOR = 1.2  # a local member with more than this many even parts of the limit is not preferred
+# After this many random pairs, the request goes to the first server that may get it.
+MAX_PICK_ROUNDS = 3
+# A local member is not preferred if it has more than this multiple of an even part of the limit in flight.
+LOCAL_LOAD_FACTOR = 1.2
 
 
 @dataclass(slots=True, eq=False)
 class EndpointPicker:
-    """Two random choices among the eligible members; recovery probes of the ejected ones first."""
+    """Picks the less loaded of two random eligible members, but lets due recovery probes go first."""
 
     settings: Settings
     rng: Random
@@ -28,22 +30,22 @@
     slow_start: SlowStart
 
     def pick(self, now: int, request: Request) -> Server | None:
-        """The server for the request's next attempt; None if no server may get it."""
-        if request.ran_on is not None and request.idempotency == Idempotency.IDEMPOTENCY_KEY:
-            return self._pick_in_scope(now, request, request.ran_on)
+        """Returns the server for the next attempt of the request, or None if no server may get it."""
+        if request.possibly_processed_by is not None and request.idempotency == Idempotency.IDEMPOTENCY_KEY:
+            return self._pick_in_scope(now, request, request.possibly_processed_by)
         if self.outliers.ejected or self.outliers.ejected_zones:
-            probed = self._pick_probe(now, request)
-            if probed is not None:
-                return probed
+            probe_target = self._pick_probe(now, request)
+            if probe_target is not None:
+                return probe_target
         local, eligible = self.subset.local, self.subset.eligible
-        if request.previous is not None:  # as Envoy's retry predicate previous_hosts
+        if request.previous is not None:  # like Envoy's retry host predicate previous_hosts
             local = [member for member in local if member is not request.previous]
             eligible = [member for member in eligible if member is not request.previous]
         preference, controller = self.subset.zone_preference, self.subset.controller
         if preference.enabled and local and self.rng.random() >= preference.fraction:
-            limit = CROWDED_FACTOR * controller.gradient * controller.current_limit()
-            crowded = limit / len(self.subset.eligible)
-            server = self.pick_of_two(now, [member for member in local if member.in_flight < crowded])
+            limit = LOCAL_LOAD_FACTOR * controller.gradient * controller.current_limit()
+            member_limit = limit / len(self.subset.eligible)
+            server = self.pick_of_two(now, [member for member in local if member.in_flight < member_limit])
             if server is not None:
                 return server
         if request.previous is None:
@@ -51,9 +53,9 @@
         return self.pick_of_two(now, eligible) or self.pick_of_two(now, self.subset.eligible)
 
     def _pick_probe(self, now: int, request: Request) -> Server | None:
-        """An ejected member, or one of an ejected zone, that is due for a recovery probe.
+        """Returns an ejected member, or a member of an ejected zone, that is due for a recovery probe.
 
-        A request that must not run twice is used for it only when no other has come for a while.
+        A non-idempotent request is used as a probe only if the probe has been due for a base ejection time.
         """
         wait = BASE_EJECTION_US if request.idempotency == Idempotency.NON_IDEMPOTENT else 0
         if self.outliers.ejected and now >= self.outliers.next_probe_at + wait:
@@ -74,7 +76,7 @@
         return None
 
     def pick_of_two(self, now: int, pool: list[Server]) -> Server | None:
-        """The less loaded of two random servers that may get a request; else the first that may."""
+        """Returns the less loaded of two random servers, or else the first that may get a request."""
         count = len(pool)
         if count == 0:
             return None
@@ -82,7 +84,7 @@
             return pool[0] if self.slow_start.take_token(now, pool[0]) else None
         mean_rtt, mean_cost = min(self.traffic.mean_rtt), self.traffic.mean_cost
         retention = self.traffic.retention(len(self.subset.members))
-        for _ in range(MAX_DRAWS):
+        for _ in range(MAX_PICK_ROUNDS):
             i = int(self.rng.random() * count)
             j = int(self.rng.random() * (count - 1))
             if j >= i:
@@ -93,10 +95,10 @@
             first_load = first.load(now, mean_rtt, retention, mean_cost)
             if second.load(now, mean_rtt, retention, mean_cost) < first_load:
                 first, second = second, first
-            second_out = self.outliers.is_unresponsive(now, second)
+            second_unresponsive = self.outliers.is_unresponsive(now, second)
             if not self.outliers.is_unresponsive(now, first) and self.slow_start.take_token(now, first):
                 return first
-            if not second_out and self.slow_start.take_token(now, second):
+            if not second_unresponsive and self.slow_start.take_token(now, second):
                 return second
         for server in pool:
             if not server.ejected and self.slow_start.take_token(now, server):
@@ -104,13 +106,17 @@
         return None
 
     def _pick_in_scope(self, now: int, request: Request, first: Server) -> Server | None:
-        """A server that discards the repeat of what `first` may have processed.
+        """Returns a server that discards the repeat of a request that `first` may have processed.
 
-        That server itself is the last choice, and none after a restart: then it no longer knows.
+        A server other than `first` and the previous one is preferred. Without one, it returns a server of the
+        scope that has not restarted since the attempt, because a restarted server no longer knows what it has
+        processed.
         """
         scope = self.settings.classes[request.request_class].deduplication_scope
         zone = first.zone if scope == DeduplicationScope.ZONE else None
         cell = first.cell if scope == DeduplicationScope.CELL else None
         pool = [m for m in self.subset.eligible if zone in (None, m.zone) and cell in (None, m.cell)]
         others = [m for m in pool if m is not first and m is not request.previous]
-        return self.pick_of_two(now, others or [m for m in pool if m.ready_at <= request.ran_at])
+        return self.pick_of_two(
+            now, others or [m for m in pool if m.ready_at <= request.possibly_processed_at]
+        )
--- a/harecross/policy/outcome_recorder.py
+++ b/harecross/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Books the end of each attempt: concurrency limit, averages, outlier detection."""
+"""Records how each attempt ended for the concurrency limit, the averages and the outlier detection."""
 
 from __future__ import annotations
 
@@ -10,25 +10,32 @@
 from harecross.policy.subset import Subset
 from harecross.policy.traffic_stats import SUBSET_SMOOTHING, TrafficStats
 
-OUTLIER_SLOWNESS = 2.0  # a member this many times slower than the mean does not speak for the subset
+# A member that is this many times slower than the mean adds no sample to the concurrency limit.
+OUTLIER_SLOWNESS = 2.0
+# Failures that tell nothing about the load of the subset.
 NO_LOAD_SIGNAL = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET)
+# Outcomes of attempts that the node itself ended or never sent.
 ENDED_BY_NODE = (Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 @dataclass(slots=True, eq=False)
 class OutcomeRecorder:
-    """Passes outcomes on to the concurrency limit, the averages and the outlier detection."""
+    """Passes outcomes on to the concurrency limit, the averages and the outlier detection.
+
+    Attributes:
+        overtaken: The number of time-outs at servers that had answered a request that was sent later.
+    """
 
     subset: Subset
     traffic: TrafficStats
     outliers: OutlierDetector
-    overtaken: int = 0  # time-outs at servers that had answered later requests
+    overtaken: int = 0
 
     def record(self, now: int, server: Server, request: Request | None, outcome: Outcome, rtt: int) -> None:
-        """Books an outcome; `request` is None where it is no longer open."""
+        """Records an outcome; `request` is None if it is no longer open."""
         controller = self.subset.controller
         server.in_flight -= 1
-        if not server.excluded:
+        if not server.excluded_from_limit:
             controller.change_in_flight(now, -1, controller.current_limit(), max(self.traffic.mean_rtt))
         server.last_progress_at = now
         if outcome in ENDED_BY_NODE:
@@ -38,10 +45,11 @@
             self.outliers.record_zone_outcome(now, server, outcome)
         ok, timed_out, overtaken = outcome == Outcome.OK, outcome == Outcome.TIMEOUT, False
         if request is not None:
-            overtaken = timed_out and server.answered_send_at > request.sent_at
+            overtaken = timed_out and server.newest_answered_sent_at > request.sent_at
             if outcome not in UNANSWERED:
-                server.answered_send_at = max(server.answered_send_at, request.sent_at)
-            # A lost request tells nothing of latency, but one that nothing has overtaken may be slow.
+                server.newest_answered_sent_at = max(server.newest_answered_sent_at, request.sent_at)
+            # A time-out that a later request has overtaken is a lost request, which is no measure of latency.
+            # Any other time-out may be a slow request.
             if ok or (timed_out and not overtaken):
                 self._record_latency(now, server, request.request_class, rtt)
         self.overtaken += overtaken
@@ -53,7 +61,7 @@
         self.outliers.record_outcome(now, server, ok=ok, timed_out=timed_out)
 
     def _record_latency(self, now: int, server: Server, request_class: int, rtt: int) -> None:
-        """Adds a latency to the limit's samples, unless the server is an outlier, and to the averages."""
+        """Adds a latency to the averages and, unless the server is an outlier, to the limit's samples."""
         controller, traffic = self.subset.controller, self.traffic
         if server.slowness < OUTLIER_SLOWNESS and not server.ejected:
             late = rtt > controller.target[request_class]
--- a/harecross/policy/records.py
+++ b/harecross/policy/records.py
@@ -1,4 +1,4 @@
-"""Records of the servers, machine types, zones and open requests of one node. Times are in microseconds."""
+"""Data classes for servers, machine types, zones and open requests of one node. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -7,36 +7,62 @@
 from harecross.interface import Idempotency
 
 FAILURE_WEIGHT = 8  # a server that fails every request counts as this many times slower
-RETENTION_US = 5_000_000  # without an outcome, measurements of a server fade over this time
+RETENTION_US = 5_000_000  # the measurements of a server fade over this time without an outcome
 
 
 @dataclass(slots=True, eq=False)
 class MachineType:
-    """Averages over the servers of one machine type."""
+    """Averages over the servers of one machine type.
+
+    Attributes:
+        slowness: The round-trip, relative to the mean round-trip.
+        cost: The expected time of one more request according to load reports, 0 without a report.
+    """
 
     slowness: float = 1.0
     samples: int = 0
-    cost: float = 0.0  # of one more request, by load reports
+    cost: float = 0.0
     reports: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """Answers from the servers of one zone."""
+    """The state of one zone, by the responses of its servers.
+
+    Attributes:
+        last_failed: The id of the last server that did not answer an attempt.
+        sends: The number of attempts sent since the last response.
+        first_send_at: When the first of these attempts was sent.
+        unanswered: The number of attempts without an answer since the last response. Consecutive attempts at
+            one server count once.
+    """
 
     id: int
     ejected: bool = False
     next_probe_at: int = 0
     probes: int = 0
-    last_failed: int = 0  # server id
-    sends: int = 0  # since the last answer
+    last_failed: int = 0
+    sends: int = 0
     first_send_at: int = 0
-    unanswered: int = 0  # attempts that failed without an answer since then; one for each server in turn
+    unanswered: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """Measurements of one server. The fields from `slowness` on are of its present process."""
+    """The state and the measurements of one server.
+
+    The fields from `slowness` on belong to the current process of the server.
+
+    Attributes:
+        excluded_from_limit: Whether its requests do not count against the concurrency limit.
+        probing: Whether a recovery probe is in flight.
+        last_progress_at: When the last attempt ended, or when the first one after an idle time was sent.
+        newest_answered_sent_at: When the newest of the answered requests was sent.
+        slowness: The round-trip, relative to the mean round-trip.
+        cost: The expected time of one more request according to load reports, 0 without a report.
+        tokens: The number of requests that the server may be sent now during slow start.
+        tokens_updated_at: When `tokens` was last updated.
+    """
 
     id: int
     machine_type: MachineType
@@ -46,69 +72,78 @@
     weight: float = 1.0
     listed: bool = False
     in_subset: bool = False
-    excluded: bool = False  # its requests do not count against the concurrency limit
+    excluded_from_limit: bool = False
     ejected: bool = False
-    probing: bool = False  # a recovery probe is in flight
+    probing: bool = False
     in_flight: int = 0
-    last_progress_at: int = 0  # of the last outcome, or of the first send after idling
+    last_progress_at: int = 0
     last_outcome_at: int = 0
-    answered_send_at: int = 0  # when the newest answered request was sent
-    slowness: float = 1.0  # round-trip in mean round-trips
-    cost: float = 0.0  # of one more request, by load reports
+    newest_answered_sent_at: int = 0
+    slowness: float = 1.0
+    cost: float = 0.0
     failure_rate: float = 0.0
-    failures_in_row: int = 0
+    consecutive_failures: int = 0
     outcomes: int = 0
     unresponsive: bool = False
     next_probe_at: int = 0
     ejections: int = 0
     slow_start_until: int = 0
-    tokens: float = 0.0  # requests it may be sent during slow start
-    tokens_at: int = 0
+    tokens: float = 0.0
+    tokens_updated_at: int = 0
 
     def restart(self, ready_at: int) -> None:
-        """Forgets the measurements of an earlier process."""
+        """Resets the measurements, which belong to an earlier process."""
         self.ready_at = ready_at
         self.slowness = self.machine_type.slowness
         self.cost = self.failure_rate = self.tokens = 0.0
-        self.failures_in_row = self.outcomes = self.ejections = 0
-        self.next_probe_at = self.slow_start_until = self.tokens_at = 0
+        self.consecutive_failures = self.outcomes = self.ejections = 0
+        self.next_probe_at = self.slow_start_until = self.tokens_updated_at = 0
         self.unresponsive = False
 
     def load(self, now: int, mean_rtt: float, retention: float, mean_cost: float = 0.0) -> float:
-        """Expected time of the requests in flight and one more: what two random choices compare.
+        """Returns the expected time of the requests in flight and one more, by which servers are compared.
 
         Measurements fade to those of the machine type, so that a slow server is measured again. Load reports
-        outweigh round-trips, which show little of the load where servers call other servers.
+        outweigh round-trips, which show little of the load of a server that calls other servers.
         """
-        quiet = now - self.last_outcome_at
+        idle = now - self.last_outcome_at
         typical, own = self.machine_type.slowness, self.slowness
         if self.machine_type.cost:
             typical = self.machine_type.cost / mean_cost
             own = (own + self.cost / mean_cost) / 2 if self.cost else typical
-        slowness = typical + (own - typical) * max(0.0, 1 - quiet / RETENTION_US)
-        failures = FAILURE_WEIGHT * self.failure_rate * max(0.0, 1 - quiet / retention)
+        slowness = typical + (own - typical) * max(0.0, 1 - idle / RETENTION_US)
+        failures = FAILURE_WEIGHT * self.failure_rate * max(0.0, 1 - idle / retention)
         load = (self.in_flight + 1) * slowness * (1 + failures)
         if self.in_flight and now - self.last_progress_at > mean_rtt:
-            # A server that has just become slow shows it by requests that are overdue, not yet by averages.
+            # The averages of a server that has just become slow still look good, but requests are overdue.
             load *= (now - self.last_progress_at) / mean_rtt
         return load
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """An open request; it has at most one attempt in flight."""
+    """An open request, which has at most one attempt in flight.
+
+    Attributes:
+        server: The server of the attempt in flight.
+        previous: The server of the previous attempt.
+        possibly_processed_by: The first server that may have processed the request.
+        possibly_processed_at: When the attempt at that server was sent.
+        uploading: Whether the body of the request is being forwarded.
+        timed_out: Whether the per-try timeout cancelled the attempt in flight.
+    """
 
     id: int
     request_class: int
     idempotency: Idempotency
     deadline: int
     attempts: int = 0
-    server: Server | None = None  # of the attempt in flight
-    previous: Server | None = None  # of the attempt before
+    server: Server | None = None
+    previous: Server | None = None
     sent_at: int = 0
-    ran_on: Server | None = None  # the first server that may have processed it
-    ran_at: int = 0
+    possibly_processed_by: Server | None = None
+    possibly_processed_at: int = 0
     response_started: bool = False
     queued: bool = False
     uploading: bool = False
-    timed_out: bool = False  # the attempt in flight was given up by the per-try timeout
+    timed_out: bool = False
--- a/harecross/settings.py
+++ b/harecross/settings.py
@@ -1,6 +1,6 @@
 """Reads the settings object of a node (JSON) into `Settings`, for the node and for the simulator's adapter.
 
-The keys and words of the platform are mapped to the program's own names here and nowhere else.
+This is the only module that maps the platform's keys and values to the names of this program.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-REPORT_FIELD_NAMES = {  # of load reports; others keep their names
+# Load report fields that the platform names differently. Fields that are not listed here keep their names.
+REPORT_FIELD_NAMES = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -33,7 +34,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """HOST:PORT as host and port. ValueError for anything else."""
+    """Returns the host and the port of HOST:PORT. Raises ValueError for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or int(port) > MAX_PORT:
         raise ValueError(f"{text!r} is not HOST:PORT")
@@ -41,74 +42,77 @@
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be read, with the key and its value."""
+    """The settings cannot be read; the message names the key and the value."""
 
 
 class SettingsReader:
-    """Reads one object of the settings key by key.
+    """Reads one JSON object of the settings, key by key.
 
-    A key that is absent or null takes the default; without one, it is a SettingsError, as is an impossible
-    value. Errors name the full key.
+    A key that is absent or null gets the default. A missing key without a default and an invalid value raise
+    SettingsError, which names the full key.
     """
 
     def __init__(self, value: Any, prefix: str = "") -> None:
         if not isinstance(value, dict):
             raise SettingsError(
-                f"settings: {prefix.rstrip('.') or 'the whole'} is not an object: {value!r:.60}"
+                f"settings: {prefix.rstrip('.') or 'the top level'} is not an object: {value!r:.60}"
             )
         self.value: dict[str, Any] = value
         self.prefix = prefix
 
     def get(self, key: str, types: tuple[type, ...], default: Any) -> Any:
-        """The value of one of these types."""
+        """Returns the value of a key, which must have one of these types. A default of `...` means none."""
         value = self.value.get(key)
         if value is None:
             if default is ...:
                 raise SettingsError(f"settings: missing value for {self.prefix}{key}")
             return default
         if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-            raise self._impossible(key, value)
+            raise self._invalid_value(key, value)
         return value
 
-    def _impossible(self, key: str, value: Any) -> SettingsError:
-        """The error for a value that cannot be."""
-        return SettingsError(f"settings: impossible value for {self.prefix}{key}: {value!r:.60}")
+    def _invalid_value(self, key: str, value: Any) -> SettingsError:
+        """Returns the error for an invalid value."""
+        return SettingsError(f"settings: invalid value for {self.prefix}{key}: {value!r:.60}")
 
     def number(self, key: str, default: Any = ...) -> float:
-        """A finite number."""
+        """Returns a finite number."""
         value = float(self.get(key, (int, float), default))
         if not isfinite(value):
-            raise self._impossible(key, value)
+            raise self._invalid_value(key, value)
         return value
 
     def integer(self, key: str, default: Any = ...) -> int:
-        """A number without its fraction."""
+        """Returns a number, truncated to an integer."""
         return int(self.number(key, default))
 
     def boolean(self, key: str) -> bool:
-        """True or false; false where it is absent."""
+        """Returns a boolean, False for an absent key."""
         return bool(self.get(key, (bool,), False))
 
     def string(self, key: str, default: Any = ...) -> str:
-        """A string."""
+        """Returns a string."""
         return str(self.get(key, (str,), default))
 
     def strings(self, key: str) -> list[str]:
-        """A list, its items as strings; empty where it is absent."""
+        """Returns the items of a list as strings; the list is empty for an absent key."""
         return [str(item) for item in self.get(key, (list,), [])]
 
     def object(self, key: str, default: Any = ...) -> SettingsReader:
-        """A nested object."""
+        """Returns a reader of a nested object."""
         return SettingsReader(self.get(key, (dict,), default), f"{self.prefix}{key}.")
 
     def objects(self, key: str, default: Any = ...) -> list[SettingsReader]:
-        """A list of nested objects."""
+        """Returns a reader for each object of a list."""
         items = self.get(key, (list,), default)
         return [SettingsReader(item, f"{self.prefix}{key}[{i}].") for i, item in enumerate(items)]
 
 
 def parse_class(reader: SettingsReader) -> ClassSettings:
-    """A request class. An unknown effect counts as not idempotent, an unknown group as the narrowest scope."""
+    """Returns the settings of a request class.
+
+    An unknown effect is treated as not idempotent, and an unknown group as the narrowest deduplication scope.
+    """
     return ClassSettings(
         idempotency=IDEMPOTENCY_BY_EFFECT.get(reader.string("effect"), Idempotency.NON_IDEMPOTENT),
         latency_objective=reader.integer("goal_time"),
@@ -122,11 +126,14 @@
 
 
 def parse_settings_json(text: bytes) -> Settings:
-    """The settings of a JSON text. ValueError, with the key, for a missing or impossible value."""
+    """Returns the settings in a JSON text.
+
+    Raises ValueError, which names the key, for a missing or invalid value.
+    """
     try:
         value = json.loads(text)
     except RecursionError:
-        raise SettingsError("settings are not JSON: nested too deep") from None
+        raise SettingsError("settings are not JSON: nested too deeply") from None
     except UnicodeDecodeError as error:
         raise SettingsError(f"settings are not JSON: {error.reason}") from None
     except json.JSONDecodeError as error:
@@ -135,7 +142,10 @@
 
 
 def parse_settings(value: Any) -> Settings:
-    """The settings of a parsed JSON object. ValueError, with the key, for a missing or impossible value."""
+    """Returns the settings in a parsed JSON object.
+
+    Raises ValueError, which names the key, for a missing or invalid value.
+    """
     reader = SettingsReader(value)
     limits = reader.object("policy_limits")
     rules = reader.object("rules")
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -14,7 +14,7 @@
     GradientController,
     percentile,
 )
-from harecross.policy.fleet_limits import MAX_INITIAL_FACTOR, MIN_CONCURRENCY, MIN_RTT_FLOORS
+from harecross.policy.fleet_limits import MAX_INITIAL_FACTOR, MIN_CONCURRENCY, MIN_RTT_FLOOR_MULTIPLE
 
 
 def new_controller(allowance: int = 100_000, members: int = 5, **state) -> GradientController:
@@ -355,9 +355,9 @@
     controller = new_controller(members=24)
     controller.resize(24, 60, 400)
     assert controller.measuring_min_rtt
-    assert controller.current_limit() == pytest.approx(MIN_RTT_FLOORS * 60 * MIN_CONCURRENCY / 400)
+    assert controller.current_limit() == pytest.approx(MIN_RTT_FLOOR_MULTIPLE * 60 * MIN_CONCURRENCY / 400)
     controller.resize(24, 600, 4000)
-    assert controller.current_limit() == pytest.approx(MIN_RTT_FLOORS * 60 * MIN_CONCURRENCY / 400), (
+    assert controller.current_limit() == pytest.approx(MIN_RTT_FLOOR_MULTIPLE * 60 * MIN_CONCURRENCY / 400), (
         "ten times the fleet, same node"
     )
     controller.resize(24, 24, 1)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -16,7 +16,7 @@
 
 
 def test_a_subset_size_that_is_set_holds():
-    assert fleet_limits.subset_size(1000, 1, most=300) == 300
+    assert fleet_limits.subset_size(1000, 1, configured_size=300) == 300
 
 
 @pytest.mark.parametrize("nodes", NODE_COUNTS)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,7 +18,7 @@
 def test_an_impossible_setting_is_named_with_its_value(key):
     values = {f: getattr(BASE, f) for f in BASE.__dataclass_fields__}
     values[key] = () if key == "classes" else -1
-    with pytest.raises(ValueError, match=re.escape(f"impossible value for {key}: {values[key]!r}")):
+    with pytest.raises(ValueError, match=re.escape(f"invalid value for {key}: {values[key]!r}")):
         Settings(**values)
 
 
