--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire codec both ways, and each malformed case."""
+"""The simulator's protocol: decoding of events, encoding of actions, and malformed input."""
 
 import io
 import json
@@ -68,7 +68,7 @@
     assert (code, node, request) == (65, 3, 1)
     assert server in (11, 12)
     assert 0 < timeout <= 5000000
-    assert (size, reply[4 + 19]) == (19 + 15, 69)  # behind it the timer of its per-try timeout
+    assert (size, reply[4 + 19]) == (19 + 15, 69)  # the timer of the per-try timeout follows
     assert reply[4 + size :] == b"\0\0\0\0"
 
 
@@ -77,7 +77,7 @@
     host = InstanceHost()
     host.handle_batch(3, create() + members(servers=(11,)), 0)
     host.handle_batch(1, accept(request_class=1), 0)
-    assert host.handle_batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
+    assert host.handle_batch(1, verdict, 900)[4] == 67  # a class with an unknown effect is not retried
 
 
 def test_every_other_event_is_read():
@@ -93,10 +93,10 @@
     ]
     reply = run(frame(create(), members(), *records))
     assert struct.unpack_from("<I", reply)[0] == len(reply) - 4
-    assert b"\x41\x03\x00" not in reply[4:7]  # the instance was stopped before the request came
+    assert b"\x41\x03\x00" not in reply[4:7]  # the node was stopped before the request arrived
 
 
-def test_every_action_is_written_in_the_wire_s_layout():
+def test_every_action_is_encoded_in_the_layout_of_the_protocol():
     out = bytearray()
     actions = WireActions(out, 3)
     expected = b""
@@ -125,7 +125,7 @@
     assert bytes(out) == expected
 
 
-def test_an_exception_in_the_module_becomes_a_fault(monkeypatch):
+def test_an_exception_of_the_balancer_becomes_a_fault(monkeypatch):
     def broken(*args):
         raise RuntimeError("boom")
 
@@ -140,9 +140,9 @@
     "length too short": (struct.pack("<IIQ", 0, 4, 0), "length 4"),
     "short body": (frame(create())[:-5], "input ends"),
     "unknown code": (frame(b"\xc8"), "unknown event code 200"),
-    "cut record": (struct.pack("<IIQ", 1, 10, 0) + b"\x02\x00", "cut short"),
+    "truncated record": (struct.pack("<IIQ", 1, 10, 0) + b"\x02\x00", "cut short"),
     "too few records": (struct.pack("<IIQ", 1, 8, 0), "ends early"),
-    "bytes left over": (struct.pack("<IIQ", 0, 9, 0) + b"\0", "after the last record"),
+    "extra bytes": (struct.pack("<IIQ", 0, 9, 0) + b"\0", "after the last record"),
     "bad json": (frame(create(b"{nope")), "not JSON"),
     "missing key": (
         frame(create({k: v for k, v in ENV.items() if k != "group_size"})),
@@ -152,17 +152,17 @@
     "zero instances": (frame(create({**ENV, "group_size": 0})), "invalid value for instance_count: 0"),
     "unsent list": (frame(create(), struct.pack("<BHBII", 7, 3, 1, 1, 9)), "list 9"),
     "unknown list kind": (frame(create(), members(kind=8)), "record 2 at byte .* list kind 8"),
-    "cut list": (frame(struct.pack("<BII", 1, 0, 5)), "record 0 .* event 1 is cut short"),
-    "cut report": (frame(verdict(report_size=4)), "record 0 .* event 8 is cut short"),
+    "truncated list": (frame(struct.pack("<BII", 1, 0, 5)), "record 0 .* event 1 is cut short"),
+    "truncated report": (frame(verdict(report_size=4)), "record 0 .* event 8 is cut short"),
     "settings not utf-8": (frame(create(b"\xff{}")), "not JSON"),
     "settings nested too deep": (frame(create(b"[" * 100_000)), "not JSON"),
     "settings not an object": (frame(create(b"[]")), "the top level is not an object"),
     "class not an object": (frame(create({**ENV, "classes": [5]})), r"classes\[0\] is not an object"),
     "tenant not an object": (frame(create({**ENV, "tenants": [5]})), r"tenants\[0\] is not an object"),
     "layers not a list": (frame(create({**ENV, "layers": 7})), "layers"),
-    "infinite figure": (frame(create({**ENV, "tick": float("inf")})), "tick: inf"),
-    "no such number": (frame(create({**ENV, "over_share_worth": float("nan")})), "over_share_worth"),
-    "group not a text": (frame(create({**ENV, "classes": [{**ENV["classes"][0], "group": []}]})), "group"),
+    "infinite number": (frame(create({**ENV, "tick": float("inf")})), "tick: inf"),
+    "not a number": (frame(create({**ENV, "over_share_worth": float("nan")})), "over_share_worth"),
+    "group not a string": (frame(create({**ENV, "classes": [{**ENV["classes"][0], "group": []}]})), "group"),
 }
 
 
@@ -179,11 +179,11 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_malformed_input_ends_the_process_plainly(name):
+def test_malformed_input_ends_the_process_with_status_2_and_one_line(name):
     data, message = MALFORMED[name]
     bad = start(frame() + data)
     assert bad.returncode == 2
-    assert bad.stdout == struct.pack("<I", 0), "standard output carries the wire only"
+    assert bad.stdout == struct.pack("<I", 0), "standard output must contain replies only"
     (line,) = bad.stderr.decode().splitlines()
     assert line.startswith("harecross: batch 1")
     assert re.search(message, line)
@@ -197,9 +197,9 @@
     assert start(b"").returncode == 0
 
 
-def test_events_for_the_unknown_are_ignored():
+def test_events_of_unknown_nodes_and_requests_are_ignored():
     known = frame(create(), members(), now=1000)
-    strangers = frame(
+    unknown = frame(
         accept(node=9),
         members(node=9, kind=1),
         verdict(node=9),
@@ -209,21 +209,21 @@
         struct.pack("<BHQ", 2, 9, 5),
         struct.pack("<BH", 9, 9),
     )
-    assert run(known + strangers) == run(known) + struct.pack("<I", 0)
+    assert run(known + unknown) == run(known) + struct.pack("<I", 0)
 
 
-def test_what_is_not_known_counts_as_the_most_careful():
+def test_unknown_values_are_treated_as_the_most_restrictive():
     odd = {**ENV["classes"][0], "effect": "guarded", "group": "galaxy"}
     (c, _) = parse_settings_json(json.dumps({**ENV, "classes": [odd, ENV["classes"][1]]}).encode()).classes
     assert c.deduplication_scope == DeduplicationScope.CELL
     assert parse_settings_json(json.dumps(ENV).encode()).classes[1].idempotency == Idempotency.NON_IDEMPOTENT
-    # An outcome never heard of may have run: this request of an unsafe class is failed, not sent again.
+    # After an unknown outcome the request may have been processed, so a non-idempotent one fails without a retry.
     reply = run(frame(create(), members(), accept(request_class=1)) + frame(verdict(status=599)))
     assert reply[4] == 65
     assert reply[-11] == 67
 
 
-def test_settings_are_read_with_their_own_names():
+def test_platform_keys_are_mapped_to_settings():
     s = parse_settings_json(json.dumps(ENV).encode())
     assert s.report_fields == ("inflight", "odd")
     assert s.instance_count == 2
@@ -231,8 +231,8 @@
     assert [int(c.idempotency) for c in s.classes] == [1, 2]
 
 
-def day(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
-    """The replies of one process that hosts these instances, over some requests and outcomes."""
+def run_nodes(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
+    """Returns the replies of one process that hosts these nodes, to some requests and outcomes."""
     host = InstanceHost()
     replies = []
     for node in nodes:
@@ -244,29 +244,29 @@
             if reply[4:5] == b"\x41":
                 server = struct.unpack_from("<I", reply, 15)[0]
                 status = 502 if i % 7 == 0 else 200
-                ended = verdict(node, i, status, server)
-                replies.append(host.handle_batch(1, ended, 1000 * i + 900))
+                outcome = verdict(node, i, status, server)
+                replies.append(host.handle_batch(1, outcome, 1000 * i + 900))
     return replies
 
 
-def test_names_do_not_matter():
+def test_names_in_the_settings_do_not_change_the_decisions():
     def named(prefix: str) -> dict:
         classes = [{**c, "name": f"{prefix}{i}"} for i, c in enumerate(ENV["classes"])]
         tenants = [{"name": prefix, "quota_rps": 5000.0}]
         names = {"kinds": [prefix], "dcs": [prefix + "z"], "layers": [prefix + "a", prefix + "b"]}
         return {**ENV, **names, "classes": classes, "tenants": tenants}
 
-    replies = day(named("alpha"), (3,))
-    assert replies == day(named("other"), (3,))
+    replies = run_nodes(named("alpha"), (3,))
+    assert replies == run_nodes(named("other"), (3,))
     assert sum(r[4:5] == b"\x41" for r in replies) > 20
 
 
-def test_instances_act_alike_in_one_process_and_in_several():
-    together = day(ENV, (3, 4))
-    apart = {node: day(ENV, (node,)) for node in (3, 4)}
+def test_nodes_act_the_same_in_one_process_and_in_separate_ones():
+    together = run_nodes(ENV, (3, 4))
+    separate = {node: run_nodes(ENV, (node,)) for node in (3, 4)}
     by_node = {3: [], 4: []}
     for reply in together:
         if len(reply) > 4:
             by_node[struct.unpack_from("<H", reply, 5)[0]].append(reply)
     for node in (3, 4):
-        assert by_node[node] == [r for r in apart[node] if len(r) > 4]
+        assert by_node[node] == [r for r in separate[node] if len(r) > 4]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Which requests a node admits: the concurrency limit, classes, quotas, and the queue below the first tier."""
+"""Admission of requests: the concurrency limit, classes, quotas and the queue below the first tier."""
 
 import pytest
 from support import IDEMPOTENT, SEC, ask, balancer, end
@@ -14,11 +14,11 @@
 def test_at_the_limit_a_request_is_shed_at_once():
     node, recorder = balancer(1)
     limit = int(node.controller.current_limit())
-    answers = [ask(node, recorder, 0, i)[0] for i in range(limit + 1)]
-    assert answers == ["send"] * limit + ["shed"]
+    actions = [ask(node, recorder, 0, i)[0] for i in range(limit + 1)]
+    assert actions == ["send"] * limit + ["shed"]
 
 
-def test_a_shed_request_is_told_when_to_come_back():
+def test_a_shed_request_gets_a_retry_delay_within_the_maximum():
     node, recorder = balancer(1)
     for i in range(int(node.controller.current_limit())):
         ask(node, recorder, 0, i)
@@ -42,7 +42,7 @@
 
 
 def at_the_limit_below_the_first_tier():
-    """A node with three requests in flight at its one server, which is its limit, and one in the queue."""
+    """Returns a node with three requests in flight at its one server, which is its limit, and one queued."""
     node, recorder = balancer(1, tier=1, tiers=2)
     sent = []
     for i in range(4):
@@ -52,7 +52,7 @@
 
 
 def test_below_the_first_tier_a_request_at_the_limit_is_not_shed():
-    """Shedding below the first tier throws away the work already done above."""
+    """Shedding below the first tier would waste the work that the tiers above have already done."""
     _, _, sent = at_the_limit_below_the_first_tier()
     assert [a[0] for a in sent] == ["send"] * 3
 
@@ -72,7 +72,7 @@
     assert recorder.take()[0][:2] == ("shed", 9)
 
 
-def test_a_queued_request_whose_client_left_makes_room_for_another():
+def test_a_queued_request_whose_client_disconnected_makes_room_for_another():
     node, recorder = balancer(1, tier=1, tiers=2)
     for i in range(40):
         node.request(0, i, 0, 0, 3 * SEC, False)
@@ -89,12 +89,12 @@
 def test_a_tenant_above_its_quota_leaves_headroom_to_the_others():
     tenants = (TenantSettings(quota=10), TenantSettings(quota=10))
     node, recorder = balancer(8, tenants=tenants)
-    answers = []
+    actions = []
     for i in range(60):
         node.request(0, i, 0, 0, 3 * SEC, False)
-        answers += [a[0] for a in recorder.take("send", "shed")]
-    assert answers[:8] == ["send"] * 8
-    assert answers[-1] == "shed"
+        actions += [a[0] for a in recorder.take("send", "shed")]
+    assert actions[:8] == ["send"] * 8
+    assert actions[-1] == "shed"
     node.request(0, 99, 0, 1, 3 * SEC, False)
     assert recorder.take()[0][0] == "send"
 
@@ -102,56 +102,62 @@
 def test_requests_above_a_quota_with_little_weight_are_shed_below_the_limit():
     tenants = (TenantSettings(quota=2), TenantSettings(quota=2))
     node, recorder = balancer(8, tenants=tenants, over_quota_weight=0.05)
-    answers = []
+    actions = []
     for i in range(40):
         node.request(i * SEC // 10, i, 0, 0, 3 * SEC, False)
-        answers += recorder.take("send", "shed")
-        if answers[-1][0] == "send":
-            end(node, recorder, i * SEC // 10 + 5000, i, 0, answers[-1][2], Outcome.OK, 5000)
-    refused = [a for a in answers if a[0] == "shed"]
-    assert len(refused) > 10
-    assert all(a[2] < IDEMPOTENT.latency_objective / 2 for a in refused), (
-        "a client told to stay away for long comes back late"
+        actions += recorder.take("send", "shed")
+        if actions[-1][0] == "send":
+            end(node, recorder, i * SEC // 10 + 5000, i, 0, actions[-1][2], Outcome.OK, 5000)
+    shed = [a for a in actions if a[0] == "shed"]
+    assert len(shed) > 10
+    assert all(a[2] < IDEMPOTENT.latency_objective / 2 for a in shed), (
+        "a retry after a long delay would miss the latency objective"
     )
 
 
 def test_a_class_of_less_weight_leaves_headroom():
-    rich = ClassSettings(
+    high_weight = ClassSettings(
         Idempotency.NON_IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=10
     )
-    node, recorder = balancer(8, classes=(IDEMPOTENT, rich))
-    answers = [ask(node, recorder, 0, i)[0] for i in range(70)]
-    assert answers[-1] == "shed"
+    node, recorder = balancer(8, classes=(IDEMPOTENT, high_weight))
+    actions = [ask(node, recorder, 0, i)[0] for i in range(70)]
+    assert actions[-1] == "shed"
     assert ask(node, recorder, 0, 99, 1)[0] == "send"
 
 
-def test_failures_of_the_whole_subset_close_the_limit():
-    """With servers lost below, most requests come back as errors; without samples the limit would stay."""
+def test_failures_of_the_whole_subset_lower_the_limit():
+    """Failures must lower the limit when most requests fail.
+
+    When servers of a lower tier are lost, most requests end with an error and leave no latency sample.
+    """
     node, recorder = balancer(6, instance_count=6)
-    now, out = 0, []
+    now, in_flight = 0, []
 
-    def play(steps: int, outcome: Outcome) -> None:
+    def run_requests(steps: int, outcome: Outcome) -> None:
         nonlocal now
         for _ in range(steps):
             now += 10_000
             action = ask(node, recorder, now, now, 2)
             if action[0] == "send":
-                out.append(action)
-            if len(out) > 10 or (action[0] != "send" and out):
-                _, request, server, _ = out.pop(0)
+                in_flight.append(action)
+            if len(in_flight) > 10 or (action[0] != "send" and in_flight):
+                _, request, server, _ = in_flight.pop(0)
                 end(node, recorder, now, request, 0, server, outcome, 100_000)
 
-    play(1500, Outcome.OK)
+    run_requests(1500, Outcome.OK)
     baseline = node.controller.baseline_in_flight
     assert baseline > 8
     assert node.controller.current_limit() > 12
-    play(1500, Outcome.ERROR)
+    run_requests(1500, Outcome.ERROR)
     assert node.controller.floor < baseline
     assert node.controller.limit < 0.6 * baseline
 
 
-def given_up_after(waited: int):
-    """A node whose one request's client left then: the node, its server, and both as they were before."""
+def disconnect_client_after(waited: int):
+    """Disconnects the client of a node's only request after this time.
+
+    Returns the number of latency samples that this added and the change of the server's slowness.
+    """
     node, recorder = balancer()
     before = node.controller.min_rtt_requests_left
     _, _, number, _ = ask(node, recorder, 0, 1)
@@ -161,12 +167,12 @@
     return before - node.controller.min_rtt_requests_left, server.slowness - slowness
 
 
-def test_a_client_that_leaves_early_tells_nothing_of_latency():
-    assert given_up_after(10_000) == (0, 0.0)
+def test_a_client_that_disconnects_early_adds_no_latency_sample():
+    assert disconnect_client_after(10_000) == (0, 0.0)
 
 
-def test_a_client_that_leaves_late_counts_as_a_slow_answer():
-    """Clients that leave before any time-out end their requests as cancelled: without a sample no limit acts."""
-    samples, slower = given_up_after(2 * SEC)
+def test_a_client_that_disconnects_late_counts_as_a_slow_response():
+    """Clients that disconnect before a time-out cancel their requests; without a sample the limit would not fall."""
+    samples, slower = disconnect_client_after(2 * SEC)
     assert samples == 1
     assert slower > 0
--- a/tests/test_balancer_events.py
+++ b/tests/test_balancer_events.py
@@ -1,4 +1,4 @@
-"""Events that change or end requests, and events that do not fit."""
+"""Events that change or end requests, and events of unknown requests and servers."""
 
 from support import SEC, ask, balancer, end
 
@@ -8,14 +8,14 @@
 )
 
 
-def test_the_attempt_of_a_client_that_left_is_cancelled():
+def test_the_attempt_of_a_disconnected_client_is_cancelled():
     node, recorder = balancer()
     ask(node, recorder, 0, 1)
     node.client_disconnected(10, 1)
     assert recorder.take() == [("cancel", 1, 0)]
 
 
-def test_a_client_that_left_gets_no_answer():
+def test_a_disconnected_client_gets_no_response():
     node, recorder = balancer()
     _, _, server, _ = ask(node, recorder, 0, 1)
     node.client_disconnected(10, 1)
@@ -24,7 +24,7 @@
     assert node.controller.in_flight == 0
 
 
-def test_without_cancellation_the_attempt_of_a_client_that_left_goes_on():
+def test_without_cancellation_the_attempt_of_a_disconnected_client_continues():
     node, recorder = balancer(cancel=False)
     ask(node, recorder, 0, 1)
     node.client_disconnected(10, 1)
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of a full fleet, each without the bench: reloads and stops in step, thin traffic, mass replacement."""
+"""Difficult cases of a full fleet: simultaneous reloads and stops, little traffic and mass replacement."""
 
 import asyncio
 from random import Random
@@ -29,7 +29,7 @@
 
 
 def test_all_nodes_move_in_one_instant_to_a_discovery_that_answers_slowly():
-    """SIGHUP to the whole fleet: the old list counts, and what it says, until the new one is here."""
+    """After a SIGHUP to the whole fleet, each node follows the old discovery until the new one has answered."""
     nodes = 20
 
     async def test() -> None:
@@ -48,9 +48,9 @@
         host, port = second.split(":")
         for node in fleet:
             assert node.discovery.migrate((host, int(port)))
-        old.drain("s0")  # said by the old one while the new one works its line off
+        old.drain("s0")  # the old discovery reports this while calls wait at the new one
         await until(lambda: all(len(n.registry.listed) == 2 for n in fleet))
-        assert new.answered < nodes, "before all had moved"
+        assert new.answered < nodes, "not all nodes have migrated yet"
         new.drain("s0")
         await until(lambda: all(n.discovery.current.address[1] == int(port) for n in fleet))
         for node in fleet:
@@ -65,7 +65,7 @@
     run(test())
 
 
-def test_front_nodes_that_stop_one_after_another_answer_every_request_of_callers_that_keep_connections():
+def test_nodes_that_stop_one_after_another_answer_every_request_on_kept_alive_connections():
     classes = [{**c, "goal_time": 300_000, "hard_limit": 400_000} for c in SETTINGS["classes"]]
 
     async def test() -> None:
@@ -79,19 +79,20 @@
         fleet = [Node(config_from(config_of(address, {"classes": classes}, known=known))) for _ in range(6)]
         tasks = [asyncio.create_task(n.run()) for n in fleet]
         await until(lambda: all(n.started.is_set() for n in fleet))
-        up, lost, served, over = list(fleet), 0, 0, False
+        running, lost, served, finished = list(fleet), 0, 0, False
 
-        async def caller(k: int) -> None:
+        async def run_client(k: int) -> None:
             nonlocal lost, served
             client = None
-            while not over:
+            while not finished:
                 if client is None:
-                    client = await Client.open(up[k % len(up)].address)
+                    client = await Client.open(running[k % len(running)].address)
                 client.send("/put/1", key=f"k{k}")
                 try:
                     status, head, _ = await client.answer()
                 except (asyncio.IncompleteReadError, ConnectionError) as e:
-                    # Closed between two requests is the caller's to send again; in the middle of an answer it is lost.
+                    # A connection that closes between two responses lets the client retry. A response that
+                    # ends early is a lost request.
                     lost += bool(getattr(e, "partial", b""))
                     client = None
                     continue
@@ -100,14 +101,14 @@
                     client = None
                 await asyncio.sleep(0.01)
 
-        callers = [asyncio.create_task(caller(k)) for k in range(12)]
+        clients = [asyncio.create_task(run_client(k)) for k in range(12)]
         for node in fleet[:4]:
             await asyncio.sleep(0.1)
-            up.remove(node)
+            running.remove(node)
             node.stop_requested.set()
         await asyncio.gather(*tasks[:4])
-        over = True
-        await asyncio.gather(*callers)
+        finished = True
+        await asyncio.gather(*clients)
         assert lost == 0
         assert served > 50
         assert all(not n.dispatcher.requests for n in fleet[:4])
@@ -119,11 +120,14 @@
 
 @pytest.mark.parametrize(("path", "key", "runs"), [("/read/1", "", 2), ("/put/1", "k", 2), ("/pay/1", "", 1)])
 def test_a_reset_after_the_last_byte_and_before_the_answer(path, key, runs):
-    """Safe and keyed requests go on; an unsafe one may have run, and its caller is told that it failed."""
+    """Idempotent requests and those with a key are retried.
+
+    Any other request may have been processed, so its client gets an error.
+    """
 
     async def test(w: World) -> None:
         client = await w.client()
-        for warm in range(3):  # so that no class of lesser worth is refused for want of a measure
+        for warm in range(3):  # without these samples, a class of low weight may be shed
             client.send("/put/1", key=f"w{warm}")
             arrived = await first(*w.origins)
             arrived.answer()
@@ -139,9 +143,9 @@
     with_node(test, servers=2)
 
 
-def test_a_node_with_one_request_a_second_for_ten_minutes_refuses_none_and_finds_the_bad_server():
+def test_a_node_with_one_request_per_second_sheds_none_and_avoids_a_failing_server():
     node, recorder = balancer(24, instance_count=40)
-    rng, now, bad, sent = Random(1), 0, 0, [0] * 25
+    rng, now, unserved, sent = Random(1), 0, 0, [0] * 25
     for n in range(1, 601):
         now += SEC
         node.request(now, n, 0, 0, 3 * SEC, False)
@@ -154,23 +158,23 @@
             outcome = Outcome.ERROR if server == 7 else Outcome.OK
             actions = end(node, recorder, now, n, attempt, server, outcome, 50_000 + rng.randrange(20_000))
             attempt += 1
-        bad += bool(actions)
+        unserved += bool(actions)
         node.timer(now, 0)
         recorder.take()
-    assert bad <= 3, "answered as failed or refused"
-    usual = sum(sent[s] for s in range(1, 25) if s != 7) / 23
-    assert sent[7] < 1.0 * usual
+    assert unserved <= 3, "requests that failed or were shed"
+    mean_of_others = sum(sent[s] for s in range(1, 25) if s != 7) / 23
+    assert sent[7] < 1.0 * mean_of_others
     assert not node.requests
     assert len(node.subset.servers) == 24
 
 
-def test_six_in_ten_servers_replaced_by_ids_at_old_addresses_and_no_table_outlives_them():
-    """Ten times over, at the addresses of those that left, in steps as a release takes them."""
+def test_tables_keep_no_entries_of_servers_that_were_replaced_at_the_same_addresses():
+    """Ten releases in a row replace six in ten servers, in steps; new ids get the addresses of the old ones."""
 
     async def test(w: World) -> None:
-        directory, servers = w.node.registry, 20
+        registry, servers = w.node.registry, 20
         now = {i: entry(f"r0-{i}", f"127.0.0.1:{2000 + i}", zone=f"z{i % 3}") for i in range(servers)}
-        directory.apply(update(42, *now.values(), reset=True))
+        registry.apply(update(42, *now.values(), reset=True))
         generation = 42
         for round_ in range(1, 11):
             for step in range(0, 12, 3):
@@ -181,27 +185,25 @@
                     now[i] = entry(f"r{round_}-{i}", f"127.0.0.1:{2000 + i}", zone=f"z{round_}-{i % 3}",
                                    startedAtMs=1_700_000_000_000 + generation)  # fmt: skip
                     changed += [old, now[i]]
-                directory.apply(update(generation, *changed))
-                used = {n for n, at in directory.numbers.items() if at in directory.listed}
+                registry.apply(update(generation, *changed))
+                used = {n for n, at in registry.numbers.items() if at in registry.listed}
                 assert used == {item["instanceId"] for item in now.values()}
                 assert {t.port for t in w.node.pool.processes.values() if t.in_service} == set(
                     range(2000, 2020)
                 )
             generation += 1
-            directory.apply(update(generation, *now.values(), reset=True))
-            assert (
-                len(directory.numbers) == len(directory.listed) == len(directory.owner_by_address) == servers
-            )
+            registry.apply(update(generation, *now.values(), reset=True))
+            assert len(registry.numbers) == len(registry.listed) == len(registry.owner_by_address) == servers
             assert len(w.node.pool.processes) == servers
-            assert not directory.draining
+            assert not registry.draining
             assert len(w.node.dispatcher.balancer.subset.servers) == servers
-            assert len(directory.zones.dynamic) <= 6
+            assert len(registry.zones.dynamic) <= 6
 
     with_node(test, servers=1)
 
 
-def test_a_server_that_accepts_and_never_answers_gets_few_requests_of_a_node_with_little_traffic():
-    """At two requests a second its first silent requests are what a node learns from: they cost their time, no more."""
+def test_a_server_that_accepts_and_never_responds_gets_few_requests_of_a_node_with_little_traffic():
+    """At two requests per second, a node can only learn from the first requests that get no response."""
     node, recorder = balancer([Endpoint(i + 1) for i in range(6)], instance_count=6)
     now, sent, queue = 0, [0] * 7, []
     for n in range(1, 241):
@@ -220,8 +222,8 @@
     assert sent[3] < 0.5 * sum(sent) / 6
 
 
-def test_a_list_that_comes_in_single_bytes_beside_requests_is_whole_or_nothing():
-    """A slow discovery: half a list is none, whatever comes between its pieces."""
+def test_a_list_that_arrives_in_single_bytes_between_requests_is_applied_as_a_whole():
+    """A slow discovery sends an endpoint list in pieces; a part of a list must not be applied."""
 
     async def test(w: World) -> None:
         watch, client = await w.watch(), await w.client()
@@ -239,16 +241,16 @@
 
 
 @pytest.mark.parametrize("kind", [EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL])
-def test_seven_in_ten_nodes_are_gone_and_the_rest_give_warming_up_servers_no_more_than_their_part(kind):
-    """A node at three times its traffic beside members that have just started: each gets a warm one's part, cooled."""
+def test_when_most_nodes_are_gone_the_others_send_warming_up_servers_no_more_than_their_part(kind):
+    """A node gets three times its traffic while members have just started: each gets less than a warm one."""
     node, recorder = balancer(10, instance_count=10)
     now, n, sent = 0, 0, [0] * 11
-    cold: set[int] = set()
+    warming_up: set[int] = set()
     for rate, seconds in ((20, 6), (60, 3)):
         if rate == 60:
-            cold = {8, 9, 10}
+            warming_up = {8, 9, 10}
             node.endpoint_update(
-                now, kind, [Endpoint(i, ready_at=now if i in cold else 0) for i in range(1, 11)]
+                now, kind, [Endpoint(i, ready_at=now if i in warming_up else 0) for i in range(1, 11)]
             )
             sent = [0] * 11
         for _ in range(rate * seconds):
@@ -259,4 +261,4 @@
                 sent[action[2]] += 1
                 end(node, recorder, now, n, 0, action[2], Outcome.OK, 10_000)
     warm = sum(sent[1:8]) / 7
-    assert all(0 < sent[s] <= 0.85 * warm for s in cold), sent
+    assert all(0 < sent[s] <= 0.85 * warm for s in warming_up), sent
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""What one node of many takes for itself."""
+"""Limits of one node in a fleet."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     assert fleet_limits.subset_size(4, 1) == 4
 
 
-def test_a_subset_size_that_is_set_holds():
+def test_a_configured_subset_size_is_used():
     assert fleet_limits.subset_size(1000, 1, configured_size=300) == 300
 
 
@@ -35,22 +35,24 @@
     assert in_window <= fleet_limits.initial_limit(24, 120, nodes) <= 72 * 3
 
 
-def test_what_exceeds_the_zones_part_of_the_members_leaves_the_zone():
+def test_requests_that_exceed_the_zones_part_of_the_members_leave_the_zone():
     assert fleet_limits.min_cross_zone_fraction(local=1, members=24, nodes=1) == pytest.approx(23 / 24)
 
 
-def test_nothing_has_to_leave_a_zone_with_its_part_of_the_members():
+def test_no_request_has_to_leave_a_zone_with_its_part_of_the_members():
     assert fleet_limits.min_cross_zone_fraction(local=6, members=24, nodes=4) == 0
 
 
 @pytest.mark.parametrize(
-    ("before", "on_time", "warm", "span_us", "after"),
+    ("previous", "on_time", "any_warm", "span_us", "expected"),
     [
-        (2.0, False, False, 10**6, 0.75),  # begins anew
+        (2.0, False, False, 10**6, 0.75),  # starts again
         (1.0, True, False, 10**6, 1.5),  # grows
         (2.9, True, False, 10**7, 3.0),  # up to the overload multiple
-        (2.0, True, True, 10**6, 2.0),  # is kept while a member is warm
+        (2.0, True, True, 10**6, 2.0),  # stays the same while a member is warm
     ],
 )
-def test_the_all_warming_up_fraction_grows_while_answers_are_on_time(before, on_time, warm, span_us, after):
-    assert fleet_limits.all_warming_up_fraction(before, 3.0, on_time, warm, span_us) == after
+def test_the_all_warming_up_fraction_grows_while_responses_are_on_time(
+    previous, on_time, any_warm, span_us, expected
+):
+    assert fleet_limits.all_warming_up_fraction(previous, 3.0, on_time, any_warm, span_us) == expected
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -16,21 +16,21 @@
 
 
 def test_a_server_that_rejects_everything_is_avoided():
-    """It holds no requests, so it won the draws for as long as it went on."""
+    """Such a server has no requests in flight, so by its load alone it would be picked every time."""
     node, recorder = balancer(4, max_attempts=1)
-    there = 0
+    sent_to_rejecting = 0
     for i in range(100):
         at = i * 300_000
         _, _, server, _ = ask(node, recorder, at, i)
-        there += server == 1
+        sent_to_rejecting += server == 1
         outcome = Outcome.REJECTED if server == 1 else Outcome.OK
         node.outcome(at + 250_000, i, 0, server, outcome, 250_000, outcome == Outcome.OK, ())
         recorder.take()
-    assert there < 15
+    assert sent_to_rejecting < 15
 
 
 def test_a_drained_server_that_fails_gets_no_recovery_probe():
-    """A drained server's last requests fail; ejected after its removal it would get a recovery probe."""
+    """The last requests of a drained server may fail; an ejection after its removal would lead to a probe."""
     node, recorder = balancer(4)
     in_flight = []
     for i in range(12):
@@ -49,7 +49,10 @@
 
 
 def with_one_failing_member():
-    """A node of six members after 300 requests of which server 3 failed its own quickly; with their number."""
+    """Sends 300 requests to a node with six members, of which server 3 fails all its requests quickly.
+
+    Returns the node, its recorder, the time and the number of requests that server 3 got.
+    """
     node, recorder = balancer(6)
     now, failed = 0, 0
     for i in range(300):
@@ -62,12 +65,12 @@
 
 
 def test_a_member_that_fails_quickly_gets_few_requests():
-    """Quick errors leave few requests in flight, and would win every draw."""
+    """A member that fails quickly has few requests in flight, so by its load alone it would be picked often."""
     _, _, _, failed = with_one_failing_member()
     assert failed < 15
 
 
-def test_an_ejected_member_that_answers_again_is_readmitted():
+def test_an_ejected_member_that_succeeds_again_is_readmitted():
     node, recorder, now, _ = with_one_failing_member()
     before = node.subset.servers[3].outcomes
     for i in range(300, 900):
@@ -81,37 +84,38 @@
 
 
 def test_an_unresponsive_member_is_ejected_and_frees_the_limit():
-    """Requests stuck on an unresponsive member must not fill the limit for all the others."""
+    """Requests that are stuck at an unresponsive member must not use up the limit of the other members."""
     node, recorder = balancer(6)
-    now, out = 0, []
+    now, in_flight = 0, []
     for i in range(600):
         now += 20_000
         action = ask(node, recorder, now, i)
         if action[0] == "send" and action[2] != 3:
-            out.append((i, action[2]))
-        if len(out) > 6:
-            end(node, recorder, now, out[0][0], 0, out[0][1], Outcome.OK, 200_000)
-            del out[0]
+            in_flight.append((i, action[2]))
+        if len(in_flight) > 6:
+            end(node, recorder, now, in_flight[0][0], 0, in_flight[0][1], Outcome.OK, 200_000)
+            del in_flight[0]
     assert node.subset.servers[3].ejected
     assert node.subset.servers[3].unresponsive
     assert node.controller.in_flight == 6
 
 
-def refusing(rounds: int, refuse) -> tuple[Balancer, list[int]]:
-    """A node of ten members in full traffic; from the second half on those that `refuse` names refuse connects.
+def refuse_connections(rounds: int, refuses) -> tuple[Balancer, list[int]]:
+    """Sends full traffic to a node with ten members, some of which refuse connections in the second half.
 
-    Returns it with the attempts of each request of the second half.
+    `refuses` tells whether a server does. Returns the node and, for each request of the second half, the number
+    of its attempts.
     """
     node, recorder = balancer(10, instance_count=4)
-    out: list[tuple[int, int, int, int]] = []  # (ends, request, attempt, server)
-    now, tries = 0, {}
+    in_flight: list[tuple[int, int, int, int]] = []  # (end, request, attempt, server)
+    now, attempts = 0, {}
     for step in range(2 * rounds):
         now += 5_000
-        for item in [o for o in out if o[0] <= now]:
-            out.remove(item)
+        for item in [o for o in in_flight if o[0] <= now]:
+            in_flight.remove(item)
             _, request, attempt, server = item
-            down = step >= rounds and refuse(server)
-            took = 1_000 if down else 100_000
+            down = step >= rounds and refuses(server)
+            latency = 1_000 if down else 100_000
             for action in end(
                 node,
                 recorder,
@@ -120,31 +124,31 @@
                 attempt,
                 server,
                 Outcome.CONNECT_FAILED if down else Outcome.OK,
-                took,
+                latency,
             ):
                 if action[0] == "send":
-                    out.append((now + 1_000, request, attempt + 1, action[2]))
-                    tries[request] += step >= rounds
+                    in_flight.append((now + 1_000, request, attempt + 1, action[2]))
+                    attempts[request] += step >= rounds
         action = ask(node, recorder, now, now, 2)
-        tries[now] = int(step >= rounds and action[0] == "send")
+        attempts[now] = int(step >= rounds and action[0] == "send")
         if action[0] == "send":
-            down = step >= rounds and refuse(action[2])
-            out.append((now + (1_000 if down else 100_000), now, 0, action[2]))
+            down = step >= rounds and refuses(action[2])
+            in_flight.append((now + (1_000 if down else 100_000), now, 0, action[2]))
         assert node.controller.in_flight <= node.controller.current_limit() + 4
-    return node, [n for at, n in tries.items() if at > rounds * 5_000]
+    return node, [n for at, n in attempts.items() if at > rounds * 5_000]
 
 
-def test_members_that_refuse_connects_do_not_close_the_limit():
-    """Replaced servers refuse at once, more of them than may be ejected; the others answer as ever."""
-    before, _ = refusing(2000, lambda server: False)
-    node, tries = refusing(2000, lambda server: server > 3)
+def test_members_that_refuse_connections_do_not_lower_the_limit():
+    """Replaced servers refuse at once, and more of them than may be ejected; the others respond as before."""
+    before, _ = refuse_connections(2000, lambda server: False)
+    node, attempts = refuse_connections(2000, lambda server: server > 3)
     assert node.controller.limit > 0.6 * before.controller.limit
-    assert sum(n == 0 for n in tries) < 0.02 * len(tries)
+    assert sum(n == 0 for n in attempts) < 0.02 * len(attempts)
 
 
-def test_an_unreachable_tier_gets_no_more_than_the_attempt_cap_and_comes_back():
-    node, tries = refusing(1000, lambda server: True)
-    assert 1 <= max(tries) <= 4
+def test_an_unreachable_tier_gets_no_more_than_the_attempt_cap_and_recovers():
+    node, attempts = refuse_connections(1000, lambda server: True)
+    assert 1 <= max(attempts) <= 4
     assert node.requests.keys() <= set(range(0, 20_000_000, 5_000))
     limit, recorder, now = node.controller.limit, node.actions, 11_000_000
     served = 0
@@ -158,49 +162,54 @@
     assert node.controller.limit >= limit / 2
 
 
-def losing_answers(
-    share: float, members: tuple[int, ...], seconds: int = 20
+def lose_responses(
+    fraction: float, members: tuple[int, ...], seconds: int = 20
 ) -> tuple[Balancer, dict[int, int]]:
-    """A node of ten members; these lose so many of their answers, and answer the others as quickly as all.
+    """Sends requests to a node with ten members, of which `members` lose this fraction of their responses.
 
-    Returns it with the calls that each member got in the last half.
+    Their other responses are as fast as those of all members. Returns the node and the number of requests that
+    each member got in the second half.
     """
     node, recorder = balancer(10, instance_count=4)
-    rng, now, out, got = Random(5), 0, [], dict.fromkeys(range(1, 11), 0)
+    rng, now, in_flight, received = Random(5), 0, [], dict.fromkeys(range(1, 11), 0)
     for step in range(seconds * 100):
         now += 10_000
-        for item in [o for o in out if o[0] <= now]:
-            out.remove(item)
-            _, request, server, took, outcome = item
-            node.outcome(now, request, 0, server, outcome, took, True, ())
+        for item in [o for o in in_flight if o[0] <= now]:
+            in_flight.remove(item)
+            _, request, server, latency, outcome = item
+            node.outcome(now, request, 0, server, outcome, latency, True, ())
         recorder.take()
         action = ask(node, recorder, now, now, 2)
         if action[0] == "send":
             server = action[2]
-            got[server] += step >= seconds * 50
-            lost = server in members and rng.random() < share
-            took = 900_000 if lost else 100_000
-            out.append((now + took, now, server, took, Outcome.TIMEOUT if lost else Outcome.OK))
-    return node, got
-
-
-@pytest.mark.parametrize("share", [0.5, 1.0])
-def test_a_member_that_loses_answers_gets_few_requests(share):
-    """It answers what it answers as quickly as the others, and each request it loses costs its whole time."""
-    node, got = losing_answers(share, (3, 7))
-    even = sum(got.values()) / 10
-    assert max(got[3], got[7]) < 0.3 * even < min(n for server, n in got.items() if server not in (3, 7))
-    assert share < 1 or {srv.id for srv in node.outliers.ejected} == {3, 7}
+            received[server] += step >= seconds * 50
+            lost = server in members and rng.random() < fraction
+            latency = 900_000 if lost else 100_000
+            in_flight.append((now + latency, now, server, latency, Outcome.TIMEOUT if lost else Outcome.OK))
+    return node, received
+
+
+@pytest.mark.parametrize("fraction", [0.5, 1.0])
+def test_a_member_that_loses_responses_gets_few_requests(fraction):
+    """Its other responses are as fast as those of all members, but each lost one takes until the time-out."""
+    node, received = lose_responses(fraction, (3, 7))
+    even = sum(received.values()) / 10
+    assert (
+        max(received[3], received[7])
+        < 0.3 * even
+        < min(n for server, n in received.items() if server not in (3, 7))
+    )
+    assert fraction < 1 or {srv.id for srv in node.outliers.ejected} == {3, 7}
 
 
-@pytest.mark.parametrize("share", [0.2, 0.4, 0.9])
-def test_no_member_is_ejected_for_lost_answers_where_all_lose_them(share):
-    node, got = losing_answers(share, tuple(range(1, 11)))
+@pytest.mark.parametrize("fraction", [0.2, 0.4, 0.9])
+def test_no_member_is_ejected_for_lost_responses_if_all_members_lose_them(fraction):
+    node, received = lose_responses(fraction, tuple(range(1, 11)))
     assert sum(srv.ejections for srv in node.subset.servers.values()) <= 1
-    assert min(got.values()) > 0
+    assert min(received.values()) > 0
 
 
-def test_a_few_ejected_members_leave_the_limit_as_it_is():
+def test_a_few_ejected_members_do_not_change_the_limit():
     node, _ = balancer(12)
     limit = node.controller.limit
     for m in node.subset.members[:4]:
@@ -209,7 +218,7 @@
     assert node.controller.limit == limit
 
 
-def test_a_failing_member_is_more_loaded_before_it_is_ejected():
+def test_a_failing_member_counts_as_more_loaded_before_it_is_ejected():
     node, _recorder = balancer(4)
     node.subset.servers[1].failure_rate = 0.25
     node.subset.servers[1].last_progress_at = 0
@@ -248,13 +257,13 @@
     assert node.subset.servers[1].slow_start_until == SEC - 1 + 4 * SEC
 
 
-def test_a_request_that_is_not_idempotent_is_no_recovery_probe():
+def test_a_non_idempotent_request_is_not_used_as_a_recovery_probe():
     node, recorder = balancer(4)
     node.outliers.eject(0, node.subset.servers[1], unresponsive=True)
     assert ask(node, recorder, 3 * SEC, 1, request_class=2)[2] != 1
 
 
-def test_a_recovery_probe_costs_its_request_little_time():
+def test_a_recovery_probe_has_a_short_timeout():
     node, recorder = balancer(4)
     node.outliers.eject(0, node.subset.servers[1], unresponsive=True)
     ask(node, recorder, 3 * SEC, 1, request_class=2)
@@ -264,7 +273,10 @@
 
 
 def little_traffic_with_two_failing_members() -> tuple[Balancer, list[int]]:
-    """A thousand requests, one a second, over 20 members; the sends to the failing two after the first 100."""
+    """Sends a thousand requests, one per second, to a node with 20 members of which two fail.
+
+    Returns the node and the requests after the first 100 that were sent to one of these two.
+    """
     node, recorder = balancer(20)
     to_failing = []
     for i in range(1000):
@@ -282,7 +294,7 @@
 
 
 def test_with_little_traffic_a_failing_member_is_probed_no_more_often_than_it_would_be_picked():
-    """Tried every two seconds, members that fail get a third of the requests of a node with one a second."""
+    """Probes every two seconds would send failing members a third of the requests of a node with one per second."""
     _, to_failing = little_traffic_with_two_failing_members()
     assert 0 < len(to_failing) < 25  # an even share would be 90
 
@@ -304,14 +316,14 @@
     assert node.subset.servers[server].failure_rate > 0.25
 
 
-def test_with_requests_that_are_not_idempotent_alone_an_ejected_member_is_probed():
+def test_an_ejected_member_is_probed_even_if_all_requests_are_non_idempotent():
     node, recorder = balancer(4, classes=(NON_IDEMPOTENT,))
     node.outliers.eject(0, node.subset.servers[1], unresponsive=False)
-    drawn = set()
+    picked = set()
     for i in range(100):
         now = i * SEC // 4
         _, _, server, _ = ask(node, recorder, now, i)
-        drawn.add(server)
+        picked.add(server)
         end(node, recorder, now + 1000, i, 0, server, Outcome.OK, 1000)
-    assert 1 in drawn
+    assert 1 in picked
     assert not node.outliers.ejected
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,10 @@
-"""Random legal event sequences: the four rules hold on the action stream. Also determinism and size."""
+"""Properties of the decisions: four rules under random event sequences, determinism and module size.
+
+1. Each request gets exactly one final answer in time, and nothing is sent afterwards.
+2. A request that may have been processed is not repeated where that may do harm.
+3. No request is sent to a server that is not listed as ready.
+4. A server that is warming up gets no more requests than a warm one.
+"""
 
 import subprocess
 import sys
@@ -28,7 +34,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def some_settings(rng: Random):
+def random_settings(rng: Random):
     classes = tuple(
         ClassSettings(
             Idempotency(rng.randrange(3)),
@@ -59,18 +65,18 @@
     )
 
 
-class World:
-    """A host that plays legal events and checks every action against the four rules."""
+class RandomHost:
+    """A simulated host that sends random valid events and checks each action against the four rules."""
 
     def __init__(self, seed: int, steps: int) -> None:
         self.rng = rng = Random(seed)
-        self.settings = some_settings(rng)
-        self.pool = rng.choice([12, 60])
+        self.settings = random_settings(rng)
+        self.server_count = rng.choice([12, 60])
         self.recorder = Recorder()
         self.node = Balancer(self.settings, seed, self.recorder)
         self.now = 0
         self.listed: dict[int, EndpointState] = {}
-        self.removed_at: dict[int, int] = {}  # by server: since when it may get no request
+        self.removed_at: dict[int, int] = {}  # by server, the time since which it must get no request
         self.entries: dict[int, Endpoint] = {}
         self.open: dict[int, dict] = {}
         self.closed: set[int] = set()
@@ -80,19 +86,19 @@
         self.max_warm_rate = 0.0
         self.slow_start_sends: dict[int, list[int]] = {}
         self.node.start(0)
-        self.list_event(EndpointUpdateKind.CACHED)
+        self.update_endpoints(EndpointUpdateKind.CACHED)
         for i in range(steps):
             self.step(i)
         while self.in_flight or self.open:
             before = len(self.in_flight) + len(self.open) + len(self.timers)
-            assert before, "a request was left without an answer"
+            assert before, "a request was left without a final answer"
             self.advance(SEC)
 
-    def list_event(self, kind: EndpointUpdateKind) -> None:
+    def update_endpoints(self, kind: EndpointUpdateKind) -> None:
         rng = self.rng
-        names = rng.sample(range(1, self.pool + 1), rng.randint(0, 2 * self.pool // 3))
+        servers = rng.sample(range(1, self.server_count + 1), rng.randint(0, 2 * self.server_count // 3))
         entries = []
-        for server in names:
+        for server in servers:
             state = rng.choice([EndpointState.READY] * 4 + [EndpointState.DRAINING])
             if kind == EndpointUpdateKind.CHANGES and rng.random() < 0.2:
                 state = EndpointState.GONE
@@ -100,7 +106,7 @@
             place = {"cell": server % 3, "zone": server % 2, "machine_type": server % 4}
             entries.append(Endpoint(server, state, ready_at=ready_at, **place))
         if kind != EndpointUpdateKind.CHANGES:
-            for server in set(self.entries) - set(names):
+            for server in set(self.entries) - set(servers):
                 self.removed_at.setdefault(server, self.now)
         for e in entries:
             self.entries[e.server] = e
@@ -119,15 +125,15 @@
             request_class = rng.randrange(len(self.settings.classes))
             self.open[i] = {
                 "request_class": request_class,
-                "until": self.now + left,
+                "deadline": self.now + left,
                 "attempts": [],
-                "ran": None,
+                "processed_by": None,
             }
             self.node.request(self.now, i, request_class, rng.randrange(2), left, False)
             self.check()
         elif roll < 0.85 and self.in_flight:
             a = self.in_flight.pop(rng.randrange(len(self.in_flight)))
-            self.end(a, rng.choice(list(Outcome)))
+            self.end_attempt(a, rng.choice(list(Outcome)))
         elif roll < 0.88 and self.open:
             request = rng.choice(sorted(self.open))
             del self.open[request]
@@ -135,21 +141,21 @@
             self.node.client_disconnected(self.now, request)
             self.check()
         elif roll < 0.92:
-            self.list_event(rng.choice([EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL]))
+            self.update_endpoints(rng.choice([EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL]))
         else:
             self.advance(rng.choice([1000, 20_000, 300_000]))
 
-    def end(self, a: dict, outcome: Outcome) -> None:
+    def end_attempt(self, a: dict, outcome: Outcome) -> None:
         request, r = a["request"], self.open.get(a["request"])
         a["outcome"] = outcome
         final = r is None or outcome == Outcome.OK
         if outcome == Outcome.OK and r is not None:
             del self.open[request]
             self.closed.add(request)
-        if r is not None and outcome not in NOT_PROCESSED and r["ran"] is None:
-            r["ran"] = a
-        odd = [0.0, 0.5, 1.0, 40.0, -1.0, float("inf"), float("nan")]
-        report = [self.rng.choice(odd) for _ in range(self.rng.randrange(4))]
+        if r is not None and outcome not in NOT_PROCESSED and r["processed_by"] is None:
+            r["processed_by"] = a
+        unusual = [0.0, 0.5, 1.0, 40.0, -1.0, float("inf"), float("nan")]
+        report = [self.rng.choice(unusual) for _ in range(self.rng.randrange(4))]
         self.node.outcome(
             self.now, request, a["attempt"], a["server"], outcome, self.now - a["at"], final, report
         )
@@ -158,20 +164,20 @@
     def advance(self, span: int) -> None:
         target = self.now + span
         while True:
-            due = [(a["until"], 0, j) for j, a in enumerate(self.in_flight)]
+            due = [(a["deadline"], 0, j) for j, a in enumerate(self.in_flight)]
             due += [(at, 1, j) for j, (at, _) in enumerate(self.timers)]
             if not due or min(due)[0] > target:
                 break
             at, kind, j = min(due)
             self.now = max(self.now, at)
             if kind == 0:
-                self.end(self.in_flight.pop(j), Outcome.TIMEOUT)
+                self.end_attempt(self.in_flight.pop(j), Outcome.TIMEOUT)
             else:
                 self.node.timer(self.now, self.timers.pop(j)[1])
                 self.check()
         self.now = target
         for r in self.open.values():
-            assert r["until"] + self.settings.tick >= self.now, "rule 1: no answer in time"
+            assert r["deadline"] + self.settings.tick >= self.now, "rule 1: no final answer in time"
 
     def check(self) -> None:
         self.max_warm_rate = max(self.max_warm_rate, self.node.slow_start.warm_rate)
@@ -193,35 +199,35 @@
             elif name == "cancel":
                 assert self.settings.cancel
             elif name == "send":
-                self.sent(*args)
+                self.check_send(*args)
             elif name in ("shed", "fail"):
-                r = self.open.pop(args[0])  # rule 1: only an open request, once
+                r = self.open.pop(args[0])  # rule 1: a final answer is for an open request, once
                 self.closed.add(args[0])
-                assert self.now <= r["until"]
+                assert self.now <= r["deadline"]
                 if name == "shed":
-                    self.refused(r, *args)
+                    self.check_shed(r, *args)
 
-    def refused(self, r: dict, request: int, retry_after: int) -> None:
+    def check_shed(self, r: dict, request: int, retry_after: int) -> None:
         c = self.settings.classes[r["request_class"]]
         assert retry_after == 0 or (
             self.settings.retry_after and retry_after <= self.settings.max_retry_after
         )
         assert (
-            r["ran"] is None
+            r["processed_by"] is None
             or c.idempotency == Idempotency.IDEMPOTENT
             or (c.idempotency, c.deduplication_scope) == (Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL)
         )
         assert not any(a["request"] == request for a in self.in_flight)
 
-    def sent(self, request: int, server: int, timeout: int) -> None:
-        r = self.open[request]  # rule 1: nothing is sent after the end
+    def check_send(self, request: int, server: int, timeout: int) -> None:
+        r = self.open[request]  # rule 1: nothing is sent after the final answer
         c = self.settings.classes[r["request_class"]]
         assert timeout > 0
-        assert self.now + timeout <= r["until"]
+        assert self.now + timeout <= r["deadline"]
         assert len(r["attempts"]) < self.settings.max_attempts
-        assert not any(a["request"] == request for a in self.in_flight), "two attempts out at once"
+        assert not any(a["request"] == request for a in self.in_flight), "two attempts in flight"
         assert server in self.entries and server not in self.removed_at, "rule 3"
-        first = r["ran"]
+        first = r["processed_by"]
         if first is not None:
             assert c.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2"
             if c.idempotency == Idempotency.IDEMPOTENCY_KEY:
@@ -232,13 +238,13 @@
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
         if ready_at and self.now < ready_at + self.settings.slow_start_duration:
-            # Rule 4, from one node: no more in any window than a warm member has had at the most.
+            # Rule 4 for one node: in no window does it get more than the highest rate of a warm member.
             sends = self.slow_start_sends.setdefault(server, [])
             sends.append(self.now)
             recent = [t for t in sends if t > self.now - self.settings.overload_duration]
             assert len(recent) <= 2 + self.max_warm_rate * self.settings.overload_duration / SEC, "rule 4"
         a = {"request": request, "server": server, "attempt": len(r["attempts"]), "at": self.now}
-        a["until"] = self.now + timeout
+        a["deadline"] = self.now + timeout
         r["attempts"].append(a)
         self.in_flight.append(a)
 
@@ -246,14 +252,14 @@
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.integers(0, 2**32), st.integers(20, 250))
 def test_the_four_rules_hold(seed, steps):
-    World(seed, steps)
+    RandomHost(seed, steps)
 
 
-def test_same_events_same_actions_under_any_hash_seed():
+def test_the_same_events_lead_to_the_same_actions_under_any_hash_seed():
     program = (
         "import sys; sys.path[:0] = ['tests', '.']\n"
-        "from test_properties import World\n"
-        "print([World(seed, 200).log for seed in range(12)])"
+        "from test_properties import RandomHost\n"
+        "print([RandomHost(seed, 200).log for seed in range(12)])"
     )
     outputs = set()
     for hash_seed in ("0", "1", "77"):
@@ -270,10 +276,10 @@
     assert len(outputs.pop()) > 10_000
 
 
-def test_instances_do_not_touch_each_other():
-    alone = [World(seed, 120).log for seed in range(6)]
-    again = [World(seed, 120).log for seed in reversed(range(6))]
-    assert alone == again[::-1]
+def test_balancers_share_no_state():
+    in_order = [RandomHost(seed, 120).log for seed in range(6)]
+    in_reverse_order = [RandomHost(seed, 120).log for seed in reversed(range(6))]
+    assert in_order == in_reverse_order[::-1]
 
 
 DECISION_FILES = [
@@ -283,7 +289,7 @@
 
 
 @pytest.mark.parametrize("file", DECISION_FILES)
-def test_names_and_wire_words_stay_out_of_the_decisions(file):
+def test_the_decisions_do_not_depend_on_platform_names_or_protocol_words(file):
     text = (ROOT / file).read_text()
     wire = ("guarded", "single_shot", "policy_limits", "RELAY", "BOUNCE", "import os", "hash(")
     names = ("norrkoping", "hobart", "kyushu", "kolkata", "wallet", "coastal", "intake", "ledger", "front-")
@@ -292,7 +298,7 @@
 
 
 def policy_files() -> list[Path]:
-    """The decision module's files, as the deploy file names them."""
+    """Returns the files of the policy package that the deploy file names."""
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     return [ROOT / name for name in named]
 
@@ -310,7 +316,7 @@
     assert max(map(len, lines)) <= (120 if path.stem == "fleet_limits" else 110)
 
 
-def test_the_readme_s_example_runs():
+def test_the_example_in_the_readme_runs():
     text = (ROOT / "README.md").read_text()
     code = text.split("```python")[1].split("```")[0]
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, cwd=ROOT, timeout=60)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and final answers, by what a repeat of the request does."""
+"""Retries and final answers, by the idempotency of the request."""
 
 from dataclasses import replace
 
@@ -15,26 +15,26 @@
     Outcome,
 )
 
-MAY_HAVE_RUN = [o for o in Outcome if o not in NOT_PROCESSED and o != Outcome.OK]
+POSSIBLY_PROCESSED = [o for o in Outcome if o not in NOT_PROCESSED and o != Outcome.OK]
 
 
 @pytest.mark.parametrize("outcome", sorted(NOT_PROCESSED))
 @pytest.mark.parametrize("request_class", [0, 1, 2])
-def test_an_attempt_that_never_ran_is_retried(outcome, request_class):
+def test_an_attempt_that_was_not_processed_is_retried(outcome, request_class):
     node, recorder = balancer()
     _, _, server, _ = ask(node, recorder, 0, 1, request_class)
     ((action, *_),) = end(node, recorder, 1000, 1, 0, server, outcome)
     assert action == "send"
 
 
-@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_a_request_that_is_not_idempotent_fails_once_it_may_have_run(outcome):
+@pytest.mark.parametrize("outcome", POSSIBLY_PROCESSED)
+def test_a_non_idempotent_request_fails_once_it_may_have_been_processed(outcome):
     node, recorder = balancer()
     _, _, server, _ = ask(node, recorder, 0, 1, 2)
     assert end(node, recorder, 1000, 1, 0, server, outcome) == [("fail", 1)]
 
 
-@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
+@pytest.mark.parametrize("outcome", POSSIBLY_PROCESSED)
 def test_an_idempotent_request_is_retried_and_shed_at_the_attempt_cap(outcome):
     node, recorder = balancer(max_attempts=2)
     _, _, server, _ = ask(node, recorder, 0, 1, 0)
@@ -48,7 +48,10 @@
 
 
 def failed_with_a_key(scope: DeduplicationScope, field: str, seed: int):
-    """A request with a key whose first attempt failed: node, recorder, first server, what followed."""
+    """Fails the first attempt of a request with an idempotency key.
+
+    Returns the node, its recorder, the server of the first attempt and the action that followed.
+    """
     entries = [Endpoint(i + 1, **{field: i % 2}) for i in range(8)]
     request_class = ClassSettings(
         Idempotency.IDEMPOTENCY_KEY,
@@ -85,14 +88,14 @@
 
 
 def test_a_retry_with_an_idempotency_key_goes_back_to_the_only_server_of_its_scope():
-    """A cell with one server left failed every such request whose answer was lost on the way."""
+    """Otherwise, in a cell with one server, each such request whose response is lost would fail."""
     node, recorder = balancer(ONE_SERVER_A_CELL)
     _, _, server, _ = ask(node, recorder, 0, 1, 1)
     assert end(node, recorder, 1000, 1, 0, server, Outcome.RESET)[0][:3] == ("send", 1, server)
 
 
 def test_a_retry_with_an_idempotency_key_does_not_go_back_to_a_server_that_has_restarted():
-    """Started again since, it no longer knows what it has processed."""
+    """A restarted server no longer knows which requests it has processed."""
     node, recorder = balancer(ONE_SERVER_A_CELL)
     _, _, server, _ = ask(node, recorder, 2000, 2, 1)
     restarted = replace(ONE_SERVER_A_CELL[server - 1], ready_at=2400)
@@ -101,25 +104,25 @@
 
 
 def test_a_retry_avoids_the_server_of_the_attempt_before():
-    """The only server of this zone rejected its requests, and each further attempt went there again."""
-    near, far = Endpoint(1, zone=0), Endpoint(2, zone=1)
+    """When the only server of the local zone rejected its requests, each retry would go to it again."""
+    local, remote = Endpoint(1, zone=0), Endpoint(2, zone=1)
     for seed in range(10):
-        node, recorder = balancer([near, far], seed=seed, cross_zone_cost=0.05)
+        node, recorder = balancer([local, remote], seed=seed, cross_zone_cost=0.05)
         node.zone_preference.fraction = 0.0
         _, _, first, _ = ask(node, recorder, 0, 1)
         assert end(node, recorder, 1000, 1, 0, first, Outcome.REJECTED)[0][:3] == ("send", 1, 3 - first)
 
 
 def test_retries_are_capped_by_a_budget():
-    """Retries multiply through tiers: a subset that fails everything gets few further attempts."""
+    """Retries multiply across tiers, so a subset that fails every request must get few retries."""
     node, recorder = balancer(4)
     sends = 0
     for i in range(100):
-        todo = [ask(node, recorder, i * 1000, i)]
+        actions = [ask(node, recorder, i * 1000, i)]
         attempt = 0
-        while todo and todo[0][0] == "send":
+        while actions and actions[0][0] == "send":
             sends += 1
-            todo = end(node, recorder, i * 1000 + 500, i, attempt, todo[0][2], Outcome.ERROR)
+            actions = end(node, recorder, i * 1000 + 500, i, attempt, actions[0][2], Outcome.ERROR)
             attempt += 1
     assert 100 < sends <= 100 + 100 * 0.1 + 4
 
@@ -135,7 +138,7 @@
 
 
 def test_a_class_without_late_weight_is_not_waited_for_beyond_its_objective():
-    """Late work is waste."""
+    """A late response has no weight in such a class."""
     request_class = ClassSettings(
         Idempotency.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=1
     )
@@ -150,7 +153,7 @@
     assert end(node, recorder, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_an_unknown_class_is_never_run_twice():
+def test_a_request_of_an_unknown_class_is_not_retried_once_it_may_have_been_processed():
     node, recorder = balancer(classes=(IDEMPOTENT,))
     kind, _, server, _ = ask(node, recorder, 0, 1, request_class=7)
     assert kind == "send"
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -1,6 +1,6 @@
-"""The module's actions on seeded days, over the adapter's wire: a move of code must leave every byte as it was.
+"""The policy's actions in seeded simulations, through the adapter: refactoring must not change a single byte.
 
-A change of decisions changes the digests: then they are made anew, in the commit that says why.
+A change of decisions changes the digests. They are then renewed in the commit that explains the change.
 """
 
 from __future__ import annotations
@@ -40,108 +40,110 @@
     }  # fmt: skip
 
 
-class Day:
-    """A small world round the instances of one adapter: servers that slow down, fail, fall silent, restart."""
+class Simulation:
+    """Simulates servers for the nodes of one adapter; servers slow down, fail, stop responding and restart."""
 
     def __init__(self, seed: int, tier: int) -> None:
         self.rng = Random(seed)
         self.host = InstanceHost()
-        self.due: list[tuple[int, int, bytes, tuple[int, int] | None]] = []  # heap of events to come
-        self.turn = 0
-        self.out: dict[tuple[int, int], tuple[int, int, int]] = {}  # request: attempt, server, sent
-        self.tries: dict[tuple[int, int], int] = {}
+        # A heap of future events: time, order, record, and the request whose attempt the event ends.
+        self.due: list[tuple[int, int, bytes, tuple[int, int] | None]] = []
+        self.order = 0
+        # The attempts in flight by request: attempt, server and time of sending.
+        self.in_flight: dict[tuple[int, int], tuple[int, int, int]] = {}
+        self.last_attempts: dict[tuple[int, int], int] = {}
         self.ready = dict.fromkeys(range(1, 13), 0)
         self.digest = hashlib.sha256()
-        self.kinds: dict[int, int] = {}
+        self.action_counts: dict[int, int] = {}
         text = json.dumps(settings(tier)).encode()
         self.pending = [struct.pack("<BHQI", 6, n, 100 + n, len(text)) + text for n in range(NODES)]
-        self.list(2, [(s, 1) for s in self.ready])
+        self.update_endpoints(2, [(s, 1) for s in self.ready])
 
-    def list(self, kind: int, servers: list[tuple[int, int]]) -> None:
+    def update_endpoints(self, kind: int, servers: list[tuple[int, int]]) -> None:
         entries = b"".join(
             struct.pack("<IHQHfBH", s, s % 4, self.ready[s], s % 2, 1.0, state, s % 3) for s, state in servers
         )
         self.pending.append(struct.pack("<BII", 1, 0, len(servers)) + entries)
         self.pending += [struct.pack("<BHBII", 7, n, kind, 1, 0) for n in range(NODES)]
 
-    def later(self, at: int, record: bytes, ends: tuple[int, int] | None = None) -> None:
-        self.turn += 1
-        heapq.heappush(self.due, (at, self.turn, record, ends))
+    def schedule(self, at: int, record: bytes, ends: tuple[int, int] | None = None) -> None:
+        self.order += 1
+        heapq.heappush(self.due, (at, self.order, record, ends))
 
     def verdict(self, now: int, at: int, request: tuple[int, int], server: int, status: int) -> None:
-        attempt, _, sent = self.out[request]
+        attempt, _, sent = self.in_flight[request]
         report = struct.pack("<2f", self.rng.random(), self.rng.random()) if status == OK else b""
         head = struct.pack(
             "<BHQBIIBHB", 8, *request, attempt, at - sent, server, status == OK, status, len(report) // 4
         )
-        self.later(at, head + report, request)
+        self.schedule(at, head + report, request)
 
-    def sent(self, now: int, request: tuple[int, int], server: int, timeout: int) -> None:
-        """A server's part: quick or slow, an error, a rejection, a reset, silence."""
+    def simulate_attempt(self, now: int, request: tuple[int, int], server: int, timeout: int) -> None:
+        """Schedules the outcome of an attempt: a response, an error, a rejection, a reset or a time-out."""
         rng, second = self.rng, now // 1_000_000
-        attempt = self.tries.get(request, -1) + 1
-        self.tries[request] = attempt
-        self.out[request] = attempt, server, now
+        attempt = self.last_attempts.get(request, -1) + 1
+        self.last_attempts[request] = attempt
+        self.in_flight[request] = attempt, server, now
         slow = 6.0 if 12 <= second < 18 else 1.0 + server % 3
-        took = int(rng.expovariate(1 / (30 * MS * slow))) + 2 * MS
+        latency = int(rng.expovariate(1 / (30 * MS * slow))) + 2 * MS
         chance = rng.random()
-        silent = (server == 5 and 20 <= second < 26) or (server % 2 == 1 and 30 <= second < 32)
-        if silent or took >= timeout or chance < 0.01:
+        unresponsive = (server == 5 and 20 <= second < 26) or (server % 2 == 1 and 30 <= second < 32)
+        if unresponsive or latency >= timeout or chance < 0.01:
             self.verdict(now, now + timeout, request, server, TIMEOUT)
         elif chance < 0.03 or (server == 7 and 8 <= second < 11):
-            self.verdict(now, now + took // 4, request, server, ERROR)
+            self.verdict(now, now + latency // 4, request, server, ERROR)
         elif chance < 0.05:
             self.verdict(now, now + 2 * MS, request, server, rng.choice((REJECTED, CONNECT, RESET)))
         else:
-            self.verdict(now, now + took, request, server, OK)
+            self.verdict(now, now + latency, request, server, OK)
 
-    def act(self, now: int, reply: bytes) -> None:
+    def handle_actions(self, now: int, reply: bytes) -> None:
         at = 0
         while at < len(reply):
             code = reply[at]
-            self.kinds[code] = self.kinds.get(code, 0) + 1
-            assert code != 74, reply[at:]  # the module failed
+            self.action_counts[code] = self.action_counts.get(code, 0) + 1
+            assert code != 74, reply[at:]  # the balancer raised an exception
             if code == 73:
                 (size,) = struct.unpack_from("<H", reply, at + 3)
                 at += 5 + size
                 continue
             if code == 65:
                 node, request, server, timeout = struct.unpack_from("<HQII", reply, at + 1)
-                self.sent(now, (node, request), server, timeout)
+                self.simulate_attempt(now, (node, request), server, timeout)
             elif code == 68:
                 node, request, _ = struct.unpack_from("<HQB", reply, at + 1)
-                out = self.out.pop((node, request), None)
-                if out is not None:
-                    self.out[node, request] = out
-                    self.cancelled((node, request))
-                    self.verdict(now, now + TICK, (node, request), out[1], CANCELLED)
+                attempt = self.in_flight.pop((node, request), None)
+                if attempt is not None:
+                    self.in_flight[node, request] = attempt
+                    self.drop_outcome((node, request))
+                    self.verdict(now, now + TICK, (node, request), attempt[1], CANCELLED)
             elif code == 69:
                 node, delay, token = struct.unpack_from("<HIQ", reply, at + 1)
-                self.later(now + delay, struct.pack("<BHQ", 2, node, token))
+                self.schedule(now + delay, struct.pack("<BHQ", 2, node, token))
             at += SIZES[code]
 
-    def cancelled(self, request: tuple[int, int]) -> None:
-        """What would have come of the attempt comes no more."""
+    def drop_outcome(self, request: tuple[int, int]) -> None:
+        """Removes the scheduled outcome of a cancelled attempt."""
         self.due = [d for d in self.due if d[3] != request]
         heapq.heapify(self.due)
 
-    def changes(self, second: int) -> None:
+    def change_servers(self, second: int) -> None:
         if second % 5 == 3:
             s = 1 + second % 12
-            self.list(0, [(s, 2)])
+            self.update_endpoints(0, [(s, 2)])
         elif second % 5 == 4:
             s = 1 + (second - 1) % 12
             self.ready[s] = second * 1_000_000
-            self.list(0, [(s, 1)])
+            self.update_endpoints(0, [(s, 1)])
         elif second == 35:
-            self.list(1, [(s, 1) for s in self.ready if s > 4])
+            self.update_endpoints(1, [(s, 1) for s in self.ready if s > 4])
 
-    def play(self) -> str:
+    def run(self) -> str:
         request = 0
         for now in range(TICK, SECONDS * 1_000_000, TICK):
             second = now // 1_000_000
             if now % 1_000_000 == 0:
-                self.changes(second)
+                self.change_servers(second)
             rate = 900 if 14 <= second < 16 else 250
             while self.rng.random() < rate * TICK / 1e6 / (1 + rate * TICK / 1e6):
                 request += 1
@@ -153,17 +155,17 @@
                     struct.pack("<BHQQHBIIH", 3, node, request, 0, tenant, 0, left, 0, request_class)
                 )
                 if self.rng.random() < 0.02:
-                    self.later(now + 200 * MS, struct.pack("<BHQ", 11, node, request))
+                    self.schedule(now + 200 * MS, struct.pack("<BHQ", 11, node, request))
             while self.due and self.due[0][0] <= now:
                 _, _, record, ends = heapq.heappop(self.due)
                 if ends is not None:
-                    self.out.pop(ends, None)
+                    self.in_flight.pop(ends, None)
                 self.pending.append(record)
             records, self.pending = self.pending, []
             count = len(records)
             reply = self.host.handle_batch(count, b"".join(records), now)
             self.digest.update(reply)
-            self.act(now, reply[4:])
+            self.handle_actions(now, reply[4:])
         return self.digest.hexdigest()[:16]
 
 
@@ -176,8 +178,10 @@
         (4, 2, "0316c8ac7b545752"),
     ],
 )
-def test_the_actions_are_what_they_were(seed, tier, digest):
-    day = Day(seed, tier)
-    assert day.play() == digest
-    # The day is one on which the module has much to decide: it sends, refuses, fails, cuts off, waits.
-    assert all(day.kinds.get(code, 0) > 20 for code in (65, 66, 67, 68, 69, 73)), day.kinds
+def test_the_actions_have_not_changed(seed, tier, digest):
+    simulation = Simulation(seed, tier)
+    assert simulation.run() == digest
+    # The simulation must lead to each kind of decision: to send, shed, fail and cancel, to set a timer and to log.
+    assert all(simulation.action_counts.get(code, 0) > 20 for code in (65, 66, 67, 68, 69, 73)), (
+        simulation.action_counts
+    )
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -36,7 +36,7 @@
     assert sorted(m.id for m in after_a_full_list().subset.members) == [1, 4]
 
 
-def test_of_two_entries_for_one_server_the_last_holds():
+def test_of_two_entries_for_one_server_the_last_counts():
     assert after_a_full_list().subset.servers[1].zone == 3
 
 
@@ -64,40 +64,45 @@
     ("servers", "instances", "size"), [(60, 1, 24), (60, 400, 10), (60, 60, 16), (6, 400, 6)]
 )
 def test_the_subset_is_as_small_as_the_number_of_nodes_allows(servers, instances, size):
-    """A node with a request a second knows none of many members and keeps no connection to them."""
+    """A node with one request per second could neither measure many members nor keep connections to them."""
     node, _ = balancer(servers, instance_count=instances)
     assert len(node.subset.members) == size
 
 
 def subset_after_a_release(seed: int, nodes: int = 200, servers: int = 120, replaced: int = 36) -> set[int]:
-    """A third of the servers drains in three steps, and only then others come in their place, a few at a time."""
+    """Returns the members of a node after a release.
+
+    A third of the servers drains in three steps. Only then are they replaced, a few at a time.
+    """
     node, recorder = balancer(servers, seed=seed, instance_count=nodes)
     for step in range(3):
-        gone = range(step * 12 + 1, step * 12 + 13)
+        drained = range(step * 12 + 1, step * 12 + 13)
         node.endpoint_update(
-            SEC * (step + 1), EndpointUpdateKind.CHANGES, [Endpoint(s, EndpointState.DRAINING) for s in gone]
+            SEC * (step + 1),
+            EndpointUpdateKind.CHANGES,
+            [Endpoint(s, EndpointState.DRAINING) for s in drained],
         )
     for first in range(0, replaced, 4):
         now = SEC * (5 + first)
-        came = [Endpoint(1001 + i, ready_at=now) for i in range(first, first + 4)]
-        node.endpoint_update(now, EndpointUpdateKind.CHANGES, came)
+        added = [Endpoint(1001 + i, ready_at=now) for i in range(first, first + 4)]
+        node.endpoint_update(now, EndpointUpdateKind.CHANGES, added)
     recorder.take()
     return {m.id for m in node.subset.members}
 
 
 def test_servers_listed_after_others_left_are_in_as_many_subsets():
-    """Over two hundred nodes each server, new or old, is in as many subsets, give or take chance."""
-    found: dict[int, int] = {}
+    """Over two hundred nodes, new and old servers are in about the same number of subsets."""
+    subsets: dict[int, int] = {}
     for seed in range(200):
         members = subset_after_a_release(seed)
         assert len(members) == 10
         for server in members:
-            found[server] = found.get(server, 0) + 1
+            subsets[server] = subsets.get(server, 0) + 1
     expected = 200 * 10 / 120
-    new = sum(n for s, n in found.items() if s > 1000) / 36
-    old = sum(n for s, n in found.items() if s <= 1000) / 84
+    new = sum(n for s, n in subsets.items() if s > 1000) / 36
+    old = sum(n for s, n in subsets.items() if s <= 1000) / 84
     assert 0.85 * expected < new < 1.15 * expected and 0.85 * expected < old < 1.15 * expected, (new, old)
-    assert max(found.values()) < expected + 5 * expected**0.5
+    assert max(subsets.values()) < expected + 5 * expected**0.5
 
 
 def test_a_replaced_member_finishes_its_requests_and_its_idle_connections_are_closed():
@@ -105,26 +110,26 @@
     before = set(node.subset.members)
     for n in range(1, 13):
         ask(node, recorder, n * 1000, n)
-    out = {r.server for r in node.requests.values()}
+    with_requests = {r.server for r in node.requests.values()}
     in_flight = node.controller.in_flight
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 241)])
-    displaced = before - set(node.subset.members)
-    assert displaced
+    replaced = before - set(node.subset.members)
+    assert replaced
     assert len(before) == 10
     assert len(node.subset.members) == 24
-    assert {c[1] for c in recorder.take("close_idle")} >= {m.id for m in displaced}
+    assert {c[1] for c in recorder.take("close_idle")} >= {m.id for m in replaced}
     assert node.controller.in_flight == in_flight
-    assert displaced & out
+    assert replaced & with_requests
     for n, r in list(node.requests.items()):
         end(node, recorder, SEC + 1000, n, 0, r.server.id, Outcome.OK)
     assert node.controller.in_flight == 0
     assert all(m.in_flight == 0 for m in before)
-    assert displaced <= set(node.subset.servers.values()), (
-        "it is listed, and may be drawn into the subset again"
+    assert replaced <= set(node.subset.servers.values()), (
+        "a replaced server is still listed and may join the subset again"
     )
 
 
-def test_the_same_list_again_changes_no_subset():
+def test_a_repeated_list_does_not_change_the_subset():
     node, recorder = balancer(120, instance_count=200)
     before = list(node.subset.members)
     for n in range(50):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,56 +9,56 @@
 )
 
 
-def test_requests_keep_to_their_zone_only_where_leaving_it_costs():
-    """Own requests in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
+def test_requests_stay_in_the_local_zone_only_if_leaving_it_has_a_cost():
+    """If cross-zone traffic is cheap, the load alone decides, because a preference would overload local servers."""
     entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
 
-    def near_share(price: float) -> float:
-        node, recorder = balancer(entries, cross_zone_cost=price)
-        now = near = 0
+    def local_fraction(cost: float) -> float:
+        node, recorder = balancer(entries, cross_zone_cost=cost)
+        now = local = 0
         for i in range(400):
             now += 20_000
             server = ask(node, recorder, now, i)[2]
-            near += server % 2
+            local += server % 2
             end(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
-        return near / 400
+        return local / 400
 
-    assert near_share(0.04) > 0.7
-    assert 0.35 < near_share(0.005) < 0.65
+    assert local_fraction(0.04) > 0.7
+    assert 0.35 < local_fraction(0.005) < 0.65
 
 
-def test_the_cross_zone_fraction_grows_in_a_crowded_zone():
-    """One zone's servers drown while another's stand idle."""
+def test_the_cross_zone_fraction_grows_in_an_overloaded_zone():
+    """Otherwise the servers of one zone would be overloaded while those of another are idle."""
     entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
     node, recorder = balancer(entries, cross_zone_cost=0.04)
-    now, far = 0, 0
+    now, remote = 0, 0
     for i in range(2000):
         now += 10_000
         server = ask(node, recorder, now, i, 2)[2]
-        far += i >= 1000 and server % 2 == 0
-        crowded = i >= 500 and server % 2 == 1
-        end(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
+        remote += i >= 1000 and server % 2 == 0
+        overloaded = i >= 500 and server % 2 == 1
+        end(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
     assert node.zone_preference.fraction > 0.5
-    assert far > 300
+    assert remote > 300
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
-def test_what_exceeds_a_zones_part_leaves_it(nodes, least):
-    """A zone's one server would take all requests of the one node beside it."""
+def test_requests_that_exceed_a_zones_part_leave_it(nodes, least):
+    """Otherwise the only server of a zone would get all requests of the only node in that zone."""
     entries = [Endpoint(i + 1, zone=min(i, 1)) for i in range(6)]
     node, recorder = balancer(entries, cross_zone_cost=0.04, instance_count=nodes)
     assert node.zone_preference.fraction == pytest.approx(least)
-    now = far = 0
+    now = remote = 0
     for i in range(600):
         now += 20_000
         server = ask(node, recorder, now, i)[2]
-        far += server != 1
+        remote += server != 1
         end(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
-    assert far / 600 >= least * 5 / 6 - 0.05
+    assert remote / 600 >= least * 5 / 6 - 0.05
     assert node.zone_preference.fraction >= least
 
 
-def test_unused_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
+def test_unused_zones_are_assumed_to_be_as_fast_as_the_local_zone_at_its_best():
     entries = [Endpoint(i + 1, zone=i % 2) for i in range(12)]
     node, _recorder = balancer(entries, cross_zone_cost=0.04, instance_count=12)
     (
@@ -76,8 +76,8 @@
     return [Endpoint(i + 1, zone=i % 2) for i in range(8)]
 
 
-def with_one_zone_answering(node, recorder, alive: int | None, start: int, count: int) -> list[int]:
-    """Only attempts sent to servers of zone `alive` are answered. Returns the zones of all attempts."""
+def send_with_one_zone_responding(node, recorder, alive: int | None, start: int, count: int) -> list[int]:
+    """Sends requests of which only attempts at servers of zone `alive` succeed. Returns the zones of all attempts."""
     sent_to = []
     for i in range(start, start + count):
         now = i * 100_000
@@ -94,10 +94,10 @@
     return sent_to
 
 
-def test_a_zone_without_answers_is_ejected():
-    """The network between two zones fails: half the members are out of reach, more than may be ejected."""
+def test_a_zone_without_responses_is_ejected():
+    """If the network between two zones fails, more members are unreachable than may be ejected one by one."""
     node, recorder = balancer(two_zones())
-    sent_to = with_one_zone_answering(node, recorder, 0, 1, 30)
+    sent_to = send_with_one_zone_responding(node, recorder, 0, 1, 30)
     assert [zone.id for zone in node.outliers.ejected_zones] == [1]
     assert sent_to.count(1) <= 6
     assert not [m for m in node.subset.eligible if m.zone == 1]
@@ -105,33 +105,35 @@
 
 def test_an_ejected_zone_is_probed_at_growing_intervals():
     node, recorder = balancer(two_zones())
-    with_one_zone_answering(node, recorder, 0, 1, 30)
-    sent_to = with_one_zone_answering(node, recorder, 0, 31, 300)  # half a minute: after 2, 4, 8 and 16 s
+    send_with_one_zone_responding(node, recorder, 0, 1, 30)
+    # Within the 30 seconds, probes are due after 2, 4, 8 and 16 s.
+    sent_to = send_with_one_zone_responding(node, recorder, 0, 31, 300)
     assert 3 <= sent_to.count(1) <= 5
 
 
-def test_an_ejected_zone_that_answers_is_restored():
+def test_an_ejected_zone_that_responds_is_readmitted():
     node, recorder = balancer(two_zones())
-    with_one_zone_answering(node, recorder, 0, 1, 30)
-    with_one_zone_answering(node, recorder, 0, 31, 300)
-    sent_to = with_one_zone_answering(node, recorder, 1, 500, 400)  # now this zone answers, not the other
+    send_with_one_zone_responding(node, recorder, 0, 1, 30)
+    send_with_one_zone_responding(node, recorder, 0, 31, 300)
+    # From now on only the ejected zone responds.
+    sent_to = send_with_one_zone_responding(node, recorder, 1, 500, 400)
     assert [zone.id for zone in node.outliers.ejected_zones] == [0]
     assert sent_to[-20:] == [1] * 20
 
 
-def test_no_zone_is_ejected_while_no_other_answers():
+def test_no_zone_is_ejected_while_no_other_zone_responds():
     node, recorder = balancer(two_zones())
-    with_one_zone_answering(node, recorder, None, 1, 30)
+    send_with_one_zone_responding(node, recorder, None, 1, 30)
     assert node.outliers.ejected_zones == []
 
 
-def test_requests_stuck_in_an_ejected_zone_do_not_fill_the_limit():
+def test_requests_stuck_in_an_ejected_zone_do_not_use_up_the_limit():
     node, recorder = balancer(two_zones())
     stuck = 0
     now = 0
     for i in range(60):
         now += 100_000
-        action = ask(node, recorder, now, i, request_class=2)  # not tried again
+        action = ask(node, recorder, now, i, request_class=2)  # this class is not retried
         if action[0] == "send" and node.subset.servers[action[2]].zone == 1:
             stuck += 1
             if stuck > 4:
@@ -141,32 +143,35 @@
     assert [zone.id for zone in node.outliers.ejected_zones] == [1]
     assert stuck > 4
     assert node.controller.in_flight == 0
-    for i, r in list(node.requests.items()):  # late answers bring the zone back, and the count stays right
+    for i, r in list(node.requests.items()):  # late responses readmit the zone, and the count stays correct
         end(node, recorder, now, i, 0, r.server.id, Outcome.OK, 50_000)
     assert node.outliers.ejected_zones == []
     assert node.controller.in_flight == 0
 
 
-def alone_in_its_zone():
-    """A node of zone 0, with 60 servers in five zones, that the others are cut off from."""
+def with_only_its_own_zone():
+    """Returns a node in zone 0, with 60 servers in five zones, that cannot reach the other zones.
+
+    Also returns the recorder, and the limit and the members before the network failure.
+    """
     node, recorder = balancer([Endpoint(i + 1, zone=i % 5) for i in range(60)], instance_count=60)
     before = node.controller.limit, set(node.subset.members)
-    with_one_zone_answering(node, recorder, 0, 1, 200)
+    send_with_one_zone_responding(node, recorder, 0, 1, 200)
     assert sorted(zone.id for zone in node.outliers.ejected_zones) == [1, 2, 3, 4]
     return node, recorder, before
 
 
 def test_a_node_without_other_zones_uses_substitutes_in_its_own():
-    """With a random subset it had one or two servers left there, and buried them; the zone's others were idle."""
-    node, _, (_, first) = alone_in_its_zone()
+    """A random subset has few members in the local zone, which would be overloaded while its other servers idle."""
+    node, _, (_, first) = with_only_its_own_zone()
     assert len([m for m in first if m.zone == 0]) < 6
     assert len(node.subset.eligible) == 12
     assert node.subset.eligible == [m for m in node.subset.members if m.zone == 0]
 
 
-def test_when_the_other_zones_answer_again_the_substitutes_go():
-    """The subset is what it was, and keeps no connection more."""
-    node, recorder, (_, first) = alone_in_its_zone()
+def test_when_the_other_zones_respond_again_the_substitutes_are_removed():
+    """The subset is the same as before, so that the node needs no additional connections."""
+    node, recorder, (_, first) = with_only_its_own_zone()
     for i in range(1000, 1400):
         now = i * 100_000
         action = ask(node, recorder, now, i)
@@ -177,8 +182,8 @@
     assert not node.subset.substitutes
 
 
-def test_the_limit_follows_what_is_left_of_the_subset():
-    """One or two servers got the requests that were right for twenty-four."""
+def test_the_limit_scales_with_the_eligible_part_of_the_subset():
+    """Otherwise two servers would get the concurrency that is right for twenty-four."""
     node, _ = balancer([Endpoint(i + 1, zone=int(i > 1)) for i in range(24)], instance_count=24)
     node.controller.limit, node.controller.baseline_in_flight = 96.0, 80.0
     node.subset.zones[1].ejected = True
