--- a/harecross/policy/balancer.py
+++ b/harecross/policy/balancer.py
@@ -237,7 +237,7 @@
             return
         waited = now - request.sent_at
         if waited > self.controller.target[request.request_class] and not request.server.excluded_from_limit:
-            # Clients that give up before a time-out leave no other sample of the high latency.
+            # Clients that give up before a timeout leave no other sample of the high latency.
             self.controller.record_sample(now, request.request_class, waited)
             self.traffic.record_slowness(request.server, request.request_class, waited)
         if self.settings.cancel:
--- a/harecross/policy/controller.py
+++ b/harecross/policy/controller.py
@@ -20,7 +20,8 @@
 MIN_RTT_BUFFER = 0.25
 MAX_WINDOWS_AT_FLOOR = 5  # this many consecutive windows at the floor start a minRTT window
 MIN_GRADIENT, MAX_GRADIENT = 0.5, 2.0
-# Bounds the headroom of a small limit, whose square root would outweigh any gradient.
+# The headroom is at most this fraction of the limit, because the square root of a small limit would outweigh
+# any gradient.
 MAX_HEADROOM_FRACTION = 0.25
 OBJECTIVE_FRACTION = 0.5  # fraction of the latency objective that a round-trip may take
 MAX_OBJECTIVE_FRACTION = 0.75  # the latency target never exceeds this fraction of the latency objective
@@ -62,7 +63,7 @@
         baseline_in_flight: The smoothed number of requests in flight while latency was good.
         ramping: Whether the baseline follows the requests in flight within a few round-trips.
         lost_fraction: The smoothed fraction of requests that timed out or failed.
-        late_fraction: The smoothed fraction of responses and time-outs above their latency target.
+        late_fraction: The smoothed fraction of responses and timeouts above their latency target.
         samples: For each sample, the relative latency and whether it was sent before the last decrease.
         in_flight_sum: The sum over the samples of the requests in flight.
         latency_sum: The sum over the samples of their latency.
--- a/harecross/policy/outcome_recorder.py
+++ b/harecross/policy/outcome_recorder.py
@@ -23,7 +23,7 @@
     """Passes outcomes on to the concurrency limit, the averages and the outlier detection.
 
     Attributes:
-        overtaken: The number of time-outs at servers that had answered a request that was sent later.
+        overtaken: The number of timeouts at servers that had answered a request that was sent later.
     """
 
     subset: Subset
@@ -48,8 +48,8 @@
             overtaken = timed_out and server.newest_answered_sent_at > request.sent_at
             if outcome not in UNANSWERED:
                 server.newest_answered_sent_at = max(server.newest_answered_sent_at, request.sent_at)
-            # A time-out that a later request has overtaken is a lost request, which is no measure of latency.
-            # Any other time-out may be a slow request.
+            # A timeout that a later request has overtaken is a lost request, which is no measure of latency.
+            # Any other timeout may be a slow request.
             if ok or (timed_out and not overtaken):
                 self._record_latency(now, server, request.request_class, rtt)
         self.overtaken += overtaken
--- a/harecross/policy/outlier_detection.py
+++ b/harecross/policy/outlier_detection.py
@@ -18,7 +18,7 @@
 MAX_DOUBLINGS = 4  # the duration doubles with each further ejection, this many times at most
 UNRESPONSIVE_RTTS = 4  # a member is unresponsive after this many mean round-trips without an outcome
 
-# Outcomes of attempts to which the server gave no sign at all.
+# Outcomes of attempts that got no response of any kind from the server.
 UNANSWERED = (Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
--- a/harecross/policy/slow_start.py
+++ b/harecross/policy/slow_start.py
@@ -39,12 +39,8 @@
 
     def factor(self, now: int, server: Server) -> float:
         """Returns the fraction of its full capacity that the server has now."""
-        remaining = server.slow_start_until - now
-        return (
-            1.0
-            if remaining <= 0
-            else fleet_limits.slow_start_factor(self.min_capacity, remaining, self.duration)
-        )
+        left = server.slow_start_until - now
+        return 1.0 if left <= 0 else fleet_limits.slow_start_factor(self.min_capacity, left, self.duration)
 
     def take_token(self, now: int, server: Server) -> bool:
         """Returns whether the server may be sent a request now, and takes a token if it may.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -172,7 +172,7 @@
 
 
 def test_a_client_that_disconnects_late_counts_as_a_slow_response():
-    """Clients that disconnect before a time-out cancel their requests; without a sample the limit would not fall."""
+    """Clients that disconnect before a timeout cancel their requests; without a sample the limit would not fall."""
     samples, slower = disconnect_client_after(2 * SEC)
     assert samples == 1
     assert slower > 0
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -28,7 +28,7 @@
 from harecross.interface import Endpoint, EndpointUpdateKind, Outcome
 
 
-def test_all_nodes_move_in_one_instant_to_a_discovery_that_answers_slowly():
+def test_all_nodes_migrate_at_once_to_a_discovery_that_answers_slowly():
     """After a SIGHUP to the whole fleet, each node follows the old discovery until the new one has answered."""
     nodes = 20
 
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("fraction", [0.5, 1.0])
 def test_a_member_that_loses_responses_gets_few_requests(fraction):
-    """Its other responses are as fast as those of all members, but each lost one takes until the time-out."""
+    """Its other responses are as fast as those of all members, but each lost one takes until the timeout."""
     node, received = lose_responses(fraction, (3, 7))
     even = sum(received.values()) / 10
     assert (
--- a/tests/test_same_actions.py
+++ b/tests/test_same_actions.py
@@ -79,7 +79,7 @@
         self.schedule(at, head + report, request)
 
     def simulate_attempt(self, now: int, request: tuple[int, int], server: int, timeout: int) -> None:
-        """Schedules the outcome of an attempt: a response, an error, a rejection, a reset or a time-out."""
+        """Schedules the outcome of an attempt: a response, an error, a rejection, a reset or a timeout."""
         rng, second = self.rng, now // 1_000_000
         attempt = self.last_attempts.get(request, -1) + 1
         self.last_attempts[request] = attempt
