--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -122,8 +122,8 @@
         (
             (
                 "platform/peer_state.py",
-                "    return present_events(descriptor, PEER_CLOSED) &",
-                "    return False and present_events(descriptor, PEER_CLOSED) &",
+                "    return poll_events(descriptor, PEER_CLOSED) &",
+                "    return False and poll_events(descriptor, PEER_CLOSED) &",
             ),
         ),
     ),
--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -12,7 +12,7 @@
 from struct import error as StructError
 from typing import Any, BinaryIO
 
-from harecross.discovery.subscription_schedule import CallEnd, SubscriptionSchedule, discovery_terms
+from harecross.discovery.subscription_schedule import CallEnd, SubscriptionSchedule, discovery_settings
 from harecross.discovery.subscription_schedule import SubscriptionState as SubscriptionState
 from harecross.interface import Endpoint, EndpointState, EndpointUpdateKind, Outcome
 from harecross.policy.balancer import Balancer
@@ -188,7 +188,7 @@
         settings = parse_settings_json(read_bytes(body, pos, size))
         self.nodes[node] = Balancer(settings, seed, WireActions(self.out, node))
         if settings.discovery_polled:
-            self.schedule[node] = SubscriptionSchedule(discovery_terms(settings), Random(seed))
+            self.schedule[node] = SubscriptionSchedule(discovery_settings(settings), Random(seed))
             self.schedule[node].call_started(now / 1e6)
         self.deliver(node, "start", now)
         return pos + int(size)
--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -26,7 +26,7 @@
     ServerRelease,
     what_is_missing,
 )
-from harecross.discovery.endpoint_status import IN_USE, OUT
+from harecross.discovery.endpoint_status import IN_MAINTENANCE, IN_USE
 
 STATUS_INTERVAL_S = 0.5
 MAX_STATUS_FAILURES = 6  # in a row at one node
@@ -274,7 +274,7 @@
             return
         current = self.current_statuses(server)
         for node, status, _ in current:
-            if status is None or status.state != OUT:
+            if status is None or status.state != IN_MAINTENANCE:
                 self.stop(f"{node}: {server.id} was put back by somebody else")
                 self.put_back(now, server, actions)
                 return
@@ -300,7 +300,7 @@
         for node, status, _ in current:
             late_call = node in server.effect_unknown
             server.effect_unknown.discard(node)
-            if status is None or status.state != OUT:
+            if status is None or status.state != IN_MAINTENANCE:
                 continue
             if late_call:
                 server.maybe_out.add(node)
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -14,16 +14,16 @@
 from harecross.discovery.subscription_schedule import (
     MIGRATION_STALENESS_LIMIT_S,
     CallEnd,
-    DiscoveryTerms,
+    DiscoverySettings,
     SubscriptionSchedule,
 )
-from harecross.discovery.transition_log import describe
+from harecross.discovery.transition_log import describe_transitions
 from harecross.discovery.watch import LIST_PATH, Watch
 from harecross.interface import EndpointUpdateKind
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_line
 
-PUSHED = DiscoveryTerms()
+DEFAULT_SETTINGS = DiscoverySettings()
 # After a migration the new discovery may lag behind for so long; what it has written by then may still be on its way
 # for a moment more.
 MAX_MIGRATION_LAG_S = MIGRATION_STALENESS_LIMIT_S + 1.0
@@ -42,7 +42,7 @@
         self,
         registry: EndpointRegistry,
         address: tuple[str, int],
-        terms: DiscoveryTerms = PUSHED,
+        settings: DiscoverySettings = DEFAULT_SETTINGS,
         consumer: EndpointListConsumer | None = None,
         seed: int = 0,
         monotonic: Callable[[], float] = time.monotonic,
@@ -52,12 +52,12 @@
         self.registry = registry
         self.consumer = consumer or registry
         self.address = address
-        self.terms = terms
+        self.settings = settings
         self.rng = Random(seed)
         self.monotonic = monotonic
         # Called when discovery has sent a list, or confirmed that the present one has not changed:
         self.on_current_list: Callable[[], None] = lambda: None
-        self.schedule = SubscriptionSchedule(terms, self.rng)
+        self.schedule = SubscriptionSchedule(settings, self.rng)
         self.generation: int | None = 0  # the version that the next watch starts after
         self.epoch = 0  # counts migrations
         self.migrated_at: float | None = None  # when the last migration began
@@ -115,7 +115,7 @@
         if self.current is None:
             self.generation = None
         else:
-            schedule = SubscriptionSchedule(self.terms, self.rng, migrating=True)
+            schedule = SubscriptionSchedule(self.settings, self.rng, migrating=True)
             self.pending = Watch(self, address, None, schedule, self.epoch)
         return True
 
@@ -159,7 +159,7 @@
         """One of the watch's own calls is over."""
         if watch in self.retired:
             self.retired.remove(watch)
-        elif self.terms.polled and watch is self.current:
+        elif self.settings.polled and watch is self.current:
             self.notify_failure()
 
     def apply_if_any(self, result: TableUpdate) -> None:
@@ -199,7 +199,7 @@
 
     def log(self, watch: Watch, version: object, result: TableUpdate, now: float) -> None:
         """Writes transitions to the log, and to the attempt log where there is one."""
-        for line in describe(result.transitions, now):
+        for line in describe_transitions(result.transitions, now):
             log_line(f"discovery: {watch.name} v{version}: {line}")
         tracer = self.registry.dispatcher.tracer
         if tracer is not None:
@@ -245,7 +245,7 @@
         if watch is None:
             return self.notify_failure()
         # A schedule of its own: the response is no heartbeat of the watch.
-        schedule = SubscriptionSchedule(self.terms, self.rng)
+        schedule = SubscriptionSchedule(self.settings, self.rng)
         schedule.call_started(time.monotonic())
         if await watch.call(LIST_PATH, schedule, is_watch_call=False) is not CallEnd.ENDED:
             self.notify_failure()
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -8,7 +8,7 @@
 from harecross.discovery.endpoint_registry import EndpointRegistry
 
 # The values of `state` in the answers to operators:
-IN_USE, OUT, DRAINING, GONE = "in use", "out", "draining", "gone"
+IN_USE, IN_MAINTENANCE, DRAINING, GONE = "in use", "out", "draining", "gone"
 
 
 class EndpointStatus(TypedDict):
@@ -53,7 +53,7 @@
 def state_of(registry: EndpointRegistry, name: str) -> str:
     """The server's `state`."""
     if name in registry.in_maintenance:
-        return OUT
+        return IN_MAINTENANCE
     if registry.numbers.get(name, 0) in registry.listed:
         return IN_USE
     return DRAINING if name in registry.draining else GONE
--- a/harecross/discovery/listed_endpoints.py
+++ b/harecross/discovery/listed_endpoints.py
@@ -8,7 +8,7 @@
 
 from harecross.discovery import wire_format
 
-MAX_ENDED = 8192  # two releases of the largest clusters
+MAX_TERMINATED = 8192  # two releases of the largest clusters
 
 
 @dataclass(slots=True)
@@ -17,8 +17,8 @@
 
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)  # by the server's name
     has_full_list: bool = False  # of this process, not only a remembered one
-    has_remembered_list: bool = False
-    ended: dict[str, None] = field(default_factory=dict)  # gone and not listed since, the oldest first
+    has_cached_list: bool = False
+    terminated: dict[str, None] = field(default_factory=dict)  # gone and not listed since, the oldest first
 
     def apply(self, update: Mapping[str, Any], *, full: bool, cached: bool) -> None:
         """Uses a list or change that has been found readable; unreadable entries are ignored."""
@@ -31,25 +31,25 @@
             self.entries = {}
         for name, entry in stated.items():
             self.use_entry(name, entry)
-        while len(self.ended) > MAX_ENDED:
-            del self.ended[next(iter(self.ended))]
+        while len(self.terminated) > MAX_TERMINATED:
+            del self.terminated[next(iter(self.terminated))]
         self.has_full_list = self.has_full_list or (full and not cached)
-        self.has_remembered_list = self.has_remembered_list or cached
+        self.has_cached_list = self.has_cached_list or cached
 
     def use_entry(self, name: str, entry: dict[str, Any]) -> None:
         """Uses one entry; its fields replace those of the entry before."""
-        self.ended.pop(name, None)
+        self.terminated.pop(name, None)
         if entry[wire_format.LIFECYCLE] == wire_format.TERMINATED:
             self.entries.pop(name, None)
-            self.ended[name] = None
+            self.terminated[name] = None
         elif isinstance(entry.get(wire_format.HOST_PORT), str) or name in self.entries:
             self.entries[name] = {**self.entries.get(name, {}), **entry}
 
     def is_publishable(self) -> bool:
         """Whether there is a list: a service that has just started must not publish an empty one."""
-        return self.has_full_list or (self.has_remembered_list and bool(self.entries))
+        return self.has_full_list or (self.has_cached_list and bool(self.entries))
 
-    def memory(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """The list to begin with after a restart, in discovery's form."""
         return wire_format.full_list(self.entries.values())
 
--- a/harecross/discovery/process_table.py
+++ b/harecross/discovery/process_table.py
@@ -146,7 +146,7 @@
             self.switch_source(now, source)
         self.record_all(now, stated, wire_format.generation_of(update), full=full)
         transitions = self.transitions_since(before, stated)
-        used = [self.effective_form(entry) for entry in entries]
+        used = [self.replacement_for(entry) for entry in entries]
         caught_up = self.finish_catching_up(now)
         instances = used + caught_up.update[wire_format.INSTANCES]
         return TableUpdate({**update, wire_format.INSTANCES: instances}, transitions + caught_up.transitions)
@@ -298,7 +298,7 @@
             return False
         return self.effective_entry(name) is not self.current_statements[name].entry
 
-    def effective_form(self, entry: Any) -> Any:
+    def replacement_for(self, entry: Any) -> Any:
         """The entry to use in place of one that has just been recorded; what is no entry is returned as it is."""
         name = wire_format.server_name(entry)
         return entry if name is None or name not in self.current_statements else self.effective_entry(name)
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -19,7 +19,7 @@
     POLL_TIMEOUT_S,
     STALENESS_LIMIT_S,
     WATCH_HEARTBEAT_TIMEOUT_S,
-    DiscoveryTerms,
+    DiscoverySettings,
     SubscriptionSchedule,
 )
 
@@ -43,11 +43,11 @@
     PAST_LIMIT = "binding"  # a change that this node has not received may count as notified
 
 
-def max_start_wait_s(terms: DiscoveryTerms, *, replaces_process: bool = False) -> float:
+def max_start_wait_s(settings: DiscoverySettings, *, replaces_process: bool = False) -> float:
     """How long a start waits for discovery, in seconds, before it uses the list that it has."""
     if replaces_process:
         return MAX_REPLACEMENT_WAIT_S
-    return MAX_POLLED_WAIT_S if terms.polled else MAX_PUSHED_WAIT_S
+    return MAX_POLLED_WAIT_S if settings.polled else MAX_PUSHED_WAIT_S
 
 
 class ListReadiness:
--- a/harecross/discovery/start_times.py
+++ b/harecross/discovery/start_times.py
@@ -25,17 +25,19 @@
 class StartTimes:
     """The start of each server's latest process. Times are monotonic microseconds unless their names say otherwise."""
 
-    __slots__ = ("by_name", "complete_at", "unix_offset")
+    __slots__ = ("by_name", "last_complete_list_at", "unix_offset")
 
     def __init__(self, unix_offset: int) -> None:
         """`unix_offset` is the wall clock's Unix time less the monotonic time, in microseconds, at one moment."""
         self.unix_offset = unix_offset
         self.by_name: dict[str, ProcessStart] = {}
-        self.complete_at = LONG_AGO  # a process that no list has named yet was not listed at that time
+        self.last_complete_list_at = (
+            LONG_AGO  # a process that no list has named yet was not listed at that time
+        )
 
     def listing_complete(self, now: int) -> None:
         """Discovery has just confirmed that the present list is complete."""
-        self.complete_at = now
+        self.last_complete_list_at = now
 
     def ready_at(self, name: str, started_ms: int, now: int) -> int:
         """When that process of the server became ready."""
@@ -54,4 +56,4 @@
         if started_ms <= 0:
             return LONG_AGO
         stated_start = started_ms * 1000 - self.unix_offset
-        return max(1, min(now, max(stated_start, self.complete_at)))
+        return max(1, min(now, max(stated_start, self.last_complete_list_at)))
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiscoveryTerms:
+class DiscoverySettings:
     """What the settings say on a node's discovery."""
 
     polled: bool = False  # lists are polled; otherwise an agent on the node's machine pushes them
@@ -108,9 +108,9 @@
     max_poll_interval_s: float = 10.0  # the longest time that a node without a watch may go without a poll
 
 
-def discovery_terms(settings: Settings) -> DiscoveryTerms:
+def discovery_settings(settings: Settings) -> DiscoverySettings:
     """What a node's settings say on its discovery."""
-    return DiscoveryTerms(
+    return DiscoverySettings(
         settings.discovery_polled,
         settings.instance_count,
         settings.instance_index,
@@ -137,15 +137,15 @@
         "migrating",
         "next_call_at",
         "rng",
+        "settings",
         "state",
-        "terms",
         "update_received",
         "wait_count",
     )
 
-    def __init__(self, terms: DiscoveryTerms, rng: Random, *, migrating: bool = False) -> None:
+    def __init__(self, settings: DiscoverySettings, rng: Random, *, migrating: bool = False) -> None:
         """`migrating`: the subscription at another discovery, which is to replace the present one."""
-        self.terms = terms
+        self.settings = settings
         self.rng = rng
         self.state = SubscriptionState.IDLE
         self.next_call_at = inf
@@ -202,7 +202,7 @@
             self.long_queue_calls = LONG_QUEUE_CALLS
         self.state = SubscriptionState.WAITING
         self.last_end = end
-        self.next_call_at = now + (self.poll_delay(end) if self.terms.polled else self.agent_backoff())
+        self.next_call_at = now + (self.poll_delay(end) if self.settings.polled else self.agent_backoff())
 
     def agent_backoff(self) -> float:
         """Seconds until the next call to an agent: exponential backoff."""
@@ -227,17 +227,17 @@
         """Seconds of the present round."""
         growth = ROUND_GROWTH_FACTOR ** max(0, min(self.consecutive_failures, 20) - 1)
         if self.long_queue_calls:
-            longest = max(LONG_QUEUE_ROUND_S, MAX_ROUND_POLL_INTERVALS * self.terms.max_poll_interval_s)
+            longest = max(LONG_QUEUE_ROUND_S, MAX_ROUND_POLL_INTERVALS * self.settings.max_poll_interval_s)
             return float(min(LONG_QUEUE_ROUND_S * growth, longest))
         limit = max_round_s(migrating=self.migrating)
-        length = min(ROUND_SLOT_S * self.terms.instance_count, limit) * growth
+        length = min(ROUND_SLOT_S * self.settings.instance_count, limit) * growth
         # A discovery whose responses cannot be read is up and spends work on each call: its rounds grow past the limit.
         return float(length if self.last_end is CallEnd.MALFORMED else min(length, limit))
 
     def round_position(self) -> float:
         """This node's position in the present round, in [0, 1)."""
-        terms = self.terms
-        slot = (terms.instance_index + self.rng.random()) / max(1, terms.instance_count)
+        settings = self.settings
+        slot = (settings.instance_index + self.rng.random()) / max(1, settings.instance_count)
         return (slot + self.wait_count * GOLDEN_RATIO_FRACTION) % 1.0
 
     # ---- the age of the list ----------------------------------------------------------------------------
@@ -245,7 +245,7 @@
     def response_deadline(self) -> float:
         """When the open call or watch is given up unless it brings something."""
         if self.state is SubscriptionState.CALLING:
-            timeout = POLL_TIMEOUT_S if self.terms.polled else AGENT_RESPONSE_TIMEOUT_S
+            timeout = POLL_TIMEOUT_S if self.settings.polled else AGENT_RESPONSE_TIMEOUT_S
             return self.call_started_at + timeout
         if self.state is SubscriptionState.SUBSCRIBED:
             return self.last_heartbeat_at + WATCH_HEARTBEAT_TIMEOUT_S
--- a/harecross/discovery/transition_log.py
+++ b/harecross/discovery/transition_log.py
@@ -18,7 +18,7 @@
     return f"{statement.source.address}{version} said {lifecycle}, {age_s:.1f} s ago"
 
 
-def describe(transitions: Iterable[Transition], now: float) -> list[str]:
+def describe_transitions(transitions: Iterable[Transition], now: float) -> list[str]:
     """One line for each combination of states and cause; `now` in monotonic seconds.
 
     Where the current source has just stated the new state, only the servers are named.
--- a/harecross/discovery/watch.py
+++ b/harecross/discovery/watch.py
@@ -245,7 +245,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: call, *self.address)
-            silent = await self.fell_silent(call)
+            silent = await self.wait_for_end_or_silence(call)
         except (OSError, TimeoutError) as error:
             log_line(f"discovery: {self.name}: {error!r}")
         finally:
@@ -257,7 +257,7 @@
             return CallEnd.FAILED
         return CallEnd.SILENT if silent else CallEnd.ENDED
 
-    async def fell_silent(self, call: DiscoveryCall) -> bool:
+    async def wait_for_end_or_silence(self, call: DiscoveryCall) -> bool:
         """Waits for the end of a call; True if it brought nothing in time, False if it ended.
 
         A machine that is gone leaves the connection open, and two silent watches in a row would outlast the staleness
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -15,7 +15,7 @@
 from harecross.http.request_parser import MAX_HEAD_BYTES, BadRequestError, ParsedRequest
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_exception
-from harecross.platform.peer_state import is_quiet, peer_has_closed
+from harecross.platform.peer_state import has_no_pending_events, peer_has_closed
 
 MAX_DISCARDED_BYTES = 1 << 18  # read after the input was closed; then reading is paused
 
@@ -248,7 +248,7 @@
         """Whether bytes or an end have come that are not read yet, and can be."""
         if self.transport is None or self.transport.is_closing() or self.input_closed or self.reading_paused:
             return False
-        return not is_quiet(self.descriptor)
+        return not has_no_pending_events(self.descriptor)
 
     def close_if_quiet(self, reason: CloseReason) -> bool:
         """Closes a connection without open requests, unless unread data may be a request; returns whether it did.
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -223,7 +223,7 @@
                 if not connection.has_unread_data():
                     self.evict(connection)
                     return True
-        if self.descriptor_budget.upstream_may_release() and self.dispatcher.pool.close_one_idle():
+        if self.descriptor_budget.upstream_exceeds_minimum() and self.dispatcher.pool.close_one_idle():
             return True
         stalled = self.longest_stalled_head()
         if stalled is None:
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -19,7 +19,7 @@
     STALENESS_LIMIT_S,
     WATCH_HEARTBEAT_TIMEOUT_S,
     CallEnd,
-    DiscoveryTerms,
+    DiscoverySettings,
     SubscriptionSchedule,
     SubscriptionState,
 )
@@ -28,7 +28,7 @@
 from harecross.fleet.scenario import Scenario, Trigger
 
 PROCESS_START_S = 0.3  # from a process's start to its first call
-ScheduleFactory = Callable[[DiscoveryTerms, Random], SubscriptionSchedule]
+ScheduleFactory = Callable[[DiscoverySettings, Random], SubscriptionSchedule]
 EventHandler = Callable[[float], None]  # called with the time
 
 
@@ -83,8 +83,8 @@
         self._received_at: list[list[float]] = []  # by change: when each node received it
 
     def _new_schedule(self, schedule_factory: ScheduleFactory, index: int) -> SubscriptionSchedule:
-        terms = DiscoveryTerms(True, self.scenario.nodes, index, self.scenario.max_poll_interval)
-        return schedule_factory(terms, Random(self.rng.getrandbits(64)))
+        settings = DiscoverySettings(True, self.scenario.nodes, index, self.scenario.max_poll_interval)
+        return schedule_factory(settings, Random(self.rng.getrandbits(64)))
 
     def run(self) -> RehearsalResult:
         """Plays the scenario to its end."""
@@ -155,10 +155,10 @@
                 self._call_end_handler(node, end)(now)
 
     def _restart(self, node: NodeModel, now: float) -> None:
-        terms = node.schedule.terms
-        node.schedule = type(node.schedule)(terms, Random(self.rng.getrandbits(64)))
+        settings = node.schedule.settings
+        node.schedule = type(node.schedule)(settings, Random(self.rng.getrandbits(64)))
         node.schedule.start(now + PROCESS_START_S)
-        node.readiness = ListReadiness(now, max_start_wait_s(terms))
+        node.readiness = ListReadiness(now, max_start_wait_s(settings))
         node.stopped, node.started_at, node.ready_at = False, now, inf
         self._schedule_call(node)
 
--- a/harecross/fleet/schedules.py
+++ b/harecross/fleet/schedules.py
@@ -15,7 +15,7 @@
 
     def poll_delay(self, end: CallEnd) -> float:
         """The delay before the next call, in seconds."""
-        interval = self.terms.max_poll_interval_s
+        interval = self.settings.max_poll_interval_s
         failures = min(self.consecutive_failures - (end is CallEnd.FAILED), 3)
         doubled = interval / INITIAL_DELAY_DIVISOR * 2.0**failures
         return min(doubled, interval / MAX_DELAY_DIVISOR) * (0.5 + self.rng.random())
@@ -39,7 +39,7 @@
     def poll_delay(self, end: CallEnd) -> float:
         """The delay before the next call, in seconds."""
         doubled = 0.5 * 2.0 ** min(self.consecutive_failures + 1, 20)
-        return MIN_CALL_DELAY_S + min(self.terms.max_poll_interval_s, doubled) * self.rng.random()
+        return MIN_CALL_DELAY_S + min(self.settings.max_poll_interval_s, doubled) * self.rng.random()
 
 
 class UniformSchedule(SubscriptionSchedule):
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -9,7 +9,7 @@
 from harecross.discovery.discovery_client import MAX_RETIRED_WATCHES, DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.readiness import ListReadiness, max_start_wait_s
-from harecross.discovery.subscription_schedule import discovery_terms
+from harecross.discovery.subscription_schedule import discovery_settings
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.downstream.connection_manager import MAX_ACCEPTS_PER_TURN, ConnectionManager
 from harecross.http.request_parser import RequestParser
@@ -108,9 +108,9 @@
     sources: AdditionalSources | None = None
     if options.additional_sources is not None:
         sources = options.additional_sources(registry)
-    terms = discovery_terms(config.settings)
-    discovery = DiscoveryClient(registry, config.discovery, terms, sources, config.seed)
-    readiness = ListReadiness(monotonic(), max_start_wait_s(discovery.terms))
+    settings = discovery_settings(config.settings)
+    discovery = DiscoveryClient(registry, config.discovery, settings, sources, config.seed)
+    readiness = ListReadiness(monotonic(), max_start_wait_s(discovery.settings))
     dispatcher.readiness = readiness
     membership = Membership(discovery, readiness, sources)
     dispatcher.subscription = membership
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -62,13 +62,13 @@
 
     def start_watch(self, other_processes: int) -> None:
         """Opens the watch where endpoints are pushed, and sets how long a start waits for the first list."""
-        if not self.discovery.terms.polled:
+        if not self.discovery.settings.polled:
             self.subscribe(True)
         if not self.watches_platform():
             self.list_received()  # the lists kept of the additional sources are used from the start
         elif other_processes:
             self.readiness.wait_until = monotonic() + max_start_wait_s(
-                self.discovery.terms, replaces_process=True
+                self.discovery.settings, replaces_process=True
             )
 
     def subscribe(self, on: bool) -> None:
--- a/harecross/platform/descriptor_budget.py
+++ b/harecross/platform/descriptor_budget.py
@@ -33,6 +33,6 @@
         """Whether one more upstream connection may be opened."""
         return self.upstream_connections + max(self.client_reserve(), self.client_connections) < self.total
 
-    def upstream_may_release(self) -> bool:
+    def upstream_exceeds_minimum(self) -> bool:
         """Whether there are more upstream connections than their least part, so that an idle one may be closed."""
         return self.upstream_connections > self.total // 4
--- a/harecross/platform/peer_state.py
+++ b/harecross/platform/peer_state.py
@@ -15,7 +15,7 @@
 BROKEN = select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-def present_events(descriptor: int, events: int) -> int:
+def poll_events(descriptor: int, events: int) -> int:
     """Which of the events hold on an open descriptor, and whether it is broken; 0 for none."""
     poll = select.poll()
     poll.register(descriptor, events)
@@ -26,9 +26,9 @@
 
 def peer_has_closed(descriptor: int) -> bool:
     """Whether the other end has closed or reset, even if bytes before that have not been read."""
-    return present_events(descriptor, PEER_CLOSED) & (PEER_CLOSED | BROKEN) != 0
+    return poll_events(descriptor, PEER_CLOSED) & (PEER_CLOSED | BROKEN) != 0
 
 
-def is_quiet(descriptor: int) -> bool:
+def has_no_pending_events(descriptor: int) -> bool:
     """Whether nothing has come on an idle connection: no byte, no end, no reset."""
-    return present_events(descriptor, select.POLLIN | PEER_CLOSED) == 0
+    return poll_events(descriptor, select.POLLIN | PEER_CLOSED) == 0
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -16,7 +16,7 @@
 from harecross.interface import Outcome
 from harecross.platform.clock import monotonic_us
 from harecross.platform.descriptor_budget import DescriptorBudget
-from harecross.platform.peer_state import is_quiet
+from harecross.platform.peer_state import has_no_pending_events
 from harecross.platform.system_errors import is_local_shortage
 from harecross.upstream.connection import ServerConnection, ServerProcess
 from harecross.upstream.exchange import NO_DEADLINE_US, Exchange, HealthCheck
@@ -161,7 +161,7 @@
                 if (
                     connection.transport is not None
                     and not connection.transport.is_closing()
-                    and is_quiet(connection.descriptor)
+                    and has_no_pending_events(connection.descriptor)
                 ):
                     return connection
                 connection.discard(CloseReason.PEER)
--- a/harecross/xds/publisher_loop.py
+++ b/harecross/xds/publisher_loop.py
@@ -155,5 +155,5 @@
         else:
             limit = request_limit(views, cluster.requests_per_server, self._server.count())
         return cluster.publisher.update(
-            monotonic_us(), views, limit, cluster.cross_zone_cost, cluster.feed.listed_endpoints.ended
+            monotonic_us(), views, limit, cluster.cross_zone_cost, cluster.feed.listed_endpoints.terminated
         )
--- a/harecross/xds/remembered_lists.py
+++ b/harecross/xds/remembered_lists.py
@@ -49,7 +49,7 @@
             return
         self._changed, self._written_at = False, asyncio.get_running_loop().time()
         lists = {
-            name: feed.listed_endpoints.memory()
+            name: feed.listed_endpoints.snapshot()
             for name, feed in feeds.items()
             if feed.listed_endpoints.is_publishable()
         }
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -163,7 +163,7 @@
         feed = self.publisher_loop.feeds.get(name)
         remembered = None
         if feed is not None:
-            remembered = feed.listed_endpoints.memory()
+            remembered = feed.listed_endpoints.snapshot()
             feed.close()
         self.start_cluster(name, remembered)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -120,7 +120,7 @@
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             listed = service.publisher_loop.feeds["orders"].listed_endpoints
-            assert listed.has_remembered_list
+            assert listed.has_cached_list
             assert not listed.has_full_list
             await proxy.stop()
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -26,7 +26,7 @@
 from harecross.discovery.discovery_client import DiscoveryClient
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.discovery.list_versions import VersionOrder, compare_versions
-from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
+from harecross.discovery.subscription_schedule import DiscoverySettings, SubscriptionSchedule
 from harecross.discovery.watch import Watch
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.upstream.connection_pool import ConnectionPool
@@ -168,7 +168,7 @@
     watch = object.__new__(Watch)
     watch.listener, watch.address, watch.epoch = discovery, discovery.address, discovery.epoch
     watch.closed, watch.retired, watch.generation = False, False, generation
-    watch.schedule = SubscriptionSchedule(DiscoveryTerms(), Random(1))
+    watch.schedule = SubscriptionSchedule(DiscoverySettings(), Random(1))
     watch.task = SimpleNamespace(cancel=lambda: None)
     return watch
 
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -13,7 +13,7 @@
 from harecross.discovery import json_stream, subscription_schedule
 from harecross.discovery import watch as watch_module
 from harecross.discovery.json_stream import BLANK_LINE, MAX_VALUE_BYTES, JsonStreamParser, MalformedJsonError
-from harecross.discovery.subscription_schedule import DiscoveryTerms, SubscriptionSchedule
+from harecross.discovery.subscription_schedule import DiscoverySettings, SubscriptionSchedule
 from harecross.discovery.watch import DiscoveryCall
 
 UPDATES = st.lists(
@@ -190,7 +190,7 @@
             update_received=lambda value, first: updates.append(value), heartbeat_received=lambda: None
         )
         call = DiscoveryCall(
-            watch, b"/", SubscriptionSchedule(DiscoveryTerms(), Random(1)), is_watch_call=True
+            watch, b"/", SubscriptionSchedule(DiscoverySettings(), Random(1)), is_watch_call=True
         )
         call.http_parser.feed_data(STARTED)
         text = b"".join(json.dumps(update(n)).encode() + b"\n" for n in range(100, 150))
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -15,7 +15,7 @@
     ProcessTable,
     TransitionCause,
 )
-from harecross.discovery.transition_log import describe
+from harecross.discovery.transition_log import describe_transitions
 from harecross.discovery.wire_format import Lifecycle
 
 OLD, NEW = DiscoverySource("old:1", 0), DiscoverySource("new:1", 1, may_lag_until=5.0)
@@ -287,14 +287,14 @@
     table = ProcessTable(OLD)
     table.receive(0.0, OLD, list_with("terminating", version=43), full=True)
     held = table.receive(1.0, NEW, list_with("in_service", version=42), full=True)
-    assert describe(held.transitions, 1.0) == [
+    assert describe_transitions(held.transitions, 1.0) == [
         "draining -> held, said: s (old:1 v43 said draining, 1.0 s ago)"
     ]
     back = table.heartbeat(AFTER, NEW)
-    assert describe(back.transitions, AFTER) == [
+    assert describe_transitions(back.transitions, AFTER) == [
         "held -> in service, caught up: s (new:1 v42 said in service, 6.0 s ago)"
     ]
     many = update(50, *(entry(f"s{i}", "h:1") for i in range(8)))
-    (line,) = describe(table.receive(AFTER, NEW, many, full=False).transitions, AFTER)
+    (line,) = describe_transitions(table.receive(AFTER, NEW, many, full=False).transitions, AFTER)
     assert line == "gone -> in service, said: s0, s1, s2, s3, s4, s5, 2 more"
     assert table.current_statements["s0"].lifecycle is Lifecycle.IN_SERVICE
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -30,7 +30,7 @@
     ListReadiness,
     max_start_wait_s,
 )
-from harecross.discovery.subscription_schedule import CallEnd, DiscoveryTerms, SubscriptionSchedule
+from harecross.discovery.subscription_schedule import CallEnd, DiscoverySettings, SubscriptionSchedule
 from harecross.fleet import rehearsal
 from harecross.fleet.discovery import DiscoveryCapacity
 from harecross.fleet.rehearsal import Rehearsal
@@ -222,7 +222,7 @@
 
 
 def test_freshness_and_readiness_from_the_start_to_a_stale_list():
-    schedule, list_readiness = SubscriptionSchedule(DiscoveryTerms(), Random(1)), ListReadiness(100.0, 6.0)
+    schedule, list_readiness = SubscriptionSchedule(DiscoverySettings(), Random(1)), ListReadiness(100.0, 6.0)
     assert list_readiness.freshness(100.0, schedule) is Freshness.NONE
     assert not list_readiness.may_send(100.0)
     list_readiness.configured_list_loaded()
@@ -251,18 +251,18 @@
 def test_a_failed_first_call_and_the_second_fit_into_the_longest_wait(number):
     """The sum of a call that times out, the pause, any position in the round, and the next call."""
     schedule = SubscriptionSchedule(
-        DiscoveryTerms(polled=True, instance_count=230, instance_index=number), Random(1)
+        DiscoverySettings(polled=True, instance_count=230, instance_index=number), Random(1)
     )
     schedule.start(0.0)
     schedule.call_started(0.0)
     schedule.call_ended(schedule.response_deadline(), CallEnd.FAILED)
     schedule.call_started(schedule.next_call_at)
     assert schedule.response_deadline() <= MAX_POLLED_WAIT_S
-    assert max_start_wait_s(DiscoveryTerms(polled=True)) == MAX_POLLED_WAIT_S < 30.0, (
+    assert max_start_wait_s(DiscoverySettings(polled=True)) == MAX_POLLED_WAIT_S < 30.0, (
         "clients come after 30 s"
     )
-    assert max_start_wait_s(DiscoveryTerms()) == MAX_PUSHED_WAIT_S
-    assert max_start_wait_s(DiscoveryTerms(), replaces_process=True) < 2.0, (
+    assert max_start_wait_s(DiscoverySettings()) == MAX_PUSHED_WAIT_S
+    assert max_start_wait_s(DiscoverySettings(), replaces_process=True) < 2.0, (
         "a new process is to be ready in time"
     )
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -17,7 +17,7 @@
 from harecross.admin_client.calls import CallResult, NodeStatus, ServerStatus, StatusFailure
 from harecross.admin_client.release import Release
 from harecross.admin_client.release_state import Action, ActionKind, Limits, Phase
-from harecross.discovery.endpoint_status import IN_USE, OUT
+from harecross.discovery.endpoint_status import IN_MAINTENANCE, IN_USE
 from harecross.node.config import config_from
 from harecross.node.node import Node
 
@@ -75,7 +75,7 @@
             self.out[door].discard(self.rng.choice(sorted(self.out[door])))
         rows = {}
         for name in NAMES:
-            state = OUT if name in self.out[door] else IN_USE
+            state = IN_MAINTENANCE if name in self.out[door] else IN_USE
             out = int(self.open.get((door, name), 0) > self.now)
             rows[name] = ServerStatus(
                 name, state, True, out, 1.0 if self.cold.get(name, 0) <= self.now else 0.5, False
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -457,7 +457,7 @@
         service = states.control_service(path)
         service.start_cluster("orders", service.remembered_lists.load()["orders"])
         feed = service.publisher_loop.feeds["orders"]
-        assert feed.listed_endpoints.has_remembered_list
+        assert feed.listed_endpoints.has_cached_list
         assert not feed.listed_endpoints.has_full_list
         assert feed.listed_endpoints.is_publishable()
         assert feed.listed_endpoints.entries == {
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -31,7 +31,7 @@
     STALENESS_LIMIT_S,
     WATCH_HEARTBEAT_TIMEOUT_S,
     CallEnd,
-    DiscoveryTerms,
+    DiscoverySettings,
     SubscriptionSchedule,
     SubscriptionState,
     max_round_s,
@@ -39,11 +39,11 @@
 from harecross.node.node import Node
 from harecross.standins.discovery import chunk, entry, line, update
 
-FLEET = DiscoveryTerms(True, 40, 7, 10.0)
+FLEET = DiscoverySettings(True, 40, 7, 10.0)
 
 
-def subscribed(terms: DiscoveryTerms = FLEET, seed: int = 1) -> SubscriptionSchedule:
-    schedule = SubscriptionSchedule(terms, Random(seed))
+def subscribed(settings: DiscoverySettings = FLEET, seed: int = 1) -> SubscriptionSchedule:
+    schedule = SubscriptionSchedule(settings, Random(seed))
     schedule.start(0.0)
     assert schedule.next_call_at == 0.0
     schedule.call_started(0.0)
@@ -109,7 +109,7 @@
 def test_all_waits_together_fit_into_the_staleness_limit_for_every_position_in_the_round(nodes):
     """A watch silent three times in a row; a discovery that was down; a migration to one that answers nothing."""
     for index in range(nodes):
-        schedule = subscribed(DiscoveryTerms(True, nodes, index, 10.0), seed=index)
+        schedule = subscribed(DiscoverySettings(True, nodes, index, 10.0), seed=index)
         for _ in range(3):
             schedule.call_ended(10.0, CallEnd.SILENT)
             assert (
@@ -124,7 +124,7 @@
             schedule.call_ended(20.0, CallEnd.FAILED)
             assert schedule.next_call_at - 20.0 + POLL_TIMEOUT_S <= STALENESS_LIMIT_S
         migration = SubscriptionSchedule(
-            DiscoveryTerms(True, nodes, index, 10.0), Random(index), migrating=True
+            DiscoverySettings(True, nodes, index, 10.0), Random(index), migrating=True
         )
         migration.start(0.0)
         migration.call_started(0.0)
@@ -191,7 +191,7 @@
 
 
 def test_an_agent_is_called_again_with_a_short_backoff():
-    schedule = subscribed(DiscoveryTerms())
+    schedule = subscribed(DiscoverySettings())
     schedule.call_ended(1.0, CallEnd.SILENT)
     assert schedule.next_call_at == pytest.approx(1.0 + AGENT_BACKOFF_INITIAL_S)
     for _ in range(10):
@@ -263,7 +263,7 @@
 
 def test_an_agent_that_is_silent_or_refuses_for_long_is_called_again_within_the_send_stop_grace():
     """A change that it gets when it comes back counts as notified at once, whether or not a call is open."""
-    watch = SubscriptionSchedule(DiscoveryTerms(), Random(1))
+    watch = SubscriptionSchedule(DiscoverySettings(), Random(1))
     watch.start(0.0)
     now = 0.0
     for end in [CallEnd.SILENT, CallEnd.FAILED] * 20:
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -295,7 +295,7 @@
     endpoints = ListedEndpoints()
     endpoints.apply({"instances": [line("a")]}, full=True, cached=False)
     restarted = ListedEndpoints()
-    restarted.apply(endpoints.memory(), full=True, cached=True)
+    restarted.apply(endpoints.snapshot(), full=True, cached=True)
     assert restarted.is_publishable()
     assert not restarted.has_full_list
     assert restarted.entries == endpoints.entries
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -154,15 +154,15 @@
     endpoints.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
     endpoints.apply(update(2, entry("a", "h:1", "terminated")), full=False, cached=False)
     endpoints.apply(update(3, entry("b", "h:2"), reset=True), full=True, cached=False)
-    assert set(endpoints.ended) == {"a"}
+    assert set(endpoints.terminated) == {"a"}
     assert set(endpoints.entries) == {"b"}
     endpoints.apply(update(4, entry("a", "h:1")), full=False, cached=False)
-    assert not endpoints.ended
+    assert not endpoints.terminated
 
 
 def test_a_list_remembers_a_limited_number_of_ended_servers(monkeypatch):
-    monkeypatch.setattr(listed_endpoints, "MAX_ENDED", 3)
+    monkeypatch.setattr(listed_endpoints, "MAX_TERMINATED", 3)
     endpoints = ListedEndpoints()
     for i in range(20):
         endpoints.apply(update(i, entry(f"x{i}", "h:3", "terminated")), full=False, cached=False)
-    assert list(endpoints.ended) == ["x17", "x18", "x19"]
+    assert list(endpoints.terminated) == ["x17", "x18", "x19"]
