--- a/harecross/platform/__init__.py
+++ b/harecross/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The operating system's side: clock, descriptors, durable files, child processes, system-call errors."""
+"""Operating system services: clock, file descriptors, durable files, child processes and system call errors."""
--- a/harecross/platform/clock.py
+++ b/harecross/platform/clock.py
@@ -1,4 +1,4 @@
-"""The clock of all decisions: monotonic, never the wall clock, which may be stepped."""
+"""The clock for all decisions. It is monotonic, because the wall clock may be stepped."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def monotonic_us() -> int:
-    """The module's time: monotonic microseconds."""
+    """Returns the current time in monotonic microseconds, the unit of the balancing module."""
     return monotonic_ns() // 1000
--- a/harecross/platform/descriptor_budget.py
+++ b/harecross/platform/descriptor_budget.py
@@ -1,13 +1,14 @@
-"""How client connections and upstream connections share one number of descriptors. Free of I/O."""
+"""Shares a limited number of file descriptors between client and upstream connections. Performs no I/O."""
 
 from __future__ import annotations
 
 
 class DescriptorBudget:
-    """`total` descriptors, shared by `client_connections` and `upstream_connections`.
+    """A budget of `total` descriptors for `client_connections` and `upstream_connections`.
 
-    Each side has a reserve that the other cannot take; the rest goes to whichever side asks first. The reserve for
-    upstream connections grows with their number, so that many new clients cannot stop the requests of present ones.
+    Each side has a reserve that the other side cannot use; the rest is allocated first come, first served. The reserve
+    for upstream connections grows with their number, so that many new clients cannot block the requests of existing
+    ones.
     """
 
     __slots__ = ("client_connections", "total", "upstream_connections")
@@ -18,11 +19,11 @@
         self.upstream_connections = 0
 
     def upstream_reserve(self) -> int:
-        """Descriptors that clients cannot take: a quarter, or the upstream connections' present number and a margin."""
+        """Returns the descriptors that clients cannot use: a quarter, or the open upstream connections and a margin."""
         return max(self.total // 4, min(self.upstream_connections, self.total // 2) + self.total // 16)
 
     def client_reserve(self) -> int:
-        """Descriptors that upstream connections cannot take."""
+        """Returns how many descriptors upstream connections cannot use."""
         return self.total // 3
 
     def client_connection_fits(self) -> bool:
@@ -34,5 +35,5 @@
         return self.upstream_connections + max(self.client_reserve(), self.client_connections) < self.total
 
     def upstream_exceeds_minimum(self) -> bool:
-        """Whether there are more upstream connections than their least part, so that an idle one may be closed."""
+        """Whether upstream connections exceed their guaranteed quarter, so that an idle one may be closed."""
         return self.upstream_connections > self.total // 4
--- a/harecross/platform/durable_file.py
+++ b/harecross/platform/durable_file.py
@@ -1,4 +1,4 @@
-"""Files that are replaced as a whole and synced to disk before the writer goes on."""
+"""Replaces files atomically and syncs them to disk before returning."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class UnsyncedReplaceError(OSError):
-    """The file has its new content, but a crash of the machine may still undo that."""
+    """The file has its new content, but the replacement may be lost if the machine crashes."""
 
 
 def replace_file(path: Path, data: bytes, temporary: Path) -> None:
-    """Replaces the file's content by way of `temporary`, another name in the same folder.
+    """Atomically replaces the file's content: writes it to `temporary` in the same directory, then renames that file.
 
-    OSError if it cannot be written, with the old content in place; `UnsyncedReplaceError` if only the folder could not
-    be synced. A kill at any moment leaves the old content or the new one.
+    Raises OSError if the content cannot be written, leaving the old content in place, and `UnsyncedReplaceError` if
+    only the directory could not be synced. If the process is killed at any time, the file has its old or new content.
     """
     try:
         write_and_sync(temporary, data)
         os.replace(temporary, path)
     except OSError:
-        # The incomplete file would take the space that the next attempt needs.
+        # The incomplete file would occupy disk space that the next attempt needs.
         with suppress(OSError):
             temporary.unlink()
         raise
@@ -32,7 +32,7 @@
 
 
 def write_and_sync(path: Path, data: bytes) -> None:
-    """Writes a file and syncs it; a write(2) may write only a part of the data."""
+    """Writes and syncs a file; repeats write(2), which may write only part of the data."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
         while data:
@@ -43,7 +43,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Syncs a folder: without this a power failure may undo a rename in it, though the file is on disk."""
+    """Syncs a directory; otherwise a power failure may undo a rename in it although the file itself is on disk."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/harecross/platform/log.py
+++ b/harecross/platform/log.py
@@ -1,4 +1,4 @@
-"""The program's log: lines on standard error."""
+"""The program's log, written to standard error."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def log_line(text: str) -> None:
-    """Writes one line of the log."""
+    """Writes one line to the log."""
     print(f"harecross: {text}", file=sys.stderr, flush=True)
 
 
 def log_exception(event: str) -> None:
-    """Logs the exception that is being handled, with the event during which it was raised."""
+    """Logs the exception that is being handled, with a label for the event during which it was raised."""
     log_line(f"{event}: {traceback.format_exc()}")
--- a/harecross/platform/peer_state.py
+++ b/harecross/platform/peer_state.py
@@ -1,22 +1,22 @@
-"""What the kernel knows of a connection's other end before the event loop has read it.
+"""Asks the kernel for the state of a connection's peer before the event loop has read it.
 
-The event loop reads in turns, and not at all where reading is paused. Between the end of the peer's sending and its
-reading, a node could forward a request that nobody waits for, or write one to a dead connection. Both ends of a TCP
-connection show a FIN only as such (RFC 9293, 3.6): a client that has closed looks like one that only stops sending. The
-protocol decides: clients send one request at a time and close to leave, so a peer that has ended its sending has left.
+The event loop reads from sockets once per iteration, and not at all while reading is paused. Before it reads the peer's
+FIN, a node could forward a request that no client waits for, or write a request to a dead connection. A FIN alone does
+not tell whether the peer has closed the connection or only stopped sending (RFC 9293, 3.6). The protocol resolves this:
+clients send one request at a time and close the connection to leave, so a peer that has stopped sending has left.
 """
 
 from __future__ import annotations
 
 import select
 
-# Linux has POLLRDHUP since 2.6.17 (poll(2)); elsewhere an end is seen only once it is read.
+# Linux supports POLLRDHUP since 2.6.17 (poll(2)). On other systems a close is detected only when it is read.
 PEER_CLOSED = getattr(select, "POLLRDHUP", 0)
 BROKEN = select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 def poll_events(descriptor: int, events: int) -> int:
-    """Which of the events hold on an open descriptor, and whether it is broken; 0 for none."""
+    """Returns which of `events` are pending on an open descriptor, plus any error events; 0 if there are none."""
     poll = select.poll()
     poll.register(descriptor, events)
     for _, found in poll.poll(0):
@@ -25,10 +25,10 @@
 
 
 def peer_has_closed(descriptor: int) -> bool:
-    """Whether the other end has closed or reset, even if bytes before that have not been read."""
+    """Whether the peer has closed or reset the connection, even if earlier data has not been read yet."""
     return poll_events(descriptor, PEER_CLOSED) & (PEER_CLOSED | BROKEN) != 0
 
 
 def has_no_pending_events(descriptor: int) -> bool:
-    """Whether nothing has come on an idle connection: no byte, no end, no reset."""
+    """Whether an idle connection has no unread data and the peer has neither closed nor reset it."""
     return poll_events(descriptor, select.POLLIN | PEER_CLOSED) == 0
--- a/harecross/platform/system_errors.py
+++ b/harecross/platform/system_errors.py
@@ -1,6 +1,6 @@
-"""What the error of a system call says, and about what: this machine, one connection, or nothing. Free of I/O.
+"""Classifies errors of socket system calls by cause: this machine or a single connection. Performs no I/O.
 
-Sources: accept(2), socket(2) and connect(2) of the Linux manual.
+The classification follows the Linux manual pages accept(2), socket(2) and connect(2).
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import errno
 from enum import Enum
 
-# Descriptors, memory or local ports are exhausted, or this machine has no route: the other end is not the cause.
+# Descriptors, memory or local ports are exhausted, or this machine has no route. The peer is not the cause.
 LOCAL_SHORTAGE_ERRORS = frozenset(
     (
         errno.EMFILE,
@@ -21,8 +21,8 @@
         errno.ENETUNREACH,
     )
 )
-# accept(2) returns the pending errors of the connection that it would have returned; they "should be treated like
-# EAGAIN by retrying". A firewall rule (EPERM) forbids one connection, not the next.
+# accept(2) passes on pending errors of the new connection; they "should be treated like EAGAIN by retrying". A firewall
+# rule (EPERM) forbids one connection, but not necessarily the next one.
 CONNECTION_GONE_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
@@ -52,7 +52,7 @@
 
 
 def classify_accept_error(error: OSError) -> AcceptFailure:
-    """Why accept(2) failed. An errno that the manual does not name counts as a shortage."""
+    """Returns why accept(2) failed. An errno that the manual page does not list counts as a shortage."""
     if error.errno in NO_CONNECTION_ERRORS:
         return AcceptFailure.NO_CONNECTION
     if error.errno in CONNECTION_GONE_ERRORS:
@@ -63,5 +63,5 @@
 
 
 def is_local_shortage(error: OSError) -> bool:
-    """Whether a connection could not be made for a reason of this machine, whatever its destination."""
+    """Whether a connection failed for a reason local to this machine, independent of its destination."""
     return error.errno in LOCAL_SHORTAGE_ERRORS
