--- a/harecross/discovery/__init__.py
+++ b/harecross/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: the subscription to discovery, the records of server processes, and the endpoint registry."""
+"""Cluster membership: the discovery subscription, server process records and the endpoint registry."""
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client: the watch in use, the migration to another address, and both as one list of servers."""
+"""The discovery client: manages the current watch and migrations to another discovery address."""
 
 from __future__ import annotations
 
@@ -24,18 +24,28 @@
 from harecross.platform.log import log_line
 
 DEFAULT_SETTINGS = DiscoverySettings()
-# After a migration the new discovery may lag behind for so long; what it has written by then may still be on its way
-# for a moment more.
+# How long the new discovery may lag behind the old one after a migration: the staleness limit, plus one second for
+# changes that it has written and that are still in transit.
 MAX_MIGRATION_LAG_S = MIGRATION_STALENESS_LIMIT_S + 1.0
-MAX_RETIRED_WATCHES = 4  # each one's connection ends soon after a migration
+# Each retired watch's connection normally ends soon after its migration, so a small limit is enough.
+MAX_RETIRED_WATCHES = 4
 
 
 class DiscoveryClient:
-    """The watch in use and, during a migration to another address, the pending watch there.
-
-    A watch is reopened when its `SubscriptionSchedule` says; where lists are polled, the module is notified of its end.
-    The old watch is used until the pending one has brought its first list. From then on until its connection ends, the
-    old watch is retired, and only its statements on servers that drain or are gone count.
+    """Manages the current watch and, during a migration to another address, the pending watch there.
+
+    Each watch reconnects according to its `SubscriptionSchedule`. If lists are polled, the module is notified when the
+    current watch's call ends. The old watch stays current until the pending one has received its first list. The old
+    watch is then retired: it stays open until its connection ends, so that servers that it reports as draining or gone
+    are still taken out of service.
+
+    Attributes:
+        on_current_list: Called when discovery has sent a list, or confirmed that the current one is unchanged.
+        generation: The last version known; the next watch asks for the versions after it. None requests a full list.
+        epoch: Identifies the migration that the newest watch belongs to; later migrations have higher numbers.
+        migrated_at: When the last migration began, in seconds of `monotonic`; None before the first.
+        list_received: Whether a watch has delivered a list to this process, besides the configured one.
+        sources: The discovery source of each current or retired watch, by the watch's epoch.
     """
 
     def __init__(
@@ -47,7 +57,7 @@
         seed: int = 0,
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Lists go to `consumer`, or else to the registry."""
+        """Passes lists to `consumer`, or to the registry if no consumer is given."""
         self.loop = asyncio.get_running_loop()
         self.registry = registry
         self.consumer = consumer or registry
@@ -55,26 +65,24 @@
         self.settings = settings
         self.rng = Random(seed)
         self.monotonic = monotonic
-        # Called when discovery has sent a list, or confirmed that the present one has not changed:
         self.on_current_list: Callable[[], None] = lambda: None
         self.schedule = SubscriptionSchedule(settings, self.rng)
-        self.generation: int | None = 0  # the version that the next watch starts after
-        self.epoch = 0  # counts migrations
-        self.migrated_at: float | None = None  # when the last migration began
+        self.generation: int | None = 0
+        self.epoch = 0
+        self.migrated_at: float | None = None
         self.current: Watch | None = None
         self.pending: Watch | None = None
         self.retired: list[Watch] = []
-        self.list_received = False  # by this process, not only from its configuration
+        self.list_received = False
         self.poll_tasks: set[asyncio.Task[None]] = set()
-        # By the epoch of its watch, of those in use and retired:
         self.sources: dict[int, DiscoverySource] = {0: DiscoverySource("{}:{}".format(*address), 0)}
         self.source_sequence = 0
         self.table = ProcessTable(self.sources[0])
 
-    # ---- commands of the node ---------------------------------------------------------------------------
+    # ---- operations called by the node ------------------------------------------------------------------
 
     def use_configured_list(self, configured: Any) -> None:
-        """Uses the configuration's list, an earlier one of the same address. ValueError if it is none."""
+        """Applies the configured list, an earlier list of the same address. Raises ValueError if it is malformed."""
         self.table.receive(self.monotonic(), self.sources[0], configured, full=True)
         self.consumer.apply(configured, cached=True)
         generation = wire_format.generation_of(configured)
@@ -82,7 +90,7 @@
             self.generation = generation
 
     def subscribe(self) -> None:
-        """Opens the watch, in place of one that is open."""
+        """Opens a watch, closing any that is already open."""
         self.unsubscribe()
         self.current = Watch(self, self.address, self.generation, self.schedule, self.epoch)
 
@@ -96,10 +104,10 @@
         self.close_retired()
 
     def migrate(self, address: tuple[str, int]) -> bool:
-        """Goes to another address; False if the node is there, or on its way there.
+        """Migrates to another address; returns False if it is already the current or pending address.
 
-        No change between two watches is missed: the old watch is used until the pending one has brought its first list.
-        That list is a full one, because a version of the old address may mean nothing at the new one.
+        No change is missed between the two watches, because the old watch stays current until the pending one has
+        received its first list. That list is a full one, because versions of the two addresses are not comparable.
         """
         if address == self.address:
             return False
@@ -108,7 +116,7 @@
             self.pending.close()
             self.pending = None
         if self.current is not None and address == self.current.address:
-            self.epoch = self.current.epoch  # back before the other watch was ready
+            self.epoch = self.current.epoch  # returns to the old address before the pending watch was ready
             return True
         self.epoch = max(self.epoch, *self.sources) + 1
         self.migrated_at = self.monotonic()
@@ -122,7 +130,7 @@
     # ---- events of watches ------------------------------------------------------------------------------
 
     def update_received(self, watch: Watch, update: Any, *, full: bool, restarted: bool) -> None:
-        """A list or change. ValueError if it is neither."""
+        """Applies a list or change. Raises ValueError if it is neither."""
         now = self.monotonic()
         is_new_source = watch.epoch not in self.sources
         source = self.source_of(watch, now, restarted=restarted)
@@ -135,11 +143,11 @@
         self.note_listing_complete(watch)
         self.log(watch, wire_format.generation_of(update), result, now)
         if is_new_source and (quarantined := self.table.quarantined()):
-            log_line(f"discovery: {watch.name} has not heard of {len(quarantined)} that leave")
+            log_line(f"discovery: {watch.name} does not know yet that {len(quarantined)} servers are leaving")
         self.close_retired_if_caught_up()
 
     def heartbeat_received(self, watch: Watch) -> None:
-        """Nothing has changed since the last list or change of the watch."""
+        """Handles a heartbeat: nothing has changed since the watch's last list or change."""
         if watch is not self.current:
             return
         now = self.monotonic()
@@ -151,29 +159,32 @@
         self.on_current_list()
 
     def connectivity_changed(self, watch: Watch, *, connected: bool) -> None:
-        """The watch has just received something, or its connection has ended or could not be made."""
+        """Passes on that the watch has received data, or that its connection ended or could not be opened."""
         if watch not in self.retired:
             self.consumer.connectivity_changed(connected=connected)
 
     def call_ended(self, watch: Watch) -> None:
-        """One of the watch's own calls is over."""
+        """Handles the end of one of the watch's own calls."""
         if watch in self.retired:
             self.retired.remove(watch)
         elif self.settings.polled and watch is self.current:
             self.notify_failure()
 
     def apply_if_any(self, result: TableUpdate) -> None:
-        """Applies the entries that a heartbeat, or a list of a retired watch, has changed."""
+        """Applies the entries that changed through a heartbeat or a retired watch's update, if there are any."""
         if wire_format.entries_of(result.update):
             self.consumer.apply(result.update)
 
     def note_listing_complete(self, watch: Watch) -> None:
-        """The current discovery has listed all servers up to now: one that appears later has started later."""
+        """Records that the current discovery's list is complete: servers that appear later started after this time."""
         if watch is self.current:
             self.registry.start_times.listing_complete(monotonic_us())
 
     def source_of(self, watch: Watch, now: float, *, restarted: bool) -> DiscoverySource:
-        """The source of the watch's updates: a new one from the first list of an epoch, or of a restarted discovery."""
+        """Returns the source of the watch's updates.
+
+        The first list of an epoch, or of a restarted discovery, creates a new source.
+        """
         known = self.sources.get(watch.epoch)
         if known is not None and (watch in self.retired or not restarted):
             return known
@@ -186,7 +197,7 @@
         return source
 
     def list_confirmed(self, watch: Watch) -> None:
-        """A watch has brought a list or change; a pending watch becomes the current one."""
+        """Records that a watch has delivered a list or change; promotes a pending watch to the current one."""
         self.list_received = True
         self.on_current_list()
         if watch is self.pending:
@@ -198,7 +209,7 @@
             log_line(f"discovery: moved to {watch.name}")
 
     def log(self, watch: Watch, version: object, result: TableUpdate, now: float) -> None:
-        """Writes transitions to the log, and to the attempt log where there is one."""
+        """Writes transitions to the log, and to the attempt log if it is enabled."""
         for line in describe_transitions(result.transitions, now):
             log_line(f"discovery: {watch.name} v{version}: {line}")
         tracer = self.registry.dispatcher.tracer
@@ -209,7 +220,7 @@
     # ---- retired watches --------------------------------------------------------------------------------
 
     def retire(self, watch: Watch) -> None:
-        """Keeps the previous watch until its connection ends, so that a drain written meanwhile is not missed."""
+        """Keeps the previous watch open until its connection ends, so that a drain sent until then is not missed."""
         watch.retired = True
         self.retired.append(watch)
         while len(self.retired) > MAX_RETIRED_WATCHES:
@@ -221,7 +232,7 @@
         }
 
     def close_retired_if_caught_up(self) -> None:
-        """Closes retired watches once their statements no longer count."""
+        """Closes the retired watches if the current discovery has caught up and their statements no longer count."""
         if not self.table.catching_up:
             self.close_retired()
 
@@ -234,22 +245,22 @@
     # ---- polls ------------------------------------------------------------------------------------------
 
     def poll(self) -> None:
-        """Asks the current discovery for its full list, beside the watch."""
+        """Requests the full list from the current discovery, in parallel with the watch."""
         task = self.loop.create_task(self.poll_once())
         self.poll_tasks.add(task)
         task.add_done_callback(self.poll_tasks.discard)
 
     async def poll_once(self) -> None:
-        """One poll; the module is notified if it fails."""
+        """Makes one poll and notifies the module if it fails."""
         watch = self.current
         if watch is None:
             return self.notify_failure()
-        # A schedule of its own: the response is no heartbeat of the watch.
+        # The poll has its own schedule, because its response must not count as a heartbeat of the watch.
         schedule = SubscriptionSchedule(self.settings, self.rng)
         schedule.call_started(time.monotonic())
         if await watch.call(LIST_PATH, schedule, is_watch_call=False) is not CallEnd.ENDED:
             self.notify_failure()
 
     def notify_failure(self) -> None:
-        """Notifies the module that a call brought no list."""
+        """Notifies the module that a call delivered no list."""
         self.registry.dispatcher.endpoint_update(EndpointUpdateKind.FAILED, [])
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints in use: discovery's lists as endpoints of the module and targets of the connection pool."""
+"""The endpoint registry: applies discovery's lists to the balancing module and the connection pool."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     Lifecycle.DRAINING: EndpointState.DRAINING,
     Lifecycle.GONE: EndpointState.GONE,
 }
-MAX_SLOW_START_US = 60_000_000  # no server is in slow start for longer
+MAX_SLOW_START_US = 60_000_000  # upper bound of the slow-start period, in microseconds
 
 
 class NameIndex(dict[str, int]):
-    """Numbers for names: those of the settings keep theirs, others have one for as long as they are in use."""
+    """Maps names to numbers: permanently for names in the settings, while in use for all other names."""
 
     def __init__(self, names: Sequence[str]) -> None:
         super().__init__({name: index for index, name in enumerate(names)})
@@ -32,18 +32,18 @@
         self.next_index = len(names)
 
     def __missing__(self, name: str) -> int:
-        """A new number, for a name that has none."""
+        """Assigns the next number to a name that has none."""
         index = self[name] = self.next_index
         self.next_index += 1
         return index
 
     @property
     def dynamic(self) -> dict[str, int]:
-        """The names that are not in the settings."""
+        """The names that are not in the settings, with their numbers."""
         return {name: index for name, index in self.items() if index >= self.fixed_count}
 
     def retain(self, used: set[int]) -> None:
-        """Drops the names that are neither in the settings nor in use."""
+        """Drops the names that are neither in the settings nor in `used`, which holds numbers."""
         for name, index in self.dynamic.items():
             if index not in used:
                 del self[name]
@@ -58,28 +58,38 @@
 
 
 class EndpointListConsumer(Protocol):
-    """Where lists and changes go: to the registry, or to what merges them with other sources."""
+    """Receives lists and changes: the registry, or a component that merges them with other sources."""
 
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
-        """Uses a list or change. ValueError if it is neither.
+        """Applies a list or change. Raises ValueError if it is neither.
 
-        `full`: servers that it does not name are gone. `cached`: it is a full list from before this process.
+        `full`: servers that it does not name are gone. `cached`: it is a full list from before this process started.
         """
 
     def connectivity_changed(self, *, connected: bool) -> None:
-        """The watch has just received something, or its connection has ended or could not be made."""
+        """Called when a watch has received data, or its connection has ended or could not be opened."""
 
 
 class UpdateListener(Protocol):
-    """What is notified of each list or change after it has been used (`xds.feed.Feed`)."""
+    """Is called with each list or change after it has been applied, for example by `xds.feed.Feed`."""
 
     def __call__(self, update: Any, full: bool, cached: bool, /) -> None: ...
 
 
 class EndpointRegistry:
-    """The endpoints in use, with a number for the name of each.
-
-    A server in maintenance is DRAINING to the module, whatever discovery states.
+    """The endpoints in use, each with a number that identifies its name.
+
+    A server in maintenance is reported to the module as DRAINING, whatever discovery states.
+
+    Attributes:
+        listed: The servers in service by number, as the module was last notified.
+        draining: The names of the servers that discovery lists as draining.
+        in_maintenance: The servers in maintenance, each with its current entry in discovery's list, if in service.
+        restored_at: When each server's maintenance ended, in monotonic microseconds.
+        owner_by_address: The number of the server that listens at each address.
+        uses_listed_weights: Whether the lists' weights are measured. Otherwise they are nominal values of the
+            platform, and the module measures the servers' speeds itself.
+        resolve_name: Maps a server name that operators use to the name that lists use.
     """
 
     def __init__(
@@ -89,42 +99,39 @@
         zones: Sequence[str],
         machine_types: Sequence[str],
     ) -> None:
-        """`zones` and `machine_types` are the settings' names, whose positions are their numbers."""
+        """`zones` and `machine_types` are the names in the settings; each name's number is its position."""
         self.dispatcher = dispatcher
         self.pool = pool
         self.zones = NameIndex(zones)
         self.machine_types = NameIndex(machine_types)
         self.numbers: dict[str, int] = {}
         self.last_number = 0
-        self.listed: dict[int, Endpoint] = {}  # in service, as the module was last notified
-        self.draining: set[str] = set()  # names that discovery lists as draining
-        self.in_maintenance: dict[str, ListedEndpoint | None] = {}  # with what discovery lists meanwhile
-        self.restored_at: dict[str, int] = {}  # when maintenance ended, monotonic microseconds
-        self.owner_by_address: dict[str, int] = {}  # the server that listens there
-        # Whether the lists' weights are measurements. The platform's are nominal, and the module measures speeds.
+        self.listed: dict[int, Endpoint] = {}
+        self.draining: set[str] = set()
+        self.in_maintenance: dict[str, ListedEndpoint | None] = {}
+        self.restored_at: dict[str, int] = {}
+        self.owner_by_address: dict[str, int] = {}
         self.uses_listed_weights = False
-        self.resolve_name: Callable[[str], str] = (
-            str  # from a name that operators use to the one that lists use
-        )
+        self.resolve_name: Callable[[str], str] = str
         self.update_listener: UpdateListener | None = None
         self.start_times = StartTimes(time.time_ns() // 1000 - monotonic_us())
 
     def set_update_listener(self, listener: UpdateListener | None) -> None:
-        """Has the listener notified of each list or change; None for none."""
+        """Sets the listener for lists and changes, or removes it if None."""
         self.update_listener = listener
 
     def use_merged_sources(self, resolve_name: Callable[[str], str]) -> None:
-        """Lists are merged from sources that measure weights; `resolve_name` maps names of operators to listed ones."""
+        """Switches to merged lists with measured weights; `resolve_name` maps operators' names to listed ones."""
         self.resolve_name = resolve_name
         self.uses_listed_weights = True
 
     # ---- lists and changes ------------------------------------------------------------------------------
 
     def connectivity_changed(self, *, connected: bool) -> None:
-        """Does nothing: the last list is used however old it is."""
+        """Does nothing, because the last list stays in use regardless of its age."""
 
     def number_of(self, name: str) -> int:
-        """The server's number: the same while it is listed or has requests in flight."""
+        """Returns the server's number, which stays the same while the server is listed or has requests in flight."""
         number = self.numbers.get(name)
         if number is None:
             self.last_number += 1
@@ -132,7 +139,7 @@
         return number
 
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
-        """Uses a list or change. ValueError if it is neither; a bad entry is logged and ignored."""
+        """Applies a list or change. Raises ValueError if it is neither; logs and ignores invalid entries."""
         entries = wire_format.entries_of(update)
         full = full or cached or wire_format.is_reset(update)
         kind = EndpointUpdateKind.CHANGES
@@ -149,18 +156,18 @@
             self.update_listener(update, full, cached)
 
     def use_entries(self, entries: Sequence[Any]) -> dict[int, Endpoint]:
-        """Uses the entries; the endpoints to notify the module of, by number."""
+        """Applies the entries and returns the changed endpoints by number, for the module."""
         changed: dict[int, Endpoint] = {}
         for entry in entries:
             try:
                 for endpoint in self.use_entry(entry):
                     changed[endpoint.server] = endpoint
             except (KeyError, TypeError, ValueError) as error:
-                log_line(f"discovery: bad entry {entry!r:.200}: {error!r}")
+                log_line(f"discovery: ignoring invalid entry {entry!r:.200}: {error!r}")
         return changed
 
     def remove_unlisted(self, entries: Sequence[Any], changed: Mapping[int, Endpoint]) -> None:
-        """Removes the servers that a full list does not name; the list itself notifies the module of them."""
+        """Removes the servers that a full list omits. The module infers their removal from the full list."""
         for number in [number for number in self.listed if number not in changed]:
             self.withdraw(number)
         names = {str(entry.get(wire_format.INSTANCE_ID)) for entry in entries if isinstance(entry, dict)}
@@ -168,7 +175,7 @@
         self.in_maintenance.update({name: None for name in self.in_maintenance if name not in names})
 
     def trace_update(self, kind: EndpointUpdateKind, generation: Any, before: set[int]) -> None:
-        """Writes to the attempt log, where there is one, which servers are in service now and were not `before`."""
+        """Writes the servers added to and removed from the set `before` to the attempt log, if it is enabled."""
         tracer = self.dispatcher.tracer
         if tracer is None:
             return
@@ -179,9 +186,9 @@
         tracer.endpoints_listed(kind, generation, added, removed)
 
     def use_entry(self, entry: Any) -> list[Endpoint]:
-        """The endpoints that one entry changes: its server, and one whose address it takes over.
+        """Applies one entry; returns the changed endpoints: its server, and one whose address that server takes over.
 
-        KeyError, TypeError or ValueError for an entry that cannot be used.
+        Raises KeyError, TypeError or ValueError if the entry is invalid.
         """
         name, lifecycle = wire_format.name_and_lifecycle(entry)
         if name in self.draining:
@@ -195,7 +202,7 @@
         return self.activate(name, listed)
 
     def use_leaving_entry(self, name: str, state: EndpointState) -> list[Endpoint]:
-        """The same for a server that drains or is gone: no other field of the entry matters."""
+        """Applies an entry for a server that is draining or gone; the entry's other fields are ignored."""
         if state == EndpointState.DRAINING:
             self.draining.add(name)
         if name in self.in_maintenance:
@@ -203,7 +210,7 @@
         return [self.withdraw(self.numbers[name], state)] if name in self.numbers else []
 
     def listed_endpoint(self, name: str, entry: Any) -> ListedEndpoint:
-        """What an entry lists as in service. KeyError, TypeError or ValueError where that cannot be used."""
+        """Parses an in-service entry. Raises KeyError, TypeError or ValueError if it is invalid."""
         fields = wire_format.parse_in_service(entry, uses_weight=self.uses_listed_weights)
         ready_at = LONG_AGO
         if fields.started_ms > 0:
@@ -219,31 +226,32 @@
         return ListedEndpoint(endpoint, fields.address, fields.started_ms)
 
     def activate(self, name: str, listed: ListedEndpoint) -> list[Endpoint]:
-        """Uses a server, unless a younger one listens at its address; the endpoints that this changes."""
+        """Puts a server into service unless a more recent one owns its address; returns the changed endpoints."""
         endpoint, address, started_ms = listed
         number = endpoint.server
         owner = self.listed.get(self.owner_by_address.get(address, number))
         if owner is not None and owner.server != number and owner.ready_at > endpoint.ready_at:
             return [self.withdraw(number)]
         if self.restored_at.get(name, 0) > endpoint.ready_at:
-            # It is in slow start after maintenance, though the list does not show that it was restarted.
+            # A server that returns from maintenance gets a slow start even if the list shows no restart.
             endpoint = replace(endpoint, ready_at=self.restored_at[name])
         self.pool.update(number, address, started_ms)
         self.listed[number] = endpoint
         self.owner_by_address[address] = number
         if owner is None or owner.server == number:
             return [endpoint]
-        # The owner has been replaced: requests for it would reach the new server, which is in slow start, uncounted.
+        # The previous owner of the address was replaced. Requests sent to it would reach the new server, and its slow
+        # start would not account for them.
         return [self.withdraw(owner.server), endpoint]
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
-        """Takes a server out of use; the endpoint to notify the module of."""
+        """Takes a server out of service and returns the endpoint to report to the module."""
         self.pool.take_out_of_service(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
 
     def drop_unused(self) -> None:
-        """Drops what is known of servers that are gone, so that it does not grow where servers are replaced all day."""
+        """Drops the state of servers that are gone, so that memory stays bounded when servers are replaced often."""
         for name, number in list(self.numbers.items()):
             if number not in self.listed and self.pool.remove_if_unused(number):
                 del self.numbers[name]
@@ -262,14 +270,14 @@
     # ---- maintenance ------------------------------------------------------------------------------------
 
     def is_known(self, name: str) -> bool:
-        """Whether discovery lists the server, or it is in maintenance."""
+        """Whether discovery lists the server or the server is in maintenance."""
         name = self.resolve_name(name)
         if name in self.in_maintenance or name in self.draining:
             return True
         return self.numbers.get(name) in self.listed
 
     def enter_maintenance(self, name: str) -> None:
-        """Takes the server out of use until `exit_maintenance`, whatever discovery states meanwhile."""
+        """Takes the server out of service until `exit_maintenance`, whatever discovery states in the meantime."""
         name = self.resolve_name(name)
         if name in self.in_maintenance:
             return
@@ -282,7 +290,7 @@
             self.dispatcher.endpoint_update(EndpointUpdateKind.CHANGES, [draining])
 
     def exit_maintenance(self, name: str) -> None:
-        """Uses the server again if discovery lists it, with a slow start."""
+        """Ends the server's maintenance; if discovery lists it, returns it to service with a slow start."""
         name = name if name in self.in_maintenance else self.resolve_name(name)
         if name not in self.in_maintenance:
             return
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -1,4 +1,4 @@
-"""The status of each server that a process knows, for operators. Free of I/O."""
+"""The status of each server known to a process, as shown to operators. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,27 +7,36 @@
 
 from harecross.discovery.endpoint_registry import EndpointRegistry
 
-# The values of `state` in the answers to operators:
+# Values of `state` in the admin server's responses; "out" means that the server is in maintenance.
 IN_USE, IN_MAINTENANCE, DRAINING, GONE = "in use", "out", "draining", "gone"
 
 
 class EndpointStatus(TypedDict):
-    """One server; the keys are those of the answers to operators."""
+    """The status of one server; the keys are those of the admin server's responses.
+
+    Attributes:
+        id: The server's name.
+        state: "in use", "out" (in maintenance), "draining", or "gone" while requests are still in flight.
+        listed: Whether discovery lists the server as in service.
+        open: The number of requests in flight.
+        warmth: The fraction of full capacity during slow start; 1 if the server is not in use.
+        ejected: Whether the server is ejected as an outlier.
+    """
 
     id: str
-    state: str  # in use; out (in maintenance); draining; or gone, with requests still in flight
-    listed: bool  # discovery lists it as in service
-    open: int  # requests in flight
-    warmth: float  # its part of full capacity during slow start; 1 where it is not in use
+    state: str
+    listed: bool
+    open: int
+    warmth: float
     ejected: bool
 
 
 def endpoint_status_rows(
     registry: EndpointRegistry, in_flight: Mapping[int, int], now: int
 ) -> list[EndpointStatus]:
-    """The status of each server that is listed, in maintenance, or has requests in flight.
+    """Returns the status of each server that is listed, in maintenance, or has requests in flight.
 
-    `in_flight` counts them by the server's number; `now` in monotonic microseconds.
+    `in_flight` holds the number of requests in flight by server number; `now` is in monotonic microseconds.
     """
     snapshots = {
         snapshot.server: snapshot for snapshot in registry.dispatcher.balancer.endpoint_snapshots(now)
@@ -51,7 +60,7 @@
 
 
 def state_of(registry: EndpointRegistry, name: str) -> str:
-    """The server's `state`."""
+    """Returns the server's `state` as shown to operators."""
     if name in registry.in_maintenance:
         return IN_MAINTENANCE
     if registry.numbers.get(name, 0) in registry.listed:
--- a/harecross/discovery/list_versions.py
+++ b/harecross/discovery/list_versions.py
@@ -1,17 +1,18 @@
-"""Which of the lists that one discovery sends is newer. Free of I/O.
+"""Determines which of two lists from one discovery is newer. Performs no I/O.
 
-A list that overtakes a newer one would bring back a server that the newer one stated as leaving. Versions of one
-address only grow (`generation` in PROTOCOL, "Discovery"), except for a discovery that has restarted: it counts from a
-lower number, and its first response to a call made after the old watch ended is a full list. So:
+Applying an older list after a newer one would put a server back that the newer list stated as leaving. The versions of
+one address only increase (`generation` in PROTOCOL, "Discovery") unless discovery restarts. A restarted discovery
+counts from a lower number, and its first response to a call made after the old watch ended is a full list.
+Updates are therefore ordered as follows:
 
 | version | update | order |
 | --- | --- | --- |
-| higher, or the same | any | NEWER |
-| lower | a full list, the first response of the watch's own call | RESTARTED: it is used, and so are its versions |
-| lower | a change, the first response of the watch's own call | UNUSABLE: the version it follows is unknown |
-| lower | anything later on that call, or the response of a call beside the watch | OLDER: it is ignored |
+| the same or higher | any | NEWER |
+| lower | a full list, the first response to the watch's own call | RESTARTED: the list and its version are used |
+| lower | a change, the first response to the watch's own call | UNUSABLE: the version it is based on is unknown |
+| lower | any later response to that call, or a response to a separate poll | OLDER: the update is ignored |
 
-An UNUSABLE change ends the call, and the next call is for the full list.
+An UNUSABLE change ends the call, and the next call requests the full list.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class VersionOrder(Enum):
-    """How an update relates to the last one that was used. The values are words of the log."""
+    """How an update relates to the last one that was used. The values appear in the log."""
 
     NEWER = "newer"
     RESTARTED = "anew"
@@ -29,9 +30,10 @@
 
 
 def compare_versions(newest: int | None, version: object, *, full: bool, first: bool) -> VersionOrder:
-    """The order of an update with `version` after the last used one, `newest` (None before the first).
+    """Compares an update's `version` with `newest`, the last version used (None before the first).
 
-    `first`: it is the first response of the watch's own call. An update without a version is always used.
+    `full`: the update is a full list. `first`: it is the first response to the watch's own call. An update without a
+    version is always NEWER.
     """
     if newest is None or not isinstance(version, int) or version >= newest:
         return VersionOrder.NEWER
--- a/harecross/discovery/listed_endpoints.py
+++ b/harecross/discovery/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""What discovery lists on each server, draining ones included, and its memory across restarts. Free of I/O."""
+"""Discovery's entry for each server, including draining ones, kept across restarts. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,27 @@
 
 from harecross.discovery import wire_format
 
-MAX_TERMINATED = 8192  # two releases of the largest clusters
+MAX_TERMINATED = 8192  # enough for two releases of the largest clusters
 
 
 @dataclass(slots=True)
 class ListedEndpoints:
-    """One cluster's entries, as discovery sent them. A server that drains stays until a full list omits it."""
+    """The entries of one cluster, as discovery sent them. A draining server is kept until a full list omits it.
 
-    entries: dict[str, dict[str, Any]] = field(default_factory=dict)  # by the server's name
-    has_full_list: bool = False  # of this process, not only a remembered one
+    Attributes:
+        entries: The entry of each server, by the server's name.
+        has_full_list: Whether this process has received a full list; a list cached from before does not count.
+        has_cached_list: Whether a list cached from before this process started has been loaded.
+        terminated: Names of servers that are gone and have not been listed since, the oldest first.
+    """
+
+    entries: dict[str, dict[str, Any]] = field(default_factory=dict)
+    has_full_list: bool = False
     has_cached_list: bool = False
-    terminated: dict[str, None] = field(default_factory=dict)  # gone and not listed since, the oldest first
+    terminated: dict[str, None] = field(default_factory=dict)
 
     def apply(self, update: Mapping[str, Any], *, full: bool, cached: bool) -> None:
-        """Uses a list or change that has been found readable; unreadable entries are ignored."""
+        """Applies a list or change whose format has been checked; ignores invalid entries."""
         stated = {
             entry[wire_format.INSTANCE_ID]: entry
             for entry in update[wire_format.INSTANCES]
@@ -37,7 +44,7 @@
         self.has_cached_list = self.has_cached_list or cached
 
     def use_entry(self, name: str, entry: dict[str, Any]) -> None:
-        """Uses one entry; its fields replace those of the entry before."""
+        """Applies one entry; its fields override those of the server's previous entry."""
         self.terminated.pop(name, None)
         if entry[wire_format.LIFECYCLE] == wire_format.TERMINATED:
             self.entries.pop(name, None)
@@ -46,16 +53,16 @@
             self.entries[name] = {**self.entries.get(name, {}), **entry}
 
     def is_publishable(self) -> bool:
-        """Whether there is a list: a service that has just started must not publish an empty one."""
+        """Whether there is a list to publish. A service that has just started must not publish an empty one."""
         return self.has_full_list or (self.has_cached_list and bool(self.entries))
 
     def snapshot(self) -> dict[str, Any]:
-        """The list to begin with after a restart, in discovery's form."""
+        """Returns the full list to load after a restart, in discovery's format."""
         return wire_format.full_list(self.entries.values())
 
 
 def is_readable(entry: Any) -> bool:
-    """Whether an entry has a server's name and a state."""
+    """Whether an entry holds a server's name and a lifecycle."""
     if not isinstance(entry, dict) or wire_format.LIFECYCLE not in entry:
         return False
     return isinstance(entry.get(wire_format.INSTANCE_ID), str)
--- a/harecross/discovery/process_table.py
+++ b/harecross/discovery/process_table.py
@@ -1,23 +1,23 @@
-"""The records of server processes, by the discovery that stated them. Free of I/O; times are passed in.
+"""The process table: what each discovery has stated about server processes. Performs no I/O; times are passed in.
 
 A node reads lists from one discovery at a time, and migrates to another address on SIGHUP. The new discovery may lag
-behind the old one for some seconds, and versions of two addresses cannot be compared. So each record keeps the last
-statement of the current source apart from the last statements of earlier sources. The state of a process is derived
-from its statements whenever one of them changes:
+behind the old one for some seconds, and versions of two addresses cannot be compared. Each record therefore keeps the
+last statement of the current source separate from the last statements of earlier sources. The state of a process is
+derived from its statements whenever one of them changes:
 
-| the current source states | an earlier source, while the current one may lag | the process is |
+| statement of the current source | statement of an earlier source, while the current one may lag | state |
 | --- | --- | --- |
-| nothing, or the server is absent from a full list | anything | GONE |
-| draining or gone | anything | that |
-| in service | nothing, or in service, or of an older process | IN_SERVICE |
-| in service | draining or gone, of this process or a later one | QUARANTINED |
-| in service | in service, of a later process | IN_SERVICE, as that later process |
+| none, or the server is absent from a full list | any | GONE |
+| draining or gone | any | as the current source states |
+| in service | none, in service, or about an older process | IN_SERVICE |
+| in service | draining or gone, about this process or a later one | QUARANTINED |
+| in service | in service, about a later process | IN_SERVICE, as the later process |
 
-The statements of earlier sources are dropped together once the current source has caught up: at its first change or
-heartbeat after both `may_lag_until` and `REPLAY_SETTLE_S`. A stream is in order, so all earlier changes have arrived by
-then. Time alone ends nothing, because a silent discovery confirms nothing.
+All statements of earlier sources are dropped once the current source has caught up: at its first change or heartbeat
+after both `may_lag_until` and `REPLAY_SETTLE_S`. A stream preserves order, so all earlier changes have arrived by then.
+Elapsed time alone does not end a quarantine, because a silent discovery confirms nothing.
 
-While the watch of an earlier source is open, its statements still count, and replace those that it made before.
+While the watch of an earlier source is open, its statements still count, and replace those that it made earlier.
 A process is identified by its server's name and `startedAtMs`; a restart is a later process.
 """
 
@@ -31,13 +31,13 @@
 from harecross.discovery import wire_format
 from harecross.discovery.wire_format import Entry, Lifecycle
 
-REPLAY_SETTLE_S = 2.0  # after its first list a discovery may replay older changes for so long
-MAX_TOMBSTONES = 8192  # two releases of the largest fleets
-MAX_EARLIER_STATEMENTS = 4  # kept of one server
+REPLAY_SETTLE_S = 2.0  # how long a discovery may replay older changes after its first list
+MAX_TOMBSTONES = 8192  # enough for two releases of the largest fleets
+MAX_EARLIER_STATEMENTS = 4  # statements of earlier sources kept per server
 
 
 class ProcessState(Enum):
-    """The state of a process by its record. The values are words of the log and of the attempt log."""
+    """The state of a process, derived from its statements. The values appear in the log and the attempt log."""
 
     IN_SERVICE = "in service"
     QUARANTINED = "held"  # listed as in service, but an earlier source stated that it drains or is gone
@@ -46,57 +46,72 @@
 
 
 class TransitionCause(Enum):
-    """Why a process changed its state. The values are words of the log and of the attempt log."""
+    """Why a process changed its state. The values appear in the log and the attempt log."""
 
-    STATED = "said"  # by the current source
+    STATED = "said"  # stated by the current source
     STATED_BY_EARLIER_SOURCE = "said by an earlier discovery"
     ABSENT_FROM_FULL_LIST = "left out of a whole list"
     CAUGHT_UP = "caught up"
 
 
 class DiscoverySource(NamedTuple):
-    """One discovery, between two migrations or restarts of it."""
+    """One discovery between two migrations or restarts.
+
+    Attributes:
+        address: The discovery's host and port.
+        sequence: Increases from one source to the next.
+        may_lag_until: Until when the source may lack changes from before the migration, in monotonic seconds.
+    """
 
     address: str
-    sequence: int  # later sources have higher numbers
-    may_lag_until: float = -inf  # monotonic seconds; it may not have received all changes from before
+    sequence: int
+    may_lag_until: float = -inf
 
 
 class Statement(NamedTuple):
-    """What one source stated last on one server."""
+    """The last statement of one source about one server.
+
+    Attributes:
+        lifecycle: The stated lifecycle.
+        source: The discovery that made the statement.
+        stated_at: When the statement was received, in monotonic seconds.
+        version: The version of the list or change that held it.
+        started_ms: When the process started, in Unix milliseconds; 0 for a process past its slow start.
+        entry: The entry as received.
+    """
 
     lifecycle: Lifecycle
     source: DiscoverySource
-    stated_at: float  # monotonic seconds
-    version: object  # of the list or change
-    started_ms: int  # when the process started, Unix milliseconds; 0 for long ago
+    stated_at: float
+    version: object
+    started_ms: int
     entry: Entry
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the process is to get nothing new."""
+        """Whether the process must not receive new requests."""
         return self.lifecycle is not Lifecycle.IN_SERVICE
 
 
 class Transition(NamedTuple):
-    """A process changed its state."""
+    """A state change of a process; `statement` is the statement that determined the new state."""
 
     server: str
     before: ProcessState
     after: ProcessState
     cause: TransitionCause
-    statement: Statement  # that decided the new state
+    statement: Statement
 
 
 class TableUpdate(NamedTuple):
-    """The result of a list, change or heartbeat: the list or change to use, and the transitions."""
+    """The result of a list, change or heartbeat: the list or change to apply, and the transitions."""
 
     update: dict[str, Any]
     transitions: list[Transition]
 
 
 def no_update() -> TableUpdate:
-    """Nothing to use and no transition."""
+    """Returns an update without entries and transitions."""
     return TableUpdate(wire_format.change([]), [])
 
 
@@ -108,32 +123,36 @@
 
 
 def restriction_rank(statement: Statement) -> tuple[bool, int]:
-    """Orders statements: those of leaving processes above others, and then by the start of the process."""
+    """Sort key for statements: leaving processes rank higher, then processes that started later."""
     return (statement.is_leaving, statement.started_ms)
 
 
 class ProcessTable:
-    """The records of one node's servers."""
+    """The process records of the servers that one node knows.
+
+    Attributes:
+        current_source: The discovery that lists are currently read from.
+        current_statements: The current source's last statement about each server.
+        earlier_statements: Earlier sources' last statements by server, until the current source has caught up.
+        tombstones: Servers that the current source stated as gone, the oldest first.
+        catching_up: Whether the current source may still lag behind an earlier one.
+        caught_up_from: The current source has caught up at its first change or heartbeat from this monotonic time on.
+    """
 
     def __init__(self, source: DiscoverySource) -> None:
         self.current_source = source
-        self.current_statements: dict[str, Statement] = {}  # of the current source, by server
-        # Of earlier sources, until the current one has caught up:
+        self.current_statements: dict[str, Statement] = {}
         self.earlier_statements: dict[str, dict[DiscoverySource, Statement]] = {}
-        self.tombstones: dict[
-            str, None
-        ] = {}  # servers that the current source stated as gone, the oldest first
+        self.tombstones: dict[str, None] = {}
         self.catching_up = False
-        self.caught_up_from = (
-            -inf
-        )  # the first change or heartbeat after this monotonic time ends the catching up
+        self.caught_up_from = -inf
 
-    # ---- what sources state -----------------------------------------------------------------------------
+    # ---- updates from sources ---------------------------------------------------------------------------
 
     def receive(self, now: float, source: DiscoverySource, update: Any, *, full: bool) -> TableUpdate:
-        """Records a list or change; returns the one to use in its place. ValueError for what is neither.
+        """Records a list or change; returns the one to apply in its place. Raises ValueError if it is neither.
 
-        `full`: a server that it does not name is gone.
+        `full`: servers that it does not name are gone.
         """
         entries = wire_format.entries_of(update)
         if source.sequence < self.current_source.sequence:
@@ -152,7 +171,7 @@
         return TableUpdate({**update, wire_format.INSTANCES: instances}, transitions + caught_up.transitions)
 
     def heartbeat(self, now: float, source: DiscoverySource) -> TableUpdate:
-        """The source has stated that nothing has changed."""
+        """Handles a heartbeat, by which the source states that nothing has changed."""
         if source.sequence != self.current_source.sequence:
             return no_update()
         return self.finish_catching_up(now)
@@ -160,7 +179,7 @@
     def receive_from_earlier(
         self, now: float, source: DiscoverySource, update: Any, *, full: bool
     ) -> TableUpdate:
-        """Records a list or change of an earlier source: a server that it states as leaving is taken out at once."""
+        """Records an update of an earlier source; servers that it states as leaving are taken out of service."""
         if not self.catching_up:
             return no_update()
         stated = self.statements_of(now, source, update)
@@ -184,7 +203,7 @@
     def absent_from_earlier(
         self, now: float, source: DiscoverySource, stated: Mapping[str, Statement]
     ) -> dict[str, Statement]:
-        """The servers that an earlier source listed and that are absent from its new full list, as gone."""
+        """Returns GONE statements for servers that an earlier source listed but omits from its new full list."""
         return {
             name: by_source[source]._replace(lifecycle=Lifecycle.GONE, stated_at=now)
             for name, by_source in self.earlier_statements.items()
@@ -192,7 +211,7 @@
         }
 
     def statements_of(self, now: float, source: DiscoverySource, update: Any) -> dict[str, Statement]:
-        """The statements of a list or change, by server."""
+        """Returns the statements in a list or change, by server."""
         version = wire_format.generation_of(update)
         statements = {}
         for entry in wire_format.entries_of(update):
@@ -201,7 +220,7 @@
                 continue
             started_ms = wire_format.start_time_ms(entry)
             if wire_format.STARTED_AT_MS not in entry:
-                # An entry that holds only a name and a state is about the process that is known.
+                # An entry without a start time refers to the process that is already known.
                 started_ms = max((s.started_ms for s in self.all_statements(name)), default=0)
             lifecycle = wire_format.lifecycle_of(entry)
             statements[name] = Statement(lifecycle, source, now, version, started_ms, entry)
@@ -210,7 +229,7 @@
     # ---- records ----------------------------------------------------------------------------------------
 
     def record_all(self, now: float, stated: Mapping[str, Statement], version: object, *, full: bool) -> None:
-        """Records the statements of one list or change of the current source."""
+        """Records the statements in one list or change of the current source."""
         for name, statement in stated.items():
             self.record(name, statement)
         if full:
@@ -236,14 +255,14 @@
             self.record(name, gone)
 
     def record_earlier(self, name: str, statement: Statement) -> None:
-        """Records a statement of an earlier source; of many sources the most restrictive statements are kept."""
+        """Records a statement of an earlier source; keeps the most restrictive ones if there are too many."""
         by_source = self.earlier_statements.setdefault(name, {})
         by_source[statement.source] = statement
         while len(by_source) > MAX_EARLIER_STATEMENTS:
             del by_source[min(by_source, key=lambda source: restriction_rank(by_source[source]))]
 
     def switch_source(self, now: float, source: DiscoverySource) -> None:
-        """Makes another source the current one; the statements before count until it has caught up."""
+        """Makes another source the current one; the previous statements count until it has caught up."""
         for name, statement in self.current_statements.items():
             self.record_earlier(name, statement)
         self.current_statements, self.tombstones = {}, {}
@@ -266,10 +285,10 @@
         entries = [self.current_statements[name].entry for name in overridden]
         return TableUpdate(wire_format.change(entries), transitions)
 
-    # ---- states and entries that follow from the records ------------------------------------------------
+    # ---- states and entries derived from the records ----------------------------------------------------
 
     def state(self, name: str) -> ProcessState:
-        """The state of a server's process; GONE for an unknown server."""
+        """Returns the state of a server's process; GONE for an unknown server."""
         statement = self.current_statements.get(name)
         if statement is None:
             return ProcessState.GONE
@@ -279,7 +298,7 @@
         return ProcessState.IN_SERVICE if overriding is None else ProcessState.QUARANTINED
 
     def effective_entry(self, name: str) -> Entry:
-        """The entry to use for a server on which the current source has made a statement."""
+        """Returns the entry to apply for a server that the current source has made a statement about."""
         statement = self.current_statements[name]
         earlier = self.earlier_statements.get(name)
         if earlier is None or statement.is_leaving:
@@ -293,22 +312,22 @@
         return latest.entry
 
     def is_overridden(self, name: str) -> bool:
-        """Whether the entry in use is another one than that of the current source."""
+        """Whether the entry in use differs from the current source's entry."""
         if name not in self.current_statements:
             return False
         return self.effective_entry(name) is not self.current_statements[name].entry
 
     def replacement_for(self, entry: Any) -> Any:
-        """The entry to use in place of one that has just been recorded; what is no entry is returned as it is."""
+        """Returns the entry to apply in place of a recorded one; a malformed entry is returned unchanged."""
         name = wire_format.server_name(entry)
         return entry if name is None or name not in self.current_statements else self.effective_entry(name)
 
     def quarantined(self) -> list[str]:
-        """The servers that the current source lists as in service and that get nothing new."""
+        """Returns the servers that are quarantined although the current source lists them as in service."""
         return [name for name in self.earlier_statements if self.state(name) is ProcessState.QUARANTINED]
 
     def overriding_statement(self, name: str, statement: Statement) -> Statement | None:
-        """An earlier source's statement that this process, or a later one of the server, drains or is gone."""
+        """Returns an earlier source's statement that this or a later process of the server is draining or gone."""
         earlier = self.earlier_statements.get(name)
         if earlier is not None:
             for candidate in earlier.values():
@@ -317,7 +336,7 @@
         return None
 
     def all_statements(self, name: str) -> Iterator[Statement]:
-        """All statements on a server, the current source's first."""
+        """Yields all statements about a server, the current source's first."""
         if name in self.current_statements:
             yield self.current_statements[name]
         yield from self.earlier_statements.get(name, {}).values()
@@ -325,7 +344,7 @@
     def transitions_since(
         self, before: Mapping[str, ProcessState], stated: Mapping[str, Statement]
     ) -> list[Transition]:
-        """The transitions from the states `before`, caused by statements or by their absence from a full list."""
+        """Returns the transitions from the states `before`, caused by statements or by absence from a full list."""
         return [
             self.transition(
                 name,
@@ -337,7 +356,7 @@
         ]
 
     def transition(self, name: str, before: ProcessState, cause: TransitionCause) -> Transition:
-        """The transition of a server from a state to its present one."""
+        """Builds the transition of a server from `before` to its current state."""
         statement = self.current_statements[name]
         after = self.state(name)
         if after is ProcessState.QUARANTINED:
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -1,14 +1,14 @@
-"""Whether requests may be sent by the present list of servers, and how old that list is. Free of I/O.
+"""Decides whether requests may be sent using the current server list, and how old that list is. Performs no I/O.
 
-A node that has just started has the list of its configuration, which "may be old" (DEPLOY, `known`). But a change that
-the agent on its machine has, or that was listed 6 s ago, counts as notified from the node's first moment on (PROTOCOL,
-"Discovery" and "Figures"): a server that has left the list must get nothing. So nothing is sent by the configured list
-until discovery has confirmed a list to this process, if only that nothing has changed. Until then requests are refused
-at once, and the health check answers no. The wait is bounded, because a start that waits for a discovery that is down
-would never end.
+A node that has just started has the list of its configuration, which "may be old" (DEPLOY, `known`). However, a change
+that the agent on its machine already has, or that was listed 6 s ago, counts as notified as soon as the node starts
+(PROTOCOL, "Discovery" and "Figures"), so a server that has left the list must not receive requests. The node therefore
+sends nothing based on the configured list until discovery has confirmed a list to this process, which includes a
+confirmation that nothing has changed. Until then requests are rejected immediately and the health check fails. The wait
+is bounded, because otherwise a node could not start while discovery is down.
 
-After that the list is used however old it is: a fleet that refuses everything while discovery is down serves nobody
-(docs/design-fleet.md). Times are seconds of one monotonic clock.
+After that the list is used regardless of its age, because a fleet that rejects all requests while discovery is down
+serves no one (docs/design-fleet.md). Times are seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,61 +23,66 @@
     SubscriptionSchedule,
 )
 
-# Where lists are pushed, the agent answers at once or discovery is down. After so long all that was listed before the
-# start counts as notified, and a longer wait would gain nothing.
+# If lists are pushed, the agent responds immediately unless discovery is down. After this time every change listed
+# before the start counts as notified, so a longer wait would gain nothing.
 MAX_PUSHED_WAIT_S = STALENESS_LIMIT_S
-# Where they are polled: clients come 30 s after a fleet's start at the latest (DEPLOY, "Limits"), and the last call
-# has to be answered by then. Two failed calls with their pauses and rounds fit in.
+# If lists are polled, clients connect at most 30 s after a fleet's start (DEPLOY, "Limits"), and the last call must
+# have been answered by then. This leaves time for two failed calls with their pauses and rounds.
 MAX_POLLED_WAIT_S = 30.0 - POLL_TIMEOUT_S
-# Where another process of this node still serves, and is to be replaced in time.
+# If another process of this node still serves requests and must be replaced in time.
 MAX_REPLACEMENT_WAIT_S = 1.0
 
 
 class Freshness(Enum):
-    """How old the present list is. The values are parts of keys in reports."""
+    """How old the current list is. The values are parts of keys in reports."""
 
-    NONE = "none"  # there is no list
-    CONFIGURED = "known"  # it is the configuration's; discovery has confirmed none to this process
-    CURRENT = "current"  # discovery has sent a heartbeat within the heartbeat timeout
-    STALE = "stale"  # not since, but no change that may have been missed counts as notified yet
-    PAST_LIMIT = "binding"  # a change that this node has not received may count as notified
+    # There is no list.
+    NONE = "none"
+    # The list is the configured one; discovery has not confirmed any list to this process.
+    CONFIGURED = "known"
+    # Discovery has sent a heartbeat within the heartbeat timeout.
+    CURRENT = "current"
+    # The heartbeat timeout has passed, but no change that the node may have missed counts as notified yet.
+    STALE = "stale"
+    # A change that this node has not received may count as notified.
+    PAST_LIMIT = "binding"
 
 
 def max_start_wait_s(settings: DiscoverySettings, *, replaces_process: bool = False) -> float:
-    """How long a start waits for discovery, in seconds, before it uses the list that it has."""
+    """Returns how many seconds a starting node waits for discovery before it uses the list it has."""
     if replaces_process:
         return MAX_REPLACEMENT_WAIT_S
     return MAX_POLLED_WAIT_S if settings.polled else MAX_PUSHED_WAIT_S
 
 
 class ListReadiness:
-    """The list of one process, from its start on. `may_send` is asked before anything is sent."""
+    """Tracks the readiness of one process's list. `may_send` must be checked before any request is sent."""
 
     __slots__ = ("has_confirmed_list", "has_list", "ready", "wait_until")
 
     def __init__(self, now: float, max_wait_s: float) -> None:
-        """`max_wait_s` is how long to wait for discovery."""
+        """`max_wait_s` is the longest time to wait for discovery, in seconds."""
         self.wait_until = now + max_wait_s
         self.has_list = False
         self.has_confirmed_list = False
         self.ready = False
 
     def configured_list_loaded(self) -> None:
-        """There is a list from before this process started."""
+        """Records that a list from before this process started has been loaded."""
         self.has_list = True
 
     def list_confirmed(self) -> None:
-        """Discovery has sent this process a list, or confirmed that the present one has not changed."""
+        """Records that discovery has sent this process a list, or confirmed that the current one is unchanged."""
         self.has_list = self.has_confirmed_list = self.ready = True
 
     def may_send(self, now: float) -> bool:
-        """Whether anything new may be sent to a server."""
+        """Whether new requests may be sent to servers."""
         if not self.ready and now >= self.wait_until:
             self.ready = True
         return self.ready
 
     def freshness(self, now: float, schedule: SubscriptionSchedule) -> Freshness:
-        """How old the list is; `schedule` is that of the watch in use."""
+        """Returns how old the list is; `schedule` is that of the current watch."""
         if not self.has_confirmed_list:
             return Freshness.CONFIGURED if self.has_list else Freshness.NONE
         if schedule.staleness_limit_passed(now):
--- a/harecross/discovery/transition_log.py
+++ b/harecross/discovery/transition_log.py
@@ -1,4 +1,4 @@
-"""Lines of the log on the transitions of server processes: from which state to which, and what caused it."""
+"""Log lines for state transitions of server processes: the old and new state, and the cause."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from harecross.discovery.process_table import ProcessState, Transition, TransitionCause
 
-MAX_NAMES_SHOWN = 6  # in one line; the other servers are counted
+MAX_NAMES_SHOWN = 6  # servers named in one line; the others are only counted
 
 
 def describe_statement(transition: Transition, now: float) -> str:
-    """The statement that decided: who made it, in which version, and how long ago."""
+    """Describes the statement that determined a transition: its source, version and age."""
     statement = transition.statement
     version = "" if statement.version is None else f" v{statement.version}"
     lifecycle = statement.lifecycle.value
@@ -19,9 +19,9 @@
 
 
 def describe_transitions(transitions: Iterable[Transition], now: float) -> list[str]:
-    """One line for each combination of states and cause; `now` in monotonic seconds.
+    """Returns one line for each combination of states and cause; `now` is in monotonic seconds.
 
-    Where the current source has just stated the new state, only the servers are named.
+    If the current source has just stated the new state, a line names only the servers.
     """
     groups: dict[tuple[ProcessState, ProcessState, TransitionCause], list[Transition]] = {}
     for transition in transitions:
@@ -33,7 +33,7 @@
 
 
 def shown_names(group: list[Transition], now: float) -> list[str]:
-    """The servers of transitions of one kind, each with the statement that decided where that is not obvious."""
+    """Returns the servers of one group of transitions, with the determining statement if it is not obvious."""
     cause, after = group[0].cause, group[0].after
     by_current_source = cause in (TransitionCause.STATED, TransitionCause.ABSENT_FROM_FULL_LIST)
     names_only = by_current_source and after is not ProcessState.QUARANTINED
--- a/harecross/discovery/wire_format.py
+++ b/harecross/discovery/wire_format.py
@@ -1,8 +1,8 @@
-"""The words of discovery's lists and changes, and the only place where this package reads them.
+"""The format of discovery's lists and changes. No other module of this package parses them.
 
 A list or change is `{"generation", "reset", "instances": [entry, ...]}`; an entry describes one server (PROTOCOL,
-"Discovery"). Entries stay in discovery's form between the parts of the program, since files keep them in that form.
-The functions that say so raise KeyError, TypeError or ValueError for an entry that cannot be used.
+"Discovery"). Entries are passed between the parts of the program in discovery's format, because files also store them
+in that format.
 """
 
 from __future__ import annotations
@@ -24,14 +24,15 @@
 WEIGHT = "weight"
 IN_SERVICE, TERMINATING, TERMINATED = "in_service", "terminating", "terminated"
 
-Entry = Mapping[str, Any]  # what a list says of one server, in discovery's form
+Entry = Mapping[str, Any]  # a list's entry for one server, in discovery's format
 
 
 class Lifecycle(Enum):
-    """What discovery states on a server process."""
+    """The lifecycle of a server process, as discovery states it."""
 
     IN_SERVICE = "in service"
-    DRAINING = "draining"  # also for a state that the protocol does not name: the server gets nothing new
+    # Also stands for a lifecycle that the protocol does not define, so that the server receives no new requests.
+    DRAINING = "draining"
     GONE = "gone"
 
 
@@ -46,45 +47,45 @@
 
 
 def entries_of(update: Any) -> list[Any]:
-    """The entries of a list or change. ValueError for what is neither."""
+    """Returns the entries of a list or change. Raises ValueError if `update` is neither."""
     found = update.get(INSTANCES) if isinstance(update, dict) else None
     if not isinstance(found, list):
-        raise ValueError("no list of servers")
+        raise ValueError(f"expected an object with a list in {INSTANCES!r}")
     return found
 
 
 def generation_of(update: Any) -> Any:
-    """The version of a list or change; None where it has none, or is neither."""
+    """Returns the version of a list or change; None if it has none, or if `update` is neither."""
     return update.get(GENERATION) if isinstance(update, dict) else None
 
 
 def is_reset(update: Mapping[str, Any]) -> bool:
-    """Whether the update names all servers, so that others are gone."""
+    """Whether the update is a full list, so that servers it does not name are gone."""
     return bool(update.get(RESET))
 
 
 def full_list(entries: Iterable[Entry]) -> dict[str, Any]:
-    """A full list: servers without an entry are gone."""
+    """Builds a full list: servers without an entry are gone."""
     return {RESET: True, INSTANCES: list(entries)}
 
 
 def change(entries: Iterable[Entry]) -> dict[str, Any]:
-    """A change: other servers stay as they are."""
+    """Builds a change: servers without an entry stay unchanged."""
     return {INSTANCES: list(entries)}
 
 
-# ---- entries that may be anything -----------------------------------------------------------------------
+# ---- entries that have not been validated ---------------------------------------------------------------
 
 
 def server_name(entry: object) -> str | None:
-    """The server that an entry describes; None for what is no entry."""
+    """Returns the name of the server that an entry describes; None if `entry` is not a valid entry."""
     if not isinstance(entry, dict) or INSTANCE_ID not in entry:
         return None
     return str(entry[INSTANCE_ID])
 
 
 def start_time_ms(entry: Entry) -> int:
-    """When the process started, in Unix milliseconds; 0 where that is missing or cannot be read."""
+    """Returns when the process started, in Unix milliseconds; 0 if that is missing or invalid."""
     try:
         return int(entry.get(STARTED_AT_MS) or 0)
     except (TypeError, ValueError, OverflowError):
@@ -92,20 +93,30 @@
 
 
 def lifecycle_of(entry: Entry) -> Lifecycle:
-    """What the entry states; DRAINING where that is missing or cannot be read."""
+    """Returns the entry's lifecycle; DRAINING if it is missing, invalid or unknown."""
     word = entry.get(LIFECYCLE)
     return LIFECYCLES.get(word, Lifecycle.DRAINING) if isinstance(word, str) else Lifecycle.DRAINING
 
 
-# ---- entries that are to be used ------------------------------------------------------------------------
-# One call parses all fields: a list of the largest fleet has a thousand entries, and a node a tenth of a core.
+# ---- parsing of entries ---------------------------------------------------------------------------------
+# One call parses all fields of an entry, because a list of the largest fleet has a thousand entries and a node has only
+# a tenth of a core.
 
 
 class InServiceEntry(NamedTuple):
-    """The fields of a server that is in service."""
+    """The fields of a server that is in service.
+
+    Attributes:
+        started_ms: When the process started, in Unix milliseconds; 0 for a process past its slow start.
+        address: The server's address as host:port.
+        cell: The number of the server's cell.
+        zone: The name of the server's zone.
+        machine_type: The name of the server's machine type.
+        weight: The server's relative capacity.
+    """
 
-    started_ms: int  # when its process started, Unix milliseconds; 0 for long ago
-    address: str  # host:port
+    started_ms: int
+    address: str
     cell: int
     zone: str
     machine_type: str
@@ -113,14 +124,14 @@
 
 
 def name_and_lifecycle(entry: Any) -> tuple[str, Lifecycle]:
-    """The server's name and what is stated on it, DRAINING for an unknown state. KeyError or TypeError without them."""
+    """Returns the server's name and lifecycle (DRAINING if unknown). Raises KeyError or TypeError if invalid."""
     return str(entry[INSTANCE_ID]), LIFECYCLES.get(entry[LIFECYCLE], Lifecycle.DRAINING)
 
 
 def parse_in_service(entry: Any, *, uses_weight: bool) -> InServiceEntry:
-    """The fields of a server in service. KeyError, TypeError or ValueError where one cannot be used.
+    """Parses the fields of a server in service. Raises KeyError, TypeError or ValueError for an invalid field.
 
-    The weight is 1 unless `uses_weight`; others are not read.
+    Unless `uses_weight`, the weight is 1 and the entry's weight is ignored.
     """
     return InServiceEntry(
         int(entry.get(STARTED_AT_MS) or 0),
