--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -29,7 +29,7 @@
 # If lists are polled, clients connect at most 30 s after a fleet's start (DEPLOY, "Limits"), and the last call must
 # have been answered by then. This leaves time for two failed calls with their pauses and rounds.
 MAX_POLLED_WAIT_S = 30.0 - POLL_TIMEOUT_S
-# If another process of this node still serves requests and must be replaced in time.
+# The longest wait of a process that replaces another one of this node, which still serves and must be replaced in time.
 MAX_REPLACEMENT_WAIT_S = 1.0
 
 
--- a/harecross/discovery/wire_format.py
+++ b/harecross/discovery/wire_format.py
@@ -112,7 +112,7 @@
         cell: The number of the server's cell.
         zone: The name of the server's zone.
         machine_type: The name of the server's machine type.
-        weight: The server's relative capacity.
+        weight: The server's weight in the list; 1 if listed weights are not used.
     """
 
     started_ms: int
