--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Descriptors under a crowd: how they are shared, who is put out, and who waits."""
+"""The descriptor budget under load: how descriptors are shared, which connections are evicted, and which wait."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from harecross.downstream import connection_manager
 from harecross.platform.descriptor_budget import DescriptorBudget
 
-HALF = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: r"
+PARTIAL_HEAD = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: r"
 
 
 @given(st.integers(16, 2000), st.lists(st.sampled_from(["caller", "server", "gone", "done"]), max_size=400))
@@ -30,7 +30,7 @@
         assert budget.client_connections + budget.upstream_connections <= total
         assert budget.client_connections <= total - total // 4
         assert budget.upstream_connections <= total - total // 3
-        # Whoever holds less than its least part always gets the next one.
+        # A side that holds less than its reserve always gets the next descriptor.
         assert (
             budget.client_connections >= min(total // 3, total // 4)
             or budget.client_connection_fits()
@@ -39,7 +39,7 @@
         assert budget.upstream_connections >= total // 4 or budget.upstream_connection_fits()
 
 
-async def part_of(client: Client, text: bytes) -> Client:
+async def send_partial_head(client: Client, text: bytes) -> Client:
     client.writer.write(text)
     await client.writer.drain()
     return client
@@ -61,10 +61,10 @@
 
         writing = asyncio.create_task(write_slowly())
         w.node.descriptor_budget.total = 16
-        stay = [await part_of(await w.client(), HALF) for _ in range(40)]
+        stalled = [await send_partial_head(await w.client(), PARTIAL_HEAD) for _ in range(40)]
         client = await w.client()
         client.send()
-        assert (await client.answer())[0] == 200  # waits for a place and has one
+        assert (await client.answer())[0] == 200  # the connection waits for a descriptor and is then served
         await writing
         assert (await slow.answer())[0] == 200
         await until(
@@ -73,7 +73,7 @@
                 <= 16
             )
         )
-        for other in stay:
+        for other in stalled:
             other.writer.close()
 
     with_node(test)
@@ -83,10 +83,10 @@
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
     async def test(w) -> None:
-        w.node.descriptor_budget.client_connections += 1000  # all places are held by requests
-        late = await w.client()
-        late.send("/_health")
-        answer = asyncio.create_task(late.answer())
+        w.node.descriptor_budget.client_connections += 1000  # requests in flight hold all descriptors
+        waiting_client = await w.client()
+        waiting_client.send("/_health")
+        answer = asyncio.create_task(waiting_client.answer())
         await until(lambda: w.node.client_connections.budget_full_since is not None)
         assert not answer.done()
         assert w.node.client_connections.refused_connections == 0
@@ -102,9 +102,9 @@
 
     async def test(w) -> None:
         w.node.descriptor_budget.client_connections += 1000
-        late = await w.client()
+        waiting_client = await w.client()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-            await late.answer()
+            await waiting_client.answer()
         assert w.node.client_connections.refused_connections == 1
 
     with_node(test)
@@ -113,13 +113,13 @@
 def test_an_upstream_connection_evicts_an_idle_client_connection():
     async def test(w) -> None:
         w.origins[0].answer_all()
-        resting = [await w.client() for _ in range(6)]
-        for client in resting:
+        idle_clients = [await w.client() for _ in range(6)]
+        for client in idle_clients:
             client.send("/_health")
             assert (await client.answer())[0] == 200
         w.node.descriptor_budget.total = 6
-        resting[0].send("/put/1", key="k")
-        assert (await resting[0].answer())[0] == 200
+        idle_clients[0].send("/put/1", key="k")
+        assert (await idle_clients[0].answer())[0] == 200
         await until(lambda: w.node.descriptor_budget.client_connections == 5)
 
     with_node(test)
@@ -127,11 +127,12 @@
 
 def test_one_new_connection_evicts_one_idle_connection():
     async def test(w) -> None:
-        resting = [await w.client() for _ in range(6)]
-        for client in resting:
+        idle_clients = [await w.client() for _ in range(6)]
+        for client in idle_clients:
             client.send("/_health")
             assert (await client.answer())[0] == 200
-        w.node.descriptor_budget.total = 8  # six callers and a quarter for servers: full
+        # Six client connections and a quarter for upstream connections use up the budget.
+        w.node.descriptor_budget.total = 8
         new = await w.client()
         new.send("/_health")
         assert (await new.answer())[0] == 200
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Lists out of order: versions, restarts of discovery and of the node, and requests sent before a drain."""
+"""Lists that arrive out of order: versions, restarts of discovery and of the node, and requests sent before a drain."""
 
 import asyncio
 import sys
@@ -49,8 +49,8 @@
     assert compare_versions(newest, version, full=full, first=first) is order
 
 
-def test_a_full_list_older_than_the_last_change_puts_no_server_back():
-    """A poll beside the watch: its response was made before the drain and read after it."""
+def test_a_full_list_older_than_the_last_change_restores_no_server():
+    """Guards against a poll response that was generated before a drain and is read after it."""
 
     async def test(w: World) -> None:
         watch = await w.watch()
@@ -61,7 +61,7 @@
         await w.node.discovery.poll_once()
         assert len(w.node.registry.listed) == 1
         assert w.node.discovery.current.generation == 43
-        Catalog.push(watch, line(42, *before, reset=True))  # nor on the watch itself
+        Catalog.push(watch, line(42, *before, reset=True))  # an older list on the watch itself is ignored too
         Catalog.push(watch, line(44, before[0]))
         await until(lambda: w.node.discovery.current.generation == 44)
         assert len(w.node.registry.listed) == 2
@@ -72,7 +72,7 @@
 def test_a_restarted_discovery_is_used_once_it_has_settled_and_an_unknown_change_leads_to_a_full_list(
     monkeypatch,
 ):
-    """Its list may be older than the drain that it sent before the restart."""
+    """The first list of a restarted discovery may be older than a drain that it sent before the restart."""
     monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
     async def test(w: World) -> None:
@@ -99,7 +99,7 @@
 
 
 def test_versions_of_a_new_address_may_be_lower():
-    """The first list after a migration is a full one, and newer whatever its version."""
+    """The first list after a migration is a full list, and counts as newer regardless of its version."""
 
     async def test(w: World) -> None:
         watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.origins)]
@@ -138,8 +138,8 @@
     with_node(test, servers=2)
 
 
-def test_a_queued_request_is_sent_by_the_list_of_its_turn():
-    """Below the first tier a request waits for a slot; the server that frees it may drain meanwhile."""
+def test_a_queued_request_is_sent_by_the_list_at_the_time_of_sending():
+    """In lower tiers a request waits for a slot; the server that frees the slot may start draining in the meantime."""
 
     async def test(w: World) -> None:
         watch = await w.watch()
@@ -149,8 +149,8 @@
         await until(lambda: w.node.dispatcher.balancer.queue)
         Catalog.push(watch, line(42, entry("s0", w.origins[0].address, "terminating")))
         await until(lambda: len(w.node.registry.listed) == 1)
-        had = w.origins[0].arrived.qsize()
-        for _ in range(had):
+        queued_count = w.origins[0].arrived.qsize()
+        for _ in range(queued_count):
             w.origins[0].arrived.get_nowait().answer()
         w.origins[1].answer_all()
         for client in clients:
@@ -160,11 +160,11 @@
     with_node(test, servers=2, settings={"layers": ["front", "back"], "tier": 1})
 
 
-# ---- any order of lists, losses and restarts, against what was really told ----------------------------------
+# ---- arbitrary orders of lists, losses and restarts, compared with the changes sent -------------------
 
 
-def watching(discovery: DiscoveryClient, generation: int | None) -> Watch:
-    """A watch that makes no calls: the test tells it what comes."""
+def watch_without_calls(discovery: DiscoveryClient, generation: int | None) -> Watch:
+    """Returns a watch that makes no calls; the test passes updates to it."""
     watch = object.__new__(Watch)
     watch.listener, watch.address, watch.epoch = discovery, discovery.address, discovery.epoch
     watch.closed, watch.retired, watch.generation = False, False, generation
@@ -174,7 +174,7 @@
 
 
 class Fleet:
-    """The truth: discovery's list by version, and what one node was really told of it."""
+    """The servers' real lifecycles: discovery's list at each version."""
 
     def __init__(self) -> None:
         self.now: dict[str, tuple[str, int]] = {f"s{i}": ("in_service", i) for i in range(4)}
@@ -182,14 +182,17 @@
         self.version = 1
 
     def change(self, name: str, state: str, place: int) -> dict:
-        had = self.now.get(name)
+        previous = self.now.get(name)
         self.version += 1
         if state == "terminated":
             self.now.pop(name, None)
         else:
-            self.now[name] = (state, place if had is None or had[0] != "in_service" else had[1])
+            self.now[name] = (
+                state,
+                place if previous is None or previous[0] != "in_service" else previous[1],
+            )
         self.versions[self.version] = dict(self.now)
-        place = self.now.get(name, had or (state, place))[1]
+        place = self.now.get(name, previous or (state, place))[1]
         return update(self.version, entry(name, f"127.0.0.1:{1000 + place}", state))
 
     def whole(self, version: int) -> dict:
@@ -197,7 +200,7 @@
         return update(version, *entries, reset=True)
 
     def between(self, before: int, after: int) -> dict:
-        """The change that leads from one version to the next."""
+        """Returns the change that leads from one version to a later one."""
         old, new = self.versions[before], self.versions[after]
         changed = [entry(n, f"127.0.0.1:{1000 + p}", s) for n, (s, p) in new.items() if old.get(n) != (s, p)]
         gone = [entry(n, f"127.0.0.1:{1000 + p}", "terminated") for n, (_, p) in old.items() if n not in new]
@@ -225,46 +228,46 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(STEPS)
-def test_nothing_goes_to_who_left_and_nobody_is_shunned_whom_every_word_since_has_listed(steps):
+def test_no_server_is_used_after_its_drain_and_all_listed_servers_are_used_in_any_order_of_updates(steps):
     async def body() -> None:
         fleet = Fleet()
         host = SimpleNamespace(endpoint_update=lambda kind, entries: None, tracer=None)
 
         def process(known: dict | None) -> tuple[EndpointRegistry, Watch]:
-            directory = EndpointRegistry(
+            registry = EndpointRegistry(
                 host, ConnectionPool(1, 1, [], DescriptorBudget(1)), ["here", "there"], ["m1", "m2"]
             )
-            discovery = DiscoveryClient(directory, ("d", 1), monotonic=lambda: now)
+            discovery = DiscoveryClient(registry, ("d", 1), monotonic=lambda: now)
             if known is not None:
                 discovery.use_configured_list(known)
-            discovery.current = watching(discovery, None if known is None else known["generation"])
-            return directory, discovery.current
+            discovery.current = watch_without_calls(discovery, None if known is None else known["generation"])
+            return registry, discovery.current
 
-        directory, watch = process(None)
+        registry, watch = process(None)
         first, history, now = True, [], 0.0
 
-        def tell(told: dict, beside: bool = False) -> None:
+        def receive(received: dict, beside: bool = False) -> None:
             nonlocal first
             was_first, first = first and not beside, first and beside
             try:
-                watch.update_received(told, first=was_first)
+                watch.update_received(received, first=was_first)
             except ValueError:
-                first = True  # the call ends, and the list is asked for whole
+                first = True  # the call ends, and the next call requests the full list
                 watch.update_received(fleet.whole(fleet.version), first=True)
                 first = False
 
         def used() -> set[str]:
-            return {n for n, at in directory.numbers.items() if at in directory.listed}
+            return {n for n, at in registry.numbers.items() if at in registry.listed}
 
         def move(behind: int) -> Watch:
-            """To a discovery that is some versions behind, and then tells them one by one."""
+            """Migrates to a discovery that lags by some versions and then sends them one by one."""
             nonlocal now
             discovery, versions = watch.listener, sorted(fleet.versions)
             at = max(0, len(versions) - 1 - behind)
             assert discovery is not None
             assert discovery.migrate(("d", discovery.address[1] + 1))
             discovery.pending.close()
-            new = discovery.pending = watching(discovery, None)
+            new = discovery.pending = watch_without_calls(discovery, None)
             new.update_received(fleet.whole(versions[at]), first=True)
             assert used() <= fleet.in_service(fleet.version)
             for before, version in zip(versions[at:], versions[at + 1 :], strict=False):
@@ -275,40 +278,40 @@
             new.heartbeat_received()
             return new
 
-        tell(fleet.whole(1))
+        receive(fleet.whole(1))
         for step, *more in steps:
             if step == "change":
                 name, state = more
-                told = fleet.change(name, state, int(name[1:]))
-                history.append(told)
-                tell(told)
+                received = fleet.change(name, state, int(name[1:]))
+                history.append(received)
+                receive(received)
             elif step == "replay" and history:
-                tell(history[more[0] % len(history)])
+                receive(history[more[0] % len(history)])
             elif step in ("older", "beside"):
                 version = sorted(fleet.versions)[more[0] % len(fleet.versions)]
-                tell(fleet.whole(version), beside=step == "beside")
+                receive(fleet.whole(version), beside=step == "beside")
             elif step == "lost":
                 first = True
-                tell(fleet.whole(fleet.version))
-            elif step == "anew":  # it counts from 1 again, and tells all
+                receive(fleet.whole(fleet.version))
+            elif step == "anew":  # discovery restarts: it counts from 1 again and sends a full list
                 fleet.version, fleet.versions, history = 1, {1: dict(fleet.now)}, []
                 first = True
-                tell(fleet.whole(1))
+                receive(fleet.whole(1))
                 assert used() <= fleet.in_service(1)
-                now += 3.0  # what it tells from then on is no replay
+                now += 3.0  # later updates are not replays of older changes
                 watch.heartbeat_received()
             elif step == "restart":
                 known = fleet.whole(sorted(fleet.versions)[more[0] % len(fleet.versions)])
-                directory, watch = process(known)
+                registry, watch = process(known)
                 first = True
-                tell(fleet.whole(fleet.version))
+                receive(fleet.whole(fleet.version))
             elif step == "move":
                 watch, first = move(more[0]), False
             assert used() == fleet.in_service(fleet.version), (step, more)
             ready = {
                 n
-                for n, at in directory.numbers.items()
-                if (t := directory.pool.processes.get(at)) and t.in_service
+                for n, at in registry.numbers.items()
+                if (t := registry.pool.processes.get(at)) and t.in_service
             }
             assert ready == used()
 
@@ -316,7 +319,7 @@
 
 
 def function_calls(action) -> int:
-    """How many function calls it takes: the same on any machine."""
+    """Counts the function calls that `action` makes, which do not depend on the machine's speed."""
     calls = 0
 
     def count(frame, event, arg) -> None:
@@ -332,7 +335,7 @@
 
 
 def test_a_change_among_a_thousand_servers_costs_few_function_calls():
-    """A node on a tenth of a core has 25 ms of processor time in 250 ms: some 100,000 calls on a slow machine."""
+    """With a tenth of a core, a node has 25 ms of CPU time in 250 ms: about 100,000 calls on a slow machine."""
 
     async def body() -> None:
         peers = [f"127.0.0.1:{1000 + i}" for i in range(1024)]
--- a/tests/test_discovery_races.py
+++ b/tests/test_discovery_races.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent, migrate or fall back while lists change: a node knows in time, on real sockets."""
+"""Watches that fall silent, migrate or lag while lists change: a node applies drains in time, over real sockets."""
 
 import asyncio
 
@@ -32,15 +32,15 @@
 
 
 def with_polling_nodes(test, nodes: int = 4) -> None:
-    """Runs the test on each of some nodes that poll, each with a discovery that the test answers."""
+    """Runs the test on several polling nodes, each with its own discovery whose calls the test answers."""
 
     async def body() -> None:
         rows = []
         for index in range(nodes):
-            address, came = await held_calls()
+            address, calls_received = await held_calls()
             known = update(41, entry("s0", "127.0.0.1:1"), reset=True)
             node = Node(config_from(config_of(address, asked(nodes, index), known=known)))
-            rows.append((node, came, address, asyncio.create_task(node.run())))
+            rows.append((node, calls_received, address, asyncio.create_task(node.run())))
         await asyncio.gather(*(test(*row[:3]) for row in rows))
         for row in rows:
             row[3].cancel()
@@ -48,89 +48,92 @@
     run(body())
 
 
-async def answer_first_call(came) -> asyncio.StreamWriter:
-    """Answers the first call: nothing has changed."""
-    writer = await came.get()
+async def answer_first_call(calls_received) -> asyncio.StreamWriter:
+    """Answers the first call with a heartbeat, which states that nothing has changed."""
+    writer = await calls_received.get()
     writer.write(STARTED + chunk(b""))
     return writer
 
 
 def test_a_silent_watch_is_reopened_before_a_missed_drain_reaches_the_staleness_limit():
-    """The drain begins right after the silence; each node has another position in the round."""
-    late = []
+    """The drain begins right after the watch falls silent; each node has a different position in the round."""
+    overruns = []
 
-    async def one(node: Node, came, address: str) -> None:
-        await answer_first_call(came)
+    async def one(node: Node, calls_received, address: str) -> None:
+        await answer_first_call(calls_received)
         await until(
             lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
         )
         silent_since = node.loop.time()
-        writer = await came.get()
+        writer = await calls_received.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.registry.listed)
-        late.append(node.loop.time() - silent_since - STALENESS_LIMIT_S)
+        overruns.append(node.loop.time() - silent_since - STALENESS_LIMIT_S)
 
     with_polling_nodes(one)
-    assert len(late) == 4
-    assert max(late) < 0
+    assert len(overruns) == 4
+    assert max(overruns) < 0
 
 
 @pytest.mark.parametrize("how", ["refused", "503"])
 def test_a_drain_listed_as_discovery_comes_back_is_received_before_the_staleness_limit(how):
-    late = []
+    overruns = []
 
-    async def one(node: Node, came, address: str) -> None:
-        writer = await answer_first_call(came)
+    async def one(node: Node, calls_received, address: str) -> None:
+        writer = await answer_first_call(calls_received)
         await until(
             lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
         )
         writer.transport.abort()
         for _ in range(3):  # discovery is down, and each call fails at once
-            writer = await came.get()
+            writer = await calls_received.get()
             if how == "503":
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
             else:
                 writer.transport.abort()
-        back = node.loop.time()
-        writer = await came.get()
+        available_again_at = node.loop.time()
+        writer = await calls_received.get()
         writer.write(STARTED + chunk(line(42, entry("s0", "127.0.0.1:1", "terminating"))))
         await until(lambda: not node.registry.listed)
-        late.append(node.loop.time() - back - STALENESS_LIMIT_S)
+        overruns.append(node.loop.time() - available_again_at - STALENESS_LIMIT_S)
 
     with_polling_nodes(one)
-    assert len(late) == 4
-    assert max(late) < 0
+    assert len(overruns) == 4
+    assert max(overruns) < 0
 
 
 def test_a_migration_whose_first_call_is_not_answered_keeps_to_the_migration_limit():
-    late = []
+    overruns = []
 
-    async def one(node: Node, came, address: str) -> None:
-        await answer_first_call(came)
+    async def one(node: Node, calls_received, address: str) -> None:
+        await answer_first_call(calls_received)
         await until(
             lambda: node.discovery.schedule.state is subscription_schedule.SubscriptionState.SUBSCRIBED
         )
         other, calls = await held_calls()
-        moved = node.loop.time()
+        migrated_at = node.loop.time()
         assert node.discovery.migrate(host_and_port(other))
         await calls.get()  # never answered
         writer = await calls.get()
         whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole))
         await until(lambda: not node.registry.listed)
-        late.append(
-            node.loop.time() - moved - subscription_schedule.MIGRATION_STALENESS_LIMIT_S - SEND_STOP_GRACE_S
+        overruns.append(
+            node.loop.time()
+            - migrated_at
+            - subscription_schedule.MIGRATION_STALENESS_LIMIT_S
+            - SEND_STOP_GRACE_S
         )
 
     with_polling_nodes(one)
-    assert len(late) == 4
-    assert max(late) < 0
+    assert len(overruns) == 4
+    assert max(overruns) < 0
 
 
 @pytest.mark.parametrize("then", ["receives the drain", "lists a restart", "sends a heartbeat"])
 @pytest.mark.parametrize("state", ["terminating", "terminated"])
-def test_a_lagging_new_discovery_does_not_put_a_drained_server_back(state, then, monkeypatch):
-    """The migration begins right after the old watch has sent the drain; the new list is older."""
+def test_a_lagging_new_discovery_does_not_restore_a_drained_server(state, then, monkeypatch):
+    """The migration begins right after the old discovery has sent the drain; the new discovery's list is older."""
     if then == "sends a heartbeat":
         monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
         monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
@@ -158,7 +161,7 @@
             Catalog.push(watch, line(6, {**entries[0], "startedAtMs": 77}))
             await until(lambda: len(w.node.registry.listed) == 2)
         else:
-            # Time alone does not put it back: a silent discovery may still lag.
+            # Elapsed time alone does not restore the server, because a silent discovery may still lag.
             await asyncio.sleep(0.5)
             assert len(w.node.registry.listed) == 1
             Catalog.push(watch, b"")
@@ -180,9 +183,9 @@
         assert w.node.discovery.migrate(host_and_port(other.address))
         _, new = await other.watches.get()
         Catalog.push(old, line(43, {**entries[0], "lifecycle": "terminating"}, entry("s9", "127.0.0.1:9")))
-        # s9, which only the old discovery lists in service, is not used.
+        # s9 is listed as in service only by the old discovery, so it is not used.
         await until(lambda: used() == {"s1"})
-        # A recall replayed by the new discovery does not undo it; its own drains and recalls count at once.
+        # A recall replayed by the new discovery does not undo the drain; its own drains and recalls count at once.
         Catalog.push(new, line(6, entries[0]))
         Catalog.push(new, line(7, {**entries[1], "lifecycle": "terminating"}))
         await until(lambda: not used())
--- a/tests/test_drain_after_migration.py
+++ b/tests/test_drain_after_migration.py
@@ -1,6 +1,7 @@
-"""A node process that migrates to another discovery (SIGHUP) sends nothing to servers that drain, however often.
+"""A node process that migrates to another discovery (SIGHUP) sends nothing to draining servers.
 
-docs/incidents/2026-12-02-sends-after-move.md has the fault that this test reproduces.
+This also holds for servers that are recalled and drain again. The test reproduces the fault described in
+docs/incidents/2026-12-02-sends-after-move.md.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class RecordingServer(Origin):
-    """A server that answers all at once and remembers when requests arrived."""
+    """A server that answers every request immediately and records its arrival time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +42,7 @@
 
 
 class NodeAndServers:
-    """One real node process, its servers and two discoveries; requests are sent without pause."""
+    """One real node process, its servers and two discoveries; a client sends requests continuously."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -71,7 +72,7 @@
             await asyncio.sleep(SEND_INTERVAL_S)
 
     async def migrate(self) -> float:
-        """SIGHUP to the new discovery; when it was sent."""
+        """Migrates the node to the new discovery by SIGHUP; returns when the signal was sent."""
         self.node.path.write_text(self.node.path.read_text().replace(self.old.address, self.new.address))
         self.node.signal(signal.SIGHUP)
         migrated_at = self.loop.time()
@@ -79,7 +80,7 @@
         return migrated_at
 
     def sends(self, after: float, before: float) -> list[float]:
-        """When requests arrived at the drained servers, within a time span."""
+        """Returns when requests arrived at the drained servers within a time span."""
         return [t for name in DRAINED for t in self.servers[name].times if after < t < before]
 
     async def end(self) -> None:
@@ -89,7 +90,7 @@
 
 @asynccontextmanager
 async def running_node(folder: Path) -> AsyncIterator[NodeAndServers]:
-    """A started node with its servers, which is stopped however the test ends."""
+    """Starts a node with its servers, and stops it however the test ends."""
     world = NodeAndServers(folder)
     try:
         await world.start()
@@ -99,8 +100,10 @@
 
 
 def test_a_server_recalled_and_drained_again_gets_nothing_when_the_new_discovery_has_caught_up(tmp_path):
-    """The new discovery's first list is older than the drain that the old one sent. Then it recalls the servers, and
-    they drain again: the entries of that first list must not come back over the newer drain.
+    """Guards against entries of the new discovery's first list that are applied after a newer drain.
+
+    The new discovery's first list is older than the drain that the old discovery sent. The new discovery then recalls
+    the servers, and they drain again.
     """
 
     async def test() -> None:
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -1,4 +1,4 @@
-"""The parser of JSON streams, and watches whose lists come in any layout: cut anywhere, broken off anywhere."""
+"""The JSON stream parser, and watches whose lists arrive in any layout, split or truncated at any byte."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 def parse_in_pieces(text: bytes, cuts: list[int]) -> list:
-    """The values of a text that comes in pieces."""
+    """Parses a text that arrives in pieces, and returns its values."""
     parser, found, last = JsonStreamParser(), [], 0
     for cut in [*sorted({c % (len(text) + 1) for c in cuts}), len(text)]:
         found += parser.feed(text[last:cut])
@@ -53,7 +53,7 @@
     st.sampled_from(["\n", "\r\n"]),
     st.lists(st.integers(0, 999), max_size=9),
 )
-def test_values_in_any_layout_cut_anywhere_with_blank_lines_between_them(updates, layout, end, cuts):
+def test_values_in_any_layout_split_anywhere_with_blank_lines_between_them(updates, layout, end, cuts):
     text = "".join(json.dumps(u, **layout).replace("\n", end) + end + end for u in updates)
     found = parse_in_pieces(text.encode(), cuts)
     assert [v for v in found if v is not BLANK_LINE] == updates
@@ -62,13 +62,13 @@
 
 @settings(deadline=None)
 @given(UPDATES.filter(bool), st.sampled_from([{}, {"indent": 2}]), st.integers(1, 500))
-def test_a_value_broken_off_anywhere_is_detected_by_the_next_blank_line_and_values_before_it_are_kept(
-    updates, layout, left_out
+def test_a_value_truncated_anywhere_is_detected_by_the_next_blank_line_and_earlier_values_are_kept(
+    updates, layout, removed_bytes
 ):
-    """Discovery breaks off within a value and goes on with an empty line: the part belongs to no value."""
+    """Discovery stops within a value and continues with an empty line; the partial value must be rejected."""
     good, broken = updates[:-1], json.dumps(updates[-1], **layout).encode()
     text = b"".join(json.dumps(u).encode() + b"\n" for u in good)
-    broken = broken[: max(1, len(broken) - left_out)]
+    broken = broken[: max(1, len(broken) - removed_bytes)]
     parser, found = JsonStreamParser(), []
     with pytest.raises(MalformedJsonError):
         for value in parser.feed(text + broken + b"\n\n" + b'{"generation": 9, "instances": []}\n'):
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     "text", [b"no json\n", b"7\n", b'"a"\n', b"}\n", b'{"a": 1]', b"{,}\n", b"[" * 100_000 + b"]" * 100_000]
 )
-def test_what_is_no_value_raises(text):
+def test_input_that_is_not_a_valid_object_or_array_raises(text):
     with pytest.raises(MalformedJsonError):
         list(JsonStreamParser().feed(text))
 
@@ -97,7 +97,7 @@
 
 
 def test_a_large_list_in_small_pieces_is_scanned_once(monkeypatch):
-    """Counted, not timed: the bytes that each search passes over."""
+    """Counts the bytes that each search scans, which does not depend on the machine's speed."""
     scanned_bytes = 0
 
     class Counting:
@@ -124,8 +124,8 @@
     "layout", [{}, {"indent": 2}, {"indent": 0}], ids=["a line", "indented", "no indent"]
 )
 @pytest.mark.parametrize("end", ["complete", "broken off"])
-def test_a_watch_and_a_full_list_may_come_indented(layout, end):
-    """In many small writes. A change that is broken off is requested again from the version before."""
+def test_a_watch_and_a_full_list_may_be_indented(layout, end):
+    """Lists arrive in many small writes. After a truncated change, the node asks again from the previous version."""
 
     async def test(w: World) -> None:
         path, watch = await w.catalog.watches.get()
@@ -164,7 +164,7 @@
     with_node(test, servers=2)
 
 
-def test_a_list_that_comes_in_single_bytes_and_never_ends_does_not_keep_a_watch_open(monkeypatch):
+def test_an_endless_list_sent_byte_by_byte_does_not_keep_a_watch_open(monkeypatch):
     monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(watch_module, "PARTIAL_UPDATE_TIMEOUT_S", 0.3)
 
@@ -182,7 +182,7 @@
 
 
 def test_pieces_that_each_end_within_a_change_are_heartbeats_but_one_endless_change_is_not():
-    """By the test's own clock: half a second passes between two pieces."""
+    """Uses a simulated clock: half a second passes between two pieces."""
 
     async def test() -> None:
         updates = []
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -1,4 +1,4 @@
-"""A node and the endpoint list over loopback sockets."""
+"""A node that receives endpoint lists over loopback sockets."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
         (await origin.arrived.get()).answer()
         await client.answer()
         Catalog.push(watch, line(42, entry("s0", origin.address, startedAtMs=1000)))
-        assert await origin.closed.get() == 0  # the old process's connection
-        # The new process is cold, whatever start its line tells: it gets a request in its turn.
+        assert await origin.closed.get() == 0  # the connection to the old process is closed
+        # The new process is in slow start whatever start time its entry states, so requests reach it only gradually.
         arrival = asyncio.ensure_future(origin.arrived.get())
         while not arrival.done():
             client.send()
@@ -53,7 +53,7 @@
         Catalog.push(watch, line(43, entry("s0", origin.address, "terminating", startedAtMs=1000)))
         while w.node.discovery.current.generation < 43:
             await asyncio.sleep(0)
-        at.answer(body=b"finished")  # what it has it finishes
+        at.answer(body=b"finished")  # the request in flight is still answered
         assert at.link == 1
         assert (await client.answer())[2] == b"finished"
         assert await origin.closed.get() == 1
@@ -65,14 +65,14 @@
     with_node(test)
 
 
-def test_a_watch_comes_back_after_what_it_last_read():
+def test_a_reopened_watch_continues_after_the_last_version_that_was_applied():
     async def test(w: World) -> None:
         path, watch = await w.catalog.watches.get()
         assert path == b"/catalog/members?watch=1&after=41"
         Catalog.push(watch, b"")
         Catalog.push(watch, line(44, entry("s0", w.origins[0].address), reset=True))
         Catalog.push(watch, b'{"generation": 45, "instances": 7}')
-        path, watch = await w.catalog.watches.get()  # the bad line was not passed over
+        path, watch = await w.catalog.watches.get()  # the malformed line is not skipped
         assert path.endswith(b"after=44")
         Catalog.push(watch, line(46, entry("s0", w.origins[0].address, "terminated"), {"instanceId": "s9"}))
         watch.close()
@@ -85,7 +85,7 @@
     with_node(test)
 
 
-def test_a_list_in_pieces_and_a_server_that_moved():
+def test_a_list_in_pieces_and_a_server_with_a_new_address():
     async def test(w: World) -> None:
         watch = await w.watch()
         text = line(42, entry("s0", w.origins[1].address), reset=True) + b"\n"
@@ -103,59 +103,58 @@
     with_node(test, servers=2)
 
 
-class Lists:
+class RecordingDispatcher:
     def __init__(self) -> None:
-        self.got: list[tuple] = []
+        self.updates: list[tuple] = []
         self.tracer = None
 
     def endpoint_update(self, kind, entries) -> None:
-        self.got.append((kind, list(entries)))
+        self.updates.append((kind, list(entries)))
 
 
-def test_entries_become_the_module_s():
+def test_entries_are_converted_to_endpoints_of_the_module():
     async def test() -> None:
-        host, pool = Lists(), ConnectionPool(1, 1, [], DescriptorBudget(1))
-        directory = EndpointRegistry(host, pool, ["here", "there"], ["m1", "m2"])
-        now_ms = (monotonic_us() + directory.start_times.unix_offset) // 1000
+        host, pool = RecordingDispatcher(), ConnectionPool(1, 1, [], DescriptorBudget(1))
+        registry = EndpointRegistry(host, pool, ["here", "there"], ["m1", "m2"])
+        now_ms = (monotonic_us() + registry.start_times.unix_offset) // 1000
         item = entry("b", "127.0.0.1:1", zone="there", machineType="m2", cell=3, startedAtMs=now_ms - 1000)
         at_2 = entry("c", "127.0.0.1:2")
         item["hostPort"] = "127.0.0.1:3"
-        directory.apply(update(1, entry("a", "127.0.0.1:1"), item, at_2, "junk"), cached=True)
-        directory.apply(update(2, item, {**at_2, "lifecycle": "resting"}))
-        (kind, (a, b, _)), (later, (b2, c)) = host.got
+        registry.apply(update(1, entry("a", "127.0.0.1:1"), item, at_2, "junk"), cached=True)
+        registry.apply(update(2, item, {**at_2, "lifecycle": "resting"}))
+        (kind, (a, b, _)), (later, (b2, c)) = host.updates
         assert (kind, later) == (EndpointUpdateKind.CACHED, EndpointUpdateKind.CHANGES)
         assert (a.ready_at, b.cell, b.zone, b.machine_type) == (0, 3, 1, 1)
         assert b == b2
         assert c.state == EndpointState.DRAINING
         assert abs(monotonic_us() - b.ready_at) < 60_000_000
-        # A line on a server that goes holds even where the rest of it is missing.
-        directory.apply(update(3, {"instanceId": "a", "lifecycle": "terminated"}))
-        assert host.got[-1][1][0].state == EndpointState.GONE
+        # An entry for a server that is gone is applied even if its other fields are missing.
+        registry.apply(update(3, {"instanceId": "a", "lifecycle": "terminated"}))
+        assert host.updates[-1][1][0].state == EndpointState.GONE
         assert a.server not in pool.processes
-        directory.apply(update(4, item, reset=True))
-        assert host.got[-1][0] == EndpointUpdateKind.FULL
-        # What has gone, and holds nothing, is forgotten; a line on one never heard of makes nothing.
-        directory.apply(update(5, entry("z", "127.0.0.1:9", "terminated")))
-        assert (
-            list(pool.processes) == list(directory.listed) == list(directory.numbers.values()) == [b.server]
-        )
-        # A new server at an old address is another process: nothing is sent there under the old name.
-        directory.apply(update(6, entry("d", "127.0.0.1:3", startedAtMs=now_ms)))
-        gone, d = host.got[-1][1]
+        registry.apply(update(4, item, reset=True))
+        assert host.updates[-1][0] == EndpointUpdateKind.FULL
+        # A server that is gone and has no requests is forgotten. An entry that states an unknown server as gone adds
+        # nothing.
+        registry.apply(update(5, entry("z", "127.0.0.1:9", "terminated")))
+        assert list(pool.processes) == list(registry.listed) == list(registry.numbers.values()) == [b.server]
+        # A new server at a known address is another process, so nothing is sent there under the old name.
+        registry.apply(update(6, entry("d", "127.0.0.1:3", startedAtMs=now_ms)))
+        gone, d = host.updates[-1][1]
         assert (gone.server, gone.state, d.server) == (b.server, EndpointState.GONE, 4)
-        directory.apply(update(7, item))  # an old line, late
-        assert list(directory.listed) == [d.server] == list(pool.processes)
+        registry.apply(update(7, item))  # an older entry that arrives late
+        assert list(registry.listed) == [d.server] == list(pool.processes)
         for n in range(20):
-            directory.apply(update(8 + n, entry(f"e{n}", "127.0.0.1:4", zone=f"z{n}"), reset=True))
-        assert len(pool.processes) == len(directory.numbers) == len(directory.zones.dynamic) == 1
+            registry.apply(update(8 + n, entry(f"e{n}", "127.0.0.1:4", zone=f"z{n}"), reset=True))
+        assert len(pool.processes) == len(registry.numbers) == len(registry.zones.dynamic) == 1
 
     run(test())
 
 
-def test_the_old_discovery_counts_until_the_new_one_has_brought_a_list():
+def test_the_old_discovery_is_used_until_the_new_one_has_sent_a_list():
     async def test(w: World) -> None:
         watch, new = await w.watch(), await Catalog().start()
-        assert w.node.discovery.migrate(("127.0.0.1", 1))  # nobody there
+        assert w.node.discovery.migrate(("127.0.0.1", 1))  # nothing listens there
         Catalog.push(watch, line(42, entry("s0", w.origins[1].address)))
         while w.node.discovery.current.generation < 42:
             await asyncio.sleep(0)
@@ -174,24 +173,24 @@
     with_node(test, servers=2)
 
 
-def test_a_watch_that_never_says_a_word_is_given_up_at_once_and_the_next_one_counts(monkeypatch):
-    """Two silent watches in a row outlast the time after which a drain is binding."""
+def test_a_watch_that_never_responds_is_closed_soon_and_the_next_one_is_used(monkeypatch):
+    """Guards against two silent watches in a row, which would exceed the staleness limit of a drain."""
     monkeypatch.setattr(subscription_schedule, "AGENT_RESPONSE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 4 * WAIT)
 
     async def test() -> None:
         origin = await Origin().start()
-        address, came = await held_calls()
+        address, calls = await held_calls()
         known = update(41, entry("s1", origin.address), reset=True)
         node = Node(config_from(config_of(address, known=known)))
         task = asyncio.create_task(node.run())
         for _ in range(2):
-            await came.get()  # and not a word
-        writer = await came.get()
+            await calls.get()  # the call is not answered
+        writer = await calls.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(42, entry("s1", origin.address, "terminating"))))
         await until(lambda: not node.registry.listed)
-        assert came.empty(), "one that has spoken has more time"
+        assert calls.empty(), "a watch that has received data has the longer timeout"
         task.cancel()
 
     run(test())
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -1,4 +1,4 @@
-"""The process table: its state table, and any order of migrations, lags, recalls and replays."""
+"""The process table: its state table, and arbitrary orders of migrations, lags, recalls and replays."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def list_with(lifecycle: str, started: int = 5, version: int = 1) -> dict:
-    """A list or change on one server."""
+    """Builds a list or change with one server."""
     return update(version, entry("s", "h:1", lifecycle, startedAtMs=started))
 
 
-# Rows of the module's table: the lifecycle that the current source states, what an earlier one stated (lifecycle and
-# start), the state, and the start of the process that is used.
+# Rows of the state table in the process_table module: the lifecycle that the current source states, the lifecycle and
+# start time that an earlier source stated, the resulting state, and the start time of the process that is used.
 ROWS = [
     (None, ("in_service", 5), ProcessState.GONE, None),
     (None, ("terminating", 5), ProcessState.GONE, None),
@@ -49,7 +49,7 @@
 
 
 def used_start(instances: list[dict]) -> int | None:
-    """The start of the process that a list puts into service."""
+    """Returns the start time of the process that a list puts into service; None if there is none."""
     starts = [entry["startedAtMs"] for entry in instances if entry["lifecycle"] == "in_service"]
     return starts[0] if starts else None
 
@@ -62,7 +62,7 @@
     result = table.receive(1.0, NEW, change, full=True)
     assert table.state("s") is state
     assert used_start(result.update["instances"]) == started
-    # The same if the earlier source states it after the migration, on its watch that is still open.
+    # The state is the same if the earlier source makes its statement after the migration, on its still open watch.
     if earlier and present:
         late = ProcessTable(OLD)
         late.receive(0.0, OLD, list_with("in_service", 1), full=True)
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("malformed", [None, [], {}, {"instances": None}, "x"])
-def test_what_is_no_list_raises_and_malformed_entries_pass_through(malformed):
+def test_a_malformed_list_raises_and_malformed_entries_pass_through(malformed):
     table = ProcessTable(OLD)
     with pytest.raises(ValueError):
         table.receive(0.0, OLD, malformed, full=True)
@@ -174,14 +174,14 @@
     assert result.update["instances"] == items
 
 
-# ---- any order of events, against the real servers ---------------------------------------------------------
+# ---- arbitrary orders of events, compared with the real servers ---------------------------------------
 
-MAX_LAG_S = 3.0  # of a new discovery; the protocol allows 4 after a migration
-STEP_S = 0.5  # between two events
+MAX_LAG_S = 3.0  # the longest lag of a new discovery; the protocol allows 4 s after a migration
+STEP_S = 0.5  # the time between two events
 
 
-class Truth:
-    """The real servers, and each discovery's view of them, which lags by a time of its own."""
+class RealServers:
+    """The servers' real lifecycles, and the view of them that a discovery with a given lag has."""
 
     def __init__(self) -> None:
         self.changes: list[tuple[float, dict[str, str]]] = [
@@ -196,7 +196,7 @@
         self.changes.append((at, {**self.now, name: lifecycle}))
 
     def last_change_seen(self, at: float, lag: float) -> int:
-        """The index of the last change that a discovery with that lag has."""
+        """Returns the index of the last change that a discovery with that lag has received."""
         return max(i for i, (when, _) in enumerate(self.changes) if when <= at - lag)
 
     def full_list(self, index: int, *, omits_draining: bool) -> dict:
@@ -228,10 +228,11 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(EVENTS, min_size=3, max_size=40))
 def test_no_server_is_used_after_a_notified_drain_and_all_are_used_again_in_the_end(events):
-    truth, table = Truth(), ProcessTable(DiscoverySource("d0", 0))
-    sources = {0: (DiscoverySource("d0", 0), 0.0)}  # with their lags, by sequence
-    sent = {0: 0}  # the last change that each source has sent
-    notified_drains: dict[str, int] = {}  # the last change by which a server drains, whichever source sent it
+    real_servers, table = RealServers(), ProcessTable(DiscoverySource("d0", 0))
+    sources = {0: (DiscoverySource("d0", 0), 0.0)}  # each source with its lag, by sequence
+    sent = {0: 0}  # the index of the last change that each source has sent, by sequence
+    # The index of the last change that drained each server, whichever source sent it.
+    notified_drains: dict[str, int] = {}
     used: set[str] = set()
     current, migrated_at, now = 0, -100.0, 0.0
 
@@ -242,52 +243,55 @@
             (used.add if item["lifecycle"] == "in_service" else used.discard)(item["instanceId"])
 
     def receive_from(sequence: int) -> None:
-        """The discovery sends its changes one by one, and a heartbeat."""
+        """Sends the discovery's changes one by one, and then a heartbeat."""
         source, lag = sources[sequence]
         lag = lag if now < migrated_at + 4.0 or sequence != current else 0.0
-        while sent[sequence] < truth.last_change_seen(now, lag):
+        while sent[sequence] < real_servers.last_change_seen(now, lag):
             sent[sequence] += 1
             index = sent[sequence]
-            apply(table.receive(now, source, truth.change_at(index), full=False), False)
-            for name, state in truth.changes[index][1].items():
-                if state != "in_service" and truth.changes[index - 1][1][name] == "in_service":
+            apply(table.receive(now, source, real_servers.change_at(index), full=False), False)
+            for name, state in real_servers.changes[index][1].items():
+                if state != "in_service" and real_servers.changes[index - 1][1][name] == "in_service":
                     notified_drains[name] = max(index, notified_drains.get(name, 0))
         apply(table.heartbeat(now, source), False)
 
     def check() -> None:
-        """A server that has been draining since the last notified drain must not be used."""
+        """Asserts that no server is used that has been draining since its last notified drain."""
         for name, index in notified_drains.items():
-            still_draining = all(view[name] != "in_service" for _, view in truth.changes[index:])
+            still_draining = all(view[name] != "in_service" for _, view in real_servers.changes[index:])
             assert not (still_draining and name in used), (now, name)
 
-    apply(table.receive(now, sources[0][0], truth.full_list(0, omits_draining=False), full=True), True)
+    apply(table.receive(now, sources[0][0], real_servers.full_list(0, omits_draining=False), full=True), True)
     for kind, what, how in [*events, *[("pass", 0.0, True)] * 16]:
         now += STEP_S
         if kind == "change":
-            truth.change(now, what, how)
+            real_servers.change(now, what, how)
         elif kind == "migrate":
             former, current, migrated_at = current, current + 1, now
             sources[current] = (DiscoverySource(f"d{current}", current, now + 5.0), what)
-            sent[current] = truth.last_change_seen(now, what)
+            sent[current] = real_servers.last_change_seen(now, what)
             apply(
                 table.receive(
-                    now, sources[current][0], truth.full_list(sent[current], omits_draining=how), full=True
+                    now,
+                    sources[current][0],
+                    real_servers.full_list(sent[current], omits_draining=how),
+                    full=True,
                 ),
                 True,
             )
             check()
-            receive_from(former)  # its watch is still open
+            receive_from(former)  # the former source's watch is still open
             check()
         receive_from(current)
         check()
-    assert used == {name for name, state in truth.now.items() if state == "in_service"}
+    assert used == {name for name, state in real_servers.now.items() if state == "in_service"}
 
 
 def test_log_lines_name_the_source_its_statement_and_its_age():
     table = ProcessTable(OLD)
     table.receive(0.0, OLD, list_with("terminating", version=43), full=True)
-    held = table.receive(1.0, NEW, list_with("in_service", version=42), full=True)
-    assert describe_transitions(held.transitions, 1.0) == [
+    quarantined = table.receive(1.0, NEW, list_with("in_service", version=42), full=True)
+    assert describe_transitions(quarantined.transitions, 1.0) == [
         "draining -> held, said: s (old:1 v43 said draining, 1.0 s ago)"
     ]
     back = table.heartbeat(AFTER, NEW)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Nothing is sent by a list that discovery has not confirmed to this process: starts, waits and their bounds."""
+"""A node sends no requests before discovery has confirmed a list to its process: starts, waits and their bounds."""
 
 import asyncio
 from random import Random
@@ -42,33 +42,33 @@
 from harecross.node.node import Node
 
 
-class Starting:
-    """A node whose configured list has servers `a` and `b`, and whose discovery has not answered."""
+class StartingNode:
+    """A starting node whose configured list has servers `a` and `b`, and whose discovery has not responded yet."""
 
-    async def begin(self, **settings: object) -> None:
+    async def start(self, **settings: object) -> None:
         self.a, self.b = await Origin().start(), await Origin().start()
-        discovery, self.came = await held_calls()
+        discovery, self.discovery_calls = await held_calls()
         self.known = (entry("a", self.a.address), entry("b", self.b.address))
         known = update(41, *self.known, reset=True)
-        told = {"settings": settings, "known": known, "admin": "127.0.0.1:0"}
-        self.node = Node(config_from(config_of(discovery, **told)))
+        options = {"settings": settings, "known": known, "admin": "127.0.0.1:0"}
+        self.node = Node(config_from(config_of(discovery, **options)))
         self.task = asyncio.create_task(self.node.run())
         await until(lambda: self.node.address[1])
 
     async def client(self) -> Client:
         return await Client.open(self.node.address)
 
-    async def tell(self, *lines: bytes) -> asyncio.StreamWriter:
-        """Discovery answers the call that has come."""
-        writer = await self.came.get()
+    async def answer_discovery_call(self, *lines: bytes) -> asyncio.StreamWriter:
+        """Answers the next call to discovery with the given lines."""
+        writer = await self.discovery_calls.get()
         writer.write(STARTED + b"".join(map(chunk, lines)))
         return writer
 
 
-def starting(test, **settings: object) -> None:
+def run_with_starting_node(test, **settings: object) -> None:
     async def body() -> None:
-        s = Starting()
-        await s.begin(**settings)
+        s = StartingNode()
+        await s.start(**settings)
         try:
             await test(s)
         finally:
@@ -77,93 +77,93 @@
     run(body())
 
 
-async def health(client: Client) -> int:
+async def health_status(client: Client) -> int:
     client.send("/_health")
     return (await client.answer())[0]
 
 
 def test_requests_during_a_start_wait_for_the_first_list(monkeypatch):
-    """Nothing is sent by the configured list in the milliseconds before the agent's first line is read."""
+    """Nothing is sent based on the configured list before the agent's first line is read."""
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
-    async def test(s: Starting) -> None:
+    async def test(s: StartingNode) -> None:
         s.b.answer_all()
         clients = [await s.client() for _ in range(2)]
         for client in clients:
             client.send("/put/1", key="k")
-        writer = await s.came.get()
-        await asyncio.sleep(0.1)  # time enough for a node that does not wait
+        writer = await s.discovery_calls.get()
+        await asyncio.sleep(0.1)  # long enough for a node that does not wait to send a request
         assert s.a.arrived.empty()
         assert s.b.links == 0
         writer.write(STARTED + chunk(line(42, entry("a", s.a.address, "terminating"))))
         assert [(await c.answer())[0] for c in clients] == [200] * 2
         assert s.a.arrived.empty(), "nothing went to the server that leaves"
 
-    starting(test)
+    run_with_starting_node(test)
 
 
 def test_until_a_late_list_requests_are_refused_at_once_and_the_health_check_fails(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
 
-    async def test(s: Starting) -> None:
+    async def test(s: StartingNode) -> None:
         client = await s.client()
-        assert await health(client) == 503
+        assert await health_status(client) == 503
         client.send()
         status, head, _ = await client.answer()
         assert status == 503
         assert b"Retry-After: 0.250" in head
         assert s.node.dispatcher.statistics.shed_without_list == 1
         assert s.a.links == s.b.links == 0
-        await s.tell(b"")  # nothing has changed since the version asked after
+        await s.answer_discovery_call(b"")  # nothing has changed since the version in the request
         await until(s.node.membership.first_list_received.is_set)
-        assert await health(client) == 200
+        assert await health_status(client) == 200
         client.send()
         arrived = await first(s.a, s.b)
         arrived.answer()
         assert (await client.answer())[0] == 200
 
-    starting(test)
+    run_with_starting_node(test)
 
 
 def test_the_admin_status_is_not_ready_before_the_node_may_send(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(admin_operations, "FIRST_LIST_WAIT_S", 0.0)
 
-    async def test(s: Starting) -> None:
+    async def test(s: StartingNode) -> None:
         await s.node.started.wait()
         assert s.node.admin_operations.status(b"") == (503, "waiting for discovery")
-        await s.tell(b"")
+        await s.answer_discovery_call(b"")
         await until(s.node.membership.first_list_received.is_set)
         assert s.node.admin_operations.status(b"")[0] == 200
 
-    starting(test)
+    run_with_starting_node(test)
 
 
-def test_a_start_does_not_wait_for_ever(monkeypatch):
-    """Discovery is down: after the longest wait the configured list is used."""
+def test_a_start_waits_for_a_bounded_time(monkeypatch):
+    """While discovery is down, the configured list is used after the longest wait."""
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.2)
 
-    async def test(s: Starting) -> None:
+    async def test(s: StartingNode) -> None:
         client = await s.client()
-        while await health(client) != 200:
+        while await health_status(client) != 200:
             await asyncio.sleep(0.01)
         client.send()
         (await first(s.a, s.b)).answer()
         assert (await client.answer())[0] == 200
         assert s.node.membership.readiness.freshness(0.0, s.node.discovery.schedule) is Freshness.CONFIGURED
 
-    starting(test)
+    run_with_starting_node(test)
 
 
 def test_a_stop_during_the_wait_stops_the_node(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
-    async def test(s: Starting) -> None:
+    async def test(s: StartingNode) -> None:
         s.node.stop_requested.set()
         await s.task
 
-    starting(test, classes=[{**SETTINGS["classes"][0], "hard_limit": 100_000}])
+    run_with_starting_node(test, classes=[{**SETTINGS["classes"][0], "hard_limit": 100_000}])
 
 
 def test_thirty_nodes_that_start_at_once_send_nothing_to_servers_that_drain_before_during_or_after():
@@ -181,13 +181,13 @@
             config = config_of(address, asked(nodes, i), known=known)
             started.append(Node(config_from(config)))
         tasks = [asyncio.create_task(n.run()) for n in started]
-        wrong: list[int] = []
+        sent_after_drain: list[int] = []
 
         async def answer(i: int) -> None:
             while True:
                 arrived = await origins[i].arrived.get()
                 if f"s{i}" in desk.left:
-                    wrong.append(i)
+                    sent_after_drain.append(i)
                 arrived.answer()
 
         tasks += [asyncio.create_task(answer(i)) for i in range(servers)]
@@ -208,8 +208,9 @@
         await until(lambda: desk.answered >= nodes)
         desk.drain("s2")
         await asyncio.gather(*calls)
-        # What was sent in the instant of the drain has 250 ms; `s0` left before anybody started.
-        assert 0 not in wrong, wrong
+        # Requests sent at the moment of a drain are allowed for 250 ms. Only `s0` is checked, because it left before
+        # any node started.
+        assert 0 not in sent_after_drain, sent_after_drain
         assert counts[200] > 0 and counts[503] > 0, counts
         assert all(n.membership.first_list_received.is_set() for n in started)
         for task in tasks:
@@ -218,7 +219,7 @@
     run(test())
 
 
-# ---- the states by themselves ------------------------------------------------------------------------
+# ---- freshness and readiness without a node -----------------------------------------------------------
 
 
 def test_freshness_and_readiness_from_the_start_to_a_stale_list():
@@ -239,7 +240,7 @@
     assert list_readiness.may_send(106.2), "a confirmed list is used however old it is"
 
 
-def test_the_wait_ends_once_and_for_all():
+def test_the_wait_does_not_begin_again():
     list_readiness = ListReadiness(100.0, 6.0)
     list_readiness.configured_list_loaded()
     assert not list_readiness.may_send(105.99)
@@ -249,7 +250,7 @@
 
 @pytest.mark.parametrize("number", [0, 40, 229])
 def test_a_failed_first_call_and_the_second_fit_into_the_longest_wait(number):
-    """The sum of a call that times out, the pause, any position in the round, and the next call."""
+    """Adds up a call that times out, the pause, any position in the round, and the next call."""
     schedule = SubscriptionSchedule(
         DiscoverySettings(polled=True, instance_count=230, instance_index=number), Random(1)
     )
@@ -267,11 +268,11 @@
     )
 
 
-# ---- many nodes that start at once, on the model -----------------------------------------------------
+# ---- many nodes that start at once, in the rehearsal model --------------------------------------------
 
 
 def start_at_once(nodes: int, seed: int, queue_s: float = 5.0, **changes: object) -> RehearsalResult:
-    """Seven in ten nodes start at once in the middle of a release; discovery needs `queue_s` s to answer them all."""
+    """Simulates 70 % of the nodes starting at once during a release; discovery needs `queue_s` s to answer them all."""
     scenario = Scenario(
         nodes=nodes, seed=seed, discovery=DiscoveryCapacity(0.7 * nodes / queue_s), trigger=Trigger.RESTART,
         restart_fraction=0.7, stopped_before=1.5, earlier_drain=0.7, drain_delay=0.5, drain_interval=1.1, duration=50.0,
@@ -295,7 +296,7 @@
     slow = start_at_once(nodes, 1, queue_s=5.0)
     assert slow.ready_time(0.3) < 0.3 + 2.0 + 0.1
     assert slow.ready_times[-1] < MAX_POLLED_WAIT_S
-    assert start_at_once(nodes, 1, queue_s=60.0).ready_times[-1] == MAX_POLLED_WAIT_S, "never for ever"
+    assert start_at_once(nodes, 1, queue_s=60.0).ready_times[-1] == MAX_POLLED_WAIT_S, "the wait is bounded"
 
 
 @pytest.mark.parametrize("local_agent", [True, False])
@@ -303,6 +304,6 @@
     monkeypatch.setattr(readiness, "MAX_POLLED_WAIT_S", 0.0)
     monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.0)
     if local_agent:
-        # The start took a little longer than the settings' 250 + 50 ms.
+        # The start takes slightly longer than the 250 ms of the settings plus 50 ms.
         monkeypatch.setattr(rehearsal, "PROCESS_START_S", 0.31)
     assert start_at_once(230, 1, local_agent=local_agent).stale_send_s > 0
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""When a server process became ready, while wall clocks are wrong or stepped: slow start must follow real time."""
+"""Ready times of server processes while wall clocks are wrong or stepped: slow start must follow real time."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 WALL = 1_700_000_000 * SECOND  # Unix microseconds at monotonic zero
 
 
-@pytest.mark.parametrize("off", [-HOUR, -5 * SECOND, 0, 5 * SECOND, HOUR])
-def test_a_new_process_is_no_older_than_the_last_list_without_it_whatever_the_wall_clocks_show(off):
-    """`off`: how far this node's wall clock is ahead, in microseconds."""
-    known_starts = StartTimes(WALL + off)
+@pytest.mark.parametrize("clock_offset", [-HOUR, -5 * SECOND, 0, 5 * SECOND, HOUR])
+def test_a_new_process_is_no_older_than_the_last_list_without_it_whatever_the_wall_clocks_show(clock_offset):
+    """`clock_offset` is how far this node's wall clock is ahead, in microseconds."""
+    known_starts = StartTimes(WALL + clock_offset)
     known_starts.listing_complete(100 * SECOND)
     started, now = (WALL + 100 * SECOND + SECOND // 2) // 1000, 101 * SECOND
     ready_at = known_starts.ready_at("s", started, now)
     assert 100 * SECOND <= ready_at <= now
-    if off == 0:
+    if clock_offset == 0:
         assert ready_at == 100 * SECOND + SECOND // 2
-    # Later lists do not change it.
+    # Later lists do not change the ready time.
     known_starts.listing_complete(500 * SECOND)
     assert known_starts.ready_at("s", started, 501 * SECOND) == ready_at
 
@@ -59,18 +59,23 @@
     ),
     st.integers(-HOUR, HOUR),
 )
-def test_no_new_process_counts_as_older_than_the_last_list_without_it(starts, off):
-    """Each start: how long after the last list, how much later it is listed (ms), and its clock's offset."""
-    known_starts, now = StartTimes(WALL + off), 0
-    for i, (after, lag, server_off) in enumerate(starts):
+def test_no_new_process_counts_as_older_than_the_last_list_without_it(starts, clock_offset):
+    """Each start holds its delay after the last list, its delay until it is listed, and its clock's offset.
+
+    The delays are in milliseconds, the offset in microseconds.
+    """
+    known_starts, now = StartTimes(WALL + clock_offset), 0
+    for i, (after, lag, server_clock_offset) in enumerate(starts):
         known_starts.listing_complete(now)
         listed_at = now
-        began = now + after * 1000
-        now = began + lag * 1000
-        ready_at = known_starts.ready_at(f"s{i}", max(1, (WALL + began + server_off) // 1000), now)
+        started_at = now + after * 1000
+        now = started_at + lag * 1000
+        ready_at = known_starts.ready_at(
+            f"s{i}", max(1, (WALL + started_at + server_clock_offset) // 1000), now
+        )
         assert listed_at <= ready_at <= now
-        if off == server_off == 0:
-            assert abs(ready_at - began) <= 1000
+        if clock_offset == server_clock_offset == 0:
+            assert abs(ready_at - started_at) <= 1000
 
 
 @pytest.mark.parametrize("hours", [-1, 1])
@@ -90,7 +95,7 @@
         ]
         assert view.slow_start_factor < 0.7, "it has just started"
         assert listed_from - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
-        # Recalled after a drain, it is still the same process.
+        # A server that is recalled after a drain is still the same process.
         ready_at = w.node.registry.listed[server].ready_at
         Catalog.push(watch, line(43, {**new_server, "lifecycle": "terminating"}))
         await until(lambda: server not in w.node.registry.listed)
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -1,4 +1,4 @@
-"""The subscription schedule by itself, in a node, and in the adapter."""
+"""The subscription schedule on its own, in a node, and in the adapter."""
 
 import asyncio
 import json
@@ -52,7 +52,7 @@
     return schedule
 
 
-# ---- the schedule by itself ------------------------------------------------------------
+# ---- the schedule on its own --------------------------------------------------------------------------
 
 
 def test_states_response_deadlines_and_the_staleness_limit():
@@ -65,7 +65,7 @@
     schedule.call_started(1.0)
     assert schedule.state is SubscriptionState.CALLING
     assert schedule.response_deadline() == 1.0 + POLL_TIMEOUT_S
-    schedule.heartbeat_received(2.9)  # just before discovery would have failed it
+    schedule.heartbeat_received(2.9)  # just before discovery would have failed the call
     schedule.update_applied()
     assert schedule.state is SubscriptionState.SUBSCRIBED
     assert schedule.first_response_wait == pytest.approx(1.9)
@@ -98,7 +98,7 @@
         (long, LONG_QUEUE_ROUND_S),
     ):
         assert max(waits) <= MIN_CALL_DELAY_S + length
-        # One in each fortieth of the round: positions are even, whatever the seeds.
+        # Nearly every fortieth of the round holds one node: the slots are spread evenly, whatever the seeds.
         slots = sorted(
             int((w - MIN_CALL_DELAY_S) / length * 40 + 40 - 40 * GOLDEN_RATIO_FRACTION) % 40 for w in waits
         )
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("nodes", [2, 3, 4, 12, 67, 200, 1024])
 def test_all_waits_together_fit_into_the_staleness_limit_for_every_position_in_the_round(nodes):
-    """A watch silent three times in a row; a discovery that was down; a migration to one that answers nothing."""
+    """Covers three silent watches in a row, a discovery that was down, and a migration to one that does not respond."""
     for index in range(nodes):
         schedule = subscribed(DiscoverySettings(True, nodes, index, 10.0), seed=index)
         for _ in range(3):
@@ -202,7 +202,7 @@
     assert schedule.response_deadline() == 3.0 + AGENT_RESPONSE_TIMEOUT_S
 
 
-# ---- in a node and in the adapter ------------------------------------------------------------
+# ---- in a node and in the adapter ---------------------------------------------------------------------
 
 
 def test_a_node_reopens_a_silent_watch_in_its_slot_and_pauses_after_a_failed_call(monkeypatch):
@@ -216,22 +216,22 @@
         monkeypatch.setattr(subscription_schedule, name, value)
 
     async def test() -> None:
-        address, came = await held_calls()
+        address, calls = await held_calls()
         known = update(41, entry("s1", "127.0.0.1:1"), reset=True)
         asked = {**SETTINGS, "discovery": "ask"}
         node = Node(config_from(config_of(address, known=known, settings=asked)))
         task = asyncio.create_task(node.run())
         await node.started.wait()
         schedule = node.discovery.schedule
-        writer = await came.get()
+        writer = await calls.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(42)))
         await until(lambda: schedule.state is SubscriptionState.SUBSCRIBED)
-        writer = await came.get()  # the first watch has fallen silent
+        writer = await calls.get()  # the first watch has timed out
         assert schedule.consecutive_failures == 0
         assert schedule.call_count == 2
         writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        writer = await came.get()
+        writer = await calls.get()
         assert schedule.consecutive_failures == 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(43, entry("s1", "127.0.0.1:1", "terminating"))))
@@ -262,7 +262,7 @@
 
 
 def test_an_agent_that_is_silent_or_refuses_for_long_is_called_again_within_the_send_stop_grace():
-    """A change that it gets when it comes back counts as notified at once, whether or not a call is open."""
+    """A change that the agent receives on its return counts as notified at once, whether or not a call is open."""
     watch = SubscriptionSchedule(DiscoverySettings(), Random(1))
     watch.start(0.0)
     now = 0.0
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls of a real node process that fail as Linux documents; the project's own shim makes them fail."""
+"""A real node process whose system calls fail as documented for Linux; the project's fault shim injects the errors."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FaultyNode:
-    """One node process whose system calls fail, three servers and a discovery."""
+    """One node process whose system calls fail, with three servers and a discovery."""
 
     def __init__(self, node: NodeProcess, origins: list[ClosingOrigin], catalog: StandinDiscovery) -> None:
         self.node, self.origins, self.catalog = node, origins, catalog
@@ -58,7 +58,10 @@
         return self.node.process.pid
 
     async def request(self, connection: Client | None = None) -> int | None:
-        """The status of one request on a new connection; None if that was refused; ConnectionError if it was lost."""
+        """Sends a request, by default on a new connection, and returns its status; None if that was refused.
+
+        Raises ConnectionError or IncompleteReadError if the request was lost.
+        """
         try:
             client = connection or await Client.open(self.node.address)
         except ConnectionRefusedError:
@@ -112,7 +115,7 @@
 
 
 async def send_during_shutdown(world: FaultyNode) -> None:
-    """Sends requests on new connections from SIGTERM until the node refuses them. AssertionError if one is lost."""
+    """Sends requests on new connections from SIGTERM until the node refuses them; asserts that none is lost."""
     lost, answered = [], []
 
     async def one() -> None:
@@ -146,7 +149,7 @@
 
 
 def test_a_shutdown_resets_no_connection_between_its_last_accept_and_the_close(shim, tmp_path):
-    """Connections that the kernel has accepted and the process has not are reset with the listening socket."""
+    """Guards against connections in the listen backlog, which the kernel resets when the listening socket closes."""
 
     async def test() -> None:
         fault = CallFault("close_listener", DELAYED, 1.0, 0, ALWAYS)
@@ -159,7 +162,7 @@
 @pytest.mark.parametrize("error", SHORTAGES, ids=errno.errorcode.get)
 def test_a_shortage_at_accept_uses_no_processor_time_and_open_connections_are_served(error, shim, tmp_path):
     async def test() -> None:
-        # The shortage begins after the start; the connection that is served throughout is open by then.
+        # The shortage begins after the start, when the connection that is served throughout is already open.
         async with faulty_node(tmp_path, shim, CallFault("accept", error, 1.0, 2.0, 5.0)) as world:
             connection = await Client.open(world.node.address)
             assert await world.request(connection) == 200
@@ -171,7 +174,7 @@
                 assert await world.request(connection) == 200
                 await asyncio.sleep(0.1)
             assert not waiting.done()
-            assert world.processor_seconds() - before < 0.5, "of more than a second"
+            assert world.processor_seconds() - before < 0.5, "over more than a second of wall time"
             assert await waiting in (200, 503)
 
     run(test())
@@ -192,7 +195,7 @@
 
 
 async def admin_call(node: NodeProcess, method: str, path: str, body: str = "") -> tuple[int, str]:
-    """One call at the node's admin server: status and text."""
+    """Makes one call to the node's admin server and returns its status and text."""
     (text,) = [text for text in node.log_lines if text.startswith("door: listening on ")]
     host, _, port = text.rpartition(" ")[2].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -205,7 +208,7 @@
 
 @pytest.mark.parametrize("call", ["write_file", "fsync"])
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
-def test_maintenance_outlives_a_kill_and_a_change_that_cannot_be_written_is_refused(
+def test_maintenance_survives_a_kill_and_a_change_that_cannot_be_written_is_refused(
     call, error, shim, tmp_path
 ):
     async def test() -> None:
@@ -213,11 +216,11 @@
         catalog = await StandinDiscovery().start()
         catalog.put(*(entry(f"s{i}", o.address) for i, o in enumerate(origins)))
         config = config_of(catalog.address, admin="127.0.0.1:0", known=catalog.full_list())
-        lasting = tmp_path / "lasting"
-        lasting.mkdir()
+        state_folder = tmp_path / "lasting"
+        state_folder.mkdir()
         faults = environment(shim, 1, [CallFault(call, error, 1.0, 1.5, ALWAYS)])
-        first = NodeProcess("n0", tmp_path, config, {**faults, "TMPDIR": str(lasting)})
-        second = NodeProcess("n0", tmp_path, config, {"TMPDIR": str(lasting)})
+        first = NodeProcess("n0", tmp_path, config, {**faults, "TMPDIR": str(state_folder)})
+        second = NodeProcess("n0", tmp_path, config, {"TMPDIR": str(state_folder)})
         try:
             await first.start(None)
             assert (await admin_call(first, "POST", "/maintenance/enter", "s0"))[0] == 200
@@ -250,7 +253,8 @@
     run(test())
 
 
-CONNECT_FAILURES = [  # and whether this machine is the cause, not the server
+# Each entry holds the system call, its error, and whether this machine rather than the server is the cause.
+CONNECT_FAILURES = [
     ("connect", errno.EADDRNOTAVAIL, True),
     ("connect", errno.ENETUNREACH, True),
     ("connect", errno.ENOBUFS, True),
@@ -267,7 +271,7 @@
 def test_a_failing_connect_loses_no_request_and_ejects_no_server_for_a_local_shortage(
     call, error, local, shim, tmp_path
 ):
-    """Servers close after each response, so that every request needs a new connection; a third of them fail."""
+    """Servers close after each response, so every request needs a new connection; a third of the connects fail."""
 
     async def test() -> None:
         async with faulty_node(tmp_path, shim, CallFault(call, error, 0.33, 2.0, 5.0)) as world:
