--- a/harecross/dispatch/close_reasons.py
+++ b/harecross/dispatch/close_reasons.py
@@ -18,7 +18,7 @@
     REQUEST_TIMEOUT = "silent"  # no request came in time
     BAD_REQUEST = "bad_request"  # a request that cannot be parsed
     RESPONSE_NOT_READ = "not_read"  # the client does not read its response
-    RESPONSE_BROKEN_OFF = "broken_answer"  # a part of a response was sent, and the rest cannot be
+    RESPONSE_ABORTED = "broken_answer"  # a part of a response was sent, and the rest cannot be
     CLIENT_DISCONNECTED = "client_left"  # the kernel reports that the client has closed its side
     # Upstream connections.
     ABANDONED = "given_up"  # the response is no longer waited for
--- a/harecross/dispatch/deadlines.py
+++ b/harecross/dispatch/deadlines.py
@@ -7,32 +7,33 @@
 from harecross.upstream.exchange import NO_DEADLINE_US
 
 # Of a request's timeout this much is left for its answer to reach the client: a fixed time, or a part of a short one.
-ANSWER_MARGIN_US = 15_000
-ANSWER_MARGIN_DIVISOR = 20
+RESPONSE_MARGIN_US = 15_000
+RESPONSE_MARGIN_DIVISOR = 20
 
 
 class ResponseDeadlines:
     """The deadlines of requests; a graceful shutdown makes them earlier."""
 
-    __slots__ = ("shutdown_deadline_us", "shutdown_late_from_us")
+    __slots__ = ("shutdown_applies_from_us", "shutdown_deadline_us")
 
     def __init__(self) -> None:
-        self.shutdown_deadline_us: int | None = None  # for requests received from `shutdown_late_from_us` on
-        self.shutdown_late_from_us = 0
+        # Applies to requests received at or after `shutdown_applies_from_us`; None while no shutdown is under way.
+        self.shutdown_deadline_us: int | None = None
+        self.shutdown_applies_from_us = 0
 
-    def limit(self, *, late_from_us: int, deadline_us: int) -> None:
-        """At a graceful shutdown: what is received from `late_from_us` on is answered by `deadline_us`.
+    def set_shutdown_deadline(self, *, applies_from_us: int, deadline_us: int) -> None:
+        """At a graceful shutdown: what is received from `applies_from_us` on is answered by `deadline_us`.
 
         Otherwise a request received late could still be in flight when the process is killed.
         """
-        self.shutdown_late_from_us = late_from_us
+        self.shutdown_applies_from_us = applies_from_us
         self.shutdown_deadline_us = deadline_us
 
-    def response_deadline_us(self, parsed: ParsedRequest, received_us: int, unread_us: int = 0) -> int:
-        """When a request received at `received_us`, after waiting unread for `unread_us`, must be answered."""
-        margin = min(ANSWER_MARGIN_US, parsed.timeout_us // ANSWER_MARGIN_DIVISOR)
-        deadline_us = received_us - unread_us + parsed.timeout_us - margin
-        if self.shutdown_deadline_us is None or received_us < self.shutdown_late_from_us:
+    def response_deadline_us(self, parsed: ParsedRequest, received_us: int, read_delay_us: int = 0) -> int:
+        """When a request received at `received_us`, after waiting unread for `read_delay_us`, must be answered."""
+        margin = min(RESPONSE_MARGIN_US, parsed.timeout_us // RESPONSE_MARGIN_DIVISOR)
+        deadline_us = received_us - read_delay_us + parsed.timeout_us - margin
+        if self.shutdown_deadline_us is None or received_us < self.shutdown_applies_from_us:
             return deadline_us
         return min(deadline_us, self.shutdown_deadline_us)
 
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -65,18 +65,18 @@
     def report(
         self,
         client_errors: Mapping[int, int] | None = None,
-        turned_away: int = 0,
+        closed_on_accept: int = 0,
         endpoint_list: Mapping[str, float] | None = None,
     ) -> None:
         """Logs one line of counts and of the balancer's state.
 
-        `client_errors`: requests answered without a server, by status; `turned_away`: client connections closed at
+        `client_errors`: requests answered without a server, by status; `closed_on_accept`: client connections closed at
         once; `endpoint_list`: figures on its age.
         """
         upstream = UpstreamCounts(
             self.pool.open_connections, self.pool.load_reports, self.pool.malformed_responses
         )
-        clients = ClientCounts(client_errors or {}, turned_away)
+        clients = ClientCounts(client_errors or {}, closed_on_accept)
         log_line(self.statistics.report_line(upstream, self.balancer.stats(), clients, endpoint_list or {}))
 
     def may_send(self) -> bool:
@@ -100,11 +100,11 @@
         self.last_request_number += 1
         now = monotonic_us()
         # The timeout counts from when the request was received, not from its turn on the connection.
-        deadline_us = self.deadlines.response_deadline_us(parsed, parsed.received_us, parsed.unread_us)
+        deadline_us = self.deadlines.response_deadline_us(parsed, parsed.received_us, parsed.read_delay_us)
         request = DispatchedRequest(self.last_request_number, response_writer, parsed, deadline_us)
         if self.tracer is not None:
             self.tracer.request_admitted(request, now)
-        if self.shed_at_once(request, now):
+        if self.shed_before_balancer(request, now):
             return request
         self.requests[request.id] = request
         self.open_request_ids.add(parsed.request_id)
@@ -121,7 +121,7 @@
         request.being_admitted = False
         return request
 
-    def shed_at_once(self, request: DispatchedRequest, now: int) -> bool:
+    def shed_before_balancer(self, request: DispatchedRequest, now: int) -> bool:
         """Sheds a request that the balancer need not see; returns whether it was shed."""
         retry_after = 0
         if request.deadline_us <= now:
@@ -131,18 +131,18 @@
         elif not self.may_send():
             reason = FinalReason.NO_ENDPOINT_LIST
             retry_after = min(NO_LIST_RETRY_AFTER_US, self.settings.max_retry_after)
-            self.statistics.shed_without_list += 1
+            self.statistics.shed_without_endpoint_list += 1
         else:
             return False
         self.send_final_answer(request, FinalAnswer.SHED, reason, retry_after=retry_after)
         return True
 
-    def body_received(self, request: DispatchedRequest, unread_us: int = 0) -> None:
+    def body_received(self, request: DispatchedRequest, read_delay_us: int = 0) -> None:
         """The last byte of a streamed body was received: the request's timeout counts from now."""
         if request.response_writer is None or request.deadline_timer is not None:
             return
         now = monotonic_us()
-        request.deadline_us = self.deadlines.response_deadline_us(request.parsed, now, unread_us)
+        request.deadline_us = self.deadlines.response_deadline_us(request.parsed, now, read_delay_us)
         delay_us = max(0, request.deadline_us - now)
         request.deadline_timer = self.loop.call_later(delay_us / 1e6, self.deadline_passed, request)
 
@@ -165,7 +165,7 @@
             self.tracer.request_answered(request, FinalAnswer.CLIENT_DISCONNECTED)
         for attempt in list(request.in_flight):
             # The balancer no longer decides on a streamed response, or on a body whose first bytes are gone.
-            if attempt.response_begun or attempt.deadline_us == NO_DEADLINE_US or not attempt.is_sent():
+            if attempt.response_streamed or attempt.deadline_us == NO_DEADLINE_US or not attempt.is_sent():
                 self.pool.abandon(attempt, Outcome.CANCELLED)
         self.notify_upload_ended(request)
         self.notify_client_disconnected(request)
@@ -243,7 +243,7 @@
         if self.tracer is not None:
             self.tracer.attempt_written(attempt, fresh=fresh, whole=whole)
 
-    def response_begins(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
+    def response_started(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
         """A streamed response begins; returns whether its client still waits.
 
         The balancer gets the outcome now: the latency objective is about the first bytes, and a slow reader
@@ -273,13 +273,13 @@
             self.tracer.attempt_ended(exchange, outcome, report)
         if request.first_run_us is None and outcome not in NEVER_RAN:
             request.first_run_us = exchange.started_us
-        if exchange.response_begun:
+        if exchange.response_streamed:
             self.streamed_response_ended(exchange, outcome)
             return
         if outcome == Outcome.OK:
             self.send_final_answer(request, FinalAnswer.SERVED, body=body)
         else:
-            self.forget_if_done(request)
+            self.remove_if_done(request)
         self.notify_outcome(exchange, outcome, report, final=request.response_writer is None)
 
     def streamed_response_ended(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
@@ -289,7 +289,7 @@
             self.send_final_answer(request, FinalAnswer.SERVED)
         else:
             self.fail_request(request, FinalReason.RESPONSE_BROKEN)
-        self.forget_if_done(request)
+        self.remove_if_done(request)
         if outcome not in (Outcome.OK, Outcome.CANCELLED):
             self.balancer.load_reported(monotonic_us(), attempt.server, 0, 1, ())
 
--- a/harecross/dispatch/request.py
+++ b/harecross/dispatch/request.py
@@ -54,7 +54,7 @@
     def pool(self) -> ConnectionPool:
         """The connections to servers."""
 
-    def response_begins(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
+    def response_started(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
         """A streamed response begins; returns whether its client still waits."""
 
     def notify_upload_ended(self, request: DispatchedRequest) -> None:
@@ -73,9 +73,9 @@
     number: int  # 0 for the first attempt
     dispatcher: AttemptListener
 
-    def response_begins(self, length: int | None, report: Sequence[float]) -> bool:
+    def response_started(self, length: int | None, report: Sequence[float]) -> bool:
         """See `Exchange`."""
-        return self.dispatcher.response_begins(self, length, report)
+        return self.dispatcher.response_started(self, length, report)
 
     def response_part(self, data: bytes) -> None:
         """See `Exchange`."""
--- a/harecross/dispatch/request_table.py
+++ b/harecross/dispatch/request_table.py
@@ -38,10 +38,10 @@
             request.deadline_timer = None
         if request.parsed.upload is not None and response_writer is not None:
             request.parsed.upload.discard()
-        self.forget_if_done(request)
+        self.remove_if_done(request)
         return response_writer
 
-    def forget_if_done(self, request: DispatchedRequest) -> None:
+    def remove_if_done(self, request: DispatchedRequest) -> None:
         """Removes a request that has its final answer and no attempt in flight."""
         if (
             request.response_writer is None
--- a/harecross/dispatch/statistics.py
+++ b/harecross/dispatch/statistics.py
@@ -25,13 +25,13 @@
     errors_by_status: Mapping[
         int, int
     ]  # requests answered without a server; 0 for a client that sent nothing
-    turned_away: int  # connections closed as soon as they were accepted
+    closed_on_accept: int  # connections closed as soon as they were accepted
 
 
 class DispatchStatistics:
     """Counts since the process started."""
 
-    __slots__ = ("close_reasons", "final_answers", "final_reasons", "outcomes", "shed_without_list")
+    __slots__ = ("close_reasons", "final_answers", "final_reasons", "outcomes", "shed_without_endpoint_list")
 
     def __init__(self) -> None:
         self.final_answers = dict.fromkeys(FinalAnswer, 0)
@@ -40,7 +40,7 @@
         )  # of shed and failed requests
         self.outcomes = [0] * len(Outcome)  # of attempts, by outcome
         self.close_reasons: Counter[CloseReason] = Counter()  # of connections, on both sides
-        self.shed_without_list = 0  # requests shed before there was an endpoint list to use
+        self.shed_without_endpoint_list = 0  # requests shed before there was an endpoint list to use
 
     def report_line(
         self,
@@ -64,9 +64,9 @@
             fields[f"closed_{close_reason}"] = count
         for status, count in sorted(clients.errors_by_status.items()):
             fields[f"bad_{status or 'silent'}"] = count
-        if clients.turned_away:
-            fields["turned_away"] = clients.turned_away
-        if self.shed_without_list:
-            fields["unlisted"] = self.shed_without_list
+        if clients.closed_on_accept:
+            fields["turned_away"] = clients.closed_on_accept
+        if self.shed_without_endpoint_list:
+            fields["unlisted"] = self.shed_without_endpoint_list
         fields.update(endpoint_list)
         return " ".join(f"{key}={value}" for key, value in fields.items())
--- a/harecross/downstream/request_receiver.py
+++ b/harecross/downstream/request_receiver.py
@@ -166,5 +166,5 @@
             received_us=monotonic_us(),
             upload=upload,
             accepts_chunked=self.parser.get_http_version() == "1.1",
-            unread_us=self.unread_for_us,
+            read_delay_us=self.unread_for_us,
         )
--- a/harecross/downstream/response_sender.py
+++ b/harecross/downstream/response_sender.py
@@ -54,7 +54,7 @@
             self.pause_response = None
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            self.abort(CloseReason.RESPONSE_BROKEN_OFF)
+            self.abort(CloseReason.RESPONSE_ABORTED)
 
     def begin_response(self, length: int | None, hold: Callable[[bool], None]) -> None:
         """Sends the head of a large response. `hold` stops the server's side, or lets it go on."""
--- a/harecross/http/body_buffer.py
+++ b/harecross/http/body_buffer.py
@@ -29,7 +29,7 @@
     return chunks > MAX_CHUNKS + size // MIN_CHUNK_BYTES
 
 
-def ignore_progress() -> None:
+def ignore_consumed() -> None:
     """For an upload whose writer does not wait for its reader."""
 
 
@@ -51,7 +51,7 @@
         "read_position",
     )
 
-    def __init__(self, length: int | None, on_consumed: Callable[[], None] = ignore_progress) -> None:
+    def __init__(self, length: int | None, on_consumed: Callable[[], None] = ignore_consumed) -> None:
         """`length`: as the client declared it, in bytes. `on_consumed`: called whenever bytes were read."""
         self.length = length
         self.buffered = bytearray()
--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -49,7 +49,7 @@
     keep_alive: bool
     upload: Upload | None = None  # in place of `body`
     accepts_chunked: bool = True  # its client can read a chunked response
-    unread_us: int = 0  # how long it may have waited in the kernel before it was read
+    read_delay_us: int = 0  # how long it may have waited in the kernel before it was read
 
 
 def parse_timeout_us(text: bytes) -> int | None:
@@ -100,7 +100,7 @@
         received_us: int,
         upload: Upload | None = None,
         accepts_chunked: bool = True,
-        unread_us: int = 0,
+        read_delay_us: int = 0,
     ) -> ParsedRequest:
         """Returns the request, complete or with an upload. Raises BadRequestError if it cannot be forwarded."""
         request_class = self.request_class_of(url)
@@ -127,7 +127,7 @@
             keep_alive=keep_alive,
             upload=upload,
             accepts_chunked=accepts_chunked,
-            unread_us=unread_us,
+            read_delay_us=read_delay_us,
         )
 
     def request_class_of(self, url: bytes) -> int:
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -24,8 +24,8 @@
 STREAMING_THRESHOLD_BYTES = 1 << 14  # a body of unknown length is streamed once so much was received
 MAX_BUFFERED_RESPONSE_BYTES = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES + 16 * MAX_CHUNKS
 MAX_REPORT_BYTES = 1 << 10
-MAX_FIGURE = 1e9
-FIGURE_PATTERN = re.compile(rb"\d{1,10}(?:\.\d{1,20})?(?:[eE]-?\d{1,2})?")
+MAX_LOAD_VALUE = 1e9
+LOAD_VALUE_PATTERN = re.compile(rb"\d{1,10}(?:\.\d{1,20})?(?:[eE]-?\d{1,2})?")
 
 
 def report_positions(fields: Sequence[str]) -> dict[bytes, int]:
@@ -56,10 +56,10 @@
         position = positions.get(name.strip())
         if position is not None:
             value = value.strip()
-            if FIGURE_PATTERN.fullmatch(value) is None or values[position] is not None:
+            if LOAD_VALUE_PATTERN.fullmatch(value) is None or values[position] is not None:
                 return ()
             values[position] = float(value)
-            if float(value) > MAX_FIGURE:
+            if float(value) > MAX_LOAD_VALUE:
                 return ()
     return () if None in values else cast(list[float], values)
 
@@ -151,7 +151,11 @@
         except (HttpParserError, HttpParserUpgrade):
             # An exception in a callback is raised as an HttpParserError too.
             self.reusable = False
-            return ReadResult.COMPLETE if self.complete and self.ends_at_message() else ReadResult.MALFORMED
+            return (
+                ReadResult.COMPLETE
+                if self.complete and self.trailing_bytes_are_separate()
+                else ReadResult.MALFORMED
+            )
         if self.complete:
             return ReadResult.COMPLETE
         # What the parser keeps to itself is limited here: a header, or a chunk's size, without end.
@@ -174,7 +178,7 @@
         body, self.body = self.body, b""
         return body
 
-    def ends_at_message(self) -> bool:
+    def trailing_bytes_are_separate(self) -> bool:
         """Whether the bytes after the message are no part of its body.
 
         A Content-Length that is too small would cut a body off and have it served as complete. What comes after good
--- a/harecross/node/graceful_shutdown.py
+++ b/harecross/node/graceful_shutdown.py
@@ -56,8 +56,8 @@
         )
         now = monotonic_us()
         self.began_at = self.loop.time()
-        dispatcher.deadlines.limit(
-            late_from_us=now + int(schedule.deadline_from_s * 1e6),
+        dispatcher.deadlines.set_shutdown_deadline(
+            applies_from_us=now + int(schedule.deadline_from_s * 1e6),
             deadline_us=now + int(schedule.deadline_s * 1e6),
         )
         return schedule
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -17,8 +17,8 @@
 # Servers may send a second response some milliseconds after the first, which would be taken for that of the next
 # exchange. A kept connection is therefore not used again for this time, or for a part of what its last exchange took:
 # for each so many connections in use there is then one more.
-MAX_REST_US = 20_000
-REST_DIVISOR = 4
+MAX_REUSE_DELAY_US = 20_000
+REUSE_DELAY_DIVISOR = 4
 
 
 class ServerProcess:
@@ -44,7 +44,7 @@
 class ConnectionOwner(Protocol):
     """What a connection needs of its pool (`ConnectionPool`)."""
 
-    first_buffer_bytes: int
+    initial_buffer_bytes: int
     stream_buffer_bytes: int
     streaming: set[ServerConnection]
     malformed_responses: int
@@ -120,7 +120,7 @@
         # Writes are then tried at once, and `pause_writing` means that bytes have not left this process.
         self.transport.set_write_buffer_limits(high=0)
         # What a slow client does not read would otherwise grow to megabytes in the kernel.
-        self.set_receive_buffer(self.pool.first_buffer_bytes)
+        self.set_receive_buffer(self.pool.initial_buffer_bytes)
 
     def pause_writing(self) -> None:
         """See `asyncio.Protocol`."""
@@ -174,7 +174,7 @@
         self.exchange = exchange
         exchange.connection = self
         self.parser = ResponseParser()
-        self.set_receive_buffer(self.pool.first_buffer_bytes)
+        self.set_receive_buffer(self.pool.initial_buffer_bytes)
         upload = exchange.upload
         if upload is not None:
             self.sent, self.upload_unfinished, self.progress_us = False, True, now
@@ -241,7 +241,7 @@
         exchange = self.exchange
         assert exchange is not None
         self.progress_us = monotonic_us()
-        if not exchange.response_begun and not self.begin_streaming(exchange, parser):
+        if not exchange.response_streamed and not self.begin_streaming(exchange, parser):
             return False
         part = parser.read_body()
         if part:
@@ -250,10 +250,10 @@
 
     def begin_streaming(self, exchange: Exchange, parser: ResponseParser) -> bool:
         """Tells the exchange that its response is streamed; returns whether anybody wants it."""
-        if not exchange.response_begins(parser.length, self.pool.record_load_report(parser.load_report)):
+        if not exchange.response_started(parser.length, self.pool.record_load_report(parser.load_report)):
             self.fail_exchange(CloseReason.ABANDONED)
             return False
-        exchange.response_begun = True
+        exchange.response_streamed = True
         if exchange.deadline_timer is not None:
             exchange.deadline_timer.cancel()
         self.pool.streaming.add(self)
@@ -295,7 +295,9 @@
         # If the response came before the last byte was sent, the rest of the request would open the next one.
         if parser.reusable and self.sent and self.usable:
             now = monotonic_us()
-            self.reusable_from_us = now + min(MAX_REST_US, (now - exchange.started_us) // REST_DIVISOR)
+            self.reusable_from_us = now + min(
+                MAX_REUSE_DELAY_US, (now - exchange.started_us) // REUSE_DELAY_DIVISOR
+            )
             self.pool.release(self)
         else:
             self.discard(CloseReason.LAST_RESPONSE, exchange)
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -54,7 +54,8 @@
         self.streaming: set[ServerConnection] = set()  # those that carry a streamed body
         self.streaming_budget_bytes = 0  # for all streamed responses together
         self.stream_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's, for each streamed response
-        self.first_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's, for a response that may become one
+        # Size of the kernel's receive buffer before it is known whether the response will be streamed.
+        self.initial_buffer_bytes = MAX_STREAM_BUFFER_BYTES
         self.set_streaming_budget(DEFAULT_STREAMING_BUDGET_BYTES)
 
     # ---- server processes -----------------------------------------------------------------------------
@@ -80,7 +81,7 @@
         process = self.processes.get(server)
         if process is not None:
             process.in_service = False
-            self.close_idle_of(process, CloseReason.SERVER_OUT_OF_SERVICE)
+            self.close_idle_to_process(process, CloseReason.SERVER_OUT_OF_SERVICE)
 
     def remove_if_unused(self, server: int) -> bool:
         """Removes a server that is out of service and has no connection; returns whether it is gone."""
@@ -96,9 +97,9 @@
         """Closes the idle connections to an ejected server."""
         process = self.processes.get(server)
         if process is not None:
-            self.close_idle_of(process, CloseReason.EJECTED)
+            self.close_idle_to_process(process, CloseReason.EJECTED)
 
-    def close_idle_of(self, process: ServerProcess, reason: CloseReason) -> None:
+    def close_idle_to_process(self, process: ServerProcess, reason: CloseReason) -> None:
         """Closes the idle connections to one process."""
         for connection in list(process.idle):
             connection.discard(reason)
@@ -124,8 +125,8 @@
         fits = self.descriptors.upstream_connection_fits()
         connection = self.acquire_idle(process, now)
         if connection is None and not fits:
-            # One that has not rested yet is better than to close a connection for another handshake.
-            connection = self.acquire_idle(process, now, rested=False)
+            # Reusing a connection before its reuse delay is over is better than closing another to make room.
+            connection = self.acquire_idle(process, now, honor_reuse_delay=False)
         if connection is not None:
             connection.start(exchange, now)
             return
@@ -140,12 +141,13 @@
         task.add_done_callback(self.connect_tasks.discard)
 
     def acquire_idle(
-        self, process: ServerProcess, now: int, *, rested: bool = True
+        self, process: ServerProcess, now: int, *, honor_reuse_delay: bool = True
     ) -> ServerConnection | None:
-        """Takes the idle connection used last on which nothing was received; None if there is none.
+        """Takes the most recently used idle connection on which no bytes arrived; returns None if there is none.
 
-        `rested`: only one that has rested. The kernel may know of a close or of bytes that were not read yet: a
-        request written then could get a reset though it may have run, or the bytes as its response.
+        With `honor_reuse_delay`, a connection whose reuse delay is not over is skipped. The kernel may already hold
+        a close or bytes that this process has not read: a request written to such a connection could be reset
+        although the server ran it, or take those bytes for its response.
         """
         idle = process.idle
         at = len(idle) - 1
@@ -156,7 +158,7 @@
                     old.discard(CloseReason.IDLE)
                 del idle[: at + 1]
                 return None
-            if connection.reusable_from_us <= now or not rested:
+            if connection.reusable_from_us <= now or not honor_reuse_delay:
                 del idle[at]
                 if (
                     connection.transport is not None
@@ -308,7 +310,7 @@
         """
         if budget_bytes != self.streaming_budget_bytes:
             self.streaming_budget_bytes = budget_bytes
-            self.first_buffer_bytes = stream_buffer_bytes(
+            self.initial_buffer_bytes = stream_buffer_bytes(
                 budget_bytes, self.descriptors.total // STREAM_START_DIVISOR
             )
 
@@ -345,4 +347,4 @@
         for task in self.connect_tasks:
             task.cancel()
         for process in self.processes.values():
-            self.close_idle_of(process, CloseReason.SHUTDOWN)
+            self.close_idle_to_process(process, CloseReason.SHUTDOWN)
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -51,7 +51,7 @@
         "head",
         "on_ended",
         "process",
-        "response_begun",
+        "response_streamed",
         "server",
         "start_by_us",
         "started_us",
@@ -80,10 +80,10 @@
         self.finished = False
         self.upload: Upload | None = None  # in place of `body`
         self.upload_timeout_us = 0  # time for the response once the last byte of the upload has left
-        self.response_begun = False  # its response is being streamed
+        self.response_streamed = False  # its response is being streamed
         self.start_by_us = NO_DEADLINE_US  # its first byte is sent before then or not at all
 
-    def response_begins(self, length: int | None, report: Sequence[float]) -> bool:
+    def response_started(self, length: int | None, report: Sequence[float]) -> bool:
         """A streamed response of `length` bytes begins (None: not known); returns whether anybody wants it."""
         return False
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,4 +12,4 @@
 @pytest.fixture
 def no_rest(monkeypatch):
     """A kept connection may be used again at once."""
-    monkeypatch.setattr(connection, "MAX_REST_US", 0)
+    monkeypatch.setattr(connection, "MAX_REUSE_DELAY_US", 0)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -5,7 +5,7 @@
 import pytest
 
 from harecross.dispatch.close_reasons import CloseReason
-from harecross.dispatch.deadlines import ANSWER_MARGIN_US, ResponseDeadlines
+from harecross.dispatch.deadlines import RESPONSE_MARGIN_US, ResponseDeadlines
 from harecross.dispatch.request import FinalAnswer
 from harecross.dispatch.statistics import ClientCounts, DispatchStatistics, UpstreamCounts
 from harecross.http.request_parser import ParsedRequest
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("timeout_us", "margin_us"), [(2_000_000, ANSWER_MARGIN_US), (100_000, 5_000), (0, 0)]
+    ("timeout_us", "margin_us"), [(2_000_000, RESPONSE_MARGIN_US), (100_000, 5_000), (0, 0)]
 )
 def test_a_margin_of_the_timeout_is_left_for_the_answer(timeout_us, margin_us):
     deadline_us = ResponseDeadlines().response_deadline_us(request(timeout_us), RECEIVED_US)
@@ -29,14 +29,14 @@
 
 def test_time_unread_counts_against_the_timeout():
     deadlines = ResponseDeadlines()
-    waited = deadlines.response_deadline_us(request(2_000_000), RECEIVED_US, unread_us=300_000)
+    waited = deadlines.response_deadline_us(request(2_000_000), RECEIVED_US, read_delay_us=300_000)
     assert waited == deadlines.response_deadline_us(request(2_000_000), RECEIVED_US) - 300_000
 
 
 def test_a_shutdown_shortens_the_deadlines_of_late_requests_alone():
     deadlines = ResponseDeadlines()
     before = deadlines.response_deadline_us(request(9_000_000), RECEIVED_US)
-    deadlines.limit(late_from_us=RECEIVED_US + 1, deadline_us=RECEIVED_US + 1_000_000)
+    deadlines.set_shutdown_deadline(applies_from_us=RECEIVED_US + 1, deadline_us=RECEIVED_US + 1_000_000)
     assert deadlines.response_deadline_us(request(9_000_000), RECEIVED_US) == before
     late = deadlines.response_deadline_us(request(9_000_000), RECEIVED_US + 1)
     assert late == RECEIVED_US + 1_000_000
@@ -49,7 +49,7 @@
     statistics.final_reasons[FinalAnswer.SHED, FinalReason.NO_ENDPOINT_LIST] = 2
     statistics.outcomes[Outcome.TIMEOUT] = 1
     statistics.close_reasons[CloseReason.MALFORMED_RESPONSE] = 4
-    statistics.shed_without_list = 2
+    statistics.shed_without_endpoint_list = 2
     line = statistics.report_line(
         UpstreamCounts(5, 6, 4), {"gradient": 0.987}, ClientCounts({0: 1, 400: 2}, 7), {"list_age": 1.5}
     )
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -65,7 +65,7 @@
 
 def test_a_node_logs_a_request_with_its_attempts(tmp_path, monkeypatch):
     # A kept connection rests for a part of what its last exchange took: on a busy machine longer than the retry waits.
-    monkeypatch.setattr(connection, "MAX_REST_US", 0)
+    monkeypatch.setattr(connection, "MAX_REUSE_DELAY_US", 0)
     path = tmp_path / "n0.log"
 
     async def test(world: World) -> None:
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -53,7 +53,7 @@
             client.writer.close()
             while w.node.client_connections.open or w.node.pool.open_connections:
                 for target in w.node.pool.processes.values():
-                    w.node.pool.close_idle_of(target, CloseReason.IDLE)
+                    w.node.pool.close_idle_to_process(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
             kinds = (ResponseParser, connection_manager.ClientConnection, ServerConnection, DispatchedRequest)
             assert not [o for o in gc.get_objects() if isinstance(o, kinds)]
@@ -127,7 +127,7 @@
         first = await origin.arrived.get()
         w.node.stop_requested.set()
         assert await idle.reader.read() == b""  # answers take longer than is left: it goes at once
-        while monotonic_us() < w.node.dispatcher.deadlines.shutdown_late_from_us:
+        while monotonic_us() < w.node.dispatcher.deadlines.shutdown_applies_from_us:
             await asyncio.sleep(0.01)
         late.send()
         second = await origin.arrived.get()
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -196,7 +196,7 @@
                 [("refused", FinalReason.AT_LIMIT), ("failed", FinalReason.INTERNAL)]
             )
             host.statistics.close_reasons.update([CloseReason.PEER, CloseReason.CLIENT_DISCONNECTED])
-            host.statistics.shed_without_list = 1
+            host.statistics.shed_without_endpoint_list = 1
             asking.last_heartbeat_at, asking.consecutive_failures = 0.0, 1
             capfd.readouterr()
             host.report({0: 1, 400: 2}, 3, asking.report_fields(1e9))
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -112,7 +112,7 @@
         status, head, _ = await client.answer()
         assert status == 503
         assert b"Retry-After: 0.250" in head
-        assert s.node.dispatcher.statistics.shed_without_list == 1
+        assert s.node.dispatcher.statistics.shed_without_endpoint_list == 1
         assert s.a.links == s.b.links == 0
         await s.tell(b"")  # nothing has changed since the version asked after
         await until(s.node.membership.first_list_received.is_set)
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -184,7 +184,7 @@
 def test_a_closed_upstream_connection_has_its_reason_and_its_request(
     happens, reason, request_id, tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(connection, "MAX_REST_US", 0)
+    monkeypatch.setattr(connection, "MAX_REUSE_DELAY_US", 0)
 
     async def test(world: World) -> None:
         logged = Logged(world, tmp_path / "log")
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -179,7 +179,7 @@
     async def test(world) -> None:
         pool = world.node.pool
         pool.set_streaming_budget(1 << 20)
-        assert pool.first_buffer_bytes == MIN_STREAM_BUFFER_BYTES
+        assert pool.initial_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         clients = []
         for _ in range(40):
             client = await world.client()
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -70,7 +70,7 @@
         await server.request(conn)
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
-        await asyncio.sleep(connection.MAX_REST_US / 1e6 + 0.01)
+        await asyncio.sleep(connection.MAX_REUSE_DELAY_US / 1e6 + 0.01)
         target = world.node.pool.processes[1]
         assert len(target.idle) == 1
 
@@ -141,7 +141,7 @@
             assert (await client.answer())[2] == b"%d" % n
             (kept,) = world.node.pool.processes[1].idle
             rest = kept.reusable_from_us - kept.idle_since_us
-            assert rest <= connection.MAX_REST_US
+            assert rest <= connection.MAX_REUSE_DELAY_US
             await asyncio.sleep(max(0, rest) / 1e6 + 0.002)
             client.send("/pay/1")
         assert world.node.pool.open_connections == 1
@@ -156,7 +156,7 @@
     async def test(world: World) -> None:
         await warm(world)
         for target in world.node.pool.processes.values():
-            world.node.pool.close_idle_of(target, CloseReason.IDLE)
+            world.node.pool.close_idle_to_process(target, CloseReason.IDLE)
         client = await world.client()
         client.send("/put/1", key="k")
         received = await first(*world.origins)
