--- a/harecross/http/__init__.py
+++ b/harecross/http/__init__.py
@@ -1,1 +1,1 @@
-"""Parsing of HTTP/1.1 messages, free of I/O."""
+"""HTTP/1.1 message parsing without I/O."""
--- a/harecross/http/body_buffer.py
+++ b/harecross/http/body_buffer.py
@@ -1,43 +1,54 @@
-"""Limits on bodies, and the buffer of a body that is sent to a server while it is received. Free of I/O."""
+"""Body size limits and the buffer for a request body that is forwarded while it is received. Does no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_BUFFERED_BODY_BYTES = (
-    1 << 16
-)  # up to here a body is complete before it is forwarded; a larger one is streamed
+# A body up to this size is buffered completely before it is forwarded; a larger body is streamed.
+MAX_BUFFERED_BODY_BYTES = 1 << 16
 MAX_BODY_BYTES = 1 << 25
-MAX_CHUNKS = 1 << 12  # of one body, and one more for each so many bytes:
+# A body may have `MAX_CHUNKS` chunks plus one for each `MIN_CHUNK_BYTES` bytes of its size.
+MAX_CHUNKS = 1 << 12
 MIN_CHUNK_BYTES = 16
-# The kernel's receive buffer for one streamed response, as it is asked for. With a smaller one the window is less than
-# one segment of a loopback interface, and its sender waits 0.2 s for each acknowledgement.
+# Bounds of the SO_RCVBUF value requested for a streamed response. Below the minimum, the TCP window is smaller than
+# one segment on a loopback interface, and the sender waits 0.2 s for each acknowledgement.
 MIN_STREAM_BUFFER_BYTES, MAX_STREAM_BUFFER_BYTES = 1 << 14, 1 << 16
 
 
 def stream_buffer_bytes(budget_bytes: int, streams: int) -> int:
-    """Returns the kernel's receive buffer for one of so many streamed responses that share `budget_bytes`.
+    """Returns the SO_RCVBUF value for each of `streams` streamed responses that share `budget_bytes`.
 
-    The kernel grants twice what it is asked for (socket(7)), and a connection is read to its buffer's end at once: so
-    much of a response is in this process while its client does not read it.
+    The kernel allocates twice the requested size (socket(7)), and one read may take the whole buffer. While a client
+    does not read, this process may therefore hold that many bytes of its response.
     """
     return max(MIN_STREAM_BUFFER_BYTES, min(MAX_STREAM_BUFFER_BYTES, budget_bytes // (2 * max(1, streams))))
 
 
 def has_too_many_chunks(chunks: int, size: int) -> bool:
-    """Whether a body of `size` bytes came in needlessly small chunks, which cost more than they bring."""
+    """Returns whether `chunks` is too many for a body of `size` bytes: parsing tiny chunks wastes CPU time."""
     return chunks > MAX_CHUNKS + size // MIN_CHUNK_BYTES
 
 
 def ignore_consumed() -> None:
-    """For an upload whose writer does not wait for its reader."""
+    """Does nothing. Default `on_consumed` callback for an upload without backpressure on its writer."""
 
 
 class Upload:
-    """A request's body that is sent to a server while it is received.
-
-    Its first `MAX_BUFFERED_BODY_BYTES` are kept, so that another attempt can start at the first byte (`replayable`).
-    Once a server has read more than that, only what it has not read is kept. There is one reader at a time.
+    """Buffer of a request body that is forwarded to a server while it is still being received.
+
+    The first `MAX_BUFFERED_BODY_BYTES` are retained so that another attempt can read the body from the start
+    (`replayable`). After the reader has consumed more than that, only unread bytes are retained. There is at most one
+    reader at a time.
+
+    Attributes:
+        length: Declared Content-Length in bytes; None for a chunked body.
+        buffered: The retained bytes.
+        buffer_start: Offset in the body of the first byte of `buffered`.
+        read_position: Offset in the body of the next byte for the reader.
+        complete: Whether the last byte was received.
+        discarded: Whether the body is no longer needed; bytes that arrive later are dropped.
+        on_data: Callback of the attached reader, called when bytes arrive; None without a reader.
+        on_consumed: Callback of the writer, called after each read and after `discard`.
     """
 
     __slots__ = (
@@ -52,46 +63,46 @@
     )
 
     def __init__(self, length: int | None, on_consumed: Callable[[], None] = ignore_consumed) -> None:
-        """`length`: as the client declared it, in bytes. `on_consumed`: called whenever bytes were read."""
+        """Creates an empty buffer; see the class for `length` and `on_consumed`."""
         self.length = length
         self.buffered = bytearray()
-        self.buffer_start = 0  # position in the body at which `buffered` begins
+        self.buffer_start = 0
         self.read_position = 0
         self.complete = False
-        self.discarded = False  # nobody wants the rest
-        self.on_data: Callable[[], None] | None = None  # the reader's, if there is one
+        self.discarded = False
+        self.on_data: Callable[[], None] | None = None
         self.on_consumed = on_consumed
 
     @property
     def size(self) -> int:
-        """Bytes received."""
+        """Number of bytes received so far."""
         return self.buffer_start + len(self.buffered)
 
     @property
     def replayable(self) -> bool:
-        """Whether all bytes received are still kept."""
+        """Whether the body can still be read from its first byte."""
         return self.buffer_start == 0
 
     @property
     def full(self) -> bool:
-        """Whether the writer should wait for the reader."""
+        """Whether the unread bytes have reached the limit, so that the writer should pause."""
         return self.size - self.read_position >= MAX_BUFFERED_BODY_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Adds bytes that were received."""
+        """Appends received bytes and notifies the reader."""
         if not self.discarded:
             self.buffered += data
             if self.on_data is not None:
                 self.on_data()
 
     def finish(self) -> None:
-        """The last byte was received."""
+        """Marks the body as completely received and notifies the reader."""
         self.complete = True
         if not self.discarded and self.on_data is not None:
             self.on_data()
 
     def discard(self) -> None:
-        """Drops what is kept and what still comes."""
+        """Drops the buffered bytes and all bytes that arrive later."""
         self.discarded = True
         self.on_data = None
         self.buffer_start, self.read_position = self.size, self.size
@@ -99,18 +110,23 @@
         self.on_consumed()
 
     def attach(self, on_data: Callable[[], None]) -> None:
-        """Starts to read at the first byte; `on_data` is called when there is more. ValueError if that is gone."""
+        """Attaches a reader at the first byte; `on_data` is called when bytes arrive.
+
+        Raises ValueError if the first bytes of the body are no longer buffered.
+        """
         if not self.replayable or self.discarded:
-            raise ValueError(f"the first {self.buffer_start} bytes of the body are gone")
+            raise ValueError(
+                f"cannot read the body from its start: the first {self.buffer_start} bytes were dropped"
+            )
         self.read_position = 0
         self.on_data = on_data
 
     def detach(self) -> None:
-        """Ends the reading."""
+        """Detaches the reader."""
         self.on_data = None
 
     def read(self) -> bytes:
-        """Returns what was received since the last call."""
+        """Returns the bytes received since the previous call."""
         data = bytes(memoryview(self.buffered)[self.read_position - self.buffer_start :])
         self.read_position = self.size
         if self.size > MAX_BUFFERED_BODY_BYTES:
--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses and checks one request of a client, and makes the head that a server gets. Free of I/O."""
+"""Parses and validates client requests and builds the request head for the server. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 UPSTREAM_HOST = b"backend.local"
 TIMEOUT_PATTERN = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")
 PATH_PATTERN = re.compile(rb"/(?:[A-Za-z0-9\-._~!$&'()*+,;=:@/?]|%[0-9A-Fa-f]{2})*")
-# A server that resolves dot segments would find another class than the one that the request was read as.
+# A server that resolves dot segments could assign the request to a different request class than this parser does.
 DOT_SEGMENT_PATTERN = re.compile(rb"/(?:\.|%2[Ee]){1,2}(?:[/?]|$)")
 TOKEN_PATTERN = re.compile(rb"[!-~]{1,256}")
-# What a server gets. All other headers belong to one connection, or are nothing a server needs from a stranger.
+# Headers that are forwarded to the server. All others apply to a single connection, or are not needed by servers and
+# come from an untrusted client.
 FORWARDED_HEADERS = frozenset(
     b"x-request-id idempotency-key x-tenant-id x-retried x-cost x-attrs content-type content-encoding".split()
 )
-# Twice, each could mean one thing here and another at the server.
+# Headers that may appear only once: of two values, this parser and the server could each use a different one.
 SINGLE_HEADERS = FORWARDED_HEADERS | {b"x-timeout", b"host", b"content-length", b"transfer-encoding"}
 TOKEN_HEADERS = frozenset((b"x-request-id", b"idempotency-key"))
 
 
 class BadRequestError(Exception):
-    """A request that is answered with a status of its own and is not forwarded."""
+    """Raised for a request that is answered with the HTTP status `status` and not forwarded."""
 
     def __init__(self, status: int, problem: str = "") -> None:
         super().__init__(f"{status}: {problem}" if problem else str(status))
@@ -36,7 +37,17 @@
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """A client's request; `head` is what a server gets, up to X-Timeout. Times in microseconds."""
+    """A validated client request. Times are in microseconds.
+
+    Attributes:
+        tenant: Index of the tenant; the number of known tenants for an unknown or missing one.
+        timeout_us: The client's X-Timeout, limited to the deadline of the request class.
+        head: Request head for the server, without X-Timeout and the final empty line.
+        body: The body; empty if `upload` is set.
+        upload: A body that is still being received; None if `body` is complete.
+        accepts_chunked: Whether the client can read a chunked response.
+        read_delay_us: Estimated time for which the request waited in the kernel before it was read.
+    """
 
     request_id: bytes
     request_class: int
@@ -47,13 +58,13 @@
     body: bytes
     received_us: int
     keep_alive: bool
-    upload: Upload | None = None  # in place of `body`
-    accepts_chunked: bool = True  # its client can read a chunked response
-    read_delay_us: int = 0  # how long it may have waited in the kernel before it was read
+    upload: Upload | None = None
+    accepts_chunked: bool = True
+    read_delay_us: int = 0
 
 
 def parse_timeout_us(text: bytes) -> int | None:
-    """Returns the microseconds in an X-Timeout header; None for another text."""
+    """Returns the value of an X-Timeout header in microseconds; None if it is malformed."""
     match = TIMEOUT_PATTERN.fullmatch(text.strip())
     if match is None:
         return None
@@ -63,7 +74,7 @@
 
 
 class RequestParser:
-    """Parses requests of the classes and tenants in the settings."""
+    """Parses requests of the configured request classes and tenants."""
 
     def __init__(self, settings: Settings, class_names: Sequence[str], tenant_names: Sequence[str]) -> None:
         self.settings = settings
@@ -71,23 +82,28 @@
         self.tenants = {name.encode(): number for number, name in enumerate(tenant_names)}
 
     def check_framing(self, version: str, headers: list[tuple[bytes, bytes]]) -> None:
-        """Checks what decides where the message ends, before its body was received. Raises BadRequestError."""
+        """Validates the headers that determine where the message ends, before the body is received.
+
+        Raises BadRequestError.
+        """
         if version not in ("1.1", "1.0"):
-            raise BadRequestError(400, f"HTTP version {version}")
+            raise BadRequestError(400, f"HTTP version {version} is not supported; expected 1.0 or 1.1")
         seen = set()
         for name, value in headers:
             lower_name = name.lower()
             if lower_name in SINGLE_HEADERS:
                 if lower_name in seen:
-                    raise BadRequestError(400, f"header {lower_name!r} twice")
+                    raise BadRequestError(400, f"header {lower_name!r} appears more than once")
                 seen.add(lower_name)
             if lower_name == b"content-length" and int(value) > MAX_BODY_BYTES:
-                raise BadRequestError(413, f"Content-Length {int(value)}, {MAX_BODY_BYTES} at most")
-            # With a coding that only one side decodes, both would see the end of the message at different places.
+                raise BadRequestError(
+                    413, f"Content-Length {int(value)} exceeds the limit of {MAX_BODY_BYTES}"
+                )
+            # If only one side decodes a transfer coding, the two sides disagree on where the message ends.
             if lower_name == b"transfer-encoding" and (
                 value.strip().lower() != b"chunked" or version == "1.0"
             ):
-                raise BadRequestError(400, f"Transfer-Encoding {value!r} in HTTP {version}")
+                raise BadRequestError(400, f"Transfer-Encoding {value!r} is not supported in HTTP {version}")
 
     def parse(
         self,
@@ -102,7 +118,7 @@
         accepts_chunked: bool = True,
         read_delay_us: int = 0,
     ) -> ParsedRequest:
-        """Returns the request, complete or with an upload. Raises BadRequestError if it cannot be forwarded."""
+        """Returns the request, with a complete body or an upload. Raises BadRequestError if it cannot be forwarded."""
         request_class = self.request_class_of(url)
         class_settings = self.settings.classes[request_class]
         lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, url, UPSTREAM_HOST)]
@@ -110,7 +126,11 @@
         timeout_us = parse_timeout_us(values.get(b"x-timeout", b""))
         request_id = values.get(b"x-request-id")
         if timeout_us is None or request_id is None:
-            raise BadRequestError(400, f"X-Timeout {values.get(b'x-timeout')!r}, X-Request-ID {request_id!r}")
+            raise BadRequestError(
+                400,
+                "missing or malformed header: "
+                f"X-Timeout {values.get(b'x-timeout')!r}, X-Request-ID {request_id!r}",
+            )
         has_body = bool(body) or upload is not None
         check_idempotency(class_settings.idempotency, method, values, has_body=has_body)
         length = len(body) if upload is None else upload.length
@@ -131,21 +151,24 @@
         )
 
     def request_class_of(self, url: bytes) -> int:
-        """Returns the number of the request class that the first part of the path names."""
+        """Returns the index of the request class named by the first path segment. Raises BadRequestError."""
         if PATH_PATTERN.fullmatch(url) is None or DOT_SEGMENT_PATTERN.search(url) is not None:
-            raise BadRequestError(400, f"path {url!r}")
+            raise BadRequestError(400, f"path {url!r} has an invalid character or a dot segment")
         end = len(url)
-        for mark in (url.find(b"/", 1), url.find(b"?", 1)):
-            if 0 < mark < end:
-                end = mark
+        for position in (url.find(b"/", 1), url.find(b"?", 1)):
+            if 0 < position < end:
+                end = position
         request_class = self.classes.get(url[1:end])
         if request_class is None:
-            raise BadRequestError(404, f"no request class {url[1:end]!r}")
+            raise BadRequestError(404, f"unknown request class {url[1:end]!r}")
         return request_class
 
 
 def forward_headers(headers: list[tuple[bytes, bytes]], lines: list[bytes]) -> dict[bytes, bytes]:
-    """Appends the headers that a server gets to `lines`; returns the values of these and of X-Timeout."""
+    """Appends the forwarded headers to `lines`; returns their values and that of X-Timeout by lower-case name.
+
+    Raises BadRequestError if the value of X-Request-ID or Idempotency-Key is not a token.
+    """
     values: dict[bytes, bytes] = {}
     for name, value in headers:
         lower_name = name.lower()
@@ -153,7 +176,7 @@
             values[lower_name] = value
         elif lower_name in FORWARDED_HEADERS:
             if lower_name in TOKEN_HEADERS and TOKEN_PATTERN.fullmatch(value) is None:
-                raise BadRequestError(400, f"{lower_name!r}: {value!r}")
+                raise BadRequestError(400, f"header {lower_name!r} has an invalid value: {value!r}")
             values[lower_name] = value
             lines.append(b"%s: %s\r\n" % (name, value))
     return values
@@ -162,22 +185,22 @@
 def check_idempotency(
     idempotency: Idempotency, method: bytes, values: dict[bytes, bytes], *, has_body: bool
 ) -> None:
-    """Checks that the message is one of its class, as all that forward it will take it. Raises BadRequestError.
+    """Checks that method, Idempotency-Key and body match the idempotency of the class. Raises BadRequestError.
 
-    A request that needs a key and has none would be repeated in the belief that servers discard the repeat; one that
-    must not be repeated and is a GET could be repeated by anyone who forwards it.
+    Without its key, a request of a class with idempotency keys would be retried although servers could not discard
+    the duplicate. A GET in a non-idempotent class could be retried by any intermediary that forwards it.
     """
     idempotent = idempotency == Idempotency.IDEMPOTENT
     if method != (b"GET" if idempotent else b"POST"):
-        raise BadRequestError(400, f"method {method!r}")
+        raise BadRequestError(400, f"method {method!r} does not match the idempotency of the request class")
     if (b"idempotency-key" in values) != (idempotency == Idempotency.IDEMPOTENCY_KEY):
-        raise BadRequestError(400, "Idempotency-Key is missing, or not one of this class")
+        raise BadRequestError(400, "Idempotency-Key is missing, or not allowed in this request class")
     if idempotent and has_body:
-        raise BadRequestError(400, "a GET with a body")
+        raise BadRequestError(400, "a GET request must not have a body")
 
 
 def framing_header(idempotency: Idempotency, length: int | None) -> bytes:
-    """Returns the header that says where the body ends; `length`: None for one that is not known yet."""
+    """Returns the framing header for a body of `length` bytes; None means that the length is not known yet."""
     if length is None:
         return b"Transfer-Encoding: chunked\r\n"
     if idempotency == Idempotency.IDEMPOTENT:
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -1,4 +1,4 @@
-"""Parses one response of a server, and the load report that may come with it. Free of I/O."""
+"""Parses one server response and the load report that it may carry. Does no I/O."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 
 MAX_HEAD_BYTES = 1 << 14
 MAX_HEADERS = 64
-MAX_INTERIM_RESPONSES = 16  # 1xx, before the one that counts
-STREAMING_THRESHOLD_BYTES = 1 << 14  # a body of unknown length is streamed once so much was received
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final response
+# A body of unknown length is streamed once more than this was received.
+STREAMING_THRESHOLD_BYTES = 1 << 14
 MAX_BUFFERED_RESPONSE_BYTES = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES + 16 * MAX_CHUNKS
 MAX_REPORT_BYTES = 1 << 10
 MAX_LOAD_VALUE = 1e9
@@ -29,24 +30,25 @@
 
 
 def report_positions(fields: Sequence[str]) -> dict[bytes, int]:
-    """Returns each name of a load report's fields with its place in `fields`.
+    """Maps each name of a load report field to its index in `fields`.
 
-    The settings and the header may each use either of a field's two names.
+    A field has an internal name and a name on the wire. The settings and the header may each use either of them.
     """
     positions: dict[bytes, int] = {}
     for position, field in enumerate(fields):
-        own_name = REPORT_FIELD_NAMES.get(field, field)
-        wire_names = (wire for wire, own in REPORT_FIELD_NAMES.items() if own == own_name)
-        for name in (field, own_name, *wire_names):
+        internal_name = REPORT_FIELD_NAMES.get(field, field)
+        wire_names = (wire for wire, internal in REPORT_FIELD_NAMES.items() if internal == internal_name)
+        for name in (field, internal_name, *wire_names):
             positions[name.encode()] = position
     return positions
 
 
 def parse_load_report(text: bytes, positions: dict[bytes, int], size: int) -> Sequence[float]:
-    """Returns the report's figures in the settings' order; () when one is missing or cannot be true.
+    """Returns the values of a load report in the order of the settings; () if one is missing or invalid.
 
-    A figure that is no number, or a huge one, would stay in a server's averages for good; half a report would count as
-    a server without load.
+    `positions` is the result of `report_positions`, and `size` the number of fields. A value that is not a number, or
+    that is larger than `MAX_LOAD_VALUE`, would distort a server's moving averages permanently. A partial report would
+    make the server look unloaded.
     """
     values: list[float | None] = [None] * size
     if len(text) > MAX_REPORT_BYTES:
@@ -65,11 +67,11 @@
 
 
 class MalformedResponseError(Exception):
-    """A response that a working server cannot have made."""
+    """Raised in parser callbacks for a response that is invalid or exceeds a limit."""
 
 
 class ReadResult(Enum):
-    """How far a response was received."""
+    """State of a response after the received bytes were parsed."""
 
     INCOMPLETE = 0
     COMPLETE = 1
@@ -77,10 +79,25 @@
 
 
 class ResponseParser:
-    """One response while it is received. 1xx responses before it leave nothing behind.
-
-    The body of a small response is `body` once that is complete. Of one that is `streaming`, `read_body` returns what
-    was received since the last call.
+    """Incremental parser of one response. State from preceding 1xx responses is dropped.
+
+    The body of a small response is in `body` once the response is complete. For a streamed response, `read_body`
+    returns the bytes received since its previous call.
+
+    Attributes:
+        status: Status code; 0 before the head is complete.
+        body: Body bytes received and not yet taken by `read_body`.
+        body_size: Number of body bytes received.
+        length: Value of Content-Length; None without that header.
+        has_framing: Whether Content-Length or Transfer-Encoding determines the end of the body.
+        connection_close: Whether the server sent `Connection: close`.
+        not_processed: Whether the server sent `X-Not-Processed: 1`.
+        load_report: Value of X-Server-Load; empty without that header.
+        reusable: Whether the connection may carry another exchange: no bytes beyond the response were received, and
+            the server keeps it open.
+        streaming: Whether the body is forwarded while it is received.
+        received: All bytes of a response that is not streamed.
+        unparsed_bytes: Bytes of a streamed response received since the last callback of the parser.
     """
 
     __slots__ = (
@@ -110,37 +127,37 @@
         self.parser: HttpResponseParser | None = HttpResponseParser(self)
         self.status = 0
         self.body: bytes = b""
-        self.reusable = True  # the connection: nothing was received that is no part of the response
+        self.reusable = True
         self.complete = False
         self.interim_responses = 0
-        self.received: bytes = b""  # all bytes of a response that is not streamed
+        self.received: bytes = b""
         self.streaming = False
-        self.unparsed_bytes = 0  # received since the parser last reported anything of a streamed response
+        self.unparsed_bytes = 0
         self.reset()
 
     def reset(self) -> None:
-        """Starts a message: what a 1xx response said does not hold for the one after it."""
-        self.length: int | None = None  # of the body, by Content-Length
-        self.body_size = 0  # received so far
-        self.connection_close = False  # Connection: close
-        self.not_processed = False  # X-Not-Processed: 1
+        """Clears the state of a message: headers of a 1xx response do not apply to the response that follows it."""
+        self.length: int | None = None
+        self.body_size = 0
+        self.connection_close = False
+        self.not_processed = False
         self.load_report: bytes = b""
         self.head_size = self.headers = self.chunks = 0
         self.has_framing = self.chunked = self.head_done = False
 
     def close(self) -> None:
-        """Ends the parsing. Parser and response refer to each other, and would wait for the garbage collector."""
+        """Drops the httptools parser, which refers back to this object: a cycle would need the garbage collector."""
         self.parser = None
 
     def feed(self, data: bytes) -> ReadResult:
-        """Adds bytes that were received."""
+        """Parses received bytes; returns the state of the response."""
         result = self.parse(data)
         if result != ReadResult.INCOMPLETE:
             self.close()
         return result
 
     def parse(self, data: bytes) -> ReadResult:
-        """See `feed`."""
+        """Parses received bytes, without closing the parser at the end of the response."""
         assert self.parser is not None
         if self.streaming:
             self.unparsed_bytes += len(data)
@@ -149,7 +166,7 @@
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade):
-            # An exception in a callback is raised as an HttpParserError too.
+            # httptools raises HttpParserError for an exception in a callback, too.
             self.reusable = False
             return (
                 ReadResult.COMPLETE
@@ -158,7 +175,7 @@
             )
         if self.complete:
             return ReadResult.COMPLETE
-        # What the parser keeps to itself is limited here: a header, or a chunk's size, without end.
+        # Limits the input for which the parser makes no callback, such as an endless header or chunk size.
         if self.streaming:
             self.received = b""
             return ReadResult.MALFORMED if self.unparsed_bytes > MAX_HEAD_BYTES else ReadResult.INCOMPLETE
@@ -166,7 +183,7 @@
         return ReadResult.MALFORMED if len(self.received) > limit else ReadResult.INCOMPLETE
 
     def feed_eof(self) -> ReadResult:
-        """The server has ended the connection in order, which may be the end of a body."""
+        """Handles the end of the stream (FIN), which completes a body that is delimited by the close."""
         ends_body = self.connection_close and self.head_done and self.status >= 200
         if self.parser is None or self.has_framing or not ends_body:
             return ReadResult.MALFORMED
@@ -174,46 +191,49 @@
         return ReadResult.COMPLETE
 
     def read_body(self) -> bytes:
-        """Returns what was received of the body since the last call."""
+        """Returns the body bytes received since the previous call."""
         body, self.body = self.body, b""
         return body
 
     def trailing_bytes_are_separate(self) -> bool:
-        """Whether the bytes after the message are no part of its body.
+        """Returns whether the bytes after the message are not a part of its body.
 
-        A Content-Length that is too small would cut a body off and have it served as complete. What comes after good
-        responses is another message, or bytes with an empty line at their end; all else is the rest of a body.
+        If Content-Length is too small, a truncated body would be served as complete. Bytes after a valid response
+        either start another message or end with an empty line; anything else is taken for the rest of the body.
         """
         if self.chunked or self.streaming:
-            return True  # the last chunk ends it, or it was forwarded with the framing it has
-        at = 0
+            # The last chunk marks the end of the body, or the body was already forwarded with the server's framing.
+            return True
+        body_start = 0
         for _ in range(self.interim_responses + 1):
-            at = self.received.index(b"\r\n\r\n", at) + 4
-        rest = self.received[at + len(self.body) :]
-        return rest.startswith(b"HTTP/1.") or rest.endswith(b"\r\n\r\n")
+            body_start = self.received.index(b"\r\n\r\n", body_start) + 4
+        trailing = self.received[body_start + len(self.body) :]
+        return trailing.startswith(b"HTTP/1.") or trailing.endswith(b"\r\n\r\n")
 
     def outcome(self) -> Outcome:
-        """What a complete response says on the attempt."""
+        """Returns the outcome of the attempt according to the complete response."""
         if self.status == 200:
             return Outcome.OK
         if self.status in (503, 504) and self.not_processed:
             return Outcome.REJECTED
         return Outcome.ERROR
 
-    # ---- callbacks of httptools ----------------------------------------------------------------------------
+    # ---- httptools callbacks -------------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
         """See `HttpResponseParser`."""
         if self.complete:
             self.reusable = False
-            raise MalformedResponseError("a second response to one request")
+            raise MalformedResponseError("received a second response to one request")
         self.reset()
 
     def count_head_bytes(self, size: int) -> None:
-        """Limits the head."""
+        """Adds to the size of the head and checks its limit."""
         self.head_size += size
         if self.head_size > MAX_HEAD_BYTES:
-            raise MalformedResponseError(f"head of {self.head_size} bytes, {MAX_HEAD_BYTES} at most")
+            raise MalformedResponseError(
+                f"response head of {self.head_size} bytes exceeds the limit of {MAX_HEAD_BYTES}"
+            )
 
     def on_status(self, text: bytes) -> None:
         """See `HttpResponseParser`."""
@@ -224,9 +244,9 @@
         self.count_head_bytes(len(name) + len(value) + 4)
         self.headers += 1
         if self.headers > MAX_HEADERS:
-            raise MalformedResponseError(f"more than {MAX_HEADERS} headers")
+            raise MalformedResponseError(f"response has more than {MAX_HEADERS} headers")
         if self.head_done:
-            return  # a trailer
+            return  # trailers are ignored
         lower_name = name.lower()
         if lower_name == b"x-server-load":
             self.load_report = value
@@ -235,11 +255,13 @@
         elif lower_name == b"content-length":
             self.length = int(value)
             if self.length > MAX_BODY_BYTES:
-                raise MalformedResponseError(f"Content-Length {self.length}, {MAX_BODY_BYTES} at most")
+                raise MalformedResponseError(
+                    f"Content-Length {self.length} exceeds the limit of {MAX_BODY_BYTES}"
+                )
             self.has_framing = True
         elif lower_name == b"transfer-encoding":
             if value.strip().lower() != b"chunked":
-                raise MalformedResponseError(f"Transfer-Encoding {value!r}")
+                raise MalformedResponseError(f"unsupported Transfer-Encoding {value!r}; expected chunked")
             self.has_framing = self.chunked = True
         elif lower_name == b"connection":
             self.connection_close = self.connection_close or b"close" in value.lower()
@@ -252,17 +274,21 @@
         if self.status < 200:
             self.interim_responses += 1
             if self.interim_responses > MAX_INTERIM_RESPONSES:
-                raise MalformedResponseError(f"more than {MAX_INTERIM_RESPONSES} interim responses")
+                raise MalformedResponseError(f"received more than {MAX_INTERIM_RESPONSES} interim responses")
         elif not self.has_framing and not self.connection_close:
-            # A body that ends with its connection, and does not say so, may have been cut off anywhere.
-            raise MalformedResponseError("no Content-Length, Transfer-Encoding or Connection: close")
+            # Without framing or an announced close, a truncated body cannot be told from a complete one.
+            raise MalformedResponseError(
+                "response has no Content-Length, Transfer-Encoding or Connection: close"
+            )
         elif self.length is not None and self.length > MAX_BUFFERED_BODY_BYTES:
             self.start_streaming()
 
     def start_streaming(self) -> None:
-        """The body is forwarded from here on as it is received; only that of a good response is."""
+        """Switches to forwarding the body while it is received; allowed only for status 200."""
         if self.status != 200:
-            raise MalformedResponseError(f"a body too large for status {self.status}")
+            raise MalformedResponseError(
+                f"body of a response with status {self.status} exceeds {MAX_BUFFERED_BODY_BYTES} bytes"
+            )
         self.streaming = True
 
     def on_chunk_header(self) -> None:
@@ -270,7 +296,9 @@
         self.chunks += 1
         self.unparsed_bytes = 0
         if has_too_many_chunks(self.chunks, self.body_size):
-            raise MalformedResponseError(f"{self.chunks} chunks in {self.body_size} bytes")
+            raise MalformedResponseError(
+                f"too many chunks: {self.chunks} for a body of {self.body_size} bytes"
+            )
 
     def on_body(self, data: bytes) -> None:
         """See `HttpResponseParser`."""
@@ -278,7 +306,9 @@
         self.body_size += len(data)
         self.unparsed_bytes = 0
         if self.body_size > MAX_BODY_BYTES:
-            raise MalformedResponseError(f"body of {self.body_size} bytes, {MAX_BODY_BYTES} at most")
+            raise MalformedResponseError(
+                f"body of {self.body_size} bytes exceeds the limit of {MAX_BODY_BYTES}"
+            )
         if (
             self.length is None
             and not self.streaming
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -1,4 +1,4 @@
-"""The request parser, free of I/O: what a server gets, and the status and text of a bad request."""
+"""Tests of the request parser, without I/O: the forwarded head, and status and message of bad requests."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 def class_settings(idempotency: Idempotency) -> ClassSettings:
-    """A class whose requests have `DEADLINE_US`."""
+    """Returns settings of a class with the deadline `DEADLINE_US`."""
     return ClassSettings(
         idempotency, latency_objective=DEADLINE_US, deadline=DEADLINE_US, priority_weight=1.0
     )
 
 
 def request_parser() -> RequestParser:
-    """A parser of one class of each idempotency, and of one tenant."""
+    """Returns a parser with one class for each idempotency and with one tenant."""
     return RequestParser(Settings(classes=[class_settings(each) for each in Idempotency]), CLASSES, ["acme"])
 
 
 def parse(method: bytes, url: bytes, body: bytes = b"", **headers: bytes | None) -> ParsedRequest:
-    """Parses a request with the usual headers and those given; None for one that is left out."""
+    """Parses a request with the default headers and `headers`; None as a value omits the header."""
     named = {name.replace("_", "-").encode(): value for name, value in headers.items()}
     lines = [(name, value) for name, value in {**HEADERS, **named}.items() if value is not None]
     return request_parser().parse(method, url, lines, body, keep_alive=True, received_us=7)
 
 
-def test_the_head_for_the_server_has_the_forwarded_headers_alone():
+def test_the_head_for_the_server_contains_only_forwarded_headers():
     request = parse(b"GET", b"/read/1?x=2", Cookie=b"c", X_Tenant_Id=b"acme", X_Cost=b"3")
     assert request.head == (
         b"GET /read/1?x=2 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Cost: 3\r\n"
@@ -45,11 +45,11 @@
     assert request.body == b"body"
 
 
-def test_the_timeout_is_no_longer_than_the_deadline_of_the_class():
+def test_the_timeout_is_limited_by_the_deadline_of_the_class():
     assert parse(b"GET", b"/read", X_Timeout=b"9000m").timeout_us == DEADLINE_US
 
 
-def test_an_unknown_tenant_is_the_one_after_the_known():
+def test_an_unknown_tenant_gets_the_index_after_the_known_tenants():
     assert parse(b"GET", b"/read", X_Tenant_Id=b"other").tenant == 1
 
 
@@ -76,7 +76,7 @@
 
 
 def test_a_get_with_a_body_is_a_bad_request():
-    with pytest.raises(BadRequestError, match="a GET with a body"):
+    with pytest.raises(BadRequestError, match="a GET request must not have a body"):
         parse(b"GET", b"/read/1", b"body")
 
 
@@ -84,13 +84,23 @@
     ("version", "headers", "status", "text"),
     [
         ("2.0", [], 400, "HTTP version 2.0"),
-        ("1.1", [(b"Content-Length", b"1"), (b"content-length", b"1")], 400, "b'content-length' twice"),
+        (
+            "1.1",
+            [(b"Content-Length", b"1"), (b"content-length", b"1")],
+            400,
+            "b'content-length' appears more than once",
+        ),
         ("1.1", [(b"Content-Length", b"33554433")], 413, "33554433"),
-        ("1.1", [(b"Transfer-Encoding", b"gzip, chunked")], 400, "b'gzip, chunked' in HTTP 1.1"),
-        ("1.0", [(b"Transfer-Encoding", b"chunked")], 400, "b'chunked' in HTTP 1.0"),
+        (
+            "1.1",
+            [(b"Transfer-Encoding", b"gzip, chunked")],
+            400,
+            "b'gzip, chunked' is not supported in HTTP 1.1",
+        ),
+        ("1.0", [(b"Transfer-Encoding", b"chunked")], 400, "b'chunked' is not supported in HTTP 1.0"),
     ],
 )
-def test_a_message_whose_end_is_in_doubt_is_a_bad_request(version, headers, status, text):
+def test_a_message_with_ambiguous_framing_is_a_bad_request(version, headers, status, text):
     with pytest.raises(BadRequestError) as raised:
         request_parser().check_framing(version, headers)
     assert raised.value.status == status
