--- a/harecross/upstream/__init__.py
+++ b/harecross/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers: the pool, connects, exchanges and health checks."""
+"""Upstream connections: the connection pool, connects, exchanges and health checks."""
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server. It carries one exchange at a time and sends none twice."""
+"""A connection to a server. It carries one exchange at a time and never resends one."""
 
 from __future__ import annotations
 
@@ -14,15 +14,24 @@
 from harecross.platform.clock import monotonic_us
 from harecross.upstream.exchange import Exchange, HealthCheck
 
-# Servers may send a second response some milliseconds after the first, which would be taken for that of the next
-# exchange. A kept connection is therefore not used again for this time, or for a part of what its last exchange took:
-# for each so many connections in use there is then one more.
+# A faulty server may send a second response a few milliseconds after the first, and it would be taken for the response
+# to the next exchange. An idle connection is therefore not reused for the duration of its last exchange divided by
+# `REUSE_DELAY_DIVISOR`, limited to `MAX_REUSE_DELAY_US`. This costs at most one additional connection for every
+# `REUSE_DELAY_DIVISOR` connections in use.
 MAX_REUSE_DELAY_US = 20_000
 REUSE_DELAY_DIVISOR = 4
 
 
 class ServerProcess:
-    """One process of a server, as discovery lists it. A restart makes a new one."""
+    """One process of a server, as listed by discovery. A restarted server is a new process.
+
+    Attributes:
+        server: Number of the server.
+        started_at: Start time of the process, as listed by discovery.
+        in_service: Whether new exchanges may be sent to the process.
+        connection_count: Number of connections, including those that are being opened.
+        idle: Idle connections in order of last use, the most recently used last.
+    """
 
     __slots__ = ("connection_count", "host", "idle", "in_service", "port", "server", "started_at")
 
@@ -32,17 +41,17 @@
         self.port = port
         self.started_at = started_at
         self.in_service = True
-        self.connection_count = 0  # those that are being opened among them
-        self.idle: list[ServerConnection] = []  # the one used last stands last
+        self.connection_count = 0
+        self.idle: list[ServerConnection] = []
 
     @property
     def address(self) -> str:
-        """Host and port."""
+        """The address as `host:port`."""
         return f"{self.host}:{self.port}"
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool (`ConnectionPool`)."""
+    """The part of `ConnectionPool` that a connection uses."""
 
     initial_buffer_bytes: int
     stream_buffer_bytes: int
@@ -51,28 +60,44 @@
     on_connection_closed: Callable[[ClosedConnection], None]
 
     def record_load_report(self, text: bytes) -> Sequence[float]:
-        """Returns the load report in a header or body; () if it is none."""
+        """Parses and counts a load report from a header or body; returns () if it is invalid."""
 
     def resize_stream_buffers(self) -> None:
-        """The number of streamed bodies has changed."""
+        """Adapts the kernel's receive buffers to the number of streamed bodies."""
 
     def start_deadline_timer(self, exchange: Exchange) -> None:
-        """Abandons the exchange at its deadline."""
+        """Schedules the abandonment of the exchange at its deadline."""
 
     def release(self, connection: ServerConnection) -> None:
-        """Keeps an idle connection for the next exchange."""
+        """Returns a connection to the pool for another exchange."""
 
     def remove(self, connection: ServerConnection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection from the pool."""
 
     def finish(
         self, exchange: Exchange, outcome: Outcome, body: bytes = b"", report: Sequence[float] = ()
     ) -> None:
-        """The exchange has its outcome."""
+        """Reports the outcome of the exchange."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection to one server process."""
+    """A connection to one server process.
+
+    Attributes:
+        parser: Parser of the response to `exchange`; None while the connection is idle.
+        exchange: The exchange in progress; None while the connection is idle.
+        idle_since_us: Time since which the connection is idle; 0 if it was never released to the pool.
+        reusable_from_us: Time from which another exchange may use the connection.
+        sent: Whether the last byte of the message of the exchange has left this process.
+        usable: Whether the connection may carry another exchange.
+        upload_unfinished: Whether more bytes of the upload remain to be written.
+        write_blocked: Whether the transport holds bytes that the kernel has not accepted.
+        read_paused: Whether reading is paused because the client does not read the response.
+        progress_us: Time at which a streamed body last made progress.
+        receive_buffer_bytes: Last requested SO_RCVBUF value; 0 for the kernel's default.
+        descriptor: File descriptor of the socket; -1 before the connection is open.
+        closed_record: Why this side closed the connection; None if it has not.
+    """
 
     __slots__ = (
         "closed_record",
@@ -99,27 +124,27 @@
         self.transport: asyncio.Transport | None = None
         self.parser: ResponseParser | None = None
         self.exchange: Exchange | None = None
-        self.idle_since_us = 0  # 0: it has carried no exchange yet
-        self.sent = False  # the last byte of the exchange's message has left this process
-        self.usable = True  # it may carry a further exchange
-        self.upload_unfinished = False  # more of the upload is to be written
-        self.write_blocked = False  # the server does not read what was written
-        self.read_paused = False  # the client does not read what the server sent
-        self.progress_us = 0  # when a streamed body last went on
-        self.receive_buffer_bytes = 0  # of the kernel, as asked for; 0 for its own choice
+        self.idle_since_us = 0
+        self.sent = False
+        self.usable = True
+        self.upload_unfinished = False
+        self.write_blocked = False
+        self.read_paused = False
+        self.progress_us = 0
+        self.receive_buffer_bytes = 0
         self.descriptor = -1
         self.reusable_from_us = 0
-        self.closed_record: ClosedConnection | None = None  # why this side has closed it
+        self.closed_record: ClosedConnection | None = None
 
-    # ---- asyncio --------------------------------------------------------------------------------------
+    # ---- asyncio callbacks ----------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See `asyncio.Protocol`."""
         self.transport = cast(asyncio.Transport, transport)
         self.descriptor = transport.get_extra_info("socket").fileno()
-        # Writes are then tried at once, and `pause_writing` means that bytes have not left this process.
+        # With a high-water mark of 0, `pause_writing` is called whenever bytes have not left this process.
         self.transport.set_write_buffer_limits(high=0)
-        # What a slow client does not read would otherwise grow to megabytes in the kernel.
+        # The kernel's buffer would otherwise grow to megabytes while a slow client does not read.
         self.set_receive_buffer(self.pool.initial_buffer_bytes)
 
     def pause_writing(self) -> None:
@@ -140,13 +165,13 @@
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
         if self.exchange is None or self.parser is None:
-            # Bytes outside any exchange would be taken for the beginning of the next response.
+            # Bytes that arrive without an exchange would be taken for the start of the next response.
             self.discard(CloseReason.MALFORMED_RESPONSE)
             return
         self.handle_result(self.parser, self.parser.feed(data))
 
     def eof_received(self) -> bool:
-        """See `asyncio.Protocol`. Returns False: the transport closes itself."""
+        """See `asyncio.Protocol`. Returns False so that the transport closes itself."""
         if self.exchange is not None and self.parser is not None:
             result = self.parser.feed_eof()
             if result == ReadResult.COMPLETE:
@@ -169,7 +194,7 @@
     # ---- requests -------------------------------------------------------------------------------------
 
     def start(self, exchange: Exchange, now: int) -> None:
-        """Writes the exchange's message, or what there is of it."""
+        """Writes the message of the exchange; of an upload, the bytes received so far."""
         assert self.transport is not None
         self.exchange = exchange
         exchange.connection = self
@@ -192,7 +217,7 @@
         exchange.request_written(fresh=self.idle_since_us == 0, whole=self.sent)
 
     def write_upload(self) -> None:
-        """Writes what there is of the upload."""
+        """Writes the received but unwritten bytes of the upload, unless the server does not read."""
         exchange = self.exchange
         if exchange is None or exchange.upload is None or self.write_blocked or self.transport is None:
             return
@@ -212,7 +237,7 @@
             self.upload_written(exchange)
 
     def upload_written(self, exchange: Exchange) -> None:
-        """The last byte of an upload has left this process: the time for the response begins."""
+        """Starts the timeout of the response, because the last byte of the upload has left this process."""
         self.pool.streaming.discard(self)
         if self.transport is None or self.transport.is_closing():
             return
@@ -226,18 +251,18 @@
     # ---- responses ------------------------------------------------------------------------------------
 
     def handle_result(self, parser: ResponseParser, result: ReadResult) -> None:
-        """Acts on what was parsed of the response."""
+        """Handles the state of the response after received bytes were parsed."""
         if parser.streaming and not self.forward_body(parser):
             return
         if result == ReadResult.COMPLETE:
             self.complete_exchange(parser)
         elif result == ReadResult.MALFORMED:
-            # The server has run the request, but no client can use its response, nor what may follow it.
+            # The server ran the request, but neither the response nor the bytes after it can be used.
             self.pool.malformed_responses += 1
             self.fail_exchange(CloseReason.MALFORMED_RESPONSE)
 
     def forward_body(self, parser: ResponseParser) -> bool:
-        """Forwards what was received of a streamed response; returns whether anybody wants more."""
+        """Forwards the received part of a streamed response; returns whether the exchange is still in progress."""
         exchange = self.exchange
         assert exchange is not None
         self.progress_us = monotonic_us()
@@ -246,10 +271,11 @@
         part = parser.read_body()
         if part:
             exchange.response_part(part)
-        return self.exchange is exchange  # writing to the client may have shown that it is gone
+        # The exchange may have been abandoned because the write showed that the client has disconnected.
+        return self.exchange is exchange
 
     def begin_streaming(self, exchange: Exchange, parser: ResponseParser) -> bool:
-        """Tells the exchange that its response is streamed; returns whether anybody wants it."""
+        """Notifies the exchange that its response is streamed; returns whether the response is still needed."""
         if not exchange.response_started(parser.length, self.pool.record_load_report(parser.load_report)):
             self.fail_exchange(CloseReason.ABANDONED)
             return False
@@ -262,15 +288,15 @@
         return True
 
     def set_receive_buffer(self, size: int) -> None:
-        """Sets how many bytes the kernel keeps of what the server sends."""
+        """Sets the size of the kernel's receive buffer (SO_RCVBUF)."""
         if self.transport is not None and size != self.receive_buffer_bytes:
             self.receive_buffer_bytes = size
             sock = self.transport.get_extra_info("socket")
-            with suppress(OSError):  # the kernel's own size will do
+            with suppress(OSError):  # the kernel's default size is acceptable
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
 
     def set_read_paused(self, paused: bool) -> None:
-        """Stops reading the response, or goes on."""
+        """Pauses or resumes reading the response."""
         if self.read_paused == paused or self.transport is None:
             return
         self.read_paused = paused
@@ -280,19 +306,20 @@
         else:
             self.transport.resume_reading()
 
-    # ---- the end of an exchange -----------------------------------------------------------------------
+    # ---- end of an exchange ---------------------------------------------------------------------------
 
     def complete_exchange(self, parser: ResponseParser) -> None:
-        """The response is complete: the connection is kept, if nothing speaks against it."""
+        """Reports the outcome of a complete response and releases the connection if it can be reused."""
         exchange = self.exchange
         assert exchange is not None
         text = parser.load_report
         if not text and isinstance(exchange, HealthCheck):
-            text = parser.body  # /_load answers with the report itself
+            text = parser.body  # the body of a /_load response is the load report
         report = self.pool.record_load_report(text)
         self.detach(exchange)
         self.exchange = self.parser = None
-        # If the response came before the last byte was sent, the rest of the request would open the next one.
+        # If the response arrived before the last byte was sent, the server would read the rest of this request as
+        # the start of the next one.
         if parser.reusable and self.sent and self.usable:
             now = monotonic_us()
             self.reusable_from_us = now + min(
@@ -304,10 +331,10 @@
         self.pool.finish(exchange, parser.outcome(), parser.body, report)
 
     def fail_exchange(self, reason: CloseReason) -> None:
-        """The connection is of no use under an exchange.
+        """Closes the connection and ends the exchange as failed.
 
-        The server has not run it if the last byte had not left this process, and may have run it otherwise. That
-        holds for a kept connection too: if the server has just closed it, it may have read the request before.
+        If the last byte has not left this process, the server has not run the request; otherwise it may have run it.
+        This applies to a reused connection too: a server that closes it may have read the request before.
         """
         exchange = self.exchange
         assert exchange is not None
@@ -318,13 +345,13 @@
         self.pool.finish(exchange, Outcome.RESET if sent else Outcome.CONNECT_FAILED)
 
     def abandon_exchange(self, exchange: Exchange) -> None:
-        """Closes the connection, for the response could still come on it. The exchange gets no outcome here."""
+        """Closes the connection, because the response could still arrive on it. Does not report an outcome."""
         self.detach(exchange)
         self.exchange = None
         self.discard(CloseReason.ABANDONED, exchange)
 
     def detach(self, exchange: Exchange) -> None:
-        """The exchange has no more to do with this connection."""
+        """Stops the upload and the streaming of the exchange on this connection."""
         self.upload_unfinished = False
         self.pool.streaming.discard(self)
         if exchange.upload is not None:
@@ -333,7 +360,7 @@
             self.set_read_paused(False)
 
     def discard(self, reason: CloseReason, exchange: Exchange | None = None) -> None:
-        """Closes the connection at once; `exchange` is the one that ends with it."""
+        """Closes the connection immediately; `exchange` is the exchange that was in progress, for the close record."""
         self.usable = False
         if self.closed_record is None:
             request_id = exchange.request_id() if exchange is not None else ""
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -1,6 +1,6 @@
-"""All connections to servers: connects, idle connections, health checks and time limits.
+"""Pool of the connections to servers: connects, idle connections, health checks and timeouts.
 
-A connection carries one exchange at a time. Nothing here sends an exchange twice. Times in microseconds.
+A connection carries one exchange at a time, and no exchange is sent twice. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -22,13 +22,28 @@
 from harecross.upstream.exchange import NO_DEADLINE_US, Exchange, HealthCheck
 
 IDLE_MARGIN_US = 1_500_000  # an idle connection is closed this long before its server would close it
-DEFAULT_STREAMING_BUDGET_BYTES = 1 << 25  # for all streamed responses together
-STREAM_START_DIVISOR = 4  # one in so many descriptors may carry a streamed response that begins
-STALL_TIMEOUT_US = 6_000_000  # a streamed body that its server neither reads nor sends on
+DEFAULT_STREAMING_BUDGET_BYTES = 1 << 25  # shared by all streamed responses
+# The initial receive buffer of a connection assumes that one in this many descriptors carries a streamed response.
+STREAM_START_DIVISOR = 4
+STALL_TIMEOUT_US = 6_000_000  # how long a server may neither read nor send a streamed body
 
 
 class ConnectionPool:
-    """Every connection of this node to servers."""
+    """The connections of this node to all servers.
+
+    Attributes:
+        idle_time: Time after which an idle connection is closed.
+        report_positions: Index of each load report field by name, see `report_positions`.
+        report_size: Number of load report fields.
+        on_descriptor_shortage: Closes a client connection to free a descriptor; returns whether it closed one.
+        load_reports: Number of valid load reports received.
+        malformed_responses: Number of malformed responses received.
+        processes: The current process of each server, by server number.
+        streaming: Connections that carry a streamed body.
+        streaming_budget_bytes: Memory budget shared by all streamed responses.
+        stream_buffer_bytes: Size of the kernel's receive buffer for a streamed response.
+        initial_buffer_bytes: Size of that buffer before it is known whether the response will be streamed.
+    """
 
     def __init__(
         self,
@@ -37,7 +52,11 @@
         report_fields: Sequence[str],
         descriptors: DescriptorBudget,
     ) -> None:
-        """`idle_time`: after which servers close an idle connection. `report_fields`: of load reports, in order."""
+        """Creates an empty pool.
+
+        `connect_timeout` limits the opening of a connection, `idle_time` is the time after which servers close an idle
+        connection, and `report_fields` are the fields of load reports in order.
+        """
         self.loop = asyncio.get_running_loop()
         self.connect_timeout_s = connect_timeout / 1e6
         self.idle_time = max(idle_time - IDLE_MARGIN_US, idle_time // 2)
@@ -45,16 +64,14 @@
         self.report_size = len(report_fields)
         self.descriptors = descriptors
         self.on_connection_closed: Callable[[ClosedConnection], None] = lambda closed: None
-        # Closes a client connection for the sake of a new one to a server; returns whether it has.
         self.on_descriptor_shortage: Callable[[], bool] = lambda: False
-        self.load_reports = 0  # valid ones received
+        self.load_reports = 0
         self.malformed_responses = 0
-        self.processes: dict[int, ServerProcess] = {}  # by server
+        self.processes: dict[int, ServerProcess] = {}
         self.connect_tasks: set[asyncio.Task[None]] = set()
-        self.streaming: set[ServerConnection] = set()  # those that carry a streamed body
-        self.streaming_budget_bytes = 0  # for all streamed responses together
-        self.stream_buffer_bytes = MAX_STREAM_BUFFER_BYTES  # the kernel's, for each streamed response
-        # Size of the kernel's receive buffer before it is known whether the response will be streamed.
+        self.streaming: set[ServerConnection] = set()
+        self.streaming_budget_bytes = 0
+        self.stream_buffer_bytes = MAX_STREAM_BUFFER_BYTES
         self.initial_buffer_bytes = MAX_STREAM_BUFFER_BYTES
         self.set_streaming_budget(DEFAULT_STREAMING_BUDGET_BYTES)
 
@@ -62,11 +79,11 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections to servers, those that are being opened among them."""
+        """Number of connections to servers, including those that are being opened."""
         return self.descriptors.upstream_connections
 
     def update(self, server: int, address: str, started_at: int) -> None:
-        """A server is in service at `address`. A connection to an earlier process or address is not used for it."""
+        """Puts a server in service at `address`. Connections to an earlier process or address are not reused."""
         host, _, port = address.rpartition(":")
         old = self.processes.get(server)
         if old is not None:
@@ -77,14 +94,14 @@
         self.processes[server] = ServerProcess(server, host, int(port), started_at)
 
     def take_out_of_service(self, server: int) -> None:
-        """Sends nothing new to the server; responses that are waited for still count."""
+        """Stops sending new exchanges to the server; exchanges in flight may still complete."""
         process = self.processes.get(server)
         if process is not None:
             process.in_service = False
             self.close_idle_to_process(process, CloseReason.SERVER_OUT_OF_SERVICE)
 
     def remove_if_unused(self, server: int) -> bool:
-        """Removes a server that is out of service and has no connection; returns whether it is gone."""
+        """Removes a server that is out of service and has no connection; returns whether it is no longer known."""
         process = self.processes.get(server)
         if process is None:
             return True
@@ -108,7 +125,10 @@
     # ---- sending --------------------------------------------------------------------------------------
 
     def send(self, exchange: Exchange) -> None:
-        """Sends on the idle connection used last, or on a new one. The outcome never comes within this call."""
+        """Sends on the most recently used idle connection, or on a new one.
+
+        The outcome is never reported within this call.
+        """
         now = monotonic_us()
         exchange.started_us = now
         process = self.processes.get(exchange.server)
@@ -122,16 +142,16 @@
             return
         if exchange.deadline_us < NO_DEADLINE_US:
             self.start_deadline_timer(exchange)
-        fits = self.descriptors.upstream_connection_fits()
+        descriptor_available = self.descriptors.upstream_connection_fits()
         connection = self.acquire_idle(process, now)
-        if connection is None and not fits:
+        if connection is None and not descriptor_available:
             # Reusing a connection before its reuse delay is over is better than closing another to make room.
             connection = self.acquire_idle(process, now, honor_reuse_delay=False)
         if connection is not None:
             connection.start(exchange, now)
             return
-        # Beyond its descriptors the node could not even accept connections to shed their requests.
-        if not (fits or self.close_one_idle() or self.on_descriptor_shortage()):
+        # Without free descriptors the node could not accept connections in order to shed their requests.
+        if not (descriptor_available or self.close_one_idle() or self.on_descriptor_shortage()):
             self.loop.call_soon(self.finish, exchange, Outcome.NOT_SENT)
             return
         self.descriptors.upstream_connections += 1
@@ -143,23 +163,24 @@
     def acquire_idle(
         self, process: ServerProcess, now: int, *, honor_reuse_delay: bool = True
     ) -> ServerConnection | None:
-        """Takes the most recently used idle connection on which no bytes arrived; returns None if there is none.
+        """Takes the most recently used idle connection without unread input; returns None if there is none.
 
-        With `honor_reuse_delay`, a connection whose reuse delay is not over is skipped. The kernel may already hold
-        a close or bytes that this process has not read: a request written to such a connection could be reset
-        although the server ran it, or take those bytes for its response.
+        The kernel may already hold a close or bytes that this process has not read. A request written to such a
+        connection could be reset although the server ran it, or those bytes could be taken for its response. With
+        `honor_reuse_delay`, a connection whose reuse delay is not over is skipped as well.
         """
         idle = process.idle
-        at = len(idle) - 1
-        while at >= 0:
-            connection = idle[at]
+        position = len(idle) - 1
+        while position >= 0:
+            connection = idle[position]
             if now - connection.idle_since_us >= self.idle_time:
-                for old in idle[: at + 1]:  # it, and all that were used before it
-                    old.discard(CloseReason.IDLE)
-                del idle[: at + 1]
+                # The connections before it in the list were used even earlier.
+                for expired in idle[: position + 1]:
+                    expired.discard(CloseReason.IDLE)
+                del idle[: position + 1]
                 return None
             if connection.reusable_from_us <= now or not honor_reuse_delay:
-                del idle[at]
+                del idle[position]
                 if (
                     connection.transport is not None
                     and not connection.transport.is_closing()
@@ -167,25 +188,25 @@
                 ):
                     return connection
                 connection.discard(CloseReason.PEER)
-            at -= 1
+            position -= 1
         return None
 
     def start_deadline_timer(self, exchange: Exchange) -> None:
-        """Abandons the exchange at its deadline."""
+        """Schedules the abandonment of the exchange at its deadline."""
         delay_us = exchange.deadline_us - monotonic_us()
         exchange.deadline_timer = self.loop.call_later(delay_us / 1e6, self.deadline_passed, exchange)
 
     def make_health_check(
         self, server: int, on_ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None]
     ) -> Exchange:
-        """Returns a health check, to be sent; its timeout is that of a connect."""
+        """Returns a health check to be sent; its timeout is the connect timeout."""
         path = b"/_load" if self.report_size else b"/ping"
         head = b"GET %s HTTP/1.1\r\nHost: %s\r\n" % (path, UPSTREAM_HOST)
         deadline_us = monotonic_us() + int(self.connect_timeout_s * 1e6)
         return HealthCheck(server, head, b"", deadline_us, on_ended)
 
     def close_one_idle(self) -> bool:
-        """Closes an idle connection, so that a new one can be opened; returns whether there was one."""
+        """Closes an idle connection to free a descriptor; returns whether there was one."""
         for process in self.processes.values():
             if process.idle:
                 process.idle.pop(0).discard(CloseReason.DESCRIPTOR_SHORTAGE)
@@ -193,7 +214,7 @@
         return False
 
     async def connect(self, exchange: Exchange, process: ServerProcess) -> None:
-        """Opens a connection for an exchange and starts it there, if that is still wanted."""
+        """Opens a connection for an exchange and starts the exchange on it if it is still needed."""
         connection = ServerConnection(self, process)
         task = cast(asyncio.Task[None], asyncio.current_task())
         timer = self.loop.call_later(self.connect_timeout_s, task.cancel)
@@ -209,7 +230,10 @@
     def connect_failed(
         self, connection: ServerConnection, exchange: Exchange, error: OSError | asyncio.CancelledError
     ) -> None:
-        """A connection could not be opened, or not in time; a shortage of this machine is no fault of the server."""
+        """Ends an exchange whose connection failed or timed out.
+
+        A local resource shortage is reported as not sent, so that it does not count against the server.
+        """
         if connection.transport is not None:
             connection.discard(CloseReason.CONNECT_TIMEOUT)
         else:
@@ -221,15 +245,15 @@
     def start_on_new(self, connection: ServerConnection, exchange: Exchange) -> None:
         """Starts an exchange on the connection that was opened for it.
 
-        While it was opened, the server may have gone out of service, the time may have run out or the client may
-        have disconnected. Not a byte was sent.
+        While the connection was being opened, the server may have gone out of service, the deadline may have passed or
+        the client may have disconnected. In these cases nothing is sent, and the connection is released.
         """
         if exchange.finished:
             self.release(connection)
             return
         now = monotonic_us()
-        too_late = min(exchange.deadline_us, exchange.start_by_us) <= now
-        if not connection.process.in_service or too_late or not exchange.is_wanted():
+        expired = min(exchange.deadline_us, exchange.start_by_us) <= now
+        if not connection.process.in_service or expired or not exchange.is_wanted():
             self.release(connection)
             self.finish(exchange, Outcome.NOT_SENT)
         elif connection.transport is None or connection.transport.is_closing():
@@ -237,16 +261,16 @@
         else:
             connection.start(exchange, now)
 
-    # ---- what connections report ----------------------------------------------------------------------
+    # ---- callbacks of connections ---------------------------------------------------------------------
 
     def record_load_report(self, text: bytes) -> Sequence[float]:
-        """Returns the load report in a header or body; () if it is none."""
+        """Parses and counts a load report from a header or body; returns () if it is invalid."""
         report = parse_load_report(text, self.report_positions, self.report_size) if text else ()
         self.load_reports += bool(report)
         return report
 
     def release(self, connection: ServerConnection) -> None:
-        """Keeps an idle connection for the next exchange."""
+        """Keeps a connection as idle for another exchange, or closes it if it cannot be reused."""
         if (
             connection.process.in_service
             and connection.usable
@@ -260,19 +284,19 @@
             connection.discard(CloseReason.PEER if in_service else CloseReason.SERVER_OUT_OF_SERVICE)
 
     def remove(self, connection: ServerConnection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection."""
         self.descriptors.upstream_connections -= 1
         connection.process.connection_count -= 1
         self.streaming.discard(connection)
         if connection in connection.process.idle:
             connection.process.idle.remove(connection)
 
-    # ---- the end of exchanges -------------------------------------------------------------------------
+    # ---- end of exchanges -----------------------------------------------------------------------------
 
     def finish(
         self, exchange: Exchange, outcome: Outcome, body: bytes = b"", report: Sequence[float] = ()
     ) -> None:
-        """Gives an exchange its outcome; a second one is dropped."""
+        """Reports the outcome of an exchange; any further outcome is ignored."""
         if exchange.finished:
             return
         exchange.finished = True
@@ -282,13 +306,13 @@
         exchange.on_ended(exchange, outcome, body, report)
 
     def deadline_passed(self, exchange: Exchange) -> None:
-        """The exchange's deadline has passed."""
+        """Abandons an exchange whose deadline has passed."""
         self.abandon(exchange, Outcome.TIMEOUT)
 
     def abandon(self, exchange: Exchange, outcome: Outcome) -> None:
-        """Ends an exchange with this outcome, or as not sent if its last byte has not left this process.
+        """Ends an exchange with `outcome`, or as not sent if its last byte has not left this process.
 
-        Its connection is closed; one that is still being opened is kept for others.
+        Its connection is closed. If the connection is still being opened, it is kept for other exchanges.
         """
         if exchange.finished:
             return
@@ -304,9 +328,11 @@
     # ---- streamed bodies ------------------------------------------------------------------------------
 
     def set_streaming_budget(self, budget_bytes: int) -> None:
-        """Limits what all streamed responses together may keep in memory; those under way follow with the next sweep.
+        """Sets the memory budget shared by all streamed responses.
 
-        A response that begins gets its part of a full house: many may begin at once.
+        Buffers of responses in progress are adapted at the next sweep. The initial buffer of each connection is sized
+        as if one in `STREAM_START_DIVISOR` descriptors carried a streamed response, because many may start at the
+        same time.
         """
         if budget_bytes != self.streaming_budget_bytes:
             self.streaming_budget_bytes = budget_bytes
@@ -315,7 +341,7 @@
             )
 
     def resize_stream_buffers(self) -> None:
-        """Fits the kernel's buffers to the number of streamed bodies, once it has doubled or halved."""
+        """Adapts the kernel's receive buffers to the number of streamed bodies if their size doubles or halves."""
         buffer_bytes = stream_buffer_bytes(self.streaming_budget_bytes, len(self.streaming))
         if self.stream_buffer_bytes // 2 < buffer_bytes < 2 * self.stream_buffer_bytes:
             return
@@ -323,27 +349,27 @@
         for connection in self.streaming:
             connection.set_receive_buffer(buffer_bytes)
 
-    # ---- time -----------------------------------------------------------------------------------------
+    # ---- timeouts -------------------------------------------------------------------------------------
 
     def sweep(self) -> None:
-        """Closes connections that were idle for too long, and those whose streamed body has stalled at the server.
+        """Closes connections that were idle for too long, and those whose streamed body stalled at the server.
 
-        A body that waits for its client is not closed here.
+        A connection whose body waits for the client is not closed here.
         """
         now = monotonic_us()
         self.resize_stream_buffers()
-        oldest_progress = now - STALL_TIMEOUT_US
-        for connection in [each for each in self.streaming if each.progress_us < oldest_progress]:
+        stalled_before = now - STALL_TIMEOUT_US
+        for connection in [each for each in self.streaming if each.progress_us < stalled_before]:
             waits_for_server = connection.write_blocked or not connection.upload_unfinished
             if connection.exchange is not None and not connection.read_paused and waits_for_server:
                 connection.fail_exchange(CloseReason.STALLED)
-        oldest = now - self.idle_time
+        idle_before = now - self.idle_time
         for process in self.processes.values():
-            while process.idle and process.idle[0].idle_since_us <= oldest:
+            while process.idle and process.idle[0].idle_since_us <= idle_before:
                 process.idle.pop(0).discard(CloseReason.IDLE)
 
     def close_all(self) -> None:
-        """Closes idle connections and stops opening new ones; exchanges in flight are left alone."""
+        """Closes idle connections and cancels connects in progress; exchanges in flight continue."""
         for task in self.connect_tasks:
             task.cancel()
         for process in self.processes.values():
--- a/harecross/upstream/exchange.py
+++ b/harecross/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""One message to a server and its outcome. Times in monotonic microseconds."""
+"""One request message to a server and its outcome. Times are in monotonic microseconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ServerAddress(Protocol):
-    """Where a server listens."""
+    """The address on which a server listens."""
 
     @property
     def host(self) -> str:
@@ -25,21 +25,37 @@
 
 
 class ExchangeCarrier(Protocol):
-    """The connection that carries an exchange."""
+    """The connection that carries an exchange, as the exchange sees it.
 
-    sent: bool  # the last byte of the message has left this process
+    Attributes:
+        sent: Whether the last byte of the message has left this process.
+    """
+
+    sent: bool
 
     def set_read_paused(self, paused: bool) -> None:
-        """Stops reading the response, or goes on."""
+        """Pauses or resumes reading the response."""
 
     def abandon_exchange(self, exchange: Exchange) -> None:
-        """Closes the connection, for the response could still come on it. The exchange gets no outcome here."""
+        """Closes the connection, because the response could still arrive on it. Does not report an outcome."""
 
 
 class Exchange:
-    """One message to a server and its outcome; `on_ended` is called exactly once, with a body and a load report.
-
-    Subclasses get the parts of a streamed response and learn how far the message has come.
+    """One request message to a server and its outcome.
+
+    Subclasses override the callback methods to receive a streamed response and to follow the progress of the message.
+
+    Attributes:
+        head: Request head without the X-Timeout header, whose value is set when the first byte is sent.
+        body: The body; empty if `upload` is set.
+        upload: A body that is still being received; None if `body` is complete.
+        deadline_us: Time at which the exchange is abandoned.
+        start_by_us: The first byte is sent before this time or not at all.
+        started_us: Time at which the exchange was passed to the pool, or at which its upload was sent completely.
+        upload_timeout_us: Timeout for the response, counted from when the last byte of the upload was sent.
+        on_ended: Called exactly once, with the exchange, its outcome, the response body and the load report.
+        finished: Whether `on_ended` was called.
+        response_streamed: Whether a streamed response has started.
     """
 
     __slots__ = (
@@ -67,7 +83,7 @@
         deadline_us: int,
         on_ended: Callable[[Exchange, Outcome, bytes, Sequence[float]], None],
     ) -> None:
-        """`head`: all but the X-Timeout header, which says how much time is left when the first byte is sent."""
+        """Creates an exchange with a complete body; see the class for the parameters."""
         self.server = server
         self.head = head
         self.body = body
@@ -78,38 +94,44 @@
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.connection: ExchangeCarrier | None = None
         self.finished = False
-        self.upload: Upload | None = None  # in place of `body`
-        self.upload_timeout_us = 0  # time for the response once the last byte of the upload has left
-        self.response_streamed = False  # its response is being streamed
-        self.start_by_us = NO_DEADLINE_US  # its first byte is sent before then or not at all
+        self.upload: Upload | None = None
+        self.upload_timeout_us = 0
+        self.response_streamed = False
+        self.start_by_us = NO_DEADLINE_US
 
     def response_started(self, length: int | None, report: Sequence[float]) -> bool:
-        """A streamed response of `length` bytes begins (None: not known); returns whether anybody wants it."""
+        """Called when a streamed response of `length` bytes starts; None means an unknown length.
+
+        Returns whether the response is still needed.
+        """
         return False
 
     def response_part(self, data: bytes) -> None:
-        """The next part of a streamed response was received."""
+        """Called with each part of a streamed response."""
 
     def is_wanted(self) -> bool:
-        """Whether anybody waits for its outcome; asked before the first byte if the connection took time."""
+        """Returns whether the outcome is still needed; checked before the first byte is sent on a new connection."""
         return True
 
     def is_sent(self) -> bool:
-        """Whether its last byte has left this process, so that a server may run it."""
+        """Returns whether the last byte has left this process, so that the server may run the request."""
         return self.connection is not None and self.connection.sent
 
     def upload_sent(self) -> None:
-        """The last byte of the upload has left this process."""
+        """Called when the last byte of the upload has left this process."""
 
     def request_written(self, *, fresh: bool, whole: bool) -> None:
-        """It was written to a new connection (`fresh`) or a kept one; `whole`: all of it has left this process."""
+        """Called when the message was written to a connection.
+
+        `fresh` tells whether the connection is new, and `whole` whether the complete message has left this process.
+        """
 
     def request_id(self) -> str:
-        """The id of the request that it is an attempt of; "" for none."""
+        """Returns the ID of the request that this is an attempt of; "" if there is none."""
         return ""
 
 
 class HealthCheck(Exchange):
-    """A health check of a server."""
+    """A health check request to a server."""
 
     __slots__ = ()
