--- a/harecross/dispatch/__init__.py
+++ b/harecross/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The request table: attempts, deadlines and the one final answer of each request."""
+"""Request dispatch: attempts, deadlines and the final answer of each request."""
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The host of one Balancer: what happens on sockets becomes its events, and its actions are carried out here."""
+"""Connects a `Balancer` to the sockets: notifies it of events and carries out its actions."""
 
 from __future__ import annotations
 
@@ -28,23 +28,27 @@
 from harecross.upstream.connection_pool import ConnectionPool
 from harecross.upstream.exchange import NO_DEADLINE_US, Exchange
 
-NO_LIST_RETRY_AFTER_US = 250_000  # while the node has no endpoint list to use
+NO_LIST_RETRY_AFTER_US = 250_000  # Retry-After while the node has no usable endpoint list
 
 
 class EndpointSubscription(Protocol):
-    """The calls to discovery, which the balancer starts and ends."""
+    """The operations on discovery that the balancer requests."""
 
     def subscribe(self, on: bool) -> None:
-        """Opens the watch on discovery, or closes it."""
+        """Opens or closes the watch on discovery."""
 
     def poll_endpoints(self) -> None:
-        """Asks discovery for the whole list."""
+        """Requests the full list from discovery."""
 
 
 class RequestDispatcher(RequestTable):
-    """Admits requests, carries out the balancer's actions and notifies it of what comes of them.
+    """Admits requests, carries out the balancer's actions and notifies the balancer of their results.
 
-    An exception in the balancer is logged and ends one request at most.
+    An exception raised by the balancer is logged and fails at most one request.
+
+    Attributes:
+        subscription: The operations on discovery; None until there is an endpoint registry to subscribe for.
+        readiness: Decides whether the endpoint list may be used; None if it may be used from the start.
     """
 
     def __init__(self, settings: Settings, seed: int, pool: ConnectionPool) -> None:
@@ -52,10 +56,10 @@
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.pool = pool
-        self.subscription: EndpointSubscription | None = None  # set once there is a registry to subscribe for
+        self.subscription: EndpointSubscription | None = None
         pool.on_connection_closed = self.connection_closed
         self.deadlines = ResponseDeadlines()
-        self.readiness: ListReadiness | None = None  # None: the endpoint list may be used from the start
+        self.readiness: ListReadiness | None = None
         self.balancer = Balancer(settings, seed, self)
 
     def start(self) -> None:
@@ -68,10 +72,11 @@
         closed_on_accept: int = 0,
         endpoint_list: Mapping[str, float] | None = None,
     ) -> None:
-        """Logs one line of counts and of the balancer's state.
+        """Logs the report line, with the counts and the state of the balancer.
 
-        `client_errors`: requests answered without a server, by status; `closed_on_accept`: client connections closed at
-        once; `endpoint_list`: figures on its age.
+        `client_errors` are the counts of requests answered without a server, by status. `closed_on_accept` is the
+        number of client connections closed as soon as they were accepted. `endpoint_list` has figures on the age of
+        the endpoint list.
         """
         upstream = UpstreamCounts(
             self.pool.open_connections, self.pool.load_reports, self.pool.malformed_responses
@@ -80,12 +85,16 @@
         log_line(self.statistics.report_line(upstream, self.balancer.stats(), clients, endpoint_list or {}))
 
     def may_send(self) -> bool:
-        """Whether the endpoint list allows to send anything to a server."""
+        """Returns whether the endpoint list may be used to send requests."""
         readiness = self.readiness
         return readiness is None or readiness.ready or readiness.may_send(monotonic())
 
     def typical_response_time_s(self) -> float:
-        """Seconds within which nearly every request is answered; the longest latency objective at most."""
+        """Returns the time in seconds within which nearly every request is answered.
+
+        This is the mean plus four times the mean deviation of the slowest class, limited to the longest latency
+        objective.
+        """
         traffic = self.balancer.traffic
         typical = max(
             mean + 4 * deviation for mean, deviation in zip(traffic.mean_rtt, traffic.deviation, strict=True)
@@ -93,13 +102,13 @@
         longest_objective = max(settings.latency_objective for settings in self.settings.classes)
         return min(typical, longest_objective) / 1e6
 
-    # ---- requests of clients --------------------------------------------------------------------------
+    # ---- client requests ------------------------------------------------------------------------------
 
     def admit(self, response_writer: ResponseWriter, parsed: ParsedRequest) -> DispatchedRequest:
-        """Takes a request in. Its final answer goes to `response_writer`, perhaps within this call."""
+        """Admits or sheds a request. Its final answer is written to `response_writer`, possibly within this call."""
         self.last_request_number += 1
         now = monotonic_us()
-        # The timeout counts from when the request was received, not from its turn on the connection.
+        # The timeout starts when the request was received, not when the responses before it on the connection are done.
         deadline_us = self.deadlines.response_deadline_us(parsed, parsed.received_us, parsed.read_delay_us)
         request = DispatchedRequest(self.last_request_number, response_writer, parsed, deadline_us)
         if self.tracer is not None:
@@ -122,7 +131,7 @@
         return request
 
     def shed_before_balancer(self, request: DispatchedRequest, now: int) -> bool:
-        """Sheds a request that the balancer need not see; returns whether it was shed."""
+        """Sheds a request for reasons that do not involve the balancer; returns whether it was shed."""
         retry_after = 0
         if request.deadline_us <= now:
             reason = FinalReason.EXPIRED
@@ -138,7 +147,7 @@
         return True
 
     def body_received(self, request: DispatchedRequest, read_delay_us: int = 0) -> None:
-        """The last byte of a streamed body was received: the request's timeout counts from now."""
+        """Starts the request's timeout, because the last byte of its streamed body was received."""
         if request.response_writer is None or request.deadline_timer is not None:
             return
         now = monotonic_us()
@@ -147,15 +156,19 @@
         request.deadline_timer = self.loop.call_later(delay_us / 1e6, self.deadline_passed, request)
 
     def body_consumed(self, request: DispatchedRequest) -> None:
-        """A server has taken a part of a streamed body. Without its first bytes no other attempt is possible."""
+        """Notifies the balancer if no other attempt is possible: the first bytes of the body are no longer buffered.
+
+        Called after a part of a streamed body was sent to a server.
+        """
         upload = request.parsed.upload
         if upload is not None and not upload.replayable and request.response_writer is not None:
             self.balancer.response_started(monotonic_us(), request.id, request.attempt_count - 1, 0, 0)
 
     def client_disconnected(self, request: DispatchedRequest) -> None:
-        """The client has gone: nothing is answered, and what has not been sent to a server is not sent.
+        """Handles a disconnected client: there is no answer, and attempts not yet sent completely are abandoned.
 
-        To end an attempt that no server has seen is no cancellation, which the settings may forbid.
+        The settings may forbid cancelling an attempt. Abandoning one that no server has received does not count as a
+        cancellation.
         """
         if request.response_writer is None:
             return
@@ -164,43 +177,43 @@
         if self.tracer is not None:
             self.tracer.request_answered(request, FinalAnswer.CLIENT_DISCONNECTED)
         for attempt in list(request.in_flight):
-            # The balancer no longer decides on a streamed response, or on a body whose first bytes are gone.
+            # The balancer no longer decides about an attempt with a streamed response or an unfinished upload.
             if attempt.response_streamed or attempt.deadline_us == NO_DEADLINE_US or not attempt.is_sent():
                 self.pool.abandon(attempt, Outcome.CANCELLED)
         self.notify_upload_ended(request)
         self.notify_client_disconnected(request)
 
     def deadline_passed(self, request: DispatchedRequest) -> None:
-        """The request's deadline has passed: it is answered now, whatever the balancer does."""
+        """Fails a request whose deadline has passed, independently of the balancer."""
         for attempt in list(request.in_flight):
             self.pool.abandon(attempt, Outcome.TIMEOUT)
         if request.response_writer is not None:
             self.fail_request(request, FinalReason.DEADLINE)
             self.notify_client_disconnected(request)
 
-    # ---- the balancer's events ------------------------------------------------------------------------
+    # ---- events for the balancer ----------------------------------------------------------------------
 
     def notify_client_disconnected(self, request: DispatchedRequest) -> None:
-        """Notifies the balancer that nobody waits for a request any more."""
+        """Notifies the balancer that the client no longer waits for the request."""
         try:
             self.balancer.client_disconnected(monotonic_us(), request.id)
         except Exception:
             log_exception("client_disconnected")
 
     def notify_upload_started(self, request: DispatchedRequest) -> None:
-        """Notifies the balancer that the request's body is on its way to a server, if it still is."""
+        """Notifies the balancer that the request's body is being sent to a server, if that is still the case."""
         upload = request.parsed.upload
         if upload is None or not request.in_flight or request.in_flight[0].finished or upload.complete:
             return
         self.notify_uploading(request, on=True)
 
     def notify_upload_ended(self, request: DispatchedRequest) -> None:
-        """Notifies the balancer that the request's body, if it was streamed, is no longer on its way to a server."""
+        """Notifies the balancer that a streamed request body is no longer being sent to a server."""
         if request.parsed.upload is not None:
             self.notify_uploading(request, on=False)
 
     def notify_uploading(self, request: DispatchedRequest, *, on: bool) -> None:
-        """See `notify_upload_started` and `notify_upload_ended`."""
+        """Notifies the balancer whether the request's body is being sent to a server."""
         try:
             self.balancer.uploading(monotonic_us(), request.id, on)
         except Exception:
@@ -209,7 +222,7 @@
     def notify_outcome(
         self, attempt: UpstreamAttempt, outcome: Outcome, report: Sequence[float], *, final: bool
     ) -> None:
-        """Notifies the balancer how an attempt ended; `final`: the request has its final answer."""
+        """Notifies the balancer of the outcome of an attempt; `final`: the request has its final answer."""
         self.statistics.outcomes[outcome] += 1
         request, now = attempt.request, monotonic_us()
         self.notify_upload_ended(request)
@@ -223,14 +236,14 @@
             self.fail_request(request, FinalReason.INTERNAL)
 
     def endpoint_update(self, kind: EndpointUpdateKind, entries: Sequence[Endpoint]) -> None:
-        """Notifies the balancer of a new endpoint list, or of changes to it."""
+        """Notifies the balancer of a new endpoint list, or of changes to the current one."""
         try:
             self.balancer.endpoint_update(monotonic_us(), kind, entries)
         except Exception:
             log_exception("endpoint_update")
 
     def timer(self, token: int) -> None:
-        """Notifies the balancer that a timer it has set is due."""
+        """Notifies the balancer that one of its timers has expired."""
         try:
             self.balancer.timer(monotonic_us(), token)
         except Exception:
@@ -239,15 +252,15 @@
     # ---- attempts and health checks -------------------------------------------------------------------
 
     def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
-        """An attempt was written to a connection."""
+        """See `AttemptListener`."""
         if self.tracer is not None:
             self.tracer.attempt_written(attempt, fresh=fresh, whole=whole)
 
     def response_started(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
-        """A streamed response begins; returns whether its client still waits.
+        """Starts a streamed response to the client; returns whether the client still waits for it.
 
-        The balancer gets the outcome now: the latency objective is about the first bytes, and a slow reader
-        occupies no slot of the server.
+        The balancer is notified of the outcome now, because the latency objective applies to the first bytes, and a
+        slow reader must not occupy the concurrency limit of the server.
         """
         request, connection = attempt.request, attempt.connection
         if request.response_writer is None:
@@ -264,7 +277,7 @@
     def attempt_ended(
         self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]
     ) -> None:
-        """An attempt has its outcome; a good response goes to the client before the balancer is notified."""
+        """Handles the outcome of an attempt; a successful response is written before the balancer is notified."""
         assert isinstance(exchange, UpstreamAttempt)
         request = exchange.request
         request.in_flight.remove(exchange)
@@ -283,7 +296,10 @@
         self.notify_outcome(exchange, outcome, report, final=request.response_writer is None)
 
     def streamed_response_ended(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
-        """The end of a response whose outcome the balancer has; one that broke off still counts against its server."""
+        """Handles the end of a streamed response, whose outcome the balancer already has.
+
+        If the response was truncated, a failure is still recorded for its server.
+        """
         request = attempt.request
         if outcome == Outcome.OK:
             self.send_final_answer(request, FinalAnswer.SERVED)
@@ -296,7 +312,7 @@
     def health_check_ended(
         self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]
     ) -> None:
-        """A health check has its outcome."""
+        """Notifies the balancer of the outcome of a health check."""
         now = monotonic_us()
         latency = now - exchange.started_us
         try:
@@ -307,7 +323,10 @@
     def make_attempt(
         self, request: DispatchedRequest, server: int, now: int, timeout: int
     ) -> UpstreamAttempt:
-        """The request's next attempt, `timeout` microseconds long or until the request's deadline."""
+        """Returns the next attempt of the request.
+
+        `timeout` is the per-try timeout in microseconds; 0 means that only the request's deadline applies.
+        """
         parsed = request.parsed
         deadline_us = attempt_deadline_us(request, now, timeout)
         attempt = UpstreamAttempt(server, parsed.head, parsed.body, deadline_us, self.attempt_ended)
@@ -319,15 +338,15 @@
         classes = self.settings.classes
         class_settings = classes[min(parsed.request_class, len(classes) - 1)]
         if class_settings.idempotency == Idempotency.IDEMPOTENCY_KEY and request.first_run_us is not None:
-            # A repeat that was decided within the deduplication window must not be sent after it, however long
-            # its connection takes to come up.
+            # A retry that was decided within the deduplication window must not be sent after it, however long the
+            # connection takes to open.
             attempt.start_by_us = request.first_run_us + class_settings.deduplication_window
         return attempt
 
-    # ---- the balancer's actions (`interface.Actions`) ------------------------------------------------------
+    # ---- actions of the balancer (`interface.Actions`) -----------------------------------------------------
 
     def send(self, request_number: int, server: int, timeout: int) -> None:
-        """Starts the request's next attempt; one `outcome` follows."""
+        """Starts the request's next attempt; one call of `Balancer.outcome` follows."""
         request = self.requests.get(request_number)
         if request is None or request.response_writer is None:
             return
@@ -342,7 +361,7 @@
             self.loop.call_soon(self.notify_upload_started, request)
 
     def cancel(self, request_number: int, attempt_number: int) -> None:
-        """Ends an attempt; its outcome follows after this call."""
+        """Cancels an attempt; its outcome is reported after this call returns."""
         request = self.requests.get(request_number)
         if request is None:
             return
@@ -351,7 +370,7 @@
                 self.loop.call_soon(self.pool.abandon, attempt, Outcome.CANCELLED)
 
     def shed(self, request_number: int, retry_after: int) -> None:
-        """Final answer: not served, a retry does no harm."""
+        """Sheds a request: no server has run it, and a retry is safe."""
         request = self.requests.get(request_number)
         if request is not None:
             retry_after = min(retry_after, self.settings.max_retry_after)
@@ -359,30 +378,30 @@
             self.send_final_answer(request, FinalAnswer.SHED, reason, retry_after=retry_after)
 
     def fail(self, request_number: int) -> None:
-        """Final answer: not served, with no promise on whether a server has run it."""
+        """Fails a request: a server may have run it."""
         request = self.requests.get(request_number)
         if request is not None:
             self.fail_request(request, self.balancer.final_reason)
 
     def health_check(self, server: int) -> None:
-        """Sends a health check; one `health_checked` follows."""
+        """Sends a health check; one call of `Balancer.health_checked` follows."""
         self.pool.send(self.pool.make_health_check(server, self.health_check_ended))
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Calls `timer` in `delay` microseconds."""
+        """Schedules a call of `timer` after `delay` microseconds."""
         self.loop.call_later(delay / 1e6, self.timer, token)
 
     def send_peer_message(self, peer: int, data: bytes) -> None:
-        """Not available: nodes do not talk to one another, and the balancer never calls this."""
+        """Not supported: nodes do not exchange messages, and the balancer never calls this."""
         raise NotImplementedError
 
     def subscribe(self, on: bool) -> None:
-        """Opens the subscription to the endpoint list, or closes it."""
+        """Opens or closes the subscription to the endpoint list."""
         if self.subscription is not None:
             self.subscription.subscribe(on)
 
     def poll_endpoints(self) -> None:
-        """Asks for the whole endpoint list."""
+        """Requests the full list of endpoints."""
         if self.subscription is not None:
             self.subscription.poll_endpoints()
 
@@ -391,5 +410,5 @@
         self.pool.close_idle_connections(server)
 
     def log_event(self, text: str) -> None:
-        """Logs a line of the balancer's."""
+        """Writes a message of the balancer to the log."""
         log_line(text)
--- a/harecross/dispatch/request.py
+++ b/harecross/dispatch/request.py
@@ -1,4 +1,4 @@
-"""One request that was admitted, its attempts, and the client that waits for its final answer."""
+"""Admitted requests, their attempts, and the interface to the client that waits for the final answer."""
 
 from __future__ import annotations
 
@@ -14,63 +14,80 @@
 
 
 class FinalAnswer(StrEnum):
-    """What a client got. The values are words of the report and of the attempt log."""
+    """The kind of answer that a client received. The values are written to the report line and the attempt log.
 
-    SERVED = "served"  # a server's response
-    SHED = "refused"  # no server has run it: a retry does no harm
-    FAILED = "failed"  # a server may have run it
-    CLIENT_DISCONNECTED = "left"  # nothing, for the client had gone
+    Attributes:
+        SERVED: The client received the response of a server.
+        SHED: No server has run the request, and a retry is safe.
+        FAILED: A server may have run the request.
+        CLIENT_DISCONNECTED: Nothing was answered, because the client had disconnected.
+    """
+
+    SERVED = "served"
+    SHED = "refused"
+    FAILED = "failed"
+    CLIENT_DISCONNECTED = "left"
 
 
 class ResponseWriter(Protocol):
-    """The client connection on which a request's final answer is written."""
+    """The client connection to which a request's final answer is written."""
 
     def is_connected(self) -> bool:
-        """Whether the kernel reports that the client is still there; if not, `client_disconnected` follows."""
+        """Returns whether the client is still connected, according to the kernel.
+
+        If it is not, a call of `RequestDispatcher.client_disconnected` follows.
+        """
 
     def begin_response(self, length: int | None, set_paused: Callable[[bool], None]) -> None:
-        """Starts a streamed response of `length` bytes, if that is known.
+        """Starts a streamed response of `length` bytes; None means an unknown length.
 
-        `finish_response` or `send_failure` ends it. `set_paused` stops reading it from the server, or goes on.
+        `finish_response` or `send_failure` ends the response. `set_paused` pauses or resumes reading it from the
+        server.
         """
 
     def send_part(self, data: bytes) -> None:
         """Writes the next part of a streamed response."""
 
     def finish_response(self, body: bytes) -> None:
-        """Writes a whole response with `body`, or ends a streamed one."""
+        """Writes a complete response with `body`, or ends a streamed response."""
 
     def send_shed(self, retry_after: int) -> None:
-        """Writes that the request was shed; it may come back after `retry_after` microseconds, unless that is 0."""
+        """Writes that the request was shed. `retry_after` is the Retry-After time in microseconds; 0 omits it."""
 
     def send_failure(self) -> None:
         """Writes that the request failed."""
 
 
 class AttemptListener(Protocol):
-    """What an attempt reports its progress to."""
+    """Receives the progress of attempts."""
 
     @property
     def pool(self) -> ConnectionPool:
-        """The connections to servers."""
+        """The pool of connections to servers."""
 
     def response_started(self, attempt: UpstreamAttempt, length: int | None, report: Sequence[float]) -> bool:
-        """A streamed response begins; returns whether its client still waits."""
+        """Called when a streamed response starts; returns whether the client still waits for it."""
 
     def notify_upload_ended(self, request: DispatchedRequest) -> None:
-        """The request's body is no longer on its way to a server."""
+        """Called when the request's body is no longer being sent to a server."""
 
     def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
-        """The request was written to a connection, see `Exchange.request_written`."""
+        """Called when the request was written to a connection, see `Exchange.request_written`."""
 
 
 class UpstreamAttempt(Exchange):
-    """One attempt of a request."""
+    """One attempt of a request.
+
+    Attributes:
+        request: The request.
+        number: Index of the attempt within the request; 0 for the first.
+        dispatcher: Receiver of the attempt's progress.
+    """
 
     __slots__ = ("dispatcher", "number", "request")
 
     request: DispatchedRequest
-    number: int  # 0 for the first attempt
+    number: int
     dispatcher: AttemptListener
 
     def response_started(self, length: int | None, report: Sequence[float]) -> bool:
@@ -100,7 +117,20 @@
 
 
 class DispatchedRequest:
-    """A request that was admitted."""
+    """A request from its admission to its final answer and the end of its last attempt.
+
+    Attributes:
+        id: Number of the request, by which the balancer refers to it.
+        response_writer: The client connection; None after the final answer.
+        parsed: The request as parsed.
+        deadline_us: Time by which the request must be answered, in monotonic microseconds.
+        attempt_count: Number of attempts started.
+        in_flight: Attempts without an outcome.
+        deadline_timer: Timer for `deadline_us`; None while the body is being received and after the final answer.
+        first_run_us: Start time of the first attempt to end that a server may have run; None if there is none.
+        being_admitted: Whether the request is being admitted, so that its client is known to be connected.
+        last_outcome: Outcome of the attempt that ended last, which is the cause of the next attempt.
+    """
 
     __slots__ = (
         "attempt_count",
@@ -118,13 +148,13 @@
     def __init__(
         self, number: int, response_writer: ResponseWriter, parsed: ParsedRequest, deadline_us: int
     ) -> None:
-        self.id = number  # the balancer's name for it
-        self.response_writer: ResponseWriter | None = response_writer  # None after the final answer
+        self.id = number
+        self.response_writer: ResponseWriter | None = response_writer
         self.parsed = parsed
         self.deadline_us = deadline_us
         self.attempt_count = 0
         self.in_flight: list[UpstreamAttempt] = []
         self.deadline_timer: asyncio.TimerHandle | None = None
-        self.first_run_us: int | None = None  # when the first attempt was sent that a server may have run
-        self.being_admitted = True  # its client was connected a moment ago
-        self.last_outcome: Outcome | None = None  # of the attempt that ended last: the cause of the next one
+        self.first_run_us: int | None = None
+        self.being_admitted = True
+        self.last_outcome: Outcome | None = None
--- a/harecross/dispatch/request_table.py
+++ b/harecross/dispatch/request_table.py
@@ -1,4 +1,4 @@
-"""The requests without a final answer, and the one place that gives each its answer."""
+"""The table of open requests, which gives each request its final answer exactly once."""
 
 from __future__ import annotations
 
@@ -12,26 +12,32 @@
 
 
 class RequestTable:
-    """The requests that have no final answer yet, or are still in flight to a server."""
+    """The requests that have no final answer yet, or still have an attempt in flight.
+
+    Attributes:
+        requests: The open requests by number.
+        open_request_ids: X-Request-ID of each open request.
+        tracer: Receives events of requests and connections; None if they are not traced.
+    """
 
     def __init__(self, *, retry_after_allowed: bool) -> None:
         self.retry_after_allowed = retry_after_allowed
         self.requests: dict[int, DispatchedRequest] = {}
-        self.open_request_ids: set[bytes] = set()  # X-Request-ID of these
+        self.open_request_ids: set[bytes] = set()
         self.last_request_number = 0
         self.statistics = DispatchStatistics()
         self.tracer: RequestTracer | None = None
 
     def is_open(self, request_id: bytes) -> bool:
-        """Whether a request of that id has no answer yet, or is still in flight to a server."""
+        """Returns whether a request with that ID has no final answer yet, or still has an attempt in flight."""
         return request_id in self.open_request_ids
 
     def in_flight_by_server(self) -> Counter[int]:
-        """How many attempts each server has in flight, streamed bodies and responses among them."""
+        """Returns the number of attempts in flight to each server, including streamed uploads and responses."""
         return Counter(attempt.server for request in self.requests.values() for attempt in request.in_flight)
 
     def detach_client(self, request: DispatchedRequest) -> ResponseWriter | None:
-        """Ends the client's part of a request: returns the client the first time, None after that."""
+        """Detaches the client from a request; returns its connection, or None if it was already detached."""
         response_writer, request.response_writer = request.response_writer, None
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
@@ -42,7 +48,7 @@
         return response_writer
 
     def remove_if_done(self, request: DispatchedRequest) -> None:
-        """Removes a request that has its final answer and no attempt in flight."""
+        """Removes the request if it has its final answer and no attempt in flight."""
         if (
             request.response_writer is None
             and not request.in_flight
@@ -58,10 +64,10 @@
         body: bytes = b"",
         retry_after: int = 0,
     ) -> None:
-        """Gives a request its one final answer; a second one is dropped.
+        """Gives a request its final answer; any further answer is ignored.
 
-        `reason`: why it is shed or fails. `body`: of the response, if that was not streamed. `retry_after`: when a
-        shed request may come back, in microseconds.
+        `reason` tells why the request is shed or fails. `body` is the body of a response that was not streamed.
+        `retry_after` is the time in microseconds after which the client may retry a shed request.
         """
         response_writer = self.detach_client(request)
         if response_writer is None:
@@ -79,11 +85,11 @@
             response_writer.send_failure()
 
     def fail_request(self, request: DispatchedRequest, reason: FinalReason) -> None:
-        """Ends a request with no promise on whether a server has run it."""
+        """Fails a request: a server may have run it."""
         self.send_final_answer(request, FinalAnswer.FAILED, reason)
 
     def connection_closed(self, closed: ClosedConnection) -> None:
-        """Counts a connection that was closed, on either side."""
+        """Counts a closed client or upstream connection and reports it to the tracer."""
         self.statistics.close_reasons[closed.reason] += 1
         if self.tracer is not None:
             self.tracer.connection_closed(closed)
--- a/harecross/dispatch/statistics.py
+++ b/harecross/dispatch/statistics.py
@@ -1,4 +1,4 @@
-"""Counts of what became of requests, attempts and connections, and the report line that shows them."""
+"""Counters of requests, attempts and connections, and the report line that contains them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class UpstreamCounts(NamedTuple):
-    """The connection pool's part of the report."""
+    """The connection pool's part of the report line."""
 
     open_connections: int
     load_reports: int
@@ -20,27 +20,36 @@
 
 
 class ClientCounts(NamedTuple):
-    """The client connections' part of the report."""
+    """The client connections' part of the report line.
 
-    errors_by_status: Mapping[
-        int, int
-    ]  # requests answered without a server; 0 for a client that sent nothing
-    closed_on_accept: int  # connections closed as soon as they were accepted
+    Attributes:
+        errors_by_status: Number of requests answered without a server, by status; 0 for clients that sent nothing.
+        closed_on_accept: Number of connections closed as soon as they were accepted.
+    """
+
+    errors_by_status: Mapping[int, int]
+    closed_on_accept: int
 
 
 class DispatchStatistics:
-    """Counts since the process started."""
+    """Counters since the start of the process.
+
+    Attributes:
+        final_answers: Number of requests by kind of final answer.
+        final_reasons: Number of shed and failed requests by final answer and reason.
+        outcomes: Number of attempts, indexed by outcome.
+        close_reasons: Number of closed client and upstream connections by reason.
+        shed_without_endpoint_list: Number of requests shed because there was no usable endpoint list.
+    """
 
     __slots__ = ("close_reasons", "final_answers", "final_reasons", "outcomes", "shed_without_endpoint_list")
 
     def __init__(self) -> None:
         self.final_answers = dict.fromkeys(FinalAnswer, 0)
-        self.final_reasons: Counter[tuple[FinalAnswer, FinalReason]] = (
-            Counter()
-        )  # of shed and failed requests
-        self.outcomes = [0] * len(Outcome)  # of attempts, by outcome
-        self.close_reasons: Counter[CloseReason] = Counter()  # of connections, on both sides
-        self.shed_without_endpoint_list = 0  # requests shed before there was an endpoint list to use
+        self.final_reasons: Counter[tuple[FinalAnswer, FinalReason]] = Counter()
+        self.outcomes = [0] * len(Outcome)
+        self.close_reasons: Counter[CloseReason] = Counter()
+        self.shed_without_endpoint_list = 0
 
     def report_line(
         self,
@@ -49,7 +58,10 @@
         clients: ClientCounts,
         endpoint_list: Mapping[str, float],
     ) -> str:
-        """Returns the report as `key=value` pairs. Operators read these keys: they do not follow the code's names."""
+        """Returns the report line as `key=value` pairs.
+
+        Operators and their tools read the keys, so they stay the same when names in the code change.
+        """
         fields: dict[str, float] = {answer.value: count for answer, count in self.final_answers.items()}
         fields["open"] = upstream.open_connections
         fields["reports"] = upstream.load_reports
--- a/harecross/dispatch/tracer.py
+++ b/harecross/dispatch/tracer.py
@@ -1,4 +1,4 @@
-"""What is reported on each request, for a log of its way (`follow.attempt_log.AttemptLog`)."""
+"""Interface for tracing requests and their attempts, implemented by `follow.attempt_log.AttemptLog`."""
 
 from __future__ import annotations
 
@@ -12,32 +12,35 @@
 
 
 class RequestTracer(Protocol):
-    """Gets the events of requests, connections and the endpoint list."""
+    """Receives the events of requests, connections and the endpoint list."""
 
     def request_admitted(self, request: DispatchedRequest, now: int) -> None:
-        """A request was received; `now` in monotonic microseconds."""
+        """Called when a request was admitted or is about to be shed; `now` is in monotonic microseconds."""
 
     def attempt_sent(self, attempt: UpstreamAttempt) -> None:
-        """The balancer has chosen a server for an attempt."""
+        """Called when the balancer has selected a server for an attempt."""
 
     def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
-        """The request was written to a connection, see `Exchange.request_written`."""
+        """Called when the request was written to a connection, see `Exchange.request_written`."""
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
-        """An attempt has its outcome, perhaps with a load report."""
+        """Called with the outcome of an attempt; `report` is () without a load report."""
 
     def request_answered(
         self, request: DispatchedRequest, answer: FinalAnswer, reason: FinalReason | None = None
     ) -> None:
-        """A request has its final answer. `reason`: why it was shed or failed."""
+        """Called when a request has its final answer; `reason` tells why it was shed or failed."""
 
     def connection_closed(self, closed: ClosedConnection) -> None:
-        """A connection was closed."""
+        """Called when a connection was closed."""
 
     def process_changed(self, transition: Transition, now: float) -> None:
-        """A server process changed its state; `now` in monotonic seconds."""
+        """Called when a server process changed its state; `now` is in monotonic seconds."""
 
     def endpoints_listed(
         self, kind: EndpointUpdateKind, generation: object, added: Iterable[str], removed: Iterable[str]
     ) -> None:
-        """A list or change was read; the names of the servers that it puts in service and takes out."""
+        """Called when an endpoint list or a change to it was read.
+
+        `added` and `removed` are the names of the servers that it puts in service and takes out of service.
+        """
