--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -1,4 +1,7 @@
-"""A stop, a sweep or a lack of room that meets a request in the kernel: what has been taken is answered."""
+"""Races of client requests with closes: shutdown, timeout sweeps and evictions for lack of descriptors.
+
+A request may already be in the kernel, unread, when the node closes its connection. It must be answered.
+"""
 
 import asyncio
 import socket
@@ -11,12 +14,14 @@
 from harecross.downstream import connection_manager, request_receiver
 from harecross.node import shutdown_schedule
 
-every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
-QUICK = {"classes": [{**c, "goal_time": 300_000, "hard_limit": 400_000} for c in SETTINGS["classes"]]}
+every_request_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
+SHORT_DEADLINES = {
+    "classes": [{**each, "goal_time": 300_000, "hard_limit": 400_000} for each in SETTINGS["classes"]]
+}
 
 
 async def status(client: Plain) -> int:
-    """That of the answer; 0 where the connection ends without one."""
+    """Returns the status of the answer; 0 if the connection is closed without one."""
     client.sock.setblocking(False)
     loop, text = asyncio.get_running_loop(), b""
     try:
@@ -30,209 +35,210 @@
     return int(text.split(b" ")[1])
 
 
-async def served(w: World) -> Plain:
-    """A caller that has had an answer and keeps its connection."""
-    client = Plain(w.node.address)
+async def idle_client(world: World) -> Plain:
+    """Returns a client that has received an answer and keeps its connection open."""
+    client = Plain(world.node.address)
     client.send("/_health")
     assert await status(client) == 200
-    assert w.node.client_connections.idle
+    assert world.node.client_connections.idle
     return client
 
 
-def before(owner, name: str, what, when=lambda: True) -> None:
-    """Does `what` once, right before that call, in the same turn of the loop."""
-    real, done = getattr(owner, name), []
+def run_before(owner, name: str, action, when=lambda: True) -> None:
+    """Patches a method so that `action` runs once right before a call of it, in the same event loop iteration."""
+    original, done = getattr(owner, name), []
 
     def call(*args, **named):
         if not done and when():
             done.append(1)
-            what()
-        return real(*args, **named)
+            action()
+        return original(*args, **named)
 
     setattr(owner, name, call)
 
 
-@every_kind
-@pytest.mark.parametrize("path", ["goes at once", "serves on"])
-def test_a_request_that_crosses_the_close_of_an_idle_connection_at_a_shutdown_is_answered(
+@every_request_kind
+@pytest.mark.parametrize("path", ["drains immediately", "serves before draining"])
+def test_a_request_that_races_with_the_close_of_an_idle_connection_at_shutdown_is_answered(
     kind, path, monkeypatch
 ):
-    if path == "goes at once":
+    if path == "drains immediately":
         monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
 
-    async def test(w: World) -> None:
-        for origin in w.origins:
+    async def test(world: World) -> None:
+        for origin in world.origins:
             origin.answer_all()
-        client = await served(w)
-        before(w.node.client_connections, "close_idle", lambda: client.send(*kind))
-        w.node.stop_requested.set()
+        client = await idle_client(world)
+        run_before(world.node.client_connections, "close_idle", lambda: client.send(*kind))
+        world.node.stop_requested.set()
         assert await status(client) == 200
-        await w.task
+        await world.task
 
-    with_node(test, settings=QUICK if path == "serves on" else None)
+    with_node(test, settings=SHORT_DEADLINES if path == "serves before draining" else None)
 
 
-async def silent_client(w: World) -> Plain:
-    """A client whose connection the node has taken and who has said nothing; servers answer whatever comes."""
-    for origin in w.origins:
+async def silent_client(world: World) -> Plain:
+    """Returns a client whose accepted connection has sent nothing; the servers answer all requests."""
+    for origin in world.origins:
         origin.answer_all()
-    client = Plain(w.node.address)
-    await taken(w, 1)
+    client = Plain(world.node.address)
+    await taken(world, 1)
     return client
 
 
-@every_kind
-def test_a_request_that_comes_as_a_shutdown_closes_the_last_connections_is_answered(kind):
-    """A connection that has said nothing yet is kept to the end; its first request lies in the kernel by then."""
+@every_request_kind
+def test_a_request_that_arrives_as_a_shutdown_closes_the_last_connections_is_answered(kind):
+    """A connection without a request is kept open until the end; its first request arrives just before the close."""
 
-    async def test(w: World) -> None:
-        client = await silent_client(w)
-        before(w.node.client_connections, "has_open_requests", lambda: client.send(*kind))
-        w.node.stop_requested.set()
+    async def test(world: World) -> None:
+        client = await silent_client(world)
+        run_before(world.node.client_connections, "has_open_requests", lambda: client.send(*kind))
+        world.node.stop_requested.set()
         assert await status(client) == 200
-        await w.task
+        await world.task
 
-    with_node(test, settings=QUICK)
+    with_node(test, settings=SHORT_DEADLINES)
 
 
-@every_kind
+@every_request_kind
 def test_connections_in_the_backlog_as_the_listener_closes_are_answered(kind):
-    async def test(w: World) -> None:
-        for origin in w.origins:
+    async def test(world: World) -> None:
+        for origin in world.origins:
             origin.answer_all()
         clients = []
 
-        def come() -> None:
-            for _ in range(40):  # more than are taken in one go
-                clients.append(Plain(w.node.address))
+        def connect_many() -> None:
+            for _ in range(40):  # more than are accepted in one iteration
+                clients.append(Plain(world.node.address))
                 clients[-1].send(*kind)
 
-        before(w.node.client_connections, "drain_listener", come)
-        w.node.stop_requested.set()
-        await w.task
-        assert all([await status(c) in (200, 503) for c in clients])
+        run_before(world.node.client_connections, "drain_listener", connect_many)
+        world.node.stop_requested.set()
+        await world.task
+        assert all([await status(client) in (200, 503) for client in clients])
         assert len(clients) == 40
 
-    with_node(test, settings=QUICK)
+    with_node(test, settings=SHORT_DEADLINES)
 
 
-@every_kind
-@pytest.mark.parametrize("group", ["silent", "resting", "half a head"])
-def test_a_request_that_crosses_a_timeout_sweep_is_answered(kind, group, monkeypatch):
+@every_request_kind
+@pytest.mark.parametrize("state", ["silent", "idle", "incomplete head"])
+def test_a_request_that_races_with_a_timeout_sweep_is_answered(kind, state, monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 300_000)
 
-    async def test(w: World) -> None:
-        for origin in w.origins:
+    async def test(world: World) -> None:
+        for origin in world.origins:
             origin.answer_all()
-        if group == "resting":
-            client = await served(w)
+        if state == "idle":
+            client = await idle_client(world)
         else:
-            client = Plain(w.node.address)
-            await taken(w, 1)
-        if group == "half a head":
-            whole = []
-            client.sock, real = type("Half", (), {"sendall": whole.append})(), client.sock
+            client = Plain(world.node.address)
+            await taken(world, 1)
+        if state == "incomplete head":
+            messages = []
+            client.sock, sock = type("RecordingSocket", (), {"sendall": messages.append})(), client.sock
             client.send(*kind)
-            client.sock = real
-            client.sock.sendall(whole[0][:20])
-            send = lambda: client.sock.sendall(whole[0][20:])  # noqa: E731
+            client.sock = sock
+            client.sock.sendall(messages[0][:20])
+            send = lambda: client.sock.sendall(messages[0][20:])  # noqa: E731
         else:
             send = lambda: client.send(*kind)  # noqa: E731
-        (one,) = w.node.client_connections.open
-        groups = w.node.client_connections
-        old = lambda: groups.loop.time() > began + 0.35  # noqa: E731
-        began = groups.loop.time()
-        before(groups, "sweep", send, old)
-        real_tick = w.node.sweeper.sweep
-        while not old():
+        (connection,) = world.node.client_connections.open
+        manager = world.node.client_connections
+        timed_out = lambda: manager.loop.time() > started + 0.35  # noqa: E731
+        started = manager.loop.time()
+        run_before(manager, "sweep", send, timed_out)
+        sweep = world.node.sweeper.sweep
+        while not timed_out():
             await turns(2)
-            for held in (groups.silent, groups.receiving, groups.idle):
-                if one in held:  # not swept before the crossing
-                    held[one] = max(held[one], int((groups.loop.time() - 0.2) * 1e6))
-        for held in (groups.silent, groups.receiving, groups.idle):
-            if one in held:
-                held[one] -= 10_000_000
-        real_tick()
+            for since_us in (manager.silent, manager.receiving, manager.idle):
+                if connection in since_us:  # must not be swept before the race
+                    since_us[connection] = max(since_us[connection], int((manager.loop.time() - 0.2) * 1e6))
+        for since_us in (manager.silent, manager.receiving, manager.idle):
+            if connection in since_us:
+                since_us[connection] -= 10_000_000
+        sweep()
         assert await status(client) == 200
 
     with_node(test)
 
 
-@every_kind
-def test_a_request_that_crosses_an_eviction_is_answered(kind):
-    async def test(w: World) -> None:
-        for origin in w.origins:
+@every_request_kind
+def test_a_request_that_races_with_an_eviction_is_answered(kind):
+    async def test(world: World) -> None:
+        for origin in world.origins:
             origin.answer_all()
-        client, other = await served(w), await served(w)
+        client, other = await idle_client(world), await idle_client(world)
         client.send(*kind)
-        assert w.node.client_connections.evict_one()  # the oldest at rest, were it not for what lies on it
+        # The oldest idle connection would be evicted if no request had arrived on it.
+        assert world.node.client_connections.evict_one()
         assert await status(client) == 200
         assert await status(other) == 0
 
     with_node(test)
 
 
-@every_kind
-@pytest.mark.parametrize("what", ["a connect is pending", "a repeat is due", "its server hangs"])
-def test_a_shutdown_answers_a_request_that_is_in_progress(kind, what, monkeypatch):
-    """Late for the kill, it is answered before it; nothing is written for it after its answer."""
+@every_request_kind
+@pytest.mark.parametrize("state", ["a connect is pending", "a retry is pending", "its server hangs"])
+def test_a_shutdown_answers_a_request_that_is_in_progress(kind, state, monkeypatch):
+    """The request is answered before the process would be killed, and is not sent to a server after its answer."""
     monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.0)
 
-    async def test(w: World) -> None:
-        client = Plain(w.node.address)
-        await taken(w, 1)
-        held = HeldConnects(w.node.pool)
-        w.node.stop_requested.set()
+    async def test(world: World) -> None:
+        client = Plain(world.node.address)
+        await taken(world, 1)
+        held = HeldConnects(world.node.pool)
+        world.node.stop_requested.set()
         await turns()
         client.send(*kind)
         await held.begun.get()
-        if what != "a connect is pending":
+        if state != "a connect is pending":
             held.release()
-            at = await w.origins[0].arrived.get()
-        if what == "a repeat is due":
+            received = await world.origins[0].arrived.get()
+        if state == "a retry is pending":
             held.hold()
-            at.answer(503, extra=b"X-Not-Processed: 1\r\nConnection: close\r\n")
+            received.answer(503, extra=b"X-Not-Processed: 1\r\nConnection: close\r\n")
             await turns()
         answered = await status(client)
         assert answered in (502, 503)
         held.release()
-        await w.task
-        assert w.origins[0].arrived.empty()
+        await world.task
+        assert world.origins[0].arrived.empty()
 
-    with_node(test, settings={**QUICK, **allowing(False)})
+    with_node(test, settings={**SHORT_DEADLINES, **allowing(False)})
 
 
 def test_a_client_that_resets_during_a_shutdown_does_not_delay_it():
-    async def test(w: World) -> None:
-        client = Plain(w.node.address)
-        await taken(w, 1)
+    async def test(world: World) -> None:
+        client = Plain(world.node.address)
+        await taken(world, 1)
 
         def reset() -> None:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.leave()
 
-        before(w.node.client_connections, "has_open_requests", reset)
-        w.node.stop_requested.set()
-        await w.task
+        run_before(world.node.client_connections, "has_open_requests", reset)
+        world.node.stop_requested.set()
+        await world.task
 
-    with_node(test, settings=QUICK)
+    with_node(test, settings=SHORT_DEADLINES)
 
 
-@every_kind
-def test_a_first_request_that_crosses_the_sweep_of_a_standby_is_answered(kind):
-    """A silent connection is closed early by a standby, unless its request has come and is only not read yet."""
+@every_request_kind
+def test_a_first_request_that_races_with_the_sweep_of_a_standby_is_answered(kind):
+    """A standby closes silent connections early, but not one whose first request arrived and was not read yet."""
 
-    async def test(w: World) -> None:
-        client = await silent_client(w)
-        groups = w.node.client_connections
-        (one,) = groups.silent
-        groups.enter_standby()
-        groups.standby_since -= connection_manager.STANDBY_DRAIN_US + 1
-        groups.silent[one] -= connection_manager.STANDBY_DRAIN_US
+    async def test(world: World) -> None:
+        client = await silent_client(world)
+        manager = world.node.client_connections
+        (connection,) = manager.silent
+        manager.enter_standby()
+        manager.standby_since -= connection_manager.STANDBY_DRAIN_US + 1
+        manager.silent[connection] -= connection_manager.STANDBY_DRAIN_US
         client.send(*kind)
-        groups.sweep()
+        manager.sweep()
         assert await status(client) == 200
 
     with_node(test)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,8 @@
-"""The time that a server is told is never more than its client has left, however long the node had not read it."""
+"""The X-Timeout sent to a server never exceeds the time that its client has left.
+
+A request may wait unread while the process is stopped, in the listen backlog or behind other connections. If that
+time did not count, the server would work past the client's timeout.
+"""
 
 from __future__ import annotations
 
@@ -22,18 +26,19 @@
 from harecross.standins.discovery import StandinDiscovery
 
 SLACK = 0.15  # seconds
-HELD = 0.35  # seconds for which the process is stopped
+STOPPED_S = 0.35  # time for which the process is stopped
 MS = 1000
 
 
 def seconds(text: bytes) -> float:
+    """Returns the seconds in an X-Timeout header in microseconds."""
     assert text.endswith(b"u")
     return int(text[:-1]) / 1e6
 
 
 @asynccontextmanager
 async def node_and_origin(folder: Path) -> AsyncIterator[tuple[NodeProcess, Origin]]:
-    """One node process before one server."""
+    """Starts a node process with one server."""
     origin, catalog = await Origin().start(), await StandinDiscovery().start()
     catalog.put(entry("s0", origin.address))
     node = NodeProcess("n0", folder, config_of(catalog.address, known=catalog.full_list()))
@@ -62,7 +67,7 @@
             sent = time.monotonic()
             clients[0].send("/read/1", left="800m")
             clients[1].send("/read/1", left="200m")
-            await asyncio.sleep(HELD)
+            await asyncio.sleep(STOPPED_S)
             node.signal(signal.SIGCONT)
             arrived = await origin.arrived.get()
             left = sent + 0.8 - time.monotonic()
@@ -83,13 +88,13 @@
                 b"POST /put/1 HTTP/1.1\r\nHost: b\r\nX-Request-ID: r\r\nIdempotency-Key: k\r\nX-Timeout: 800m\r\n"
                 b"Content-Length: 8\r\n\r\n1234"
             )
-            await asyncio.sleep(0.2)  # a client that writes slowly: its timeout has not begun
+            await asyncio.sleep(0.2)  # the client writes slowly, and the timeout has not started
             node.signal(signal.SIGSTOP)
             client.writer.write(b"56")
             await asyncio.sleep(0.1)
             client.writer.write(b"78")
             sent = time.monotonic()
-            await asyncio.sleep(HELD)
+            await asyncio.sleep(STOPPED_S)
             node.signal(signal.SIGCONT)
             arrived = await origin.arrived.get()
             left = sent + 0.8 - time.monotonic()
@@ -109,7 +114,7 @@
         node = NodeProcess("n0", tmp_path, config_of(address, known=known))
         starting = asyncio.create_task(node.start(None))
         try:
-            watch = await calls.get()  # the node listens, and waits for its first endpoint list
+            watch = await calls.get()  # the node already listens and waits for its first endpoint list
             await asyncio.sleep(0.1)
             client = None
             for port in listening_ports(node):
@@ -144,7 +149,10 @@
 
 
 def test_time_behind_many_other_connections_counts_against_the_timeout():
-    """A few connections are accepted in each turn of the loop; the others have waited since the backlog was empty."""
+    """Only a few connections are accepted per iteration of the event loop.
+
+    The others may have waited since the backlog was last empty, and that time must count.
+    """
 
     async def test() -> None:
         sock = socket.socket()
@@ -154,41 +162,41 @@
         listener = Listener(sock, lambda waiting: asyncio.Protocol(), lambda: None, heartbeat)
         assert listener.accept() is AcceptFailure.NO_CONNECTION
         assert listener.waiting_since is None
-        callers = [socket.create_connection(sock.getsockname()) for _ in range(3)]
-        before, came = monotonic_us(), []
+        clients = [socket.create_connection(sock.getsockname()) for _ in range(3)]
+        before, came_after = monotonic_us(), []
         for pause in (0.0, 0.05, 0.1):
             await asyncio.sleep(pause)
-            taken = listener.accept()
-            assert isinstance(taken, socket.socket)
-            taken.close()
-            came.append(listener.came_after)
-        assert before <= came[0] == came[1] == came[2], "since the first of them was taken"
+            accepted = listener.accept()
+            assert isinstance(accepted, socket.socket)
+            accepted.close()
+            came_after.append(listener.came_after)
+        assert before <= came_after[0] == came_after[1] == came_after[2], "since the first one was accepted"
         assert listener.accept() is AcceptFailure.NO_CONNECTION
         assert listener.waiting_since is None
-        for caller in callers:
-            caller.close()
+        for client in clients:
+            client.close()
         await listener.close()
 
     run(test())
 
 
-# ---- free of sockets --------------------------------------------------------------------------------------
+# ---- without sockets --------------------------------------------------------------------------------------
 
 
-class Kernel:
-    """A socket for which the kernel reports when its last bytes were received; None if it does not."""
+class FakeSocket:
+    """A socket whose TCP_INFO reports that its last bytes arrived `age_ms` ago; None makes `getsockopt` fail."""
 
-    def __init__(self, age: int | None) -> None:
-        self.age = age
+    def __init__(self, age_ms: int | None) -> None:
+        self.age_ms = age_ms
 
     def getsockopt(self, level: int, name: int, size: int) -> bytes:
-        if self.age is None:
+        if self.age_ms is None:
             raise OSError
-        return bytes(52) + self.age.to_bytes(4, "little") + bytes(size - 56)
+        return bytes(52) + self.age_ms.to_bytes(4, "little") + bytes(size - 56)
 
 
 @pytest.mark.parametrize(
-    ("held", "kernel", "waited"),
+    ("loop_delay_ms", "age_ms", "delay_ms"),
     [
         (0, 500, 0),
         (20, 500, 0),
@@ -198,18 +206,18 @@
         (300, 9000, 300),
     ],
 )
-def test_the_delay_of_the_event_loop_limits_the_kernel_s_figure(held, kernel, waited):
+def test_the_delay_of_the_event_loop_limits_the_age_reported_by_the_kernel(loop_delay_ms, age_ms, delay_ms):
     heartbeat = Heartbeat()
     heartbeat.due = 1_000_000
-    found = ReadDelay(heartbeat).of(1_000_000 + held * MS, Kernel(kernel))
-    assert found == waited * MS
+    read_delay_us = ReadDelay(heartbeat).of(1_000_000 + loop_delay_ms * MS, FakeSocket(age_ms))
+    assert read_delay_us == delay_ms * MS
 
 
 def test_a_new_connection_with_a_request_has_waited_with_its_listener():
     heartbeat = Heartbeat()
     heartbeat.due = 10_000_000
     delay = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
-    assert delay.of(1_005_000, Kernel(None)) == 405 * MS
-    assert delay.of(1_005_000, Kernel(None)) == 0, "only its first bytes"
+    assert delay.of(1_005_000, FakeSocket(None)) == 405 * MS
+    assert delay.of(1_005_000, FakeSocket(None)) == 0, "only its first bytes have waited"
     late = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
-    assert late.of(1_500_000, Kernel(None)) == 0, "what comes later has not waited"
+    assert late.of(1_500_000, FakeSocket(None)) == 0, "bytes that arrive later have not waited"
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Deadlines and the report line of the dispatcher, free of I/O."""
+"""Tests of request deadlines and of the report line, without I/O."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 
 def request(timeout_us: int) -> ParsedRequest:
-    """A request that was received at `RECEIVED_US`."""
+    """Returns a request received at `RECEIVED_US`."""
     return ParsedRequest(b"r", 0, 0, False, timeout_us, b"", b"", RECEIVED_US, True)
 
 
 @pytest.mark.parametrize(
     ("timeout_us", "margin_us"), [(2_000_000, RESPONSE_MARGIN_US), (100_000, 5_000), (0, 0)]
 )
-def test_a_margin_of_the_timeout_is_left_for_the_answer(timeout_us, margin_us):
+def test_a_part_of_the_timeout_is_reserved_for_the_response(timeout_us, margin_us):
     deadline_us = ResponseDeadlines().response_deadline_us(request(timeout_us), RECEIVED_US)
     assert deadline_us == RECEIVED_US + timeout_us - margin_us
 
 
-def test_time_unread_counts_against_the_timeout():
+def test_the_read_delay_counts_against_the_timeout():
     deadlines = ResponseDeadlines()
-    waited = deadlines.response_deadline_us(request(2_000_000), RECEIVED_US, read_delay_us=300_000)
-    assert waited == deadlines.response_deadline_us(request(2_000_000), RECEIVED_US) - 300_000
+    delayed = deadlines.response_deadline_us(request(2_000_000), RECEIVED_US, read_delay_us=300_000)
+    assert delayed == deadlines.response_deadline_us(request(2_000_000), RECEIVED_US) - 300_000
 
 
-def test_a_shutdown_shortens_the_deadlines_of_late_requests_alone():
+def test_a_shutdown_shortens_only_the_deadlines_of_late_requests():
     deadlines = ResponseDeadlines()
     before = deadlines.response_deadline_us(request(9_000_000), RECEIVED_US)
     deadlines.set_shutdown_deadline(applies_from_us=RECEIVED_US + 1, deadline_us=RECEIVED_US + 1_000_000)
@@ -43,7 +43,7 @@
     assert deadlines.response_deadline_us(request(500_000), RECEIVED_US + 1) < late
 
 
-def test_the_report_line_has_its_words_and_order():
+def test_the_report_line_has_its_documented_keys_and_order():
     statistics = DispatchStatistics()
     statistics.final_answers[FinalAnswer.SERVED] = 3
     statistics.final_reasons[FinalAnswer.SHED, FinalReason.NO_ENDPOINT_LIST] = 2
--- a/tests/test_http_bodies.py
+++ b/tests/test_http_bodies.py
@@ -1,4 +1,4 @@
-"""Buffers of bodies and the response parser, free of I/O."""
+"""Tests of the upload buffer, the response parser and the sizes of stream buffers, without I/O."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 @given(st.lists(st.one_of(st.integers(1, 40_000), st.none()), max_size=30))
-def test_an_upload_gives_every_byte_once_and_in_order(steps):
-    upload, sent, taken = Upload(None), b"", b""
+def test_an_upload_returns_every_byte_once_and_in_order(steps):
+    upload, sent, received = Upload(None), b"", b""
     upload.attach(lambda: None)
     for step in steps:
         if step is None:
-            taken += upload.read()
+            received += upload.read()
             assert upload.replayable == (len(sent) <= MAX_BUFFERED_BODY_BYTES)
             assert upload.replayable or not upload.buffered
         else:
@@ -33,7 +33,7 @@
             sent += data
             upload.feed(data)
         assert upload.size == len(sent)
-    assert taken + upload.read() == sent
+    assert received + upload.read() == sent
 
 
 @given(st.integers(0, 2 * MAX_BUFFERED_BODY_BYTES), st.integers(0, 2 * MAX_BUFFERED_BODY_BYTES))
@@ -52,7 +52,7 @@
         assert upload.read() == BIG[: before + after]
 
 
-def test_a_discarded_upload_keeps_nothing():
+def test_a_discarded_upload_buffers_nothing():
     upload = Upload(None)
     upload.feed(BIG)
     upload.discard()
@@ -62,42 +62,40 @@
 
 
 def parse_in_pieces(text: bytes, cuts: list[int], end: bool) -> tuple[ReadResult, bytes, ResponseParser]:
-    """Parses a response that comes in pieces, and the end of its connection."""
-    answer, body, reading = ResponseParser(), b"", ReadResult.INCOMPLETE
-    marks = [0, *sorted(cuts), len(text)]
-    for a, b in itertools.pairwise(marks):
-        if reading == ReadResult.INCOMPLETE and b > a:
-            reading = answer.feed(text[a:b])
-            if answer.streaming:
-                body += answer.read_body()
-    if reading == ReadResult.INCOMPLETE and end:
-        reading = answer.feed_eof()
-    return reading, body + answer.body, answer
+    """Parses a response that arrives in pieces cut at `cuts`; `end` closes its connection afterwards."""
+    parser, body, result = ResponseParser(), b"", ReadResult.INCOMPLETE
+    positions = [0, *sorted(cuts), len(text)]
+    for start, stop in itertools.pairwise(positions):
+        if result == ReadResult.INCOMPLETE and stop > start:
+            result = parser.feed(text[start:stop])
+            if parser.streaming:
+                body += parser.read_body()
+    if result == ReadResult.INCOMPLETE and end:
+        result = parser.feed_eof()
+    return result, body + parser.body, parser
 
 
 @settings(deadline=None)
 @given(st.sampled_from(sorted(FORMS)), st.sampled_from([0, 700, 20_000, 70_000, 300_000]), st.data())
-def test_a_response_cut_anywhere_is_complete_or_known_to_be_incomplete(form, size, data):
+def test_a_response_truncated_anywhere_is_complete_or_known_to_be_incomplete(form, size, data):
     text = FORMS[form](BIG[:size])
     cuts = data.draw(st.lists(st.integers(1, len(text)), max_size=12))
-    reading, body, answer = parse_in_pieces(text, cuts, end=True)
-    assert (reading, body) == (ReadResult.COMPLETE, BIG[:size])
-    assert answer.streaming == (size > (MAX_BUFFERED_BODY_BYTES if form == "length" else 1 << 14))
+    result, body, parser = parse_in_pieces(text, cuts, end=True)
+    assert (result, body) == (ReadResult.COMPLETE, BIG[:size])
+    assert parser.streaming == (size > (MAX_BUFFERED_BODY_BYTES if form == "length" else 1 << 14))
     short = text[: data.draw(st.integers(0, len(text) - 1))]
-    reading, body, _ = parse_in_pieces(short, [c for c in cuts if c < len(short)], end=True)
+    result, body, _ = parse_in_pieces(short, [c for c in cuts if c < len(short)], end=True)
     if form == "close" and b"\r\n\r\n" in short:
-        assert (reading, body) == (
-            ReadResult.COMPLETE,
-            short.partition(b"\r\n\r\n")[2],
-        )  # it cannot be known to be incomplete
+        # Without framing, a truncated body cannot be told from a complete one.
+        assert (result, body) == (ReadResult.COMPLETE, short.partition(b"\r\n\r\n")[2])
     else:
-        assert reading == ReadResult.MALFORMED
+        assert result == ReadResult.MALFORMED
 
 
 @pytest.mark.parametrize(
     "text",
     [
-        b"HTTP/1.1 200 OK\r\n\r\nsome",  # does not say that it ends with its connection
+        b"HTTP/1.1 200 OK\r\n\r\nsome",  # has neither framing nor Connection: close
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
         b"HTTP/1.1 500 Error\r\nContent-Length: %d\r\n\r\n" % (MAX_BUFFERED_BODY_BYTES + 1),
@@ -109,7 +107,7 @@
 
 
 @given(st.integers(0, 1 << 40), st.integers(0, 5000))
-def test_the_buffer_of_a_stream_is_its_part_of_the_budget_within_limits(budget, streams):
+def test_the_stream_buffer_is_an_equal_part_of_the_budget_within_limits(budget, streams):
     buffer = stream_buffer_bytes(budget, streams)
     assert MIN_STREAM_BUFFER_BYTES <= buffer <= MAX_STREAM_BUFFER_BYTES
     assert buffer == MIN_STREAM_BUFFER_BYTES or 2 * buffer * streams <= budget
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a node over loopback sockets: per-try timeouts, what counts as overload, and which server gets them."""
+"""Attempts over loopback sockets: per-try timeouts, the outcomes that count as overload, and server selection."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_some_malformed_responses_do_not_count_as_overload():
-    """Otherwise one malformed response in eight would halve the concurrency limit of a healthy node."""
+    """Guards against one malformed response in eight halving the concurrency limit of a healthy node."""
 
     async def test(world: World) -> None:
         controller = world.node.dispatcher.balancer.controller
@@ -40,8 +40,8 @@
     with_node(test)
 
 
-async def arrivals(world: World) -> tuple[int, Arrived]:
-    """Returns the number of the server that gets the next request, and the request."""
+async def next_arrival(world: World) -> tuple[int, Arrived]:
+    """Returns the index of the server that receives the next request, and the request."""
     while True:
         for number, origin in enumerate(world.origins):
             if not origin.arrived.empty():
@@ -49,29 +49,29 @@
         await asyncio.sleep(0)
 
 
-async def learn_quick_round_trips(world: World, client: Client) -> None:
-    """Sends so many requests that are answered at once that the node expects short round-trips."""
+async def learn_short_round_trips(world: World, client: Client) -> None:
+    """Sends enough requests that are answered immediately for the node to expect short round-trips."""
     for _ in range(200):
         client.send()
-        (await arrivals(world))[1].answer()
+        (await next_arrival(world))[1].answer()
         assert (await client.answer())[0] == 200
 
 
-@pytest.mark.parametrize("how", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
-def test_a_silent_connection_takes_a_part_of_the_timeout_and_leaves_time_for_a_retry(how):
-    """A per-try timeout ends the attempt long before the request's deadline."""
+@pytest.mark.parametrize("data", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
+def test_a_silent_connection_uses_a_part_of_the_timeout_and_leaves_time_for_a_retry(data):
+    """The per-try timeout ends the attempt long before the request's deadline."""
 
     async def test(world: World) -> None:
         unsafe, client = await world.client(), await world.client()
-        await learn_quick_round_trips(world, client)
+        await learn_short_round_trips(world, client)
         unsafe.send("/pay/1")
-        _, kept = await arrivals(world)
+        _, kept = await next_arrival(world)
         client.send()
-        first, lost = await arrivals(world)
-        lost.writer.write(how)
-        # The retry must come before the answer: at the request's own deadline there would be an answer and no retry.
+        first, lost = await next_arrival(world)
+        lost.writer.write(data)
+        # The retry must precede the answer: at the request's deadline there would be an answer without a retry.
         answer = asyncio.create_task(client.answer())
-        again = asyncio.create_task(arrivals(world))
+        again = asyncio.create_task(next_arrival(world))
         await asyncio.wait([answer, again], return_when=asyncio.FIRST_COMPLETED)
         assert not answer.done()
         second, received = await again
@@ -81,7 +81,7 @@
         received.answer()
         assert (await answer)[0] == 200
         assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
-        # A non-idempotent request keeps its whole timeout.
+        # A non-idempotent request keeps its full timeout.
         assert not kept.gone.is_set()
         kept.answer()
         assert (await unsafe.answer())[0] == 200
@@ -90,52 +90,52 @@
 
 
 def set_round_trips(node: Balancer, mean: float, deviation: float, late: float) -> None:
-    """Sets the measured round-trips of all classes, and the part of the attempts that are late."""
+    """Sets the measured round-trips of all classes, and the fraction of attempts that are late."""
     node.traffic.mean_rtt[:] = [mean] * 3
     node.traffic.deviation[:] = [deviation] * 3
     node.controller.late_fraction = late
 
 
 def test_no_per_try_timeout_while_all_attempts_are_slow(monkeypatch):
-    """Otherwise slow attempts would run twice, at servers that are at their limit."""
-    past = asyncio.Event()
-    asked = Balancer.per_try_timeout
+    """Guards against retries of slow attempts at servers that have reached their limit."""
+    waited = asyncio.Event()
+    original = Balancer.per_try_timeout
 
-    def ask(node: Balancer, now: int, r) -> None:
-        asked(node, now, r)
-        if now - r.sent_at > 600_000:
-            past.set()
+    def per_try_timeout(node: Balancer, now: int, request) -> None:
+        original(node, now, request)
+        if now - request.sent_at > 600_000:
+            waited.set()
 
-    monkeypatch.setattr(Balancer, "per_try_timeout", ask)
+    monkeypatch.setattr(Balancer, "per_try_timeout", per_try_timeout)
 
     async def test(world: World) -> None:
         client = await world.client()
         set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.2)
         client.send()
-        _, received = await arrivals(world)
-        await past.wait()  # three times the longest per-try timeout when few attempts are late
+        _, received = await next_arrival(world)
+        await waited.wait()  # three times the longest per-try timeout while few attempts are late
         assert not received.gone.is_set()
         received.answer()
         assert (await client.answer())[0] == 200
         assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 0
-        assert all(o.arrived.empty() for o in world.origins)
+        assert all(origin.arrived.empty() for origin in world.origins)
 
     with_node(test, servers=2)
 
 
 def test_an_attempt_times_out_once_a_later_one_is_answered(monkeypatch):
-    """The later response ends it long before its own per-try timeout."""
+    """The response to the later attempt ends the earlier one long before its own per-try timeout."""
     monkeypatch.setattr(balancer, "LOST_DEVIATIONS", 10**6)
 
     async def test(world: World) -> None:
         clients = [await world.client() for _ in "ab"]
         set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.0)
         clients[0].send()
-        _, lost = await arrivals(world)
+        _, lost = await next_arrival(world)
         sent = world.node.dispatcher.loop.time()
         while True:
             clients[1].send()
-            _, received = await arrivals(world)
+            _, received = await next_arrival(world)
             received.answer()
             if received.header(b"X-Request-ID") == lost.header(b"X-Request-ID"):
                 break
@@ -149,26 +149,25 @@
 
 
 def test_early_per_try_timeouts_do_not_eject_a_zone():
-    """Attempts whose responses are not due yet say nothing on the zone."""
+    """Attempts whose responses are not due yet must not count against their zone."""
 
     async def test(world: World) -> None:
         first = await world.client()
-        await learn_quick_round_trips(world, first)
-        world.node.dispatcher.balancer.traffic.mean_rtt[1:] = [
-            1000.0,
-            1000.0,
-        ]  # the other classes are as quick
+        await learn_short_round_trips(world, first)
+        # The other classes get the same short round-trips.
+        world.node.dispatcher.balancer.traffic.mean_rtt[1:] = [1000.0, 1000.0]
         held = 0
         while held < 3:
             client = await world.client()
             client.send()
-            number, received = await arrivals(world)
+            number, received = await next_arrival(world)
             held += number
             if number == 0:
                 received.answer()
-        again, _ = await arrivals(world)  # the first of the three, after its per-try timeout
+        # The first of the three held requests is retried after its per-try timeout.
+        retry_server, _ = await next_arrival(world)
         stats = world.node.dispatcher.balancer.stats()
-        assert again == 0
+        assert retry_server == 0
         assert stats["rq_per_try_timeout"] == 1
         assert stats["zones_cut"] == 0
 
@@ -176,37 +175,40 @@
 
 
 def test_lost_attempts_do_not_count_as_overload(monkeypatch):
-    """Otherwise a few lost attempts in a hundred would halve the concurrency limit of a healthy node."""
-    seen: list[int] = []
-    sample = GradientController.record_sample
+    """Guards against a few lost attempts per hundred halving the concurrency limit of a healthy node."""
+    latencies: list[int] = []
+    record_sample = GradientController.record_sample
     monkeypatch.setattr(
         GradientController,
         "record_sample",
-        lambda c, now, k, took: (seen.append(took), sample(c, now, k, took))[1],
+        lambda controller, now, request_class, latency: (
+            latencies.append(latency),
+            record_sample(controller, now, request_class, latency),
+        )[1],
     )
 
     async def test(world: World) -> None:
         clients = [await world.client() for _ in "ab"]
         # First without any response, then with a response to a later attempt.
-        for i, good in enumerate((False, True)):
+        for i, later_response in enumerate((False, True)):
             clients[0].send("/pay/1", left="1500m")
             await world.origins[0].arrived.get()
-            if good:
+            if later_response:
                 clients[1].send("/pay/2")
                 (await world.origins[0].arrived.get()).answer()
                 assert (await clients[1].answer())[0] == 200
             assert (await clients[0].answer())[0] == 502
             while world.node.dispatcher.requests:
                 await asyncio.sleep(0)
-            assert sum(took >= 1_400_000 for took in seen) == 1
-            assert len(seen) == 1 + i
+            assert sum(latency >= 1_400_000 for latency in latencies) == 1
+            assert len(latencies) == 1 + i
         assert world.node.dispatcher.balancer.stats()["rq_overtaken"] == 1
 
     with_node(test)
 
 
 def test_resets_do_not_count_as_overload():
-    """Servers that close idle connections reset attempts without being overloaded."""
+    """A server that closes an idle connection may reset an attempt without being overloaded."""
 
     async def test(world: World) -> None:
         controller = world.node.dispatcher.balancer.controller
@@ -226,8 +228,8 @@
     with_node(test)
 
 
-def test_a_crowded_server_of_the_own_zone_is_no_longer_preferred():
-    """Otherwise the one server of the zone would get nearly all requests while the others are idle."""
+def test_an_overloaded_server_of_the_local_zone_is_no_longer_preferred():
+    """Guards against the only server of the zone getting nearly all requests while the others are idle."""
 
     async def test(world: World) -> None:
         balancer = world.node.dispatcher.balancer
@@ -238,17 +240,18 @@
         clients = [await world.client() for _ in range(12)]
         for client in clients:
             client.send("/pay/1")
-        held = [await arrivals(world) for _ in clients]
-        # Up to 1.2 times its even part of the limit, and then what two random choices give it.
+        held = [await next_arrival(world) for _ in clients]
+        # The server gets up to 1.2 times its equal part of the limit, and beyond that what the choice of the better of
+        # two random servers gives it.
         assert 4 <= sum(number == 0 for number, _ in held) <= 6
         for _, received in held:
             received.answer()
         for client in clients:
             assert (await client.answer())[0] == 200
-        # Below that it is preferred again.
+        # Below that load it is preferred again.
         for _ in range(3):
             clients[0].send("/pay/1")
-            number, received = await arrivals(world)
+            number, received = await next_arrival(world)
             received.answer()
             assert number == 0
             assert (await clients[0].answer())[0] == 200
@@ -256,8 +259,8 @@
     with_node(test, servers=4, zones="httt", settings={"deductions": {"cross_zone": 0.04}})
 
 
-def test_a_node_that_starts_under_full_traffic_serves_it():
-    """No request is shed in the first seconds after a start."""
+def test_a_node_that_starts_under_full_traffic_serves_all_requests():
+    """No request is shed in the first seconds after the start."""
 
     async def test(world: World) -> None:
         clients = [await world.client() for _ in range(16)]
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -1,4 +1,4 @@
-"""What a node makes of servers' answers and of their connections, over loopback sockets."""
+"""Handling of server responses and upstream connections, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_a_kept_connection_that_breaks_under_a_request_may_have_run():
-    """It looks like a connection that was never opened, but the server may have read the request."""
+def test_a_request_whose_reused_connection_is_closed_may_have_run():
+    """The close looks like a failed connect, but the server may have read the request."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -36,7 +36,7 @@
         received.writer.close()
         assert (await client.answer())[0] == 502  # failed: it may have run
         assert received.link == 0
-        assert all(o.arrived.empty() for o in world.origins)
+        assert all(origin.arrived.empty() for origin in world.origins)
 
     with_node(test)
 
@@ -51,35 +51,38 @@
     with_node(test)
 
 
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
 
-NEVER = b"X-Not-Processed: 1\r\n"
+NOT_PROCESSED = b"X-Not-Processed: 1\r\n"
 
 
 MALFORMED = {
     "noise": b"\x00\x01\x02\r\n\r\n",
-    "another protocol": OK.replace(b"HTTP/1.1", b"ICY"),
-    "odd status": OK.replace(b"200", b"2x0"),
-    "no colon": OK.replace(b"Content", b"no colon here\r\nContent"),
-    "two lengths": OK.replace(b"Content", b"Content-Length: 3\r\nContent"),
-    "length and chunks": OK.replace(b"Content", b"Transfer-Encoding: chunked\r\nContent"),
-    "negative length": OK.replace(b": 4", b": -4"),
-    "3 GB": OK.replace(b": 4", b": 3000000000"),
-    "no length": OK.replace(b"Content-Length: 4\r\n", b""),
-    "odd chunk": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\n",
-    "length too short": OK + b", and the rest of it",
-    "head without end": b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 100_000,
-    "only early answers": b"HTTP/1.1 103 Early Hints\r\n\r\n" * 20,
-    "another protocol follows": b"HTTP/1.1 101 X\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + OK,
-    "spoilt, and says never run": b"HTTP/1.1 503 X\r\n" + NEVER + b"Content-Length: x\r\n\r\n",
-    "never run, says another answer": b"HTTP/1.1 100 X\r\n" + NEVER + b"\r\n" + OK.replace(b"200", b"503"),
+    "another protocol": OK_RESPONSE.replace(b"HTTP/1.1", b"ICY"),
+    "invalid status": OK_RESPONSE.replace(b"200", b"2x0"),
+    "header without colon": OK_RESPONSE.replace(b"Content", b"no colon here\r\nContent"),
+    "two lengths": OK_RESPONSE.replace(b"Content", b"Content-Length: 3\r\nContent"),
+    "length and chunks": OK_RESPONSE.replace(b"Content", b"Transfer-Encoding: chunked\r\nContent"),
+    "negative length": OK_RESPONSE.replace(b": 4", b": -4"),
+    "3 GB": OK_RESPONSE.replace(b": 4", b": 3000000000"),
+    "no length": OK_RESPONSE.replace(b"Content-Length: 4\r\n", b""),
+    "invalid chunk size": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\nzz\r\n",
+    "Content-Length too small": OK_RESPONSE + b", and the rest of it",
+    "endless head": b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 100_000,
+    "only interim responses": b"HTTP/1.1 103 Early Hints\r\n\r\n" * 20,
+    "another protocol follows": b"HTTP/1.1 101 X\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + OK_RESPONSE,
+    "malformed with X-Not-Processed": b"HTTP/1.1 503 X\r\n" + NOT_PROCESSED + b"Content-Length: x\r\n\r\n",
+    "X-Not-Processed in an interim response": b"HTTP/1.1 100 X\r\n"
+    + NOT_PROCESSED
+    + b"\r\n"
+    + OK_RESPONSE.replace(b"200", b"503"),
 }
 
 
 @pytest.mark.parametrize("name", MALFORMED)
 def test_a_malformed_response_fails_a_request_and_is_not_forwarded(name):
-    """Not idempotent: neither retried nor shed. The connection is closed, for its next bytes cannot be trusted."""
+    """A non-idempotent request is neither retried nor shed, and the connection is closed as unusable."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -89,38 +92,45 @@
         status, _, body = await client.answer()
         assert (status, body) == (502, b"")
         assert world.origins[0].arrived.empty()
-        if name != "never run, says another answer":
+        if name != "X-Not-Processed in an interim response":
             await received.gone.wait()
 
     with_node(test)
 
 
-GOOD_WITH_EXTRA = {  # and whether the connection may be used again
-    "a second copy": (OK + OK, False),
-    "noise": (OK + b"\x00\x01\x02\r\n\r\n", False),
-    "early answers": (b"HTTP/1.1 103 X\r\n" + NEVER + b"\r\nHTTP/1.1 102 X\r\n\r\n" + OK, True),
-    "odd report": (OK.replace(b"Content", b"X-Server-Load: %%%\r\nContent"), True),
-    "report of no number": (OK.replace(b"Content", b"X-Server-Load: util=nan,eps=-1\r\nContent"), True),
+# Valid responses with extra data, and whether the connection may be reused after them.
+GOOD_WITH_EXTRA = {
+    "a second response": (OK_RESPONSE + OK_RESPONSE, False),
+    "noise": (OK_RESPONSE + b"\x00\x01\x02\r\n\r\n", False),
+    "interim responses": (
+        b"HTTP/1.1 103 X\r\n" + NOT_PROCESSED + b"\r\nHTTP/1.1 102 X\r\n\r\n" + OK_RESPONSE,
+        True,
+    ),
+    "invalid load report": (OK_RESPONSE.replace(b"Content", b"X-Server-Load: %%%\r\nContent"), True),
+    "load report without numbers": (
+        OK_RESPONSE.replace(b"Content", b"X-Server-Load: util=nan,eps=-1\r\nContent"),
+        True,
+    ),
 }
 
 
 @pytest.mark.parametrize("name", GOOD_WITH_EXTRA)
 @pytest.mark.usefixtures("no_rest")
-def test_a_good_response_counts_whatever_comes_with_it(name):
+def test_a_valid_response_is_served_despite_extra_data(name):
     async def test(world: World) -> None:
         client = await world.client()
         client.send("/pay/1")
         received = await world.origins[0].arrived.get()
-        text, usable = GOOD_WITH_EXTRA[name]
+        text, reusable = GOOD_WITH_EXTRA[name]
         received.writer.write(text)
         assert (await client.answer())[::2] == (200, b"good")
         assert world.node.pool.load_reports == 0
-        if not usable:
+        if not reusable:
             await received.gone.wait()
         client.send("/pay/1")
         again = await world.origins[0].arrived.get()
         again.answer(body=b"next")
-        assert again.link == (0 if usable else 1)
+        assert again.link == (0 if reusable else 1)
         assert (await client.answer())[2] == b"next"
 
     with_node(test)
@@ -140,7 +150,7 @@
 
 
 def test_rejected_attempts_do_not_use_up_the_retry_budget():
-    """Otherwise a few of them would use the budget up, and requests would be shed."""
+    """Guards against a few rejected attempts exhausting the retry budget, so that requests would be shed."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -154,7 +164,7 @@
     with_node(test)
 
 
-def test_a_request_with_an_idempotency_key_is_retried_in_its_cell():
+def test_a_request_with_an_idempotency_key_is_retried_with_its_key():
     async def test(world: World) -> None:
         client = await world.client()
         client.send("/put/1", key="k")
@@ -215,7 +225,7 @@
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_the_connection_used_last_is_used_first():
+def test_the_most_recently_used_connection_is_reused_first():
     async def test(world: World) -> None:
         clients = [await world.client() for _ in "ab"]
         for client in clients:
@@ -233,7 +243,7 @@
         assert len(target.idle) == 1
         received.answer()
         await clients[0].answer()
-        # An idle connection is closed before the server would close it.
+        # The node closes an idle connection before the server would close it.
         for conn in target.idle:
             conn.idle_since_us -= 14_000_000
         world.node.pool.sweep()
@@ -242,51 +252,55 @@
     with_node(test)
 
 
-@pytest.mark.parametrize("what", ["drains", "late", "given up", "up"])
-def test_after_a_connect_the_endpoint_list_and_the_deadline_are_checked_again(what, monkeypatch):
-    """Opening a connection takes time; what has changed meanwhile holds for the first byte."""
+@pytest.mark.parametrize("change", ["server drains", "deadline passes", "exchange abandoned", "none"])
+def test_after_a_connect_the_endpoint_list_and_the_deadline_are_checked_again(change, monkeypatch):
+    """A change while the connection is opened must take effect before the first byte is sent."""
 
     async def test() -> None:
         origin = await Origin().start()
         pool = ConnectionPool(20_000_000, 15_000_000, [], DescriptorBudget(10))
         pool.update(1, origin.address, 0)
         outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
-        real = pool.loop.create_connection
-        begun, go = asyncio.Event(), asyncio.Event()
+        create_connection = pool.loop.create_connection
+        connect_started, connect_allowed = asyncio.Event(), asyncio.Event()
 
-        class Slow:
+        class SlowLoop:
             async def create_connection(self, *args):
-                begun.set()
-                await go.wait()
-                return await real(*args)
+                connect_started.set()
+                await connect_allowed.wait()
+                return await create_connection(*args)
 
             def __getattr__(self, name):
-                return getattr(real.__self__, name)
+                return getattr(create_connection.__self__, name)
 
-        pool.loop = Slow()
+        pool.loop = SlowLoop()
         head = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: r\r\n"
         exchange = Exchange(
-            1, head, b"", monotonic_us() + 20_000_000, lambda e, o, *rest: outcomes.put_nowait(o)
+            1,
+            head,
+            b"",
+            monotonic_us() + 20_000_000,
+            lambda exchange, outcome, *rest: outcomes.put_nowait(outcome),
         )
         pool.send(exchange)
-        await begun.wait()
-        if what == "drains":
+        await connect_started.wait()
+        if change == "server drains":
             pool.take_out_of_service(1)
-        elif what == "late":
+        elif change == "deadline passes":
             exchange.deadline_us = 0
-        elif what == "given up":
+        elif change == "exchange abandoned":
             pool.abandon(exchange, Outcome.CANCELLED)
-        go.set()
-        if what == "up":
+        connect_allowed.set()
+        if change == "none":
             (await origin.arrived.get()).answer()
             assert await outcomes.get() == Outcome.OK
         else:
             assert await outcomes.get() == Outcome.NOT_SENT
             while pool.connect_tasks:
                 await asyncio.sleep(0)
-            # A connection to a server in service is kept, and the next exchange uses it.
-            assert len(pool.processes[1].idle) == (what != "drains")
-            if what == "drains":
+            # The connection to a server in service is kept for the next exchange.
+            assert len(pool.processes[1].idle) == (change != "server drains")
+            if change == "server drains":
                 assert await origin.closed.get() == 0
             assert origin.arrived.empty()
         pool.close_all()
@@ -294,20 +308,20 @@
     run(test())
 
 
-def test_load_reports_are_read_under_either_name_and_only_whole():
-    places = report_positions(["load_share", "err_ps"])
-    assert list(parse_load_report(b"inflight=7,util=0.5, eps=2", places, 2)) == [0.5, 2.0]
-    assert list(parse_load_report(b"load_share=0.25,err_ps=0", places, 2)) == [0.25, 0.0]
-    # Any of these would stay in a server's averages for good.
+def test_load_reports_are_parsed_with_either_field_name_and_only_if_complete():
+    positions = report_positions(["load_share", "err_ps"])
+    assert list(parse_load_report(b"inflight=7,util=0.5, eps=2", positions, 2)) == [0.5, 2.0]
+    assert list(parse_load_report(b"load_share=0.25,err_ps=0", positions, 2)) == [0.25, 0.0]
+    # Any of these would distort a server's moving averages permanently.
     for text in (b"util=0.5", b"util=x,eps=1", b"util=nan,eps=1", b"util=1,eps=inf", b"util=-1,eps=1"):
-        assert parse_load_report(text, places, 2) == ()
+        assert parse_load_report(text, positions, 2) == ()
     for text in (
         b"util=1e99,eps=1",
         b"util=1_0,eps=1",
         b"util=1,util=0,eps=1",
         b"util=1,eps=1," + b"x" * 2000,
     ):
-        assert parse_load_report(text, places, 2) == ()
+        assert parse_load_report(text, positions, 2) == ()
 
 
 def test_without_free_descriptors_requests_are_shed(monkeypatch):
@@ -325,7 +339,7 @@
         assert (await clients[2].answer())[0] == 503
         for received in held:
             received.answer()
-        assert {(await c.answer())[0] for c in clients[:2]} == {200}
+        assert {(await client.answer())[0] for client in clients[:2]} == {200}
         clients[3].send()
         (await world.origins[0].arrived.get()).answer()
         assert (await clients[3].answer())[0] == 200
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -1,4 +1,4 @@
-"""A reason for each closed connection, retry, shed and failed request: in the attempt log and in the report line."""
+"""Reasons of closed connections, retries, shed and failed requests, in the attempt log and the report line."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 from harecross.upstream import connection
 
 
-class Logged:
-    """The attempt log of a node under test."""
+class LoggedNode:
+    """The attempt log of the node under test."""
 
     def __init__(self, world: World, path: Path) -> None:
         self.world, self.path = world, path
         world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
 
-    def events(self, what: str) -> list[Event]:
+    def events(self, name: str) -> list[Event]:
+        """Returns the logged events of that name."""
         self.world.node.dispatcher.tracer.flush()
         logs = read_logs([self.path])
-        found = [e for r in logs.requests.values() for e in r.events]
-        found += [e for events in logs.node_events.values() for e in events]
-        return [e for e in found if e.name == what]
+        found = [event for request in logs.requests.values() for event in request.events]
+        found += [event for events in logs.node_events.values() for event in events]
+        return [event for event in found if event.name == name]
 
-    async def closing(self, side: str) -> Event:
-        """Returns the event of the first connection of a side that is closed."""
-        closings = self.world.node.dispatcher.statistics.close_reasons
+    async def closed_event(self, side: str) -> Event:
+        """Waits for a closed connection of that side and returns the first such event."""
+        close_reasons = self.world.node.dispatcher.statistics.close_reasons
         while True:
-            await until(lambda: closings)
+            await until(lambda: close_reasons)
             for event in self.events("closed"):
                 if event.fields["side"] == side:
                     return event
@@ -43,18 +44,19 @@
 
 
 def name_of(value: object) -> str:
-    """A test's id: of a function its name."""
+    """Returns the test ID of a parameter: the name of a function, or the text of another value."""
     return getattr(value, "__name__", str(value))
 
 
-async def served(world: World, **more: str) -> None:
+async def serve_one_request(world: World, **more: str) -> None:
+    """Sends a request and answers it."""
     client = await world.client()
     client.send(**more)
     (await world.origins[0].arrived.get()).answer()
     assert (await client.answer())[0] == 200
 
 
-# ---- connections of clients -------------------------------------------------------------------------------
+# ---- client connections -----------------------------------------------------------------------------------
 
 
 async def client_disconnects(world: World) -> None:
@@ -62,7 +64,7 @@
 
 
 async def client_asks_for_close(world: World) -> None:
-    await served(world, Connection="close")
+    await serve_one_request(world, Connection="close")
 
 
 async def client_sends_nothing(world: World) -> None:
@@ -118,16 +120,16 @@
         monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
     async def test(world: World) -> None:
-        logged = Logged(world, tmp_path / "log")
+        logged = LoggedNode(world, tmp_path / "log")
         await happens(world)
-        event = await logged.closing("client")
+        event = await logged.closed_event("client")
         assert event.fields["reason"] == reason.value
         assert world.node.dispatcher.statistics.close_reasons[reason] >= 1
 
     with_node(test)
 
 
-# ---- connections to servers -------------------------------------------------------------------------------
+# ---- upstream connections ---------------------------------------------------------------------------------
 
 
 async def server_closes(world: World) -> None:
@@ -159,12 +161,12 @@
 
 async def server_drains(world: World) -> None:
     watch = await world.watch()
-    await served(world)
+    await serve_one_request(world)
     Catalog.push(watch, line(42, entry("s0", world.origins[0].address, "terminating")))
 
 
 async def connection_is_idle(world: World) -> None:
-    await served(world)
+    await serve_one_request(world)
     world.node.pool.idle_time = 0
     world.node.pool.sweep()
 
@@ -187,9 +189,9 @@
     monkeypatch.setattr(connection, "MAX_REUSE_DELAY_US", 0)
 
     async def test(world: World) -> None:
-        logged = Logged(world, tmp_path / "log")
+        logged = LoggedNode(world, tmp_path / "log")
         await happens(world)
-        event = await logged.closing("server")
+        event = await logged.closed_event("server")
         assert event.fields["reason"] == reason.value
         assert event.fields["server.address"] == world.origins[0].address
         assert event.request_id == request_id
@@ -201,7 +203,7 @@
 
 
 async def start_request(world: World, path: str = "/pay/1", left: str = "25000m") -> asyncio.Task:
-    """Sends a request; returns the task of its answer."""
+    """Sends a request and returns the task that waits for its answer."""
     client = await world.client()
     client.send(path, left=left)
     return asyncio.create_task(client.answer())
@@ -213,7 +215,7 @@
     await waiting
 
 
-async def no_answer_in_time(world: World) -> None:
+async def deadline_passes(world: World) -> None:
     await (await start_request(world, left="60m"))
 
 
@@ -240,7 +242,7 @@
 
 
 async def balancer_raises(world: World) -> None:
-    world.node.dispatcher.balancer.request = None  # not to be called
+    world.node.dispatcher.balancer.request = None  # a call raises TypeError
     await (await start_request(world))
 
 
@@ -248,7 +250,7 @@
     ("happens", "answer", "reason"),
     [
         (non_idempotent_request_fails, "failed", FinalReason.MAY_HAVE_RUN),
-        (no_answer_in_time, "failed", None),
+        (deadline_passes, "failed", None),
         (no_endpoint_is_listed, "refused", FinalReason.NO_SERVER),
         (limit_is_reached, "refused", FinalReason.AT_LIMIT),
         (attempts_are_used_up, "refused", FinalReason.ATTEMPTS_USED),
@@ -258,11 +260,11 @@
 )
 def test_a_shed_or_failed_request_has_its_reason(happens, answer, reason, tmp_path, capfd):
     async def test(world: World) -> None:
-        logged = Logged(world, tmp_path / "log")
+        logged = LoggedNode(world, tmp_path / "log")
         await happens(world)
         (final,) = logged.events("final")
         assert final.fields["answer"] == answer
-        # At the deadline either the attempt or the request may end first.
+        # At the deadline, either the attempt or the request may end first.
         expected = {reason} if reason else {FinalReason.DEADLINE, FinalReason.MAY_HAVE_RUN}
         assert FinalReason(final.fields["reason"]) in expected
         world.node.dispatcher.report()
@@ -273,13 +275,13 @@
 
 def test_a_retry_is_logged_with_the_outcome_of_the_attempt_before_it(tmp_path):
     async def test(world: World) -> None:
-        logged = Logged(world, tmp_path / "log")
+        logged = LoggedNode(world, tmp_path / "log")
         waiting = await start_request(world, "/read/1")
         (await world.origins[0].arrived.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
         (await world.origins[0].arrived.get()).answer(500)
         (await world.origins[0].arrived.get()).answer()
         assert (await waiting)[0] == 200
-        causes = [e.fields.get("retry.cause") for e in logged.events("sent")]
+        causes = [event.fields.get("retry.cause") for event in logged.events("sent")]
         assert causes == [None, "rejected", "error"]
 
     with_node(test)
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -1,4 +1,4 @@
-"""Responses larger than what is buffered, over loopback sockets: slow, stalling and broken peers."""
+"""Streamed responses over loopback sockets, with slow, stalling and disconnecting peers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     with_peers(test, server_that_sends(FORMS[form](BIG[:size]), close=form == "close"))
 
 
-def test_an_http_1_0_client_gets_a_chunked_response_up_to_the_close():
+def test_an_http_1_0_client_gets_a_chunked_response_delimited_by_the_close():
     async def test(world) -> None:
         client = await world.client()
         client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
@@ -43,7 +43,7 @@
     with_peers(test, server_that_sends(FORMS["chunks"](BIG)))
 
 
-def test_a_streamed_response_goes_on_past_the_deadline():
+def test_a_streamed_response_continues_past_the_deadline():
     async def test(world) -> None:
         client = await world.client()
         client.send(left="150m")
@@ -61,12 +61,12 @@
     with_peers(test, slow)
 
 
-def test_a_streamed_response_that_breaks_off_fails_and_is_not_retried():
-    asked = []
+def test_a_truncated_streamed_response_fails_and_is_not_retried():
+    attempts = []
 
-    async def breaks(reader, writer) -> None:
+    async def truncates(reader, writer) -> None:
         await read_message(reader)
-        asked.append(1)
+        attempts.append(1)
         writer.write(FORMS["length"](BIG)[:200_000])
         await writer.drain()
         writer.close()
@@ -77,15 +77,15 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
         await until(lambda: not (world.node.dispatcher.requests))
-        assert len(asked) == 1
+        assert len(attempts) == 1
         assert world.node.dispatcher.statistics.final_answers["failed"] == 1
         assert max(s.failure_rate for s in world.node.dispatcher.balancer.subset.servers.values()) > 0
 
-    with_peers(test, breaks, breaks)
+    with_peers(test, truncates, truncates)
 
 
-def test_an_http_1_0_client_sees_a_reset_when_a_response_breaks_off():
-    async def breaks(reader, writer) -> None:
+def test_an_http_1_0_client_gets_a_reset_when_a_response_is_truncated():
+    async def truncates(reader, writer) -> None:
         await read_message(reader)
         writer.write(FORMS["chunks"](BIG)[:200_000])
         await writer.drain()
@@ -97,7 +97,7 @@
         with pytest.raises(ConnectionError):
             await client.reader.read()
 
-    with_peers(test, breaks)
+    with_peers(test, truncates)
 
 
 def test_a_response_without_length_that_is_reset_is_retried():
@@ -140,7 +140,7 @@
     monkeypatch.setattr(connection_manager, "SLOW_READER_TIMEOUT_US", 300_000)
     written, stopped = [0], asyncio.Event()
 
-    async def pours(reader, writer) -> None:
+    async def sends_large_response(reader, writer) -> None:
         await read_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 33000000\r\n\r\n")
         try:
@@ -156,18 +156,18 @@
         client.send()
         await asyncio.sleep(0)
         await stopped.wait()
-        # What was written is in the kernel's buffers, those of the test among them, and not in the node.
+        # The bytes written are in the kernel's buffers, including those of this test process, and not in the node.
         assert written[0] < 12_000_000
         await until(lambda: not (world.node.client_connections.open))
         assert not world.node.dispatcher.requests
         assert not world.node.dispatcher.open_request_ids
         client.writer.close()
 
-    with_peers(test, pours)
+    with_peers(test, sends_large_response)
 
 
 def test_many_slow_clients_get_small_buffers_and_a_single_one_a_full_buffer():
-    async def pours(reader, writer) -> None:
+    async def sends_large_response(reader, writer) -> None:
         try:
             while True:
                 await read_message(reader)
@@ -185,26 +185,26 @@
             client = await world.client()
             client.send()
             clients.append(client)
-        held = list(pool.streaming)
-        while len(held) < 15 or not all(c.read_paused for c in held):
+        streaming = list(pool.streaming)
+        while len(streaming) < 15 or not all(c.read_paused for c in streaming):
             await asyncio.sleep(0.01)
-            held = list(pool.streaming)
-        here = [
+            streaming = list(pool.streaming)
+        buffered_bytes = [
             c.transport.get_write_buffer_size()
             for c in world.node.client_connections.open
             if c.transport is not None
         ]
-        assert max(here) <= 3 * MIN_STREAM_BUFFER_BYTES
+        assert max(buffered_bytes) <= 3 * MIN_STREAM_BUFFER_BYTES
         assert pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         for client in clients:
             client.writer.transport.abort()
         await until(lambda: not pool.streaming)
         pool.sweep()
         assert pool.stream_buffer_bytes == MAX_STREAM_BUFFER_BYTES
-        # A single response gets the full buffer again, and arrives complete.
+        # A single response gets the full buffer again and arrives completely.
         client = await world.client()
         client.send()
         assert len((await client.answer())[2]) == 3_000_000
         client.writer.close()
 
-    with_peers(test, pours, pours)
+    with_peers(test, sends_large_response, sends_large_response)
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -1,4 +1,4 @@
-"""Races at upstream connections and retries: ends, late bytes and changes while a request is sent."""
+"""Races of requests and retries with closes, late bytes and connects on upstream connections."""
 
 import asyncio
 import socket
@@ -11,15 +11,16 @@
 from harecross.interface import Outcome
 from harecross.upstream import connection
 
-every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
+every_request_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
 
 
 def deduplication_window(ms: int) -> dict:
-    return {"classes": [{**c, "window": ms * 1000} for c in SETTINGS["classes"]]}
+    """Returns settings in which all classes have that deduplication window."""
+    return {"classes": [{**each, "window": ms * 1000} for each in SETTINGS["classes"]]}
 
 
-class Direct:
-    """A server whose connections are plain sockets of the test: bytes and ends reach the kernel when it says so."""
+class RawServer:
+    """A server with plain sockets, so that the test controls when bytes and closes reach the kernel."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -45,25 +46,29 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def with_direct(test) -> None:
-    """Runs a test on a node whose one server is a `Direct`."""
-    direct: list[Direct] = []
+def with_raw_server(test) -> None:
+    """Runs a test on a node whose only server is a `RawServer`."""
+    servers: list[RawServer] = []
 
     async def body(world: World) -> None:
-        direct.append(Direct())
-        world.node.pool.update(1, direct[0].address, 0)
-        await test(world, direct[0])
+        servers.append(RawServer())
+        world.node.pool.update(1, servers[0].address, 0)
+        await test(world, servers[0])
 
     with_node(body)
 
 
-@every_kind
-@pytest.mark.parametrize("what", ["end", "reset", "more bytes"])
+@every_request_kind
+@pytest.mark.parametrize("event", ["close", "reset", "more bytes"])
 @pytest.mark.parametrize("order", ["unread", "read"])
-def test_an_idle_connection_that_the_server_has_ended_is_not_used(kind, what, order):
-    """The end is still in the kernel when the next request comes, in one turn of the loop; or it was read before."""
+def test_an_idle_connection_with_unread_input_is_not_reused(kind, event, order):
+    """A server closes an idle connection, or sends bytes on it, just before the next request is sent.
 
-    async def test(world: World, server: Direct) -> None:
+    Either the node has already read the event, or the kernel still holds it because the event and the request occur
+    in the same iteration of the event loop.
+    """
+
+    async def test(world: World, server: RawServer) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -71,97 +76,103 @@
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
         await asyncio.sleep(connection.MAX_REUSE_DELAY_US / 1e6 + 0.01)
-        target = world.node.pool.processes[1]
-        assert len(target.idle) == 1
+        process = world.node.pool.processes[1]
+        assert len(process.idle) == 1
 
-        def happens() -> None:
-            if what == "reset":
+        def trigger() -> None:
+            if event == "reset":
                 conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            conn.sendall(answer(b"other")) if what == "more bytes" else conn.close()
+            conn.sendall(answer(b"other")) if event == "more bytes" else conn.close()
 
         if order == "read":
-            happens()
-            await until(lambda: not target.idle)
+            trigger()
+            await until(lambda: not process.idle)
             client.send(kind[0], key=kind[1])
         else:
-            real = world.node.dispatcher.balancer.request
+            original = world.node.dispatcher.balancer.request
 
             def request(*args) -> None:
-                happens()  # in the turn in which the request is admitted
-                real(*args)
+                trigger()  # in the iteration in which the request is admitted
+                original(*args)
 
             world.node.dispatcher.balancer.request = request
             client.send(kind[0], key=kind[1])
-        again = await server.accept()
-        await server.request(again)
-        again.sendall(answer(b"two"))
+        new_conn = await server.accept()
+        await server.request(new_conn)
+        new_conn.sendall(answer(b"two"))
         assert (await client.answer())[2] == b"two"
         assert world.node.dispatcher.statistics.outcomes[Outcome.RESET] == 0
 
-    with_direct(test)
+    with_raw_server(test)
+
 
+@every_request_kind
+def test_a_late_second_response_is_not_taken_for_the_next_response(kind):
+    """A faulty server sends a second response a few milliseconds after the first.
 
-@every_kind
-def test_a_late_second_response_is_not_taken_for_the_next_request_s(kind):
-    """The connection would be the first choice; a rest keeps it from carrying the next request at once."""
+    The connection would otherwise be reused for the next request; its reuse delay prevents that.
+    """
 
-    async def test(world: World, server: Direct) -> None:
+    async def test(world: World, server: RawServer) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
         await server.request(conn)
-        await asyncio.sleep(0.1)  # a usual response time
+        await asyncio.sleep(0.1)  # a typical response time
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
         client.send(kind[0], key=kind[1])
-        again = asyncio.ensure_future(server.accept())
+        accepted = asyncio.ensure_future(server.accept())
         reused = asyncio.ensure_future(server.request(conn))
-        await asyncio.wait([again, reused], return_when=asyncio.FIRST_COMPLETED)
-        conn.sendall(answer(b"one"))  # some milliseconds late
+        await asyncio.wait([accepted, reused], return_when=asyncio.FIRST_COMPLETED)
+        conn.sendall(answer(b"one"))  # the second response, a few milliseconds late
         await turns()
-        if again.done():
-            other = again.result()
-            await server.request(other)
-            other.sendall(answer(b"two"))
+        if accepted.done():
+            new_conn = accepted.result()
+            await server.request(new_conn)
+            new_conn.sendall(answer(b"two"))
         status, _, body = await client.answer()
         assert (status, body) == (200, b"two")
         assert not world.node.pool.processes[1].idle or len(world.node.pool.processes[1].idle) == 1
 
-    with_direct(test)
+    with_raw_server(test)
 
 
-def test_a_connection_is_used_again_after_its_rest_which_is_short_for_a_quick_server():
-    async def test(world: World, server: Direct) -> None:
+def test_a_connection_is_reused_after_its_reuse_delay_which_is_short_for_a_fast_server():
+    async def test(world: World, server: RawServer) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
-        for n in range(30):
+        for number in range(30):
             await server.request(conn)
-            conn.sendall(answer(b"%d" % n))
-            assert (await client.answer())[2] == b"%d" % n
+            conn.sendall(answer(b"%d" % number))
+            assert (await client.answer())[2] == b"%d" % number
             (kept,) = world.node.pool.processes[1].idle
-            rest = kept.reusable_from_us - kept.idle_since_us
-            assert rest <= connection.MAX_REUSE_DELAY_US
-            await asyncio.sleep(max(0, rest) / 1e6 + 0.002)
+            reuse_delay_us = kept.reusable_from_us - kept.idle_since_us
+            assert reuse_delay_us <= connection.MAX_REUSE_DELAY_US
+            await asyncio.sleep(max(0, reuse_delay_us) / 1e6 + 0.002)
             client.send("/pay/1")
         assert world.node.pool.open_connections == 1
 
-    with_direct(test)
+    with_raw_server(test)
 
 
-@pytest.mark.parametrize("late", [True, False], ids=["behind its window", "within it"])
+@pytest.mark.parametrize("late", [True, False], ids=["after the window", "within the window"])
 def test_a_retry_with_an_idempotency_key_is_sent_within_its_deduplication_window_or_not_at_all(late):
-    """Decided within it, the retry waits for a connection; by then servers may no longer discard the repeat."""
+    """A retry is decided within the deduplication window but has to wait for a connection.
+
+    After the window, servers no longer recognize the retry as a duplicate and would run the request again.
+    """
 
     async def test(world: World) -> None:
         await warm(world)
-        for target in world.node.pool.processes.values():
-            world.node.pool.close_idle_to_process(target, CloseReason.IDLE)
+        for process in world.node.pool.processes.values():
+            world.node.pool.close_idle_to_process(process, CloseReason.IDLE)
         client = await world.client()
         client.send("/put/1", key="k")
         received = await first(*world.origins)
         held = HeldConnects(world.node.pool)
-        received.writer.transport.abort()  # the request may have run
+        received.writer.transport.abort()  # the server may have run the request
         await held.begun.get()  # the retry waits for its connection
         if late:
             await asyncio.sleep(0.45)
@@ -170,6 +181,6 @@
             (await first(*world.origins)).answer(body=b"again")
         status, _, body = await client.answer()
         assert (status, body) == ((502, b"") if late else (200, b"again"))
-        assert all(o.arrived.empty() for o in world.origins)
+        assert all(origin.arrived.empty() for origin in world.origins)
 
     with_node(test, servers=2, settings=deduplication_window(400 if late else 20_000))
