--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -68,9 +68,9 @@
     match = TIMEOUT_PATTERN.fullmatch(text.strip())
     if match is None:
         return None
-    whole, fraction, unit = match.groups()
+    integer, fraction, unit = match.groups()
     scale = 1000 if unit == b"m" else 1
-    return int(whole) * scale + int(float(b"0." + (fraction or b"0")) * scale)
+    return int(integer) * scale + int(float(b"0." + (fraction or b"0")) * scale)
 
 
 class RequestParser:
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -199,7 +199,7 @@
         """Returns whether the bytes after the message are not a part of its body.
 
         If Content-Length is too small, a truncated body would be served as complete. Bytes after a valid response
-        either start another message or end with an empty line; anything else is taken for the rest of the body.
+        either start another message or end with an empty line; anything else is treated as the rest of the body.
         """
         if self.chunked or self.streaming:
             # The last chunk marks the end of the body, or the body was already forwarded with the server's framing.
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -14,10 +14,10 @@
 from harecross.platform.clock import monotonic_us
 from harecross.upstream.exchange import Exchange, HealthCheck
 
-# A faulty server may send a second response a few milliseconds after the first, and it would be taken for the response
-# to the next exchange. An idle connection is therefore not reused for the duration of its last exchange divided by
-# `REUSE_DELAY_DIVISOR`, limited to `MAX_REUSE_DELAY_US`. This costs at most one additional connection for every
-# `REUSE_DELAY_DIVISOR` connections in use.
+# A faulty server may send a second response a few milliseconds after the first, which would be mistaken for the
+# response to the next exchange. An idle connection is therefore not reused for the duration of its last exchange
+# divided by `REUSE_DELAY_DIVISOR`, limited to `MAX_REUSE_DELAY_US`. This costs at most one additional connection for
+# every `REUSE_DELAY_DIVISOR` connections in use.
 MAX_REUSE_DELAY_US = 20_000
 REUSE_DELAY_DIVISOR = 4
 
@@ -165,7 +165,7 @@
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
         if self.exchange is None or self.parser is None:
-            # Bytes that arrive without an exchange would be taken for the start of the next response.
+            # Bytes that arrive without an exchange would be mistaken for the start of the next response.
             self.discard(CloseReason.MALFORMED_RESPONSE)
             return
         self.handle_result(self.parser, self.parser.feed(data))
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -166,7 +166,7 @@
         """Takes the most recently used idle connection without unread input; returns None if there is none.
 
         The kernel may already hold a close or bytes that this process has not read. A request written to such a
-        connection could be reset although the server ran it, or those bytes could be taken for its response. With
+        connection could be reset although the server ran it, or those bytes could be mistaken for its response. With
         `honor_reuse_delay`, a connection whose reuse delay is not over is skipped as well.
         """
         idle = process.idle
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -71,10 +71,10 @@
         lost.writer.write(data)
         # The retry must precede the answer: at the request's deadline there would be an answer without a retry.
         answer = asyncio.create_task(client.answer())
-        again = asyncio.create_task(next_arrival(world))
-        await asyncio.wait([answer, again], return_when=asyncio.FIRST_COMPLETED)
+        retried = asyncio.create_task(next_arrival(world))
+        await asyncio.wait([answer, retried], return_when=asyncio.FIRST_COMPLETED)
         assert not answer.done()
-        second, received = await again
+        second, received = await retried
         assert second != first
         assert b"/read/1" in received.head
         await lost.gone.wait()
@@ -214,15 +214,15 @@
         controller = world.node.dispatcher.balancer.controller
         controller.end_min_rtt_window(monotonic_us())
         client = await world.client()
-        for how in ("reset", "error"):
+        for failure in ("reset", "error"):
             client.send("/pay/1")
             received = await world.origins[0].arrived.get()
-            if how == "reset":
+            if failure == "reset":
                 received.writer.transport.abort()
             else:
                 received.answer(500)
             assert (await client.answer())[0] == 502
-            assert (controller.lost_fraction > 0) == (how == "error")
+            assert (controller.lost_fraction > 0) == (failure == "error")
         assert world.node.dispatcher.statistics.outcomes[Outcome.RESET] == 1
 
     with_node(test)
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -128,9 +128,9 @@
         if not reusable:
             await received.gone.wait()
         client.send("/pay/1")
-        again = await world.origins[0].arrived.get()
-        again.answer(body=b"next")
-        assert again.link == (0 if reusable else 1)
+        next_request = await world.origins[0].arrived.get()
+        next_request.answer(body=b"next")
+        assert next_request.link == (0 if reusable else 1)
         assert (await client.answer())[2] == b"next"
 
     with_node(test)
@@ -169,9 +169,9 @@
         client = await world.client()
         client.send("/put/1", key="k")
         (await world.origins[0].arrived.get()).writer.write(b"\x00 noise\r\n\r\n")
-        again = await world.origins[0].arrived.get()
-        assert again.header(b"Idempotency-Key") == b"k"
-        again.answer(body=b"once")
+        next_request = await world.origins[0].arrived.get()
+        assert next_request.header(b"Idempotency-Key") == b"k"
+        next_request.answer(body=b"once")
         assert (await client.answer())[2] == b"once"
 
     with_node(test)
@@ -201,24 +201,24 @@
     with_node(test)
 
 
-@pytest.mark.parametrize("how", ["close", "stray", "early"])
-def test_a_connection_with_stray_bytes_or_an_early_response_is_not_used_again(how):
+@pytest.mark.parametrize("case", ["connection close", "stray bytes", "early response"])
+def test_a_connection_with_stray_bytes_or_an_early_response_is_not_used_again(case):
     async def test(world: World) -> None:
         client = await world.client()
         client.send()
         received = await world.origins[0].arrived.get()
-        if how == "stray":
+        if case == "stray bytes":
             received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n")
         else:
-            received.answer(extra=b"Connection: close\r\n" if how == "close" else b"")
+            received.answer(extra=b"Connection: close\r\n" if case == "connection close" else b"")
         assert (await client.answer())[2] == b"ok"
-        if how == "early":
+        if case == "early response":
             received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
         await received.gone.wait()
         client.send()
-        again = await world.origins[0].arrived.get()
-        again.answer(body=b"right")
-        assert again.link == 1
+        next_request = await world.origins[0].arrived.get()
+        next_request.answer(body=b"right")
+        assert next_request.link == 1
         assert (await client.answer())[2] == b"right"
 
     with_node(test)
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("happens", "reason"),
+    ("trigger", "reason"),
     [
         (client_disconnects, CloseReason.PEER),
         (client_asks_for_close, CloseReason.LAST_RESPONSE),
@@ -114,14 +114,14 @@
     ],
     ids=name_of,
 )
-def test_a_closed_client_connection_has_its_reason(happens, reason, tmp_path, monkeypatch):
+def test_a_closed_client_connection_has_its_reason(trigger, reason, tmp_path, monkeypatch):
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 500_000)
     if reason is CloseReason.IDLE:
         monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
     async def test(world: World) -> None:
         logged = LoggedNode(world, tmp_path / "log")
-        await happens(world)
+        await trigger(world)
         event = await logged.closed_event("client")
         assert event.fields["reason"] == reason.value
         assert world.node.dispatcher.statistics.close_reasons[reason] >= 1
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    ("happens", "reason", "request_id"),
+    ("trigger", "reason", "request_id"),
     [
         (server_closes, CloseReason.PEER, "lost"),
         (server_closes_with_its_response, CloseReason.LAST_RESPONSE, "last"),
@@ -184,13 +184,13 @@
     ids=name_of,
 )
 def test_a_closed_upstream_connection_has_its_reason_and_its_request(
-    happens, reason, request_id, tmp_path, monkeypatch
+    trigger, reason, request_id, tmp_path, monkeypatch
 ):
     monkeypatch.setattr(connection, "MAX_REUSE_DELAY_US", 0)
 
     async def test(world: World) -> None:
         logged = LoggedNode(world, tmp_path / "log")
-        await happens(world)
+        await trigger(world)
         event = await logged.closed_event("server")
         assert event.fields["reason"] == reason.value
         assert event.fields["server.address"] == world.origins[0].address
@@ -247,7 +247,7 @@
 
 
 @pytest.mark.parametrize(
-    ("happens", "answer", "reason"),
+    ("trigger", "answer", "reason"),
     [
         (non_idempotent_request_fails, "failed", FinalReason.MAY_HAVE_RUN),
         (deadline_passes, "failed", None),
@@ -258,10 +258,10 @@
     ],
     ids=name_of,
 )
-def test_a_shed_or_failed_request_has_its_reason(happens, answer, reason, tmp_path, capfd):
+def test_a_shed_or_failed_request_has_its_reason(trigger, answer, reason, tmp_path, capfd):
     async def test(world: World) -> None:
         logged = LoggedNode(world, tmp_path / "log")
-        await happens(world)
+        await trigger(world)
         (final,) = logged.events("final")
         assert final.fields["answer"] == answer
         # At the deadline, either the attempt or the request may end first.
