--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -96,7 +96,7 @@
         "a stop ends at an accept that failed",
         "downstream/connection_manager.py",
         "            if connection is AcceptFailure.CONNECTION_GONE:\n                continue\n"
-        "            if connection is AcceptFailure.SHORTAGE:\n                return Backlog.WAITS\n",
+        "            if connection is AcceptFailure.SHORTAGE:\n                return BacklogState.BLOCKED\n",
         "",
     ),
     Mutation(
@@ -110,8 +110,8 @@
     Mutation(
         "the time that a request lay unread is not counted",
         "downstream/read_delay.py",
-        "        bound = self.heartbeat.behind(now)\n",
-        "        return 0\n        bound = self.heartbeat.behind(now)\n",
+        "        bound = self.heartbeat.lag_us(now)\n",
+        "        return 0\n        bound = self.heartbeat.lag_us(now)\n",
     ),
     Mutation(
         "attempts go out for clients that have left",
--- a/harecross/admin_client/calls.py
+++ b/harecross/admin_client/calls.py
@@ -31,7 +31,7 @@
     state: str
     listed: bool
     in_flight: int
-    warmth: float
+    slow_start_factor: float
     ejected: bool
 
     @classmethod
@@ -57,7 +57,7 @@
     reason: str
 
 
-def node_address(text: str) -> str:
+def validated_address(text: str) -> str:
     """HOST:PORT as it was written. ValueError, with what is allowed, for anything else."""
     if parse_address(text)[1] == 0:
         raise ValueError(f"{text!r}: nobody listens on port 0")
--- a/harecross/admin_client/cli.py
+++ b/harecross/admin_client/cli.py
@@ -19,7 +19,7 @@
 REFUSED_STATUS = 1
 INTERRUPTED_STATUS = 130
 
-door_app = typer.Typer(
+admin_app = typer.Typer(
     no_args_is_help=True,
     help="Take servers out and back, send clients away, release servers over several nodes.",
 )
@@ -33,10 +33,10 @@
 
 def checked_nodes(addresses: list[str]) -> list[str]:
     """The nodes, each once. Exits for one that is no address."""
-    from harecross.admin_client.calls import node_address
+    from harecross.admin_client.calls import validated_address
 
     try:
-        return list(dict.fromkeys(node_address(address) for address in addresses))
+        return list(dict.fromkeys(validated_address(address) for address in addresses))
     except ValueError as error:
         exit_with_error(f"--at: {error}")
 
@@ -67,31 +67,31 @@
     return typer.Exit(0 if ok else REFUSED_STATUS)
 
 
-@door_app.command("status")
+@admin_app.command("status")
 def status(at: At) -> None:
     """Whether each node serves, and what is out there."""
     raise exit_with(call_all(checked_nodes(at), "/status", [""], "GET"))
 
 
-@door_app.command("standby")
+@admin_app.command("standby")
 def standby(at: At) -> None:
     """Send clients away."""
     raise exit_with(call_all(checked_nodes(at), "/standby", [""]))
 
 
-@door_app.command("active")
+@admin_app.command("active")
 def active(at: At) -> None:
     """Take clients again."""
     raise exit_with(call_all(checked_nodes(at), "/active", [""]))
 
 
-@door_app.command("back")
+@admin_app.command("back")
 def back(ids: Ids, at: At) -> None:
     """Use servers again, as ones that have just started."""
     raise exit_with(call_all(checked_nodes(at), "/maintenance/exit", ids))
 
 
-@door_app.command("out")
+@admin_app.command("out")
 def out(
     ids: Ids,
     at: At,
@@ -140,7 +140,7 @@
     return left
 
 
-@door_app.command("servers")
+@admin_app.command("servers")
 def servers(
     at: At,
     ids: Annotated[list[str] | None, typer.Argument(metavar="[ID...]", help="Only these.")] = None,
@@ -173,11 +173,11 @@
     rows = table(f"{status.name} at {node}{standby}{others}", "server", "state", "out on it", "warm")
     for server in status.servers.values():
         state = server.state + (", ejected" if server.ejected else "")
-        rows.add_row(server.id, state, str(server.in_flight), f"{server.warmth:.0%}")
+        rows.add_row(server.id, state, str(server.in_flight), f"{server.slow_start_factor:.0%}")
     console.print(rows)
 
 
-@door_app.command("release")
+@admin_app.command("release")
 def release(
     at: At,
     named: Annotated[list[str] | None, typer.Argument(metavar="[ID...]", help="Servers, in order.")] = None,
@@ -199,7 +199,7 @@
     Ends at the first no. Ctrl-C ends it in order, a second one at once; what stays out is named.
     """
     from harecross.admin_client.release import Release
-    from harecross.admin_client.release_state import Limits
+    from harecross.admin_client.release_state import ReleaseLimits
 
     nodes = checked_nodes(at)
     check_above_zero("--empty-within", empty_within)
@@ -208,7 +208,7 @@
     ids = release_ids(list(named or ()), ids_from)
     if restart is None and not sys.stdin.isatty():
         exit_with_error("release: --restart CMD is needed where standard input is no terminal")
-    limits = Limits(batch, keep, empty_within, restart_within, warm_within)
+    limits = ReleaseLimits(batch, keep, empty_within, restart_within, warm_within)
     raise typer.Exit(run_release(Release(ids, nodes, limits), restart))
 
 
@@ -249,7 +249,7 @@
     print_line(f"{restarted} of {len(release.servers)} restarted{ended}")
     for name in release.running_restarts():
         print_line(f"{name}: its restart still runs")
-    for name, nodes in release.servers_out().items():
+    for name, nodes in release.servers_in_maintenance().items():
         options = " ".join(f"--at {node}" for node in nodes)
         print_line(f"{name} is out, or may be: harecross door back {name} {options}")
     return exit_status
--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -8,7 +8,7 @@
 - A server is restarted only once it is in maintenance at every node, no node has requests in flight on it, and no node
   has another process.
 - It leaves maintenance at every node where it may be, unless its restart failed; a running restart is waited for.
-- `servers_out` names whatever stays in maintenance at the end.
+- `servers_in_maintenance` names whatever stays in maintenance at the end.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
     ACTIVE_PHASES,
     Action,
     ActionKind,
-    Limits,
     Phase,
+    ReleaseLimits,
     ServerRelease,
-    what_is_missing,
+    reason_not_warm,
 )
 from harecross.discovery.endpoint_status import IN_USE, OUT
 
@@ -37,7 +37,7 @@
 class Release:
     """The state machine. `messages` collects lines for operators; whoever prints them removes them."""
 
-    def __init__(self, servers: Sequence[str], nodes: Sequence[str], limits: Limits) -> None:
+    def __init__(self, servers: Sequence[str], nodes: Sequence[str], limits: ReleaseLimits) -> None:
         self.servers = [ServerRelease(name) for name in servers]
         self.by_id = {server.id: server for server in self.servers}
         self.nodes = list(nodes)
@@ -48,7 +48,7 @@
         self.next_status_at = 0.0
         self.status_failures: dict[str, int] = {}  # in a row
         self.min_in_use: dict[str, int] = {}  # servers by node; empty until the preconditions are checked
-        self.too_few_since: float | None = None  # no server may leave, because too few are in use
+        self.below_min_in_use_since: float | None = None  # no server may leave, because too few are in use
         self.stop_reason = ""  # the first reason to stop
         self.interrupts = 0
         self.finished = False
@@ -68,7 +68,7 @@
             for node, due in list(server.retry_at.items()):
                 if now >= due:
                     del server.retry_at[node]
-                    self.call_exit(server, node, actions)
+                    self.request_exit(server, node, actions)
         if now >= self.next_status_at and not self.finished:
             actions += self.fetch_statuses(now)
         return actions + self.step(now)
@@ -93,20 +93,20 @@
         """A call to enter or exit maintenance has ended."""
         server = self.by_id[server_id]
         if kind is ActionKind.ENTER_MAINTENANCE:
-            server.unanswered.discard(node)
+            server.pending_nodes.discard(node)
             if not result.ok:
                 if result.effect_unknown:
                     server.effect_unknown.add(node)
                 else:
-                    server.maybe_out.discard(node)
+                    server.maybe_in_maintenance.discard(node)
                 self.stop(f"{node}: {server_id} cannot be taken out: {result.text}")
         elif result.ok:
-            server.unanswered.discard(node)
-            server.maybe_out.discard(node)
+            server.pending_nodes.discard(node)
+            server.maybe_in_maintenance.discard(node)
         elif server.exit_calls[node] < MAX_EXIT_CALLS:
             server.retry_at[node] = now + EXIT_RETRY_S
         else:
-            server.unanswered.discard(node)
+            server.pending_nodes.discard(node)
             self.stop(f"{node}: {server_id} cannot be put back: {result.text}")
         return self.step(now)
 
@@ -116,9 +116,9 @@
         if ok:
             server.restarted = True
             actions: list[Action] = []
-            self.put_back(now, server, actions)
+            self.start_exit(now, server, actions)
             return actions + self.step(now)
-        self.enter_phase(now, server, Phase.LEFT_OUT)
+        self.enter_phase(now, server, Phase.LEFT_IN_MAINTENANCE)
         self.stop(f"the restart of {server_id} {how}; it stays out")
         return self.step(now)
 
@@ -133,12 +133,12 @@
 
     # ---- queries --------------------------------------------------------------------------------------
 
-    def servers_out(self) -> dict[str, list[str]]:
+    def servers_in_maintenance(self) -> dict[str, list[str]]:
         """Servers that are in maintenance, or may be, each with the nodes where they are."""
         return {
             server.id: sorted(nodes)
             for server in self.servers
-            if (nodes := server.maybe_out | server.effect_unknown)
+            if (nodes := server.maybe_in_maintenance | server.effect_unknown)
         }
 
     def running_restarts(self) -> list[str]:
@@ -156,13 +156,13 @@
             ]
             return ", ".join(waits + [f"another process at {node}" for node, _, others in current if others])
         if server.phase == Phase.WARMING_UP:
-            missing = [(node, what_is_missing(status)) for node, status, _ in current]
+            missing = [(node, reason_not_warm(status)) for node, status, _ in current]
             return ", ".join(f"{text} at {node}" for node, text in missing if text)
-        return ", ".join(sorted(server.unanswered))
+        return ", ".join(sorted(server.pending_nodes))
 
     def in_use(self, node: str) -> set[str]:
         """The servers that a node uses, without those that entered maintenance since its status."""
-        out = {server.id for server in self.servers if server.maybe_out}
+        out = {server.id for server in self.servers if server.maybe_in_maintenance}
         statuses = self.statuses[node].servers.values()
         return {s.id for s in statuses if s.state == IN_USE and not s.ejected} - out
 
@@ -228,15 +228,17 @@
 
     def step_server(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
         """Moves one server on, if it can move."""
-        if server.phase == Phase.ENTERING_MAINTENANCE and not server.unanswered:
+        if server.phase == Phase.ENTERING_MAINTENANCE and not server.pending_nodes:
             if self.stop_reason:
-                self.put_back(now, server, actions)
+                self.start_exit(now, server, actions)
             else:
                 self.enter_phase(now, server, Phase.DRAINING)
         elif server.phase == Phase.DRAINING:
             self.check_drained(now, server, actions)
-        elif server.phase == Phase.EXITING_MAINTENANCE and not server.unanswered:
-            self.enter_phase(now, server, Phase.LEFT_OUT if server.maybe_out else Phase.WARMING_UP)
+        elif server.phase == Phase.EXITING_MAINTENANCE and not server.pending_nodes:
+            self.enter_phase(
+                now, server, Phase.LEFT_IN_MAINTENANCE if server.maybe_in_maintenance else Phase.WARMING_UP
+            )
         elif server.phase == Phase.WARMING_UP:
             self.check_warm(now, server, actions)
 
@@ -244,7 +246,7 @@
         """Takes the next server out, where the limits allow it; returns whether it did."""
         server = next((s for s in self.servers if s.phase == Phase.WAITING), None)
         if server is None or sum(s.phase in ACTIVE_PHASES for s in self.servers) >= self.limits.batch:
-            self.too_few_since = None
+            self.below_min_in_use_since = None
             return False
         for node in self.nodes:
             used = self.in_use(node)
@@ -254,42 +256,42 @@
             if server.id not in used:
                 self.stop(f"{node}: {server.id} is no longer in use")
                 return False
-        self.too_few_since = None
+        self.below_min_in_use_since = None
         self.enter_phase(now, server, Phase.ENTERING_MAINTENANCE)
-        server.unanswered, server.maybe_out = set(self.nodes), set(self.nodes)
+        server.pending_nodes, server.maybe_in_maintenance = set(self.nodes), set(self.nodes)
         actions += [Action(ActionKind.ENTER_MAINTENANCE, node, server.id) for node in self.nodes]
         return True
 
     def wait_for_more_in_use(self, now: float, node: str, used: int) -> None:
         """Too few servers are in use at a node; stops once that has lasted too long."""
-        if self.too_few_since is None:
-            self.too_few_since = now
-        elif now - self.too_few_since > self.limits.warm_up_timeout_s:
+        if self.below_min_in_use_since is None:
+            self.below_min_in_use_since = now
+        elif now - self.below_min_in_use_since > self.limits.warm_up_timeout_s:
             self.stop(f"{node}: {used} servers are in use and {self.min_in_use[node]} must stay")
 
     def check_drained(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
         """Restarts a drained server; puts it back where the release stops or somebody else has put it back."""
         if self.stop_reason:
-            self.put_back(now, server, actions)
+            self.start_exit(now, server, actions)
             return
         current = self.current_statuses(server)
         for node, status, _ in current:
             if status is None or status.state != OUT:
                 self.stop(f"{node}: {server.id} was put back by somebody else")
-                self.put_back(now, server, actions)
+                self.start_exit(now, server, actions)
                 return
         if len(current) == len(self.nodes) and not self.waiting_for(server):
             self.enter_phase(now, server, Phase.RESTARTING)
             actions.append(Action(ActionKind.RESTART, server=server.id))
 
-    def put_back(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
+    def start_exit(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
         """Ends the maintenance of a server at every node where it may be out."""
         self.enter_phase(now, server, Phase.EXITING_MAINTENANCE)
-        server.unanswered = set(server.maybe_out)
-        for node in sorted(server.unanswered):
-            self.call_exit(server, node, actions)
+        server.pending_nodes = set(server.maybe_in_maintenance)
+        for node in sorted(server.pending_nodes):
+            self.request_exit(server, node, actions)
 
-    def call_exit(self, server: ServerRelease, node: str, actions: list[Action]) -> None:
+    def request_exit(self, server: ServerRelease, node: str, actions: list[Action]) -> None:
         """Calls one node to end the maintenance of a server."""
         server.exit_calls[node] = server.exit_calls.get(node, 0) + 1
         actions.append(Action(ActionKind.EXIT_MAINTENANCE, node, server.id))
@@ -303,8 +305,8 @@
             if status is None or status.state != OUT:
                 continue
             if late_call:
-                server.maybe_out.add(node)
-                self.put_back(now, server, actions)
+                server.maybe_in_maintenance.add(node)
+                self.start_exit(now, server, actions)
             else:
                 self.stop(f"{node}: {server.id} was taken out again by somebody else")
                 self.enter_phase(now, server, Phase.DONE)
@@ -313,7 +315,7 @@
         if len(current) < len(self.nodes) and not node_failing:
             return
         if self.stop_reason or not server.restarted or not self.waiting_for(server):
-            self.enter_phase(now, server, Phase.LEFT_OUT if server.effect_unknown else Phase.DONE)
+            self.enter_phase(now, server, Phase.LEFT_IN_MAINTENANCE if server.effect_unknown else Phase.DONE)
 
     def check_timeouts(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
         """Stops over a phase that takes too long."""
--- a/harecross/admin_client/release_runner.py
+++ b/harecross/admin_client/release_runner.py
@@ -49,13 +49,13 @@
         """Returns the exit status: 0 for all done, 1 for a release that stopped, 130 when interrupted."""
         previous = signal.signal(signal.SIGINT, lambda *_: self.events.put(self.release.interrupt))
         try:
-            self.carry_out(self.release.begin(time.monotonic()))
+            self.execute(self.release.begin(time.monotonic()))
             while not self.release.finished:
                 try:
                     event = self.events.get(timeout=TICK_S)
                 except Empty:
                     event = self.release.tick
-                self.carry_out(event(time.monotonic()))
+                self.execute(event(time.monotonic()))
                 self.print_messages()
         finally:
             self.pool.shutdown(wait=False, cancel_futures=True)
@@ -71,7 +71,7 @@
         for message in messages:
             self.print_line(message)
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         """Starts the actions; each ends with an event."""
         for action in actions:
             if action.kind is ActionKind.FETCH_STATUS:
@@ -100,7 +100,7 @@
     def restart(self, server: str) -> None:
         """Starts the restart command, or asks people to restart the server."""
         if self.restart_command is None:
-            self.ask_for_restart(server)
+            self.ask_for_manual_restart(server)
             return
         env = {**os.environ, "HARECROSS_SERVER": server}
         try:
@@ -136,7 +136,7 @@
             except subprocess.TimeoutExpired:
                 continue
 
-    def ask_for_restart(self, server: str) -> None:
+    def ask_for_manual_restart(self, server: str) -> None:
         """Asks people to restart a server and to report it on standard input."""
         self.manual_restarts.add(server)
         self.print_line(f"{server} is out and empty: restart it, then type {server} (or: {server} failed)")
--- a/harecross/admin_client/release_state.py
+++ b/harecross/admin_client/release_state.py
@@ -19,7 +19,7 @@
     EXITING_MAINTENANCE = "being put back"
     WARMING_UP = "warming"
     DONE = "done"
-    LEFT_OUT = "left out"
+    LEFT_IN_MAINTENANCE = "left out"
 
 
 ACTIVE_PHASES = frozenset(
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ReleaseLimits:
     """The limits of a release. `min_in_use` is a share of the servers in use; times are seconds."""
 
     batch: int = 1
@@ -70,15 +70,17 @@
     id: str
     phase: Phase = Phase.WAITING
     phase_began: float = 0.0
-    maybe_out: set[str] = field(default_factory=set)  # the server is in maintenance there, or may be
-    unanswered: set[str] = field(default_factory=set)  # a call is under way there, or due again
+    maybe_in_maintenance: set[str] = field(
+        default_factory=set
+    )  # the server is in maintenance there, or may be
+    pending_nodes: set[str] = field(default_factory=set)  # a call is under way there, or due again
     retry_at: dict[str, float] = field(default_factory=dict)  # when the call to put it back is due again
     exit_calls: dict[str, int] = field(default_factory=dict)  # calls to put it back
     effect_unknown: set[str] = field(default_factory=set)  # a call to take it out was never answered there
     restarted: bool = False
 
 
-def what_is_missing(status: ServerStatus | None) -> str:
+def reason_not_warm(status: ServerStatus | None) -> str:
     """Why a server does not get its full share at one node; empty for a warm server in use."""
     if status is None:
         return "not listed"
@@ -86,4 +88,4 @@
         return status.state
     if status.ejected:
         return "ejected"
-    return f"{status.warmth:.0%} warm" if status.warmth < 1 else ""
+    return f"{status.slow_start_factor:.0%} warm" if status.slow_start_factor < 1 else ""
--- a/harecross/cli.py
+++ b/harecross/cli.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from harecross.admin_client.cli import door_app
+from harecross.admin_client.cli import admin_app
 from harecross.dns.cli import dns_app
 from harecross.fleet.cli import fleet_app
 from harecross.follow.cli import follow
@@ -44,7 +44,7 @@
 
 app.add_typer(trace_app, name="trace")
 app.add_typer(control_app, name="control")
-app.add_typer(door_app, name="door")
+app.add_typer(admin_app, name="door")
 app.add_typer(dns_app, name="dns")
 app.add_typer(sources_app, name="sources")
 app.add_typer(store_app, name="store")
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -8,8 +8,8 @@
 from httptools import HttpParserError, HttpRequestParser
 
 from harecross.dispatch.close_reasons import ClosedConnection, CloseReason
-from harecross.downstream.connection_state import LocalAnswer
-from harecross.downstream.read_delay import WaitingSocket
+from harecross.downstream.connection_state import LocalResponse
+from harecross.downstream.read_delay import UnreadInterval
 from harecross.downstream.request_receiver import RequestReceiver
 from harecross.downstream.response_sender import ResponseSender
 from harecross.http.request_parser import MAX_HEAD_BYTES, BadRequestError, ParsedRequest
@@ -57,7 +57,7 @@
         if self.input_closed:
             self.discard(len(data), self.transport)
             return
-        self.unread_for_us = self.read_delay.of(monotonic_us(), self.sock)
+        self.last_read_delay_us = self.read_delay.measure(monotonic_us(), self.sock)
         try:
             self.parser.feed_data(data)
         except HttpParserError as error:
@@ -75,8 +75,8 @@
     def pause_writing(self) -> None:
         """The client does not read: a large response is paused, smaller ones wait."""
         self.write_blocked = True
-        if self.pause_response is not None:
-            self.pause_response(True)
+        if self.set_response_paused is not None:
+            self.set_response_paused(True)
             self.owner.mark_slow_reader(self)
         else:
             self.owner.mark_receiving(self)
@@ -84,9 +84,9 @@
     def resume_writing(self) -> None:
         """The client reads again."""
         self.write_blocked = False
-        self.owner.stopped_slow_reading(self)
-        if self.pause_response is not None:
-            self.pause_response(False)
+        self.owner.unmark_slow_reader(self)
+        if self.set_response_paused is not None:
+            self.set_response_paused(False)
             return
         if not self.input_closed:
             if not self.receiving:
@@ -128,7 +128,7 @@
         """Reads again; what has come since the pause has waited."""
         if self.transport is not None:
             self.reading_paused = False
-            self.read_delay.waiting = WaitingSocket(monotonic_us(), self.paused_at_us)
+            self.read_delay.unread_interval = UnreadInterval(monotonic_us(), self.paused_at_us)
             self.transport.resume_reading()
 
     def reject_input(self, status: int) -> None:
@@ -144,10 +144,10 @@
             self.busy = False
             if request is not None:
                 self.owner.dispatcher.client_disconnected(request)
-            if self.pause_response is not None and self.transport is not None:
+            if self.set_response_paused is not None and self.transport is not None:
                 self.abort(CloseReason.BAD_REQUEST)
                 return
-        self.pending.append(LocalAnswer(status))
+        self.pending.append(LocalResponse(status))
 
     # ---- requests -------------------------------------------------------------------------------------
 
@@ -155,7 +155,7 @@
         """Handles pending requests, one after another."""
         while self.pending and not self.busy and not self.write_blocked and self.transport is not None:
             item = self.pending.popleft()
-            if isinstance(item, LocalAnswer):
+            if isinstance(item, LocalResponse):
                 self.keep_alive = item.keep_alive
                 self.send_response(item.status, b"")
                 continue
@@ -185,7 +185,7 @@
             self.request = request
             if message.upload is not None:
                 if message.upload.complete:
-                    dispatcher.body_received(request, self.unread_for_us)
+                    dispatcher.body_received(request, self.last_read_delay_us)
                 self.upload_progressed()
 
     def reject_conflict(self) -> None:
@@ -250,7 +250,7 @@
             return False
         return not is_quiet(self.descriptor)
 
-    def close_if_quiet(self, reason: CloseReason) -> bool:
+    def close_if_nothing_unread(self, reason: CloseReason) -> bool:
         """Closes a connection without open requests, unless unread data may be a request; returns whether it did.
 
         A request that crosses the close was received as far as its client can know.
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -30,15 +30,15 @@
 MAX_ACCEPTS_PER_TURN = 16  # each takes a descriptor before it can be refused
 
 
-class Backlog(Enum):
+class BacklogState(Enum):
     """What is left of the connections that had come."""
 
     EMPTY = "no connection waits"
     MORE = "another connection may wait"
-    WAITS = "connections wait for a descriptor, or until a shortage of this machine is over"
+    BLOCKED = "connections wait for a descriptor, or until a shortage of this machine is over"
 
 
-def pop_older(group: dict[ConnectionState, int], time_us: int) -> list[ConnectionState]:
+def pop_added_before(group: dict[ConnectionState, int], time_us: int) -> list[ConnectionState]:
     """Removes the connections that were added by that time; the group is in order of time."""
     old = []
     for connection, since in group.items():
@@ -60,13 +60,13 @@
     def __init__(
         self,
         dispatcher: RequestDispatcher,
-        reader: RequestParser,
+        request_parser: RequestParser,
         descriptor_budget: DescriptorBudget,
         max_buffered_body_bytes: int,
     ) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.dispatcher = dispatcher
-        self.reader = reader
+        self.request_parser = request_parser
         self.descriptor_budget = descriptor_budget
         dispatcher.pool.on_descriptor_shortage = self.evict_one
         self.budget_full_since: int | None = None  # no descriptor is left for the next connection
@@ -97,7 +97,7 @@
             sock.listen(backlog)
         self.listener = Listener(
             sock,
-            lambda waiting: ClientConnection(self, waiting),
+            lambda unread_interval: ClientConnection(self, unread_interval),
             self.accept,
             self.heartbeat,
             self.connection_setup_failed,
@@ -109,7 +109,7 @@
         self.heartbeat.start()
         self.listener.start()
 
-    def accept(self) -> Backlog:
+    def accept(self) -> BacklogState:
         """Accepts connections that have come; refuses those beyond the budget.
 
         The budget is kept so that clients that only open connections cannot take the descriptors that servers and other
@@ -120,25 +120,25 @@
             fits = self.descriptor_budget.client_connection_fits()
             if not fits and accepted:
                 # Whether another one waits is not known: nothing is evicted for one that does not come.
-                return Backlog.MORE
+                return BacklogState.MORE
             fits = fits or self.evict_one()
             if fits:
                 self.budget_full_since = None
             elif self.leave_in_backlog():
-                return Backlog.WAITS
+                return BacklogState.BLOCKED
             connection = self.listener.accept()
             if connection is AcceptFailure.CONNECTION_GONE:
                 continue
             if connection is AcceptFailure.SHORTAGE:
-                return Backlog.WAITS
+                return BacklogState.BLOCKED
             if isinstance(connection, AcceptFailure):
-                return Backlog.EMPTY
+                return BacklogState.EMPTY
             if fits:
                 self.descriptor_budget.client_connections += 1
                 self.listener.set_up(connection)
             else:
                 self.refuse(connection)
-        return Backlog.MORE
+        return BacklogState.MORE
 
     def leave_in_backlog(self) -> bool:
         """Leaves connections in the backlog for a moment; False once they have waited long enough."""
@@ -160,7 +160,7 @@
         """An accepted connection could not be set up: its descriptor is free."""
         self.descriptor_budget.client_connections -= 1
 
-    async def drain_listener(self, by: float, *, shared: bool = False) -> None:
+    async def drain_listener(self, deadline: float, *, shared: bool = False) -> None:
         """Accepts what waits in the backlog, and closes the listener; `by` that time of the loop at the latest.
 
         Closing resets the connections in the backlog, and a request that was sent on one counts as received. Where
@@ -168,18 +168,18 @@
         """
         assert self.listener is not None
         self.listener.stop()
-        await self.accept_waiting(by)
+        await self.accept_until_empty(deadline)
         if not shared:
             await self.listener.refuse_new()
-            await self.accept_waiting(by)
+            await self.accept_until_empty(deadline)
         await self.listener.close()
 
-    async def accept_waiting(self, by: float) -> None:
+    async def accept_until_empty(self, deadline: float) -> None:
         """Accepts connections until none waits, or until that time of the loop."""
         assert self.listener is not None
-        while (backlog := self.accept()) is not Backlog.EMPTY and self.loop.time() < by:
+        while (backlog := self.accept()) is not BacklogState.EMPTY and self.loop.time() < deadline:
             self.listener.stop()
-            await asyncio.sleep(0 if backlog is Backlog.MORE else BACKLOG_RECHECK_S)
+            await asyncio.sleep(0 if backlog is BacklogState.MORE else BACKLOG_RECHECK_S)
 
     async def close_listener_at_once(self) -> None:
         """Accepts nothing more: what waits in the backlog is for the process that shares the socket."""
@@ -289,7 +289,7 @@
         for group in (self.silent, self.receiving, self.idle):
             group.pop(connection, None)
 
-    def stopped_slow_reading(self, connection: ConnectionState) -> None:
+    def unmark_slow_reader(self, connection: ConnectionState) -> None:
         """Stops the timeout for a slow reader."""
         self.slow_readers.pop(connection, None)
 
@@ -304,19 +304,19 @@
         )
         self.sweep_receiving(self.receiving, now, RECEIVE_TIMEOUT_US)
         reason = CloseReason.SHUTDOWN if standby_drained else CloseReason.IDLE
-        for connection in pop_older(self.idle, now if standby_drained else now - IDLE_TIMEOUT_US):
-            if not connection.close_if_quiet(reason) and connection.transport is not None:
+        for connection in pop_added_before(self.idle, now if standby_drained else now - IDLE_TIMEOUT_US):
+            if not connection.close_if_nothing_unread(reason) and connection.transport is not None:
                 self.mark_idle(connection)
         for group, timeout in (
             (self.lingering, LINGER_TIMEOUT_US),
             (self.slow_readers, SLOW_READER_TIMEOUT_US),
         ):
-            for connection in pop_older(group, now - timeout):
+            for connection in pop_added_before(group, now - timeout):
                 connection.abort(CloseReason.RESPONSE_NOT_READ)
 
     def sweep_receiving(self, group: dict[ConnectionState, int], now: int, timeout: int) -> None:
         """Ends connections that have sent nothing for too long, unless something lies unread."""
-        for connection in pop_older(group, now - timeout):
+        for connection in pop_added_before(group, now - timeout):
             if connection.has_unread_data():
                 group[connection] = now
             else:
@@ -325,7 +325,7 @@
     def close_idle(self) -> None:
         """Closes idle connections; silent ones stay, because a request may be on its way."""
         for connection in list(self.idle):
-            connection.close_if_quiet(CloseReason.SHUTDOWN)
+            connection.close_if_nothing_unread(CloseReason.SHUTDOWN)
 
     def close_all(self) -> None:
         """Closes all connections once what was written has been sent."""
--- a/harecross/downstream/connection_state.py
+++ b/harecross/downstream/connection_state.py
@@ -13,7 +13,7 @@
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.dispatch.dispatcher import RequestDispatcher
 from harecross.dispatch.request import DispatchedRequest
-from harecross.downstream.read_delay import Heartbeat, InfoSocket, ReadDelay, WaitingSocket
+from harecross.downstream.read_delay import Heartbeat, ReadDelay, TcpInfoSocket, UnreadInterval
 from harecross.http.body_buffer import Upload
 from harecross.http.request_parser import ParsedRequest, RequestParser
 
@@ -21,7 +21,7 @@
 RECEIVE_TIMEOUT_US = 2_500_000
 
 
-class LocalAnswer(NamedTuple):
+class LocalResponse(NamedTuple):
     """An answer that the node gives by itself, without the dispatcher."""
 
     status: int
@@ -36,7 +36,7 @@
 
     loop: asyncio.AbstractEventLoop
     dispatcher: RequestDispatcher
-    reader: RequestParser
+    request_parser: RequestParser
     heartbeat: Heartbeat
     buffered_body_bytes: int
     max_buffered_body_bytes: int
@@ -67,7 +67,7 @@
     def unmark(self, connection: ConnectionState) -> None:
         """Stops the timeouts of a silent, receiving or idle connection."""
 
-    def stopped_slow_reading(self, connection: ConnectionState) -> None:
+    def unmark_slow_reader(self, connection: ConnectionState) -> None:
         """Stops the timeout for a slow reader."""
 
 
@@ -81,7 +81,7 @@
         "descriptor",
         "parser",
         "read_delay",
-        "unread_for_us",
+        "last_read_delay_us",
         "request",
         "pending",
         "busy",
@@ -110,22 +110,22 @@
         "incoming_upload",
         # The request that is being handled, and its response.
         "current_upload",
-        "pause_response",
+        "set_response_paused",
         "response_chunked",
         "response_closes",
     )
 
-    def __init__(self, owner: ConnectionOwner, waiting: WaitingSocket | None = None) -> None:
-        """`waiting`: since when the connection's first bytes may have waited."""
+    def __init__(self, owner: ConnectionOwner, unread_interval: UnreadInterval | None = None) -> None:
+        """`unread_interval`: since when the connection's first bytes may have waited."""
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self.sock: InfoSocket | None = None
+        self.sock: TcpInfoSocket | None = None
         self.descriptor = -1
         self.parser: HttpRequestParser | None = None
-        self.read_delay = ReadDelay(owner.heartbeat, waiting)
-        self.unread_for_us = 0  # how long the bytes read last may have waited
+        self.read_delay = ReadDelay(owner.heartbeat, unread_interval)
+        self.last_read_delay_us = 0  # how long the bytes read last may have waited
         self.request: DispatchedRequest | None = None
-        self.pending: deque[ParsedRequest | LocalAnswer] = deque()
+        self.pending: deque[ParsedRequest | LocalResponse] = deque()
         self.busy = False  # a request is being handled
         self.keep_alive = True  # of the request that is handled or was handled last
         self.input_closed = False  # no further request is read
@@ -137,7 +137,7 @@
         self.close_reason: CloseReason | None = None  # why this side has closed the connection
         self.incoming_upload: Upload | None = None  # the large body that is being received
         self.current_upload: Upload | None = None  # the one of the request that is being handled
-        self.pause_response: Callable[[bool], None] | None = None  # set while a large response passes
+        self.set_response_paused: Callable[[bool], None] | None = None  # set while a large response passes
         self.response_chunked = False
         self.response_closes = False  # the connection is closed after the response
         self.receiving = False  # part of a request has come
@@ -201,7 +201,7 @@
         """Closes the connection once what was written has been sent."""
 
     @abstractmethod
-    def close_if_quiet(self, reason: CloseReason) -> bool:
+    def close_if_nothing_unread(self, reason: CloseReason) -> bool:
         """Closes a connection without open requests, unless unread data may be one; returns whether it did."""
 
     @abstractmethod
--- a/harecross/downstream/listener.py
+++ b/harecross/downstream/listener.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 
 from harecross.downstream.accept_filter import refuse_new_connections
-from harecross.downstream.read_delay import Heartbeat, WaitingSocket
+from harecross.downstream.read_delay import Heartbeat, UnreadInterval
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_line
 from harecross.platform.system_errors import AcceptFailure, classify_accept_error
@@ -32,7 +32,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        protocol_factory: Callable[[WaitingSocket], asyncio.Protocol],
+        protocol_factory: Callable[[UnreadInterval], asyncio.Protocol],
         on_ready: Callable[[], object],
         heartbeat: Heartbeat | None = None,
         on_setup_failed: Callable[[], None] = lambda: None,
@@ -54,16 +54,16 @@
         # The earliest time at which connections in the backlog may have come, in monotonic microseconds; None if the
         # backlog is empty.
         self.waiting_since: int | None = monotonic_us()
-        self.came_after = 0  # the same for the connection that was accepted last
+        self.earliest_arrival_us = 0  # the same for the connection that was accepted last
 
     def start(self) -> None:
         """Accepts connections from now on."""
         self.resume_timer = None
         if self.sock.fileno() >= 0:
             self.loop.add_reader(self.sock, self.on_ready)
-            self.loop.call_soon(self.accept_earlier)
+            self.loop.call_soon(self.accept_backlog)
 
-    def accept_earlier(self) -> None:
+    def accept_backlog(self) -> None:
         """Accepts what came while the listener was not watched, so that later connections do not count as waiting."""
         if self.resume_timer is None and self.sock.fileno() >= 0:
             self.on_ready()
@@ -99,9 +99,9 @@
             self.log_shortage(None)
             if self.waiting_since is None:
                 now = monotonic_us()
-                self.waiting_since = now - self.heartbeat.behind(now)
+                self.waiting_since = now - self.heartbeat.lag_us(now)
             # `waiting_since` stays, because those behind this one in the backlog may have waited as long.
-            self.came_after = self.waiting_since
+            self.earliest_arrival_us = self.waiting_since
             return connection
         self.log_shortage(last_error)
         self.pause(SHORTAGE_PAUSE_S)
@@ -116,18 +116,19 @@
     def set_up(self, connection: socket.socket) -> None:
         """Hands a connection to its protocol."""
         connection.setblocking(False)
-        task = self.loop.create_task(self.connect_protocol(connection, self.came_after))
+        task = self.loop.create_task(self.connect_protocol(connection, self.earliest_arrival_us))
         self.setup_tasks.add(task)
         task.add_done_callback(self.setup_tasks.discard)
 
-    async def connect_protocol(self, connection: socket.socket, came_after: int) -> None:
+    async def connect_protocol(self, connection: socket.socket, earliest_arrival_us: int) -> None:
         """Tries again after a shortage; a socket option that cannot be set is left out."""
         with suppress(OSError):
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for _ in range(MAX_SETUP_TRIES):
             try:
                 await self.loop.connect_accepted_socket(
-                    lambda: self.protocol_factory(WaitingSocket(monotonic_us(), came_after)), connection
+                    lambda: self.protocol_factory(UnreadInterval(monotonic_us(), earliest_arrival_us)),
+                    connection,
                 )
                 return
             except OSError as error:
--- a/harecross/downstream/read_delay.py
+++ b/harecross/downstream/read_delay.py
@@ -43,19 +43,19 @@
     def beat(self) -> None:
         """Schedules the next heartbeat; after a late one only once what had come is read.
 
-        The timer may run before that, and `behind` is still asked how late the loop was.
+        The timer may run before that, and `lag_us` is still asked how late the loop was.
         """
         if monotonic_us() > self.due + LATE_HEARTBEAT_US:
             asyncio.get_running_loop().call_later(CATCH_UP_S, self.start)
         else:
             self.start()
 
-    def behind(self, now: int) -> int:
+    def lag_us(self, now: int) -> int:
         """For how many microseconds the loop may not have read what had come."""
         return max(0, now - self.due)
 
 
-class InfoSocket(Protocol):
+class TcpInfoSocket(Protocol):
     """The one method of a socket that is needed here."""
 
     def getsockopt(self, level: int, name: int, size: int, /) -> bytes:
@@ -63,35 +63,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingSocket:
+class UnreadInterval:
     """A connection that was accepted, or is read again, at one time, and whose bytes may have come since another."""
 
-    accepted_at: int  # monotonic microseconds
-    came_after: int
+    reading_since_us: int  # monotonic microseconds
+    earliest_arrival_us: int
 
 
 class ReadDelay:
     """The read delay of one connection."""
 
-    __slots__ = ("heartbeat", "waiting")
+    __slots__ = ("heartbeat", "unread_interval")
 
-    def __init__(self, heartbeat: Heartbeat, waiting: WaitingSocket | None = None) -> None:
+    def __init__(self, heartbeat: Heartbeat, unread_interval: UnreadInterval | None = None) -> None:
         self.heartbeat = heartbeat
-        self.waiting = waiting  # until the first bytes after it have been read
+        self.unread_interval = unread_interval  # until the first bytes after it have been read
 
-    def of(self, now: int, connection: InfoSocket | None) -> int:
+    def measure(self, now: int, connection: TcpInfoSocket | None) -> int:
         """How many microseconds the bytes that are read now may have lain unread; 0 below `MIN_DELAY_US`."""
-        bound = self.heartbeat.behind(now)
-        if self.waiting is not None:
-            waiting, self.waiting = self.waiting, None
-            if now - waiting.accepted_at < FIRST_BYTES_US + bound:
-                bound = max(bound, now - waiting.came_after)
+        bound = self.heartbeat.lag_us(now)
+        if self.unread_interval is not None:
+            interval, self.unread_interval = self.unread_interval, None
+            if now - interval.reading_since_us < FIRST_BYTES_US + bound:
+                bound = max(bound, now - interval.earliest_arrival_us)
         if bound < MIN_DELAY_US:
             return 0
         return min(bound, last_data_age(connection))
 
 
-def last_data_age(connection: InfoSocket | None) -> int:
+def last_data_age(connection: TcpInfoSocket | None) -> int:
     """Microseconds since the last bytes came, by the kernel; `UNKNOWN_AGE_US` if the kernel does not tell."""
     if connection is None:
         return UNKNOWN_AGE_US
--- a/harecross/downstream/request_receiver.py
+++ b/harecross/downstream/request_receiver.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from harecross.downstream.connection_state import RECEIVE_TIMEOUT_US, ConnectionState, LocalAnswer
+from harecross.downstream.connection_state import RECEIVE_TIMEOUT_US, ConnectionState, LocalResponse
 from harecross.http.body_buffer import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Upload, has_too_many_chunks
 from harecross.http.request_parser import MAX_HEAD_BYTES, MAX_HEADERS, BadRequestError, ParsedRequest
 from harecross.platform.clock import monotonic_us
@@ -55,7 +55,7 @@
             # After CONNECT or Upgrade the parser would take the body for another protocol's bytes.
             raise BadRequestError(400)
         version = self.parser.get_http_version()
-        self.owner.reader.check_framing(version, self.headers)
+        self.owner.request_parser.check_framing(version, self.headers)
         length = None
         for name, value in self.headers:
             lower_name = name.lower()
@@ -132,7 +132,7 @@
         if self.incoming_upload is not None:
             self.upload_complete(self.incoming_upload)
         elif self.url == HEALTH_CHECK_PATH and self.parser.get_method() == b"GET":
-            self.pending.append(self.health_check_answer())
+            self.pending.append(self.health_check_response())
         else:
             self.pending.append(self.parsed_request())
             if len(self.pending) > MAX_PENDING_REQUESTS:
@@ -145,19 +145,19 @@
         self.incoming_upload = None
         upload.finish()
         if self.current_upload is upload and self.request is not None:
-            self.owner.dispatcher.body_received(self.request, self.unread_for_us)
+            self.owner.dispatcher.body_received(self.request, self.last_read_delay_us)
         elif self.current_upload is not upload and upload.discarded and self.is_idle():
             self.owner.mark_idle(self)  # answered before all of it had come
 
-    def health_check_answer(self) -> LocalAnswer:
+    def health_check_response(self) -> LocalResponse:
         """200 for a node that wants clients: it does not shut down, and may send requests by its endpoint list."""
         healthy = not self.owner.health_check_failing and self.owner.dispatcher.may_send()
-        return LocalAnswer(200 if healthy else 503, keep_alive=True)
+        return LocalResponse(200 if healthy else 503, keep_alive=True)
 
     def parsed_request(self, upload: Upload | None = None) -> ParsedRequest:
         """The request that was received, with its body or an upload. BadRequest if it cannot be forwarded."""
         assert self.parser is not None
-        return self.owner.reader.parse(
+        return self.owner.request_parser.parse(
             self.parser.get_method(),
             self.url,
             self.headers,
@@ -166,5 +166,5 @@
             received_us=monotonic_us(),
             upload=upload,
             accepts_chunked=self.parser.get_http_version() == "1.1",
-            unread_us=self.unread_for_us,
+            unread_us=self.last_read_delay_us,
         )
--- a/harecross/downstream/response_sender.py
+++ b/harecross/downstream/response_sender.py
@@ -33,10 +33,10 @@
 
     def finish_response(self, body: bytes) -> None:
         """The server's whole response, or the end of a large one."""
-        if self.pause_response is None:
+        if self.set_response_paused is None:
             self.send_response(200, body)
             return
-        self.pause_response = None
+        self.set_response_paused = None
         if self.transport is not None:
             if self.response_chunked:
                 self.transport.write(b"0\r\n\r\n")
@@ -48,17 +48,17 @@
 
     def send_failure(self) -> None:
         """There is no response. One that has begun ends with a reset, the only end that no client takes for whole."""
-        if self.pause_response is None:
+        if self.set_response_paused is None:
             self.send_response(502, b"")
         elif self.transport is not None:
-            self.pause_response = None
+            self.set_response_paused = None
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.abort(CloseReason.RESPONSE_BROKEN_OFF)
 
     def begin_response(self, length: int | None, hold: Callable[[bool], None]) -> None:
         """Sends the head of a large response. `hold` stops the server's side, or lets it go on."""
-        self.pause_response = hold
+        self.set_response_paused = hold
         if self.transport is None:
             return
         if length is None and not self.response_chunked:
--- a/harecross/follow/attempt_log.py
+++ b/harecross/follow/attempt_log.py
@@ -19,7 +19,7 @@
 from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
 from harecross.interface import EndpointUpdateKind, FinalReason, Outcome
 
-EVENT_MARK = (
+EVENT_PREFIX = (
     "attempt "  # before the object: a log may hold other lines, and what collects it may put times first
 )
 FLUSHED_EVENTS = frozenset(("start", "list", "process", "final"))
@@ -64,12 +64,12 @@
             "request.id": request_id,
             **fields,
         }
-        self.stream.write(f"{EVENT_MARK}{json.dumps(line, separators=(',', ':'))}\n")
+        self.stream.write(f"{EVENT_PREFIX}{json.dumps(line, separators=(',', ':'))}\n")
         self.unflushed += 1
         if self.unflushed >= MAX_UNFLUSHED_LINES or event in FLUSHED_EVENTS:
             self.flush()
 
-    def write_of(self, request: DispatchedRequest, event: str, /, **fields: object) -> None:
+    def write_request_event(self, request: DispatchedRequest, event: str, /, **fields: object) -> None:
         """Writes one line of a request's."""
         self.write(event, request.parsed.request_id.decode("latin-1"), **fields)
 
@@ -87,32 +87,32 @@
             "time_left": request.deadline_us - now,
             "url.path": request.parsed.head.split(b" ", 2)[1].decode("latin-1"),
         }
-        self.write_of(request, "taken", **fields)
+        self.write_request_event(request, "taken", **fields)
 
     def attempt_sent(self, attempt: UpstreamAttempt) -> None:
         """See `RequestTracer`. Of a retry, with the outcome of the attempt before it."""
         outcome = attempt.request.last_outcome
         fields = {} if outcome is None else {"retry.cause": outcome.name.lower()}
-        self.write_of(attempt.request, "sent", **self.attempt_fields(attempt), **fields)
+        self.write_request_event(attempt.request, "sent", **self.attempt_fields(attempt), **fields)
 
     def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
         """See `RequestTracer`."""
         fields = self.attempt_fields(attempt)
-        self.write_of(attempt.request, "written", **fields, fresh=fresh, whole=whole)
+        self.write_request_event(attempt.request, "written", **fields, fresh=fresh, whole=whole)
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
         """See `RequestTracer`. A load report's figures are in the order of the settings."""
         fields: dict[str, object] = {} if outcome == Outcome.OK else {"error.type": outcome.name.lower()}
         if report:
             fields["server.load"] = list(report)
-        self.write_of(attempt.request, "ended", **self.attempt_fields(attempt), **fields)
+        self.write_request_event(attempt.request, "ended", **self.attempt_fields(attempt), **fields)
 
     def request_answered(
         self, request: DispatchedRequest, answer: FinalAnswer, reason: FinalReason | None = None
     ) -> None:
         """See `RequestTracer`."""
         fields = {} if reason is None else {"reason": reason.value}
-        self.write_of(request, "final", answer=answer.value, **fields)
+        self.write_request_event(request, "final", answer=answer.value, **fields)
 
     def connection_closed(self, closed: ClosedConnection) -> None:
         """See `RequestTracer`."""
--- a/harecross/follow/cli.py
+++ b/harecross/follow/cli.py
@@ -38,14 +38,14 @@
     ] = None,
 ) -> None:
     """A request's way through all nodes and tiers, in order. 1 where some have ended badly, 2 for bad input."""
-    idempotency = dict(class_idempotency(text) for text in effect or [])
+    idempotency = dict(parse_class_idempotency(text) for text in effect or [])
     if ended_badly and leaving:
         exit_with_error("follow: one of --ended-badly and --leaving")
     listing = ended_badly or leaving
     paths = [Path(word) for word in (words if listing else words[1:])]
     if not paths:
         exit_with_error("follow: no log is named" if listing else "follow: an id and at least one log")
-    logs = read_or_stop(paths)
+    logs = read_logs_or_exit(paths)
     if leaving:
         list_late_sends(logs)
     elif ended_badly:
@@ -54,7 +54,7 @@
         show_request(logs, words[0], len(paths))
 
 
-def class_idempotency(text: str) -> tuple[str, Idempotency]:
+def parse_class_idempotency(text: str) -> tuple[str, Idempotency]:
     """Parses CLASS=WORD; ends the command for another text."""
     name, sign, word = text.partition("=")
     if not sign or word not in IDEMPOTENCY_BY_WORD:
@@ -62,7 +62,7 @@
     return name, IDEMPOTENCY_BY_WORD[word]
 
 
-def read_or_stop(paths: list[Path]) -> AttemptLogs:
+def read_logs_or_exit(paths: list[Path]) -> AttemptLogs:
     """Reads the logs and names their torn lines; ends the command if one cannot be read."""
     from harecross.follow.events import BadLogError
     from harecross.follow.logs import read_logs
@@ -71,7 +71,7 @@
         logs = read_logs(paths)
     except BadLogError as error:
         exit_with_error(str(error))
-    for line in logs.torn_lines:
+    for line in logs.truncated_lines:
         typer.echo(f"{line}: torn, passed over", err=True)
     return logs
 
@@ -133,7 +133,7 @@
 def show_request(logs: AttemptLogs, request_id: str, log_count: int) -> None:
     """Prints a request's way; ends the command if no log has it."""
     try:
-        request = logs.first_of(request_id)
+        request = logs.first_request(request_id)
     except KeyError:
         exit_with_error(f"follow: no request {request_id} in {log_count} logs")
     show_events(logs, request, request.events[0].time_ns, 0)
--- a/harecross/follow/events.py
+++ b/harecross/follow/events.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from harecross.follow.attempt_log import EVENT_MARK
+from harecross.follow.attempt_log import EVENT_PREFIX
 
 COMMON_FIELDS = ("timeUnixNano", "service.instance.id", "event.name", "request.id")
 INTEGER_FIELDS = ("time_left", "http.request.resend_count")
@@ -43,7 +43,7 @@
     """What one file holds."""
 
     events: list[Event]
-    torn_line: str  # file and number of a last line that is not complete; "" if there is none
+    truncated_line: str  # file and number of a last line that is not complete; "" if there is none
 
 
 def read_log_file(path: Path) -> LogFile:
@@ -51,25 +51,25 @@
     text = read_text(path)
     lines = text.splitlines()
     events: list[Event] = []
-    torn_line = ""
+    truncated_line = ""
     any_found = False
     for number, line in enumerate(lines, 1):
         last_and_unfinished = number == len(lines) and not text.endswith("\n")
-        start = line.find(EVENT_MARK + "{")
+        start = line.find(EVENT_PREFIX + "{")
         if start < 0:
             if last_and_unfinished and any_found:
-                torn_line = f"{path}: line {number}"
+                truncated_line = f"{path}: line {number}"
             continue
         any_found = True
         try:
-            events.append(parse_event(line[start + len(EVENT_MARK) :]))
+            events.append(parse_event(line[start + len(EVENT_PREFIX) :]))
         except (ValueError, KeyError, TypeError):
             if not last_and_unfinished:
                 raise BadLogError(f"{path}: line {number}: not an event of an attempt log") from None
-            torn_line = f"{path}: line {number}"
+            truncated_line = f"{path}: line {number}"
     if not any_found:
         raise BadLogError(f"{path}: no attempt log ([log] attempts in the operators' file writes one)")
-    return LogFile(events, torn_line)
+    return LogFile(events, truncated_line)
 
 
 def read_text(path: Path) -> str:
--- a/harecross/follow/logs.py
+++ b/harecross/follow/logs.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from harecross.follow.events import Event, read_log_file
-from harecross.follow.neighbours import learn_neighbours
 from harecross.follow.requests import LoggedAttempt, LoggedRequest
+from harecross.follow.sidecars import infer_sidecars
 
 
 class CallsBelow(NamedTuple):
@@ -27,11 +27,11 @@
     requests: dict[tuple[str, str], LoggedRequest] = field(default_factory=dict)  # by node and id
     by_id: dict[str, list[LoggedRequest]] = field(default_factory=lambda: defaultdict(list))
     node_events: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))  # no request's
-    torn_lines: list[str] = field(
+    truncated_lines: list[str] = field(
         default_factory=list
     )  # last lines that are not complete, by file and number
     end_ns: int = 0  # of the last event of a request
-    neighbours: dict[str, str] = field(default_factory=dict)  # the node beside a server
+    sidecars: dict[str, str] = field(default_factory=dict)  # the node beside a server
     by_node: dict[str, list[LoggedRequest]] = field(default_factory=dict)  # as they were admitted
 
     def add(self, event: Event) -> None:
@@ -55,9 +55,9 @@
         for requests in by_node.values():
             requests.sort(key=lambda request: request.admitted_ns)
         self.by_node = dict(by_node)
-        self.neighbours = learn_neighbours(self.requests.values(), self.end_ns)
+        self.sidecars = infer_sidecars(self.requests.values(), self.end_ns)
 
-    def first_of(self, request_id: str) -> LoggedRequest:
+    def first_request(self, request_id: str) -> LoggedRequest:
         """Returns the first request of that id. Raises KeyError if no log has one."""
         if request_id not in self.by_id:
             raise KeyError(request_id)
@@ -65,7 +65,7 @@
 
     def calls_below(self, request: LoggedRequest, attempt: LoggedAttempt) -> CallsBelow:
         """Returns the calls of the node beside the server, of the same class, while the server had the attempt."""
-        node = self.neighbours.get(attempt.server)
+        node = self.sidecars.get(attempt.server)
         if node is None or attempt.written_ns is None:
             return CallsBelow([], certain=True)
         begin, end = attempt.written_ns, self.end_ns if attempt.ended_ns is None else attempt.ended_ns
@@ -93,8 +93,8 @@
     for path in paths:
         file = read_log_file(path)
         events += file.events
-        if file.torn_line:
-            logs.torn_lines.append(file.torn_line)
+        if file.truncated_line:
+            logs.truncated_lines.append(file.truncated_line)
     events.sort(key=lambda event: event.time_ns)
     for event in events:
         logs.add(event)
--- a/harecross/follow/neighbours.py
+++ b/harecross/follow/sidecars.py
@@ -15,7 +15,9 @@
 
 MIN_CALLS = 3  # of a node
 MIN_COVERAGE = 0.8  # calls of a node for each attempt that a server answered
-MAX_FOREIGN_PART = 0.02  # of a node's calls that its server cannot have made: clocks differ, ends are missing
+MAX_UNEXPLAINED_SHARE = (
+    0.02  # of a node's calls that its server cannot have made: clocks differ, ends are missing
+)
 
 
 @dataclass(slots=True)
@@ -46,7 +48,7 @@
 NO_INTERVALS = Intervals()
 
 
-def foreign_part(attempts: IntervalsByClass, calls: IntervalsByClass) -> float | None:
+def unexplained_share(attempts: IntervalsByClass, calls: IntervalsByClass) -> float | None:
     """Returns the part of a node's calls that a server cannot have made: more were open than it had attempts.
 
     A server makes its calls one after another. None if the node made too few for what the server answered.
@@ -54,15 +56,15 @@
     count = sum(len(intervals.begins) for intervals in calls.values())
     if count < max(MIN_CALLS, MIN_COVERAGE * sum(intervals.succeeded for intervals in attempts.values())):
         return None
-    foreign = sum(
+    unexplained = sum(
         intervals.open_at(begin) > attempts.get(request_class, NO_INTERVALS).open_at(begin)
         for request_class, intervals in calls.items()
         for begin in intervals.begins
     )
-    return foreign / count
+    return unexplained / count
 
 
-def learn_neighbours(requests: Iterable[LoggedRequest], end_ns: int) -> dict[str, str]:
+def infer_sidecars(requests: Iterable[LoggedRequest], end_ns: int) -> dict[str, str]:
     """Returns the node beside each server for which that is clear; `end_ns`: the last time in the logs."""
     attempts: dict[str, dict[str, Intervals]] = defaultdict(lambda: defaultdict(Intervals))  # by server
     calls: dict[str, dict[str, Intervals]] = defaultdict(lambda: defaultdict(Intervals))  # by node
@@ -81,24 +83,24 @@
     for by_class in (*attempts.values(), *calls.values()):
         for intervals in by_class.values():
             intervals.sort()
-    neighbours = {}
+    sidecars = {}
     for server, by_class in attempts.items():
         candidates = {node: made for node, made in calls.items() if node not in senders[server]}
-        neighbour = clear_neighbour(by_class, candidates)
-        if neighbour is not None:
-            neighbours[server] = neighbour
-    return neighbours
+        sidecar = unambiguous_sidecar(by_class, candidates)
+        if sidecar is not None:
+            sidecars[server] = sidecar
+    return sidecars
 
 
-def clear_neighbour(attempts: IntervalsByClass, candidates: Mapping[str, IntervalsByClass]) -> str | None:
+def unambiguous_sidecar(attempts: IntervalsByClass, candidates: Mapping[str, IntervalsByClass]) -> str | None:
     """Returns the one node whose calls fit a server's attempts; None if none does, or another fits nearly as well."""
     parts = sorted(
         (part, node)
         for node, calls in candidates.items()
-        if (part := foreign_part(attempts, calls)) is not None
+        if (part := unexplained_share(attempts, calls)) is not None
     )
-    if not parts or parts[0][0] > MAX_FOREIGN_PART:
+    if not parts or parts[0][0] > MAX_UNEXPLAINED_SHARE:
         return None
-    if len(parts) > 1 and parts[1][0] <= 2 * MAX_FOREIGN_PART:
+    if len(parts) > 1 and parts[1][0] <= 2 * MAX_UNEXPLAINED_SHARE:
         return None
     return parts[0][1]
--- a/harecross/node/graceful_shutdown.py
+++ b/harecross/node/graceful_shutdown.py
@@ -80,7 +80,7 @@
         connections.close_idle()
         await asyncio.sleep(max(0.0, self.began_at + schedule.close_listener_s - self.loop.time()))
         await connections.drain_listener(
-            by=self.began_at + schedule.deadline_s, shared=self.options.inherited_listener is not None
+            deadline=self.began_at + schedule.deadline_s, shared=self.options.inherited_listener is not None
         )
 
     async def wait_for_open_requests(self) -> None:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -15,7 +15,7 @@
 from node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 from harecross.downstream.listener import Listener
-from harecross.downstream.read_delay import Heartbeat, ReadDelay, WaitingSocket
+from harecross.downstream.read_delay import Heartbeat, ReadDelay, UnreadInterval
 from harecross.platform.clock import monotonic_us
 from harecross.platform.system_errors import AcceptFailure
 from harecross.standins.cluster import NodeProcess
@@ -161,7 +161,7 @@
             taken = listener.accept()
             assert isinstance(taken, socket.socket)
             taken.close()
-            came.append(listener.came_after)
+            came.append(listener.earliest_arrival_us)
         assert before <= came[0] == came[1] == came[2], "since the first of them was taken"
         assert listener.accept() is AcceptFailure.NO_CONNECTION
         assert listener.waiting_since is None
@@ -201,15 +201,15 @@
 def test_the_delay_of_the_event_loop_limits_the_kernel_s_figure(held, kernel, waited):
     heartbeat = Heartbeat()
     heartbeat.due = 1_000_000
-    found = ReadDelay(heartbeat).of(1_000_000 + held * MS, Kernel(kernel))
+    found = ReadDelay(heartbeat).measure(1_000_000 + held * MS, Kernel(kernel))
     assert found == waited * MS
 
 
 def test_a_new_connection_with_a_request_has_waited_with_its_listener():
     heartbeat = Heartbeat()
     heartbeat.due = 10_000_000
-    delay = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
-    assert delay.of(1_005_000, Kernel(None)) == 405 * MS
-    assert delay.of(1_005_000, Kernel(None)) == 0, "only its first bytes"
-    late = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
-    assert late.of(1_500_000, Kernel(None)) == 0, "what comes later has not waited"
+    delay = ReadDelay(heartbeat, UnreadInterval(reading_since_us=1_000_000, earliest_arrival_us=600_000))
+    assert delay.measure(1_005_000, Kernel(None)) == 405 * MS
+    assert delay.measure(1_005_000, Kernel(None)) == 0, "only its first bytes"
+    late = ReadDelay(heartbeat, UnreadInterval(reading_since_us=1_000_000, earliest_arrival_us=600_000))
+    assert late.measure(1_500_000, Kernel(None)) == 0, "what comes later has not waited"
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -100,7 +100,7 @@
         beside += served_request_lines("n1", f"c{i}", 10.0 * i + 0.3, 0.4, "t1")
         other += served_request_lines("n2", f"d{i}", 10.0 * i + 5.3, 0.4, "t1")
     paths = write_logs(tmp_path, a=front, b=beside, c=other)
-    assert read_logs(paths).neighbours == {"s1": "n1", "s2": "n2"}
+    assert read_logs(paths).sidecars == {"s1": "n1", "s2": "n2"}
     out = run("f3", *paths).output
     assert "n1 c3 taken" in out
     assert "d3" not in out
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -16,12 +16,12 @@
 
 from harecross.admin_client.calls import CallResult, NodeStatus, ServerStatus, StatusFailure
 from harecross.admin_client.release import Release
-from harecross.admin_client.release_state import Action, ActionKind, Limits, Phase
+from harecross.admin_client.release_state import Action, ActionKind, Phase, ReleaseLimits
 from harecross.discovery.endpoint_status import IN_USE, OUT
 from harecross.node.config import config_from
 from harecross.node.node import Node
 
-LIMITS = Limits(drain_timeout_s=20, restart_timeout_s=20, warm_up_timeout_s=20)
+LIMITS = ReleaseLimits(drain_timeout_s=20, restart_timeout_s=20, warm_up_timeout_s=20)
 
 
 # ---- the machine, against a world that fails ---------------------------------------------------------------
@@ -116,7 +116,7 @@
                 self.late.discard((d.node, d.server))
                 self.out[d.node].add(d.server)
         out = set().union(*self.out.values())
-        failed = {s.id for s in self.release.servers if s.phase == Phase.LEFT_OUT}
+        failed = {s.id for s in self.release.servers if s.phase == Phase.LEFT_IN_MAINTENANCE}
         self.most_out = max(self.most_out, len(out - failed))
 
     def restart(self, server: str) -> None:
@@ -159,7 +159,9 @@
 
 
 def world(seed: int, batch: int, faults: float, restart_fails: float = 0.0, keep: float = 0.5) -> World:
-    limits = Limits(batch, keep, LIMITS.drain_timeout_s, LIMITS.restart_timeout_s, LIMITS.warm_up_timeout_s)
+    limits = ReleaseLimits(
+        batch, keep, LIMITS.drain_timeout_s, LIMITS.restart_timeout_s, LIMITS.warm_up_timeout_s
+    )
     release = Release(NAMES[:6], DOORS, limits)
     return World(release, Random(seed), faults, restart_fails, out={d: set() for d in DOORS})
 
@@ -171,7 +173,7 @@
         w.play([])
         r = w.release
         assert not r.stop_reason
-        assert not r.servers_out()
+        assert not r.servers_in_maintenance()
         assert not any(w.out.values())
         assert w.restarts == Counter(NAMES[:6])
         assert all(s.phase == Phase.DONE for s in r.servers)
@@ -186,7 +188,7 @@
         w = world(seed, rng.choice([1, 2, 3]), rng.choice([0.0005, 0.01, 0.05]), restart_fails)
         w.play(sorted(rng.uniform(0, 60) for _ in range(rng.choice([0, 0, 0, 1, 2]))))
         r = w.release
-        held = {(d, name) for name, doors in r.servers_out().items() for d in doors}
+        held = {(d, name) for name, doors in r.servers_in_maintenance().items() for d in doors}
         unnamed = {(d, name) for d, names in w.out.items() for name in names} - held
         # What a second Ctrl-C cuts off may still be under way: it is named all the same.
         assert not unnamed, (seed, unnamed)
@@ -198,7 +200,7 @@
         if r.interrupts < 2:
             assert not w.running
             assert not r.running_restarts()
-            left = {s.id for s in r.servers if s.phase == Phase.LEFT_OUT}
+            left = {s.id for s in r.servers if s.phase == Phase.LEFT_IN_MAINTENANCE}
             assert {name for _, name in held} <= left
             if not (restart_fails or w.seen["door dies"] or w.seen["restart hangs"]):
                 assert not held, (seed, held)
@@ -215,12 +217,12 @@
         ("s0", 1.0, "", "8 servers are in use and 8 must stay"),
     ):
         w = world(1, 1, 0, keep=keep)
-        w.release = Release([name], DOORS, Limits(min_in_use=keep))
+        w.release = Release([name], DOORS, ReleaseLimits(min_in_use=keep))
         w.out["b:1"] = {out} - {""}
         w.play([])
         assert why in w.release.stop_reason
         assert not w.restarts
-        assert not w.release.servers_out()
+        assert not w.release.servers_in_maintenance()
 
 
 # ---- the command, against real nodes -------------------------------------------------------------------------
--- a/tests/test_neighbours.py
+++ b/tests/test_sidecars.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from harecross.follow.neighbours import Intervals, clear_neighbour, foreign_part, learn_neighbours
 from harecross.follow.requests import LoggedAttempt, LoggedRequest
+from harecross.follow.sidecars import Intervals, infer_sidecars, unambiguous_sidecar, unexplained_share
 
 SECOND = 1_000_000_000
 
@@ -32,21 +32,21 @@
 
 
 def test_calls_outside_the_attempts_are_foreign():
-    assert foreign_part(intervals(0, 10, 20, 30), intervals(0, 10, 20, 35)) == 0.25
+    assert unexplained_share(intervals(0, 10, 20, 30), intervals(0, 10, 20, 35)) == 0.25
 
 
 def test_too_few_calls_say_nothing():
-    assert foreign_part(intervals(0, 10, 20, 30), intervals(0, 10)) is None
+    assert unexplained_share(intervals(0, 10, 20, 30), intervals(0, 10)) is None
 
 
 def test_a_node_that_sends_to_a_server_is_not_beside_it():
     requests = [request("front", 10.0 * i, "s1", took_s=1.0) for i in range(5)]
     requests += [request("beside", 10.0 * i + 0.2) for i in range(5)]
-    assert learn_neighbours(requests, 100 * SECOND) == {"s1": "beside"}
+    assert infer_sidecars(requests, 100 * SECOND) == {"s1": "beside"}
 
 
 def test_no_neighbour_is_clear_where_two_fit():
     attempts = intervals(0, 10, 20)
-    assert clear_neighbour(attempts, {"a": intervals(0, 10, 20)}) == "a"
-    assert clear_neighbour(attempts, {"a": intervals(0, 10, 20), "b": intervals(0, 10, 20)}) is None
-    assert clear_neighbour(attempts, {"c": intervals(5, 15, 25)}) is None
+    assert unambiguous_sidecar(attempts, {"a": intervals(0, 10, 20)}) == "a"
+    assert unambiguous_sidecar(attempts, {"a": intervals(0, 10, 20), "b": intervals(0, 10, 20)}) is None
+    assert unambiguous_sidecar(attempts, {"c": intervals(5, 15, 25)}) is None
