--- a/harecross/downstream/__init__.py
+++ b/harecross/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections from clients: the listener, request reading, uploads and answers."""
+"""Connections from clients: the listener, request reading, uploads and responses."""
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a client: its events, the order of its requests, and its end."""
+"""One client connection: its event loop callbacks, the order in which its requests are handled, and its close."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 from harecross.platform.log import log_exception
 from harecross.platform.peer_state import is_quiet, peer_has_closed
 
-MAX_DISCARDED_BYTES = 1 << 18  # read after the input was closed; then reading is paused
+# The number of bytes that are read and discarded after the input was closed. Reading is paused beyond it.
+MAX_DISCARDED_BYTES = 1 << 18
 
 
 class ClientConnection(RequestReceiver, ResponseSender):
-    """One connection from a client. One request at a time is handled; those that come early are pending."""
+    """One client connection. Handles one request at a time; pipelined requests are queued in `pending`."""
 
     __slots__ = ()
 
     # ---- asyncio --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop once the connection is set up."""
+        """Called by the event loop when the connection is established."""
         self.transport = cast(asyncio.Transport, transport)
         self.sock = transport.get_extra_info("socket")
         self.descriptor = transport.get_extra_info("socket").fileno()
@@ -36,7 +37,7 @@
         self.owner.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop once the connection is closed."""
+        """Called by the event loop when the connection is closed."""
         self.owner.connection_closed(self)
         self.transport = self.parser = None
         self.pending.clear()
@@ -51,7 +52,7 @@
             self.owner.dispatcher.client_disconnected(request)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what has come, and handles the requests that are complete."""
+        """Parses received data and handles the requests that are complete."""
         if self.parser is None or self.transport is None:
             return
         if self.input_closed:
@@ -61,7 +62,7 @@
         try:
             self.parser.feed_data(data)
         except HttpParserError as error:
-            # An exception of a callback is the context of the parser's own.
+            # An exception raised in a callback is the context of the parser's exception.
             inner = error.__context__
             self.reject_input(inner.status if isinstance(inner, BadRequestError) else 400)
         except BadRequestError as error:
@@ -73,7 +74,7 @@
         self.pause_reading_if_behind()
 
     def pause_writing(self) -> None:
-        """The client does not read: a large response is paused, smaller ones wait."""
+        """Called when the write buffer is full: pauses a streamed response and holds back further responses."""
         self.write_blocked = True
         if self.set_response_paused is not None:
             self.set_response_paused(True)
@@ -82,7 +83,7 @@
             self.owner.mark_receiving(self)
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Called when the client has read enough: resumes a streamed response or handles pending requests."""
         self.write_blocked = False
         self.owner.unmark_slow_reader(self)
         if self.set_response_paused is not None:
@@ -98,14 +99,14 @@
     # ---- input ----------------------------------------------------------------------------------------
 
     def discard(self, size: int, transport: asyncio.Transport) -> None:
-        """Ignores bytes that come after the input was closed, up to a bound."""
+        """Discards data received after the input was closed; pauses reading beyond `MAX_DISCARDED_BYTES`."""
         self.discarded_bytes += size
         if self.discarded_bytes > MAX_DISCARDED_BYTES and not self.reading_paused:
             self.reading_paused = True
             transport.pause_reading()
 
     def limit_unparsed_head(self, size: int) -> None:
-        """Bounds the bytes of a head that the parser keeps without a callback."""
+        """Rejects a head of which the parser buffers too many bytes without calling back."""
         self.last_data_us = monotonic_us()
         starts = self.unparsed_head_bytes < 0 or self.head_complete
         self.unparsed_head_bytes = 0 if starts else self.unparsed_head_bytes + size
@@ -113,33 +114,37 @@
             self.reject_input(431)
 
     def pause_reading_if_behind(self) -> None:
-        """Stops reading while a request is pending, or while a server has not taken enough of an upload."""
+        """Pauses reading while a request is pending or while the buffer of an upload to a server is full."""
         if self.reading_paused or self.input_closed or self.transport is None:
             return
         if self.incoming_upload is not None and self.incoming_upload.full:
             self.waited_for_server = True
-            self.owner.unmark(self)  # the client is not late while it is not read
+            # No receive timeout runs for a client while nothing is read from it.
+            self.owner.unmark(self)
         elif not self.pending:
             return
         self.reading_paused, self.paused_at_us = True, monotonic_us()
         self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Reads again; what has come since the pause has waited."""
+        """Resumes reading; data that arrived during the pause counts as delayed since the pause began."""
         if self.transport is not None:
             self.reading_paused = False
             self.read_delay.unread_interval = UnreadInterval(monotonic_us(), self.paused_at_us)
             self.transport.resume_reading()
 
     def reject_input(self, status: int) -> None:
-        """Closes the input with this status: where a message ends is lost, or the rest is not wanted."""
+        """Stops handling input and answers with this status.
+
+        Used when the end of a message can no longer be determined, or when the rest of it is not wanted.
+        """
         self.input_closed = True
         self.receiving = False
         self.owner.unmark(self)
         self.owner.count_bad_request(status)
         upload, self.incoming_upload = self.incoming_upload, None
         if upload is not None and upload is self.current_upload:
-            # The request never becomes whole, so it counts as not received.
+            # The request will never be complete, so it counts as not received.
             request, self.request = self.request, None
             self.busy = False
             if request is not None:
@@ -152,7 +157,7 @@
     # ---- requests -------------------------------------------------------------------------------------
 
     def handle_pending(self) -> None:
-        """Handles pending requests, one after another."""
+        """Handles pending requests in order."""
         while self.pending and not self.busy and not self.write_blocked and self.transport is not None:
             item = self.pending.popleft()
             if isinstance(item, LocalResponse):
@@ -165,14 +170,14 @@
             self.dispatch(item)
 
     def dispatch(self, message: ParsedRequest) -> None:
-        """Hands a request to the dispatcher, which may answer it within this call."""
+        """Passes a request to the dispatcher, which may answer it during this call."""
         self.keep_alive = message.keep_alive
         self.busy = True
         self.current_upload = message.upload
         self.response_chunked = message.accepts_chunked
         dispatcher = self.owner.dispatcher
         if dispatcher.is_open(message.request_id):
-            # Servers would take it for a second copy of the other request.
+            # Servers would treat it as a duplicate of the request in flight.
             self.reject_conflict()
             return
         try:
@@ -189,46 +194,47 @@
                 self.upload_progressed()
 
     def reject_conflict(self) -> None:
-        """Answers a request whose id belongs to an open one."""
+        """Rejects a request that has the same id as a request in flight."""
         self.keep_alive = False
         self.owner.count_bad_request(409)
         self.send_response(409, b"")
 
     def is_connected(self) -> bool:
-        """Whether the client is still there.
+        """Returns whether the client is still connected.
 
-        The kernel is asked, because nothing is read while a request is pending and so no end is seen.
+        Asks the kernel, because reading is paused while a request is pending, so the event loop reports no disconnect.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         if not peer_has_closed(self.descriptor):
             return True
-        # The decision module may be asking: it must not be called within its own call.
+        # The caller may be the balancing policy, which is not reentrant: close in a later turn of the event loop.
         self.owner.loop.call_soon(self.close_abandoned)
         return False
 
-    # ---- the end --------------------------------------------------------------------------------------
+    # ---- closing --------------------------------------------------------------------------------------
 
     def close_abandoned(self) -> None:
-        """Closes a connection whose client has left; `connection_lost` tells the dispatcher."""
+        """Closes the connection of a client that has disconnected; `connection_lost` notifies the dispatcher."""
         if self.transport is None:
             return
         if self.request is None:
             self.close(CloseReason.CLIENT_DISCONNECTED)
         else:
-            self.abort(CloseReason.CLIENT_DISCONNECTED)  # unsent bytes must not delay `connection_lost`
+            # `close` would delay `connection_lost` until buffered bytes are sent.
+            self.abort(CloseReason.CLIENT_DISCONNECTED)
 
     def close(self, reason: CloseReason) -> None:
-        """Closes the connection once what was written has been sent."""
+        """Closes the connection after buffered data has been sent."""
         if self.transport is not None:
             self.close_reason = self.close_reason or reason
             self.transport.close()
 
     def close_after_response(self) -> None:
-        """Closes the connection after what was written.
+        """Closes the connection after buffered data has been sent.
 
-        What still comes is discarded for a while: closing with unread bytes resets the connection, and the response
-        would be lost.
+        If the client may still be sending, only the write side is shut down and received data is discarded for a while:
+        closing a socket with unread data resets the connection, and the client could lose the response.
         """
         assert self.transport is not None
         if self.close_reason is None:
@@ -245,15 +251,15 @@
             self.transport.close()
 
     def has_unread_data(self) -> bool:
-        """Whether bytes or an end have come that are not read yet, and can be."""
+        """Returns whether received data or an end of the stream is waiting to be read, and reading is possible."""
         if self.transport is None or self.transport.is_closing() or self.input_closed or self.reading_paused:
             return False
         return not is_quiet(self.descriptor)
 
     def close_if_nothing_unread(self, reason: CloseReason) -> bool:
-        """Closes a connection without open requests, unless unread data may be a request; returns whether it did.
+        """Closes the connection unless data is waiting to be read; returns whether it closed the connection.
 
-        A request that crosses the close was received as far as its client can know.
+        For a connection without open requests. Unread data may be a request, which its client may assume was received.
         """
         if self.transport is None or self.has_unread_data():
             return False
@@ -261,7 +267,7 @@
         return True
 
     def timed_out(self) -> None:
-        """The receive timeout is over."""
+        """Handles the end of the receive timeout."""
         if self.transport is None:
             return
         if self.receiving:
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -1,4 +1,4 @@
-"""All client connections: accepting, eviction where descriptors run out, and timeouts."""
+"""Manages all client connections: accepting, eviction when descriptors run out, and timeouts."""
 
 from __future__ import annotations
 
@@ -18,20 +18,25 @@
 from harecross.platform.system_errors import AcceptFailure
 
 IDLE_TIMEOUT_US = 5_000_000
-SLOW_READER_TIMEOUT_US = 10_000_000  # a client that reads nothing of a large response
-LINGER_TIMEOUT_US = 1_000_000  # for the close of a connection after its last response
-STANDBY_DRAIN_US = (
-    1_200_000  # after which a node in standby closes idle connections; none may be open after 4 s
-)
-EVICTION_GRACE_US = 200_000  # a connection that is silent or lingers is not evicted before
-STALLED_HEAD_US = 900_000  # nor one without new bytes of a head; slow clients send some every 0.8 s
-DESCRIPTOR_WAIT_US = 200_000  # connections wait in the backlog for a descriptor before they are refused
+# The time after which a connection is closed if its client reads nothing of a streamed response.
+SLOW_READER_TIMEOUT_US = 10_000_000
+# The time that a client has to close its side of a connection after the last response.
+LINGER_TIMEOUT_US = 1_000_000
+# The time after which a node in standby closes idle connections. No connection may be open after 4 s.
+STANDBY_DRAIN_US = 1_200_000
+# The minimum time for which a connection is silent or lingers before it may be evicted.
+EVICTION_GRACE_US = 200_000
+# The time without new bytes of a head after which a connection may be evicted. Slow clients send some every 0.8 s.
+STALLED_HEAD_US = 900_000
+# The time for which connections wait in the backlog for a descriptor before they are refused.
+DESCRIPTOR_WAIT_US = 200_000
 BACKLOG_RECHECK_S = 0.005
-MAX_ACCEPTS_PER_TURN = 16  # each takes a descriptor before it can be refused
+# The maximum number of connections accepted in one turn of the event loop. Each uses a descriptor until it is refused.
+MAX_ACCEPTS_PER_TURN = 16
 
 
 class BacklogState(Enum):
-    """What is left of the connections that had come."""
+    """The state of the listen backlog after accepting connections."""
 
     EMPTY = "no connection waits"
     MORE = "another connection may wait"
@@ -39,7 +44,7 @@
 
 
 def pop_added_before(group: dict[ConnectionState, int], time_us: int) -> list[ConnectionState]:
-    """Removes the connections that were added by that time; the group is in order of time."""
+    """Removes and returns the connections added up to `time_us`; the group is ordered by time."""
     old = []
     for connection, since in group.items():
         if since > time_us:
@@ -51,10 +56,22 @@
 
 
 class ConnectionManager:
-    """The listener and its connections. A `ConnectionOwner`.
-
-    `silent`, `receiving`, `idle`, `lingering` and `slow_readers` map connections to the time since when they are in
-    that state, in order of time, because all timeouts of one state are equal. A connection is in one of them at most.
+    """Manages the listener and its connections; implements `ConnectionOwner`.
+
+    `silent`, `receiving`, `idle`, `lingering` and `slow_readers` map connections to the time at which they entered that
+    state. They are ordered by time, because all connections in a state have the same timeout. A connection is in at
+    most one of them.
+
+    Attributes:
+        budget_full_since: Since when no descriptor is left for the next connection; None while one is left.
+        buffered_body_bytes: The number of body bytes buffered by all connections.
+        silent: Connections on which nothing has been received yet.
+        receiving: Connections that have sent a request in part, or whose client does not read a response.
+        idle: Connections between two requests.
+        lingering: Connections that have had their last response.
+        slow_readers: Connections whose clients read a streamed response more slowly than it arrives.
+        bad_requests: The number of client errors by status; 0 stands for connections closed because they sent nothing.
+        draining: Connections are closed after their responses.
     """
 
     def __init__(
@@ -69,21 +86,19 @@
         self.request_parser = request_parser
         self.descriptor_budget = descriptor_budget
         dispatcher.pool.on_descriptor_shortage = self.evict_one
-        self.budget_full_since: int | None = None  # no descriptor is left for the next connection
-        self.buffered_body_bytes = 0  # over all connections
+        self.budget_full_since: int | None = None
+        self.buffered_body_bytes = 0
         self.max_buffered_body_bytes = max_buffered_body_bytes
         self.open: set[ConnectionState] = set()
-        self.silent: dict[ConnectionState, int] = {}  # nothing has come yet
-        self.receiving: dict[
-            ConnectionState, int
-        ] = {}  # part of a request has come, or a response is not read
-        self.idle: dict[ConnectionState, int] = {}  # between two requests
-        self.lingering: dict[ConnectionState, int] = {}  # had the last response
-        self.slow_readers: dict[ConnectionState, int] = {}  # read a large response more slowly than it comes
-        self.bad_requests: dict[int, int] = {}  # by status; 0 for connections closed for silence
+        self.silent: dict[ConnectionState, int] = {}
+        self.receiving: dict[ConnectionState, int] = {}
+        self.idle: dict[ConnectionState, int] = {}
+        self.lingering: dict[ConnectionState, int] = {}
+        self.slow_readers: dict[ConnectionState, int] = {}
+        self.bad_requests: dict[int, int] = {}
         self.refused_connections = 0
         self.health_check_failing = False
-        self.draining = False  # connections are closed after their responses
+        self.draining = False
         self.in_standby = False
         self.standby_since = 0
         self.listener: Listener | None = None
@@ -92,7 +107,7 @@
     # ---- the listener ---------------------------------------------------------------------------------
 
     def listen(self, sock: socket.socket, backlog: int) -> None:
-        """Opens the listener; connections wait in its backlog until `start_accepting`."""
+        """Opens the listener; connections stay in its backlog until `start_accepting` is called."""
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             sock.listen(backlog)
         self.listener = Listener(
@@ -104,22 +119,22 @@
         )
 
     def start_accepting(self) -> None:
-        """Accepts connections from now on."""
+        """Starts accepting connections."""
         assert self.listener is not None
         self.heartbeat.start()
         self.listener.start()
 
     def accept(self) -> BacklogState:
-        """Accepts connections that have come; refuses those beyond the budget.
+        """Accepts connections from the backlog and refuses those beyond the descriptor budget.
 
-        The budget is kept so that clients that only open connections cannot take the descriptors that servers and other
-        clients need.
+        The budget keeps clients that only open connections from using the descriptors that connections to servers and
+        other clients need.
         """
         assert self.listener is not None
         for accepted in range(MAX_ACCEPTS_PER_TURN):
             fits = self.descriptor_budget.client_connection_fits()
             if not fits and accepted:
-                # Whether another one waits is not known: nothing is evicted for one that does not come.
+                # It is unknown whether another connection is waiting, so no connection is evicted for it yet.
                 return BacklogState.MORE
             fits = fits or self.evict_one()
             if fits:
@@ -141,7 +156,7 @@
         return BacklogState.MORE
 
     def leave_in_backlog(self) -> bool:
-        """Leaves connections in the backlog for a moment; False once they have waited long enough."""
+        """Pauses accepting; returns False if connections have waited for `DESCRIPTOR_WAIT_US` or the node drains."""
         now = monotonic_us()
         if self.budget_full_since is None:
             self.budget_full_since = now
@@ -151,20 +166,24 @@
         return True
 
     def refuse(self, connection: socket.socket) -> None:
-        """Closes a connection for which there is no descriptor."""
+        """Closes an accepted connection that exceeds the descriptor budget."""
         self.refused_connections += 1
         connection.close()
         self.dispatcher.connection_closed(ClosedConnection("client", "", CloseReason.DESCRIPTOR_SHORTAGE))
 
     def connection_setup_failed(self) -> None:
-        """An accepted connection could not be set up: its descriptor is free."""
+        """Returns the descriptor of an accepted connection that could not be set up to the budget."""
         self.descriptor_budget.client_connections -= 1
 
     async def drain_listener(self, deadline: float, *, shared: bool = False) -> None:
-        """Accepts what waits in the backlog, and closes the listener; `by` that time of the loop at the latest.
+        """Accepts the connections in the backlog and closes the listener.
+
+        Closing the listener resets the connections in its backlog, and a request already sent on one of them counts as
+        received.
 
-        Closing resets the connections in the backlog, and a request that was sent on one counts as received. Where
-        another process may have the socket too (`shared`), new connections are left to it.
+        Args:
+            deadline: The event loop time after which no further connections are accepted.
+            shared: Another process may have the same listening socket; new connections are left to it.
         """
         assert self.listener is not None
         self.listener.stop()
@@ -175,14 +194,14 @@
         await self.listener.close()
 
     async def accept_until_empty(self, deadline: float) -> None:
-        """Accepts connections until none waits, or until that time of the loop."""
+        """Accepts connections until the backlog is empty, or until `deadline` in event loop time."""
         assert self.listener is not None
         while (backlog := self.accept()) is not BacklogState.EMPTY and self.loop.time() < deadline:
             self.listener.stop()
             await asyncio.sleep(0 if backlog is BacklogState.MORE else BACKLOG_RECHECK_S)
 
     async def close_listener_at_once(self) -> None:
-        """Accepts nothing more: what waits in the backlog is for the process that shares the socket."""
+        """Stops accepting immediately; connections in the backlog are left to the process that shares the socket."""
         assert self.listener is not None
         self.draining = True
         await self.listener.close()
@@ -190,18 +209,18 @@
     # ---- standby --------------------------------------------------------------------------------------
 
     def enter_standby(self) -> None:
-        """Sends clients away: the health check fails and each response closes its connection.
+        """Enters standby: health checks fail, and connections are closed after their responses.
 
-        Idle connections are closed once clients have had time to notice.
+        Idle connections are closed after `STANDBY_DRAIN_US`, when clients have had time to notice.
         """
         self.set_standby(standby=True)
 
     def leave_standby(self) -> None:
-        """Accepts clients again."""
+        """Leaves standby: health checks pass, and connections are kept open."""
         self.set_standby(standby=False)
 
     def set_standby(self, *, standby: bool) -> None:
-        """Sets all that standby changes."""
+        """Sets every attribute that standby affects."""
         self.in_standby = self.health_check_failing = self.draining = standby
         self.standby_since = monotonic_us()
 
@@ -210,7 +229,8 @@
     def evict_one(self) -> bool:
         """Closes a connection without an open request to free a descriptor; returns whether there was one.
 
-        Connections that end or were silent go first, then idle ones of clients, of servers, and stalled heads.
+        Lingering and silent connections are evicted first, then idle client connections, idle connections to servers,
+        and finally client connections with a stalled head.
         """
         for group, grace in (
             (self.lingering, EVICTION_GRACE_US),
@@ -232,7 +252,7 @@
         return True
 
     def longest_stalled_head(self) -> ConnectionState | None:
-        """The connection that has waited longest for the rest of a head."""
+        """Returns the connection that has waited longest for the rest of a head, beyond `STALLED_HEAD_US`."""
         before = monotonic_us() - STALLED_HEAD_US
         stalled = (
             c for c in self.receiving if c.receiving and not c.head_complete and c.last_data_us < before
@@ -240,7 +260,7 @@
         return min(stalled, key=lambda c: c.last_data_us, default=None)
 
     def evict(self, connection: ConnectionState) -> None:
-        """Closes a connection at once. It counts as closed, though its descriptor is free only a moment later."""
+        """Closes a connection immediately and treats it as closed, although its descriptor is freed slightly later."""
         self.unmark(connection)
         self.lingering.pop(connection, None)
         connection.abort(CloseReason.DESCRIPTOR_SHORTAGE)
@@ -248,12 +268,12 @@
     # ---- states of connections ------------------------------------------------------------------------
 
     def connection_opened(self, connection: ConnectionState) -> None:
-        """The connection is set up; it is silent until its first byte."""
+        """Adds a connection that was set up; it is silent until its first byte."""
         self.open.add(connection)
         self.silent[connection] = monotonic_us()
 
     def connection_closed(self, connection: ConnectionState) -> None:
-        """The connection is closed."""
+        """Removes a connection that was closed."""
         self.open.discard(connection)
         self.descriptor_budget.client_connections -= 1
         self.unmark(connection)
@@ -261,7 +281,7 @@
         self.slow_readers.pop(connection, None)
 
     def count_bad_request(self, status: int) -> None:
-        """Counts an error of a client by its status; 0 for a connection closed for silence."""
+        """Counts a client error by its status; 0 stands for a connection closed because it sent nothing."""
         self.bad_requests[status] = self.bad_requests.get(status, 0) + 1
 
     def mark_receiving(self, connection: ConnectionState) -> None:
@@ -280,7 +300,7 @@
         self.slow_readers[connection] = monotonic_us()
 
     def mark_lingering(self, connection: ConnectionState) -> None:
-        """Starts the timeout for the end of a connection that had its last response."""
+        """Starts the timeout for closing a connection after its last response."""
         self.unmark(connection)
         self.lingering[connection] = monotonic_us()
 
@@ -296,7 +316,7 @@
     # ---- timeouts -------------------------------------------------------------------------------------
 
     def sweep(self) -> None:
-        """Ends what has taken longer than its timeout."""
+        """Closes connections whose timeouts have expired."""
         now = monotonic_us()
         standby_drained = self.in_standby and now > self.standby_since + STANDBY_DRAIN_US
         self.sweep_receiving(
@@ -315,7 +335,7 @@
                 connection.abort(CloseReason.RESPONSE_NOT_READ)
 
     def sweep_receiving(self, group: dict[ConnectionState, int], now: int, timeout: int) -> None:
-        """Ends connections that have sent nothing for too long, unless something lies unread."""
+        """Times out connections that have sent nothing for too long, unless data is waiting to be read."""
         for connection in pop_added_before(group, now - timeout):
             if connection.has_unread_data():
                 group[connection] = now
@@ -323,15 +343,15 @@
                 connection.timed_out()
 
     def close_idle(self) -> None:
-        """Closes idle connections; silent ones stay, because a request may be on its way."""
+        """Closes idle connections; silent ones are kept, because a request may be on its way."""
         for connection in list(self.idle):
             connection.close_if_nothing_unread(CloseReason.SHUTDOWN)
 
     def close_all(self) -> None:
-        """Closes all connections once what was written has been sent."""
+        """Closes all connections after buffered data has been sent."""
         for connection in list(self.open):
             connection.close(CloseReason.SHUTDOWN)
 
     def has_open_requests(self) -> bool:
-        """Whether a request that was received, or lies unread, has no response yet."""
+        """Returns whether a request that was received, or is waiting to be read, has no response yet."""
         return any(c.busy or c.pending or c.has_unread_data() for c in self.open)
--- a/harecross/downstream/connection_state.py
+++ b/harecross/downstream/connection_state.py
@@ -1,4 +1,4 @@
-"""The state of one client connection, which its parts share, and what the connection needs of its manager."""
+"""The state of one client connection, shared by its mixin classes, and the interface to the connection manager."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 from harecross.http.body_buffer import Upload
 from harecross.http.request_parser import ParsedRequest, RequestParser
 
-# For each of: connecting to the first byte of a message, that to the end of its head, two parts of a body.
+# The timeout for each of: the first byte of a message after connecting, the end of the head after that, and the next
+# part of a body.
 RECEIVE_TIMEOUT_US = 2_500_000
 
 
 class LocalResponse(NamedTuple):
-    """An answer that the node gives by itself, without the dispatcher."""
+    """A response that the node sends itself, without the dispatcher."""
 
     status: int
     keep_alive: bool = False
 
 
 class ConnectionOwner(Protocol):
-    """The manager of all client connections, as one connection sees it.
+    """The interface of the connection manager that a client connection uses.
 
-    A connection is in one of the states silent, receiving, idle, lingering and slow reader at most; each has a timeout.
+    A connection is in at most one of the states silent, receiving, idle, lingering and slow reader. Each has a timeout.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -44,13 +45,13 @@
     draining: bool
 
     def connection_opened(self, connection: ConnectionState) -> None:
-        """The connection is set up; it is silent until its first byte."""
+        """Adds a connection that was set up; it is silent until its first byte."""
 
     def connection_closed(self, connection: ConnectionState) -> None:
-        """The connection is closed."""
+        """Removes a connection that was closed."""
 
     def count_bad_request(self, status: int) -> None:
-        """Counts an error of a client by its status; 0 for a connection closed for silence."""
+        """Counts a client error by its status; 0 stands for a connection closed because it sent nothing."""
 
     def mark_receiving(self, connection: ConnectionState) -> None:
         """Starts the receive timeout."""
@@ -62,7 +63,7 @@
         """Starts the timeout for a client that does not read its response."""
 
     def mark_lingering(self, connection: ConnectionState) -> None:
-        """Starts the timeout for the end of a connection that had its last response."""
+        """Starts the timeout for closing a connection after its last response."""
 
     def unmark(self, connection: ConnectionState) -> None:
         """Stops the timeouts of a silent, receiving or idle connection."""
@@ -72,7 +73,30 @@
 
 
 class ConnectionState(asyncio.Protocol):
-    """The attributes of one connection. One request at a time is handled; those that come early are pending."""
+    """The attributes of one client connection.
+
+    The connection handles one request at a time; pipelined requests are queued in `pending`.
+
+    Attributes:
+        last_read_delay_us: How long the data read last may have waited in the kernel, in microseconds.
+        pending: Requests and local responses that are handled after the current request.
+        busy: A request is being handled.
+        keep_alive: Whether the client keeps the connection after the current request, or the last one.
+        input_closed: No further request is parsed.
+        write_blocked: The client does not read what was sent, so the write buffer is full.
+        buffered_bytes: The number of body bytes that this connection buffers.
+        discarded_bytes: The number of bytes received after the input was closed.
+        close_reason: Why this side has closed the connection; None while it has not.
+        receiving: A request has been received in part.
+        unparsed_head_bytes: The number of head bytes buffered inside the parser. It is -1 until the read after the
+            one that began the message, which is not counted.
+        waited_for_server: Reading was paused until a server had consumed more of the body.
+        expects_continue: The client waits for `100 Continue` before it sends the body.
+        incoming_upload: The large body that is being received.
+        current_upload: The large body of the request that is being handled.
+        set_response_paused: Pauses or resumes the server's side of a streamed response; None without one.
+        response_closes: The connection is closed after the current response.
+    """
 
     __slots__ = (
         "owner",
@@ -93,7 +117,7 @@
         "buffered_bytes",
         "discarded_bytes",
         "close_reason",
-        # The request that is being received.
+        # State of the request that is being received:
         "receiving",
         "url",
         "headers",
@@ -108,7 +132,7 @@
         "waited_for_server",
         "expects_continue",
         "incoming_upload",
-        # The request that is being handled, and its response.
+        # State of the request that is being handled, and of its response:
         "current_upload",
         "set_response_paused",
         "response_chunked",
@@ -116,94 +140,92 @@
     )
 
     def __init__(self, owner: ConnectionOwner, unread_interval: UnreadInterval | None = None) -> None:
-        """`unread_interval`: since when the connection's first bytes may have waited."""
+        """`unread_interval` tells since when the first bytes of the connection may have been waiting."""
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.sock: TcpInfoSocket | None = None
         self.descriptor = -1
         self.parser: HttpRequestParser | None = None
         self.read_delay = ReadDelay(owner.heartbeat, unread_interval)
-        self.last_read_delay_us = 0  # how long the bytes read last may have waited
+        self.last_read_delay_us = 0
         self.request: DispatchedRequest | None = None
         self.pending: deque[ParsedRequest | LocalResponse] = deque()
-        self.busy = False  # a request is being handled
-        self.keep_alive = True  # of the request that is handled or was handled last
-        self.input_closed = False  # no further request is read
+        self.busy = False
+        self.keep_alive = True
+        self.input_closed = False
         self.reading_paused = False
         self.paused_at_us = 0
-        self.write_blocked = False  # the client does not read what it is sent
-        self.buffered_bytes = 0  # of bodies
-        self.discarded_bytes = 0  # received after the input was closed
-        self.close_reason: CloseReason | None = None  # why this side has closed the connection
-        self.incoming_upload: Upload | None = None  # the large body that is being received
-        self.current_upload: Upload | None = None  # the one of the request that is being handled
-        self.set_response_paused: Callable[[bool], None] | None = None  # set while a large response passes
+        self.write_blocked = False
+        self.buffered_bytes = 0
+        self.discarded_bytes = 0
+        self.close_reason: CloseReason | None = None
+        self.incoming_upload: Upload | None = None
+        self.current_upload: Upload | None = None
+        self.set_response_paused: Callable[[bool], None] | None = None
         self.response_chunked = False
-        self.response_closes = False  # the connection is closed after the response
-        self.receiving = False  # part of a request has come
+        self.response_closes = False
+        self.receiving = False
         self.reset_message()
 
     def reset_message(self) -> None:
-        """Prepares for the next request."""
+        """Resets the state of the request that is being received."""
         self.url = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
         self.head_size = 0
         self.head_complete = False
-        self.unparsed_head_bytes = (
-            -1
-        )  # kept inside the parser; -1: the read that began the message is not counted
+        self.unparsed_head_bytes = -1
         self.chunk_count = 0
         self.body_size = 0
         self.message_began_us = self.last_data_us = 0
-        self.waited_for_server = False  # reading was paused until a server had taken of the body
-        self.expects_continue = False  # the client waits for 100 Continue
+        self.waited_for_server = False
+        self.expects_continue = False
 
     def buffer_bytes(self, size: int) -> None:
-        """Counts bytes of bodies that this connection buffers; negative for bytes it no longer does."""
+        """Adds to the number of body bytes that this connection buffers; a negative `size` releases bytes."""
         self.buffered_bytes += size
         self.owner.buffered_body_bytes += size
 
     def is_idle(self) -> bool:
-        """Whether no request is received, pending or handled."""
+        """Returns whether no request is being received, pending or being handled, and no response is unread."""
         return not (self.busy or self.pending or self.receiving or self.input_closed or self.write_blocked)
 
     def abort(self, reason: CloseReason) -> None:
-        """Closes the connection at once; what has not been sent is dropped."""
+        """Closes the connection immediately and drops unsent data."""
         if self.transport is not None:
             self.close_reason = self.close_reason or reason
             self.transport.abort()
 
     def send_continue(self) -> None:
-        """Tells a client that waits for it to send its body, once the response to it is the next one."""
+        """Sends `100 Continue` to a client that expects it, once no earlier request is unanswered."""
         if self.expects_continue and not self.busy and not self.pending and self.transport is not None:
             self.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     @abstractmethod
     def handle_pending(self) -> None:
-        """Handles pending requests, one after another."""
+        """Handles pending requests in order."""
 
     @abstractmethod
     def resume_reading(self) -> None:
-        """Reads again after a pause."""
+        """Resumes reading after a pause."""
 
     @abstractmethod
     def close_after_response(self) -> None:
-        """Closes the connection after what was written."""
+        """Closes the connection after buffered data has been sent."""
 
     @abstractmethod
     def has_unread_data(self) -> bool:
-        """Whether bytes or an end have come that are not read yet, and can be."""
+        """Returns whether received data or an end of the stream is waiting to be read, and reading is possible."""
 
     @abstractmethod
     def close(self, reason: CloseReason) -> None:
-        """Closes the connection once what was written has been sent."""
+        """Closes the connection after buffered data has been sent."""
 
     @abstractmethod
     def close_if_nothing_unread(self, reason: CloseReason) -> bool:
-        """Closes a connection without open requests, unless unread data may be one; returns whether it did."""
+        """Closes the connection unless data is waiting to be read; returns whether it closed the connection."""
 
     @abstractmethod
     def timed_out(self) -> None:
-        """The receive timeout is over."""
+        """Handles the end of the receive timeout."""
--- a/harecross/downstream/read_delay.py
+++ b/harecross/downstream/read_delay.py
@@ -1,10 +1,11 @@
-"""How long a request may have lain unread before the node read it.
+"""Estimates how long a request may have waited in the kernel before the node read it.
 
-A client's time counts from the last byte that it sent. A node whose event loop was late, or that did not watch its
-listener for a moment, reads that byte late, and would forward too much as the time left.
+A client's timeout counts from the last byte that it sent. A node whose event loop lags, or that did not watch its
+listener or socket for a while, reads that byte late. Without a correction it would forward too long a timeout.
 
-The delay is bounded by how late the event loop is and by how long the listener was not watched. Where that bound is
-at least `MIN_DELAY_US` the kernel is asked when the last bytes came (TCP_INFO, tcp(7)), which can only lower it.
+The delay is bounded by the lag of the event loop and by how long the socket was not watched. If that bound is at least
+`MIN_DELAY_US`, the kernel is asked when it received the last bytes (TCP_INFO, see tcp(7)), which can only lower the
+bound.
 """
 
 from __future__ import annotations
@@ -18,19 +19,23 @@
 
 HEARTBEAT_INTERVAL_S = 0.025
 LATE_HEARTBEAT_US = 10_000
-CATCH_UP_S = 0.002  # after a late heartbeat, in which the loop reads what had come
-MIN_DELAY_US = 30_000  # shorter delays are covered by the slack of deadlines
-FIRST_BYTES_US = 30_000  # after which the first bytes of a connection were not there when it was accepted
-KERNEL_STEP_US = 10_000  # by which the kernel's figure may be too small
+# The time after a late heartbeat in which the event loop reads data that had already arrived.
+CATCH_UP_S = 0.002
+# Shorter delays are covered by the slack of deadlines.
+MIN_DELAY_US = 30_000
+# Bytes read later than this after a connection was accepted had not arrived before that.
+FIRST_BYTES_US = 30_000
+# The value that the kernel reports may be too small by this much.
+KERNEL_STEP_US = 10_000
 UNKNOWN_AGE_US = 1 << 62
 NOT_DUE_US = 1 << 62
-# struct tcp_info (linux/tcp.h): tcpi_last_data_recv is an unsigned 32-bit number of milliseconds at this offset.
+# The offset of tcpi_last_data_recv in struct tcp_info (linux/tcp.h), an unsigned 32-bit number of milliseconds.
 LAST_DATA_RECEIVED_OFFSET = 52
 TCP_INFO_SIZE = 56
 
 
 class Heartbeat:
-    """Measures how late the event loop is, by a timer. Times are monotonic microseconds."""
+    """Measures the lag of the event loop with a timer. Times are monotonic microseconds."""
 
     def __init__(self) -> None:
         self.due = NOT_DUE_US
@@ -41,9 +46,10 @@
         asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self.beat)
 
     def beat(self) -> None:
-        """Schedules the next heartbeat; after a late one only once what had come is read.
+        """Schedules the next heartbeat, after `CATCH_UP_S` if this one is late.
 
-        The timer may run before that, and `lag_us` is still asked how late the loop was.
+        The timer may run before the data that had already arrived is read, and `lag_us` must still report the lag for
+        that data.
         """
         if monotonic_us() > self.due + LATE_HEARTBEAT_US:
             asyncio.get_running_loop().call_later(CATCH_UP_S, self.start)
@@ -51,36 +57,44 @@
             self.start()
 
     def lag_us(self, now: int) -> int:
-        """For how many microseconds the loop may not have read what had come."""
+        """Returns for how many microseconds the event loop may have left received data unread."""
         return max(0, now - self.due)
 
 
 class TcpInfoSocket(Protocol):
-    """The one method of a socket that is needed here."""
+    """A socket of which only `getsockopt` is used."""
 
     def getsockopt(self, level: int, name: int, size: int, /) -> bytes:
-        """The value of a socket option."""
+        """Returns the value of a socket option."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadInterval:
-    """A connection that was accepted, or is read again, at one time, and whose bytes may have come since another."""
+    """The time for which data may have arrived on a socket that was not read, in monotonic microseconds.
 
-    reading_since_us: int  # monotonic microseconds
+    Attributes:
+        reading_since_us: When the connection was accepted or reading was resumed.
+        earliest_arrival_us: The earliest time at which the first bytes read after that may have arrived.
+    """
+
+    reading_since_us: int
     earliest_arrival_us: int
 
 
 class ReadDelay:
-    """The read delay of one connection."""
+    """Measures the read delay of one connection.
+
+    `unread_interval` is set until the first bytes after it have been read.
+    """
 
     __slots__ = ("heartbeat", "unread_interval")
 
     def __init__(self, heartbeat: Heartbeat, unread_interval: UnreadInterval | None = None) -> None:
         self.heartbeat = heartbeat
-        self.unread_interval = unread_interval  # until the first bytes after it have been read
+        self.unread_interval = unread_interval
 
     def measure(self, now: int, connection: TcpInfoSocket | None) -> int:
-        """How many microseconds the bytes that are read now may have lain unread; 0 below `MIN_DELAY_US`."""
+        """Returns for how many microseconds the data read now may have been unread; 0 below `MIN_DELAY_US`."""
         bound = self.heartbeat.lag_us(now)
         if self.unread_interval is not None:
             interval, self.unread_interval = self.unread_interval, None
@@ -92,7 +106,7 @@
 
 
 def last_data_age(connection: TcpInfoSocket | None) -> int:
-    """Microseconds since the last bytes came, by the kernel; `UNKNOWN_AGE_US` if the kernel does not tell."""
+    """Returns the microseconds since the kernel received the last data; `UNKNOWN_AGE_US` if it does not tell."""
     if connection is None:
         return UNKNOWN_AGE_US
     try:
--- a/harecross/downstream/request_receiver.py
+++ b/harecross/downstream/request_receiver.py
@@ -1,4 +1,4 @@
-"""Receives the requests of one client connection: the parser's callbacks and the limits on heads and bodies."""
+"""Receives the requests of one client connection: parser callbacks and the limits on heads and bodies."""
 
 from __future__ import annotations
 
@@ -7,19 +7,24 @@
 from harecross.http.request_parser import MAX_HEAD_BYTES, MAX_HEADERS, BadRequestError, ParsedRequest
 from harecross.platform.clock import monotonic_us
 
-MAX_PENDING_REQUESTS = 8  # of one connection; clients send one request at a time
-MIN_BODY_BYTES_PER_S = 32_000  # after the receive timeout
+# The maximum number of pipelined requests on one connection. Clients send one request at a time.
+MAX_PENDING_REQUESTS = 8
+# The minimum rate at which a body must arrive once the receive timeout has passed since the request began.
+MIN_BODY_BYTES_PER_S = 32_000
 HEALTH_CHECK_PATH = b"/_health"
-HEADER_OVERHEAD_BYTES = 4  # the colon, the space and the line's end
+HEADER_OVERHEAD_BYTES = 4  # the colon, the space and the line ending
 
 
 class RequestReceiver(ConnectionState):
-    """The callbacks of `httptools.HttpRequestParser`. BadRequest ends the connection with a status."""
+    """The callbacks of `httptools.HttpRequestParser`.
+
+    A callback that raises BadRequestError closes the input of the connection with the status of the error.
+    """
 
     __slots__ = ()
 
     def on_message_begin(self) -> None:
-        """The first byte of a request has come."""
+        """Called at the first byte of a request."""
         if self.input_closed:
             return
         self.reset_message()
@@ -28,12 +33,12 @@
         self.owner.mark_receiving(self)
 
     def on_url(self, url: bytes) -> None:
-        """The URL, or a part of it."""
+        """Called with the URL or a part of it."""
         self.count_head_bytes(len(url))
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which is ignored."""
+        """Called with a header, or with a trailer, which is ignored."""
         self.count_head_bytes(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
         if self.head_complete:
             return
@@ -42,17 +47,17 @@
         self.headers.append((name, value.strip(b" \t")))
 
     def count_head_bytes(self, size: int) -> None:
-        """Bounds the memory that one head can take."""
+        """Limits the memory that one head can use."""
         self.head_size += size
         if self.head_size > MAX_HEAD_BYTES:
             raise BadRequestError(431)
 
     def on_headers_complete(self) -> None:
-        """Checks the head; a large body becomes an upload at once."""
+        """Checks the head, and starts an upload at once if the body is large."""
         assert self.parser is not None
         self.head_complete = True
         if self.parser.should_upgrade():
-            # After CONNECT or Upgrade the parser would take the body for another protocol's bytes.
+            # After CONNECT or Upgrade the parser would treat the body as data of another protocol.
             raise BadRequestError(400)
         version = self.parser.get_http_version()
         self.owner.request_parser.check_framing(version, self.headers)
@@ -68,12 +73,12 @@
             self.start_upload(length)
 
     def start_upload(self, length: int | None) -> None:
-        """Handles the request while its body still comes, because the body is too large to be buffered."""
+        """Queues the request before its body is complete, because the body is too large to buffer."""
         self.incoming_upload = Upload(length, self.upload_progressed)
         self.pending.append(self.parsed_request(self.incoming_upload))
 
     def upload_progressed(self) -> None:
-        """A server has taken of the body, or the rest is not wanted any more: reading goes on."""
+        """Resumes reading when a server has consumed part of the body, or when the rest is to be discarded."""
         upload = self.current_upload
         if upload is None or self.transport is None:
             return
@@ -86,13 +91,13 @@
             self.resume_reading()
 
     def on_chunk_header(self) -> None:
-        """Bounds the number of chunks of a body."""
+        """Limits the number of chunks of a body."""
         self.chunk_count += 1
         if has_too_many_chunks(self.chunk_count, self.body_size):
             raise BadRequestError(413)
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body: buffered, or passed to its upload."""
+        """Called with a part of the body; buffers it or passes it to the upload."""
         self.body_size += len(data)
         if self.body_size > MAX_BODY_BYTES:
             raise BadRequestError(413)
@@ -113,7 +118,10 @@
             raise BadRequestError(503)
 
     def check_body_rate(self) -> None:
-        """Ends a body that comes too slowly: it would hold this connection, and a server's, without end."""
+        """Rejects a body that arrives too slowly.
+
+        Such a body could occupy this connection, and one to a server, indefinitely.
+        """
         late_us = monotonic_us() - self.message_began_us - RECEIVE_TIMEOUT_US
         if (
             late_us > 0
@@ -123,7 +131,7 @@
             raise BadRequestError(408)
 
     def on_message_complete(self) -> None:
-        """The last byte of a request has come."""
+        """Called at the last byte of a request."""
         if self.input_closed:
             return
         assert self.parser is not None
@@ -136,26 +144,35 @@
         else:
             self.pending.append(self.parsed_request())
             if len(self.pending) > MAX_PENDING_REQUESTS:
-                # None of them has been sent to a server.
+                # None of the discarded requests has been sent to a server.
                 self.pending.clear()
                 raise BadRequestError(400)
 
     def upload_complete(self, upload: Upload) -> None:
-        """All of a large body has come."""
+        """Finishes the upload of a large body that has been received completely."""
         self.incoming_upload = None
         upload.finish()
         if self.current_upload is upload and self.request is not None:
             self.owner.dispatcher.body_received(self.request, self.last_read_delay_us)
         elif self.current_upload is not upload and upload.discarded and self.is_idle():
-            self.owner.mark_idle(self)  # answered before all of it had come
+            # The request was answered before its body was complete.
+            self.owner.mark_idle(self)
 
     def health_check_response(self) -> LocalResponse:
-        """200 for a node that wants clients: it does not shut down, and may send requests by its endpoint list."""
+        """Returns 200 if the node accepts clients, 503 otherwise.
+
+        A node accepts clients unless its health checks are set to fail, and only while it may send requests by its
+        endpoint list.
+        """
         healthy = not self.owner.health_check_failing and self.owner.dispatcher.may_send()
         return LocalResponse(200 if healthy else 503, keep_alive=True)
 
     def parsed_request(self, upload: Upload | None = None) -> ParsedRequest:
-        """The request that was received, with its body or an upload. BadRequest if it cannot be forwarded."""
+        """Returns the request that was received, with its body or an upload.
+
+        Raises:
+            BadRequestError: The request cannot be forwarded.
+        """
         assert self.parser is not None
         return self.owner.request_parser.parse(
             self.parser.get_method(),
--- a/harecross/downstream/response_sender.py
+++ b/harecross/downstream/response_sender.py
@@ -1,4 +1,4 @@
-"""Sends the responses of one client connection: whole ones at once, large ones as their parts come from the server."""
+"""Sends the responses of one client connection: small ones whole, large ones as their parts arrive from the server."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.downstream.connection_state import ConnectionState
 
-# The kernel's buffer for a large response; the kernel takes twice as much.
+# The size of the kernel's send buffer for a streamed response. The kernel doubles the value.
 LARGE_RESPONSE_BUFFER_BYTES = 1 << 16
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger of socket(7)
+# A struct linger (see socket(7)) with a timeout of 0, so that closing the socket resets the connection.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -27,12 +28,12 @@
 
 
 class ResponseSender(ConnectionState):
-    """A `dispatch.dispatcher.ResponseWriter`, but for `is_connected`."""
+    """Implements `dispatch.request.ResponseWriter`, except for `is_connected`."""
 
     __slots__ = ()
 
     def finish_response(self, body: bytes) -> None:
-        """The server's whole response, or the end of a large one."""
+        """Sends a whole response, or the end of a streamed one."""
         if self.set_response_paused is None:
             self.send_response(200, body)
             return
@@ -43,11 +44,14 @@
             self.response_sent(closes=self.response_closes)
 
     def send_shed(self, retry_after: int) -> None:
-        """The request was shed; `retry_after` in microseconds, 0 for none."""
+        """Sends the response to a request that was shed; `retry_after` in microseconds, 0 for no header."""
         self.send_response(503, b"", retry_after)
 
     def send_failure(self) -> None:
-        """There is no response. One that has begun ends with a reset, the only end that no client takes for whole."""
+        """Sends 502, or resets the connection if a streamed response has begun.
+
+        A reset is the only end of the connection that no client mistakes for the end of a complete response.
+        """
         if self.set_response_paused is None:
             self.send_response(502, b"")
         elif self.transport is not None:
@@ -56,19 +60,20 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.abort(CloseReason.RESPONSE_BROKEN_OFF)
 
-    def begin_response(self, length: int | None, hold: Callable[[bool], None]) -> None:
-        """Sends the head of a large response. `hold` stops the server's side, or lets it go on."""
-        self.set_response_paused = hold
+    def begin_response(self, length: int | None, set_paused: Callable[[bool], None]) -> None:
+        """Sends the head of a streamed response. `set_paused` pauses or resumes reading it from the server."""
+        self.set_response_paused = set_paused
         if self.transport is None:
             return
         if length is None and not self.response_chunked:
-            self.keep_alive = False  # an HTTP/1.0 client reads to the end of the connection
+            # An HTTP/1.0 client reads a response of unknown length until the connection is closed.
+            self.keep_alive = False
         self.response_chunked = self.response_chunked and length is None
         self.response_closes = self.closes_after_response()
         framing = b"Transfer-Encoding: chunked\r\n" if self.response_chunked else b""
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
-        # What a slow client does not read is to wait at the server, neither here nor in the kernel.
+        # Data that a slow client does not read must stay at the server and be buffered neither here nor in the kernel.
         self.transport.set_write_buffer_limits(high=0)
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LARGE_RESPONSE_BUFFER_BYTES)
@@ -76,16 +81,19 @@
         self.transport.write(b"HTTP/1.1 200 OK\r\n%s%s\r\n" % (framing, connection))
 
     def send_part(self, data: bytes) -> None:
-        """Sends a part of a large response's body."""
+        """Sends a part of the body of a streamed response."""
         if self.transport is not None:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.response_chunked else data)
 
     def closes_after_response(self) -> bool:
-        """Whether the connection is closed after the present response. Pending requests are answered first."""
+        """Returns whether the connection is closed after the current response.
+
+        A draining node answers pending requests first.
+        """
         return not self.keep_alive or (not self.pending and self.owner.draining)
 
     def send_response(self, status: int, body: bytes, retry_after_us: int = 0) -> None:
-        """Sends a whole response, and closes the connection where it cannot go on."""
+        """Sends a whole response, and closes the connection if it cannot be kept."""
         if self.transport is None:
             self.busy = False
             self.request = None
@@ -105,11 +113,12 @@
         self.response_sent(closes=closes)
 
     def response_sent(self, *, closes: bool) -> None:
-        """A response has been written: the connection goes on, or is closed."""
+        """Continues with the connection after a response was written, or closes it."""
         was_busy, self.busy = self.busy, False
         self.request = self.current_upload = None
         if not self.keep_alive:
-            self.pending.clear()  # the client has said that nothing more comes
+            # The client has announced that no request follows.
+            self.pending.clear()
         if not self.pending and not (self.receiving and self.incoming_upload is None):
             self.buffer_bytes(-self.buffered_bytes)
         if closes:
