--- a/harecross/admin_client/__init__.py
+++ b/harecross/admin_client/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side of the admin server: calls to running nodes, and a release of servers as one call."""
+"""Clients of the nodes' admin servers: single calls to running nodes, and releases of servers over several nodes."""
--- a/harecross/admin_client/calls.py
+++ b/harecross/admin_client/calls.py
@@ -1,4 +1,4 @@
-"""One call to one node's admin server, over HTTP/1.1. Blocking: callers use threads."""
+"""Calls to the admin server of one node over HTTP/1.1. The calls block, so callers use threads."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from harecross.settings import parse_address
 
-CALL_TIMEOUT_S = 3.0  # an admin server answers within one second
+CALL_TIMEOUT_S = 3.0  # an admin server responds within one second
 MAX_ANSWER_BYTES = 1 << 24
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """The result of a call. `effect_unknown` where no answer came: the call may have been carried out."""
+    """The result of a call. `effect_unknown` means that no response arrived, so the call may have taken effect."""
 
     ok: bool
     text: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """One server as one node sees it; `discovery.endpoint_status` says what the values mean."""
+    """The status of one server at one node; `discovery.endpoint_status` describes the values."""
 
     id: str
     state: str
@@ -36,13 +36,21 @@
 
     @classmethod
     def from_row(cls, row: dict[str, Any]) -> ServerStatus:
-        """The status in one row of the call `/servers`. KeyError or TypeError for anything else."""
+        """Parses one row of the response to `/servers`.
+
+        Raises:
+            KeyError: A field is missing.
+            TypeError: The row is not an object.
+        """
         return cls(row["id"], row["state"], row["listed"], row["open"], row["warmth"], row["ejected"])
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """One node's servers by id. `other_processes` counts further processes that serve as this node."""
+    """The status of one node, with its servers by id.
+
+    `other_processes` is the number of further processes that serve as this node.
+    """
 
     name: str
     standby: bool
@@ -52,22 +60,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusFailure:
-    """A node's status could not be fetched."""
+    """The reason why the status of a node could not be fetched."""
 
     reason: str
 
 
 def validated_address(text: str) -> str:
-    """HOST:PORT as it was written. ValueError, with what is allowed, for anything else."""
+    """Returns `text` unchanged if it is a valid HOST:PORT.
+
+    Raises:
+        ValueError: It is not; the message says what is allowed.
+    """
     if parse_address(text)[1] == 0:
-        raise ValueError(f"{text!r}: nobody listens on port 0")
+        raise ValueError(f"{text!r}: the port of an admin server must not be 0")
     return text
 
 
 def call_node(
     node: str, method: str, path: str, body: str = "", timeout_s: float = CALL_TIMEOUT_S
 ) -> CallResult:
-    """Makes one call. Failures of the network or the node are results, not exceptions."""
+    """Makes one call. Failures of the network or the node are returned as results, not raised."""
     host, port = parse_address(node)
     connection = http.client.HTTPConnection(host.strip("[]"), port, timeout=timeout_s)
     try:
@@ -76,9 +88,9 @@
         text = response.read(MAX_ANSWER_BYTES).decode(errors="replace").strip()
         return CallResult(200 <= response.status < 300, text)
     except ConnectionRefusedError:
-        return CallResult(False, "nobody listens there")
+        return CallResult(False, "connection refused")
     except TimeoutError:
-        return CallResult(False, f"no answer within {timeout_s:g} s", effect_unknown=True)
+        return CallResult(False, f"no response within {timeout_s:g} s", effect_unknown=True)
     except (OSError, http.client.HTTPException) as error:
         return CallResult(False, str(error) or type(error).__name__, effect_unknown=True)
     finally:
@@ -88,7 +100,7 @@
 def fetch_status(
     node: str, servers: tuple[str, ...] = (), timeout_s: float = CALL_TIMEOUT_S
 ) -> NodeStatus | StatusFailure:
-    """The status of a node's servers, of those named or of all."""
+    """Fetches the status of a node and of the given servers, or of all servers if none are given."""
     query = urlencode([("id", name) for name in servers])
     result = call_node(node, "GET", f"/servers?{query}" if query else "/servers", timeout_s=timeout_s)
     if not result.ok:
@@ -98,4 +110,4 @@
         statuses = {row["id"]: ServerStatus.from_row(row) for row in raw["servers"]}
         return NodeStatus(str(raw["name"]), bool(raw["standby"]), int(raw["others"]), statuses)
     except (ValueError, KeyError, TypeError, AttributeError):
-        return StatusFailure("what answers there is no node's door, or one of an older version")
+        return StatusFailure("the response is not the status of a node, or is from an older version")
--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -1,14 +1,15 @@
-"""A release of servers over several nodes, decided step by step. Free of I/O.
+"""The state machine of a release of servers over several nodes. Performs no I/O.
 
-`Release` receives events (a node's status, an answer, the end of a restart, an interrupt, the time) and returns the
-actions to take next. Times are seconds of one monotonic clock. It guarantees:
+`Release` receives events (the status of a node, the result of a call, the end of a restart, an interrupt, the passing
+of time) and returns the actions to perform next. Times are seconds of one monotonic clock. It guarantees:
 
 - At most `batch` servers are in maintenance at once, and at each node the share `min_in_use` of the servers that were
   in use at the beginning stays in use.
-- A server is restarted only once it is in maintenance at every node, no node has requests in flight on it, and no node
+- A server is restarted only when it is in maintenance at every node, no node has requests in flight on it, and no node
   has another process.
-- It leaves maintenance at every node where it may be, unless its restart failed; a running restart is waited for.
-- `servers_in_maintenance` names whatever stays in maintenance at the end.
+- A server exits maintenance at every node where it may be in maintenance, unless its restart failed. The release waits
+  for running restarts.
+- `servers_in_maintenance` lists every server that stays in maintenance at the end.
 """
 
 from __future__ import annotations
@@ -29,13 +30,23 @@
 from harecross.discovery.endpoint_status import IN_USE, OUT
 
 STATUS_INTERVAL_S = 0.5
-MAX_STATUS_FAILURES = 6  # in a row at one node
-MAX_EXIT_CALLS = 5  # to put a server back at one node
+MAX_STATUS_FAILURES = 6  # consecutive failures at one node
+MAX_EXIT_CALLS = 5  # calls to end the maintenance of a server at one node
 EXIT_RETRY_S = 1.0
 
 
 class Release:
-    """The state machine. `messages` collects lines for operators; whoever prints them removes them."""
+    """The state machine of one release.
+
+    Attributes:
+        status_requested_at: By node, when the call that returned the current status began.
+        status_calls: By node, when a call that has not ended yet began.
+        status_failures: By node, the number of consecutive failures to fetch the status.
+        min_in_use: By node, the number of servers that must stay in use; empty until the preconditions are checked.
+        below_min_in_use_since: Since when no further server may enter maintenance, because too few are in use.
+        stop_reason: The first reason to stop; empty while there is none.
+        messages: Lines for operators; whoever prints them removes them.
+    """
 
     def __init__(self, servers: Sequence[str], nodes: Sequence[str], limits: ReleaseLimits) -> None:
         self.servers = [ServerRelease(name) for name in servers]
@@ -43,13 +54,13 @@
         self.nodes = list(nodes)
         self.limits = limits
         self.statuses: dict[str, NodeStatus] = {}
-        self.status_requested_at: dict[str, float] = {}  # when the call for the present status began
-        self.status_calls: dict[str, float] = {}  # calls without an answer yet, and when they began
+        self.status_requested_at: dict[str, float] = {}
+        self.status_calls: dict[str, float] = {}
         self.next_status_at = 0.0
-        self.status_failures: dict[str, int] = {}  # in a row
-        self.min_in_use: dict[str, int] = {}  # servers by node; empty until the preconditions are checked
-        self.below_min_in_use_since: float | None = None  # no server may leave, because too few are in use
-        self.stop_reason = ""  # the first reason to stop
+        self.status_failures: dict[str, int] = {}
+        self.min_in_use: dict[str, int] = {}
+        self.below_min_in_use_since: float | None = None
+        self.stop_reason = ""
         self.interrupts = 0
         self.finished = False
         self.messages: list[str] = []
@@ -57,11 +68,11 @@
     # ---- events ---------------------------------------------------------------------------------------
 
     def begin(self, now: float) -> list[Action]:
-        """The first actions."""
+        """Returns the first actions."""
         return self.fetch_statuses(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
+        """Handles the passing of time: timeouts, retries and the next status calls."""
         actions: list[Action] = []
         for server in self.servers:
             self.check_timeouts(now, server, actions)
@@ -74,7 +85,7 @@
         return actions + self.step(now)
 
     def status_received(self, now: float, node: str, status: NodeStatus | StatusFailure) -> list[Action]:
-        """A node's status has come, or its call has failed."""
+        """Handles the status of a node, or the failure to fetch it."""
         requested_at = self.status_calls.pop(node, now)
         if isinstance(status, StatusFailure):
             self.status_failures[node] = self.status_failures.get(node, 0) + 1
@@ -90,7 +101,7 @@
     def call_answered(
         self, now: float, kind: ActionKind, node: str, server_id: str, result: CallResult
     ) -> list[Action]:
-        """A call to enter or exit maintenance has ended."""
+        """Handles the result of a call to enter or exit maintenance."""
         server = self.by_id[server_id]
         if kind is ActionKind.ENTER_MAINTENANCE:
             server.pending_nodes.discard(node)
@@ -99,7 +110,7 @@
                     server.effect_unknown.add(node)
                 else:
                     server.maybe_in_maintenance.discard(node)
-                self.stop(f"{node}: {server_id} cannot be taken out: {result.text}")
+                self.stop(f"{node}: cannot put {server_id} into maintenance: {result.text}")
         elif result.ok:
             server.pending_nodes.discard(node)
             server.maybe_in_maintenance.discard(node)
@@ -107,11 +118,11 @@
             server.retry_at[node] = now + EXIT_RETRY_S
         else:
             server.pending_nodes.discard(node)
-            self.stop(f"{node}: {server_id} cannot be put back: {result.text}")
+            self.stop(f"{node}: cannot end the maintenance of {server_id}: {result.text}")
         return self.step(now)
 
     def restart_ended(self, now: float, server_id: str, *, ok: bool, how: str) -> list[Action]:
-        """A restart has ended, as `how` says."""
+        """Handles the end of a restart; `how` describes it for operators."""
         server = self.by_id[server_id]
         if ok:
             server.restarted = True
@@ -119,14 +130,14 @@
             self.start_exit(now, server, actions)
             return actions + self.step(now)
         self.enter_phase(now, server, Phase.LEFT_IN_MAINTENANCE)
-        self.stop(f"the restart of {server_id} {how}; it stays out")
+        self.stop(f"the restart of {server_id} {how}; the server stays in maintenance")
         return self.step(now)
 
     def interrupt(self, now: float) -> list[Action]:
-        """The first interrupt stops the release in order, the second one at once."""
+        """Handles an interrupt: the first stops the release gracefully, the second immediately."""
         self.interrupts += 1
         if self.interrupts == 1:
-            self.stop("interrupted; once more ends it at once")
+            self.stop("interrupted; interrupt again to stop immediately")
             return self.step(now)
         self.finished = True
         return []
@@ -134,7 +145,7 @@
     # ---- queries --------------------------------------------------------------------------------------
 
     def servers_in_maintenance(self) -> dict[str, list[str]]:
-        """Servers that are in maintenance, or may be, each with the nodes where they are."""
+        """Returns the servers that are, or may be, in maintenance, each with its nodes."""
         return {
             server.id: sorted(nodes)
             for server in self.servers
@@ -142,15 +153,15 @@
         }
 
     def running_restarts(self) -> list[str]:
-        """Servers whose restart has not ended."""
+        """Returns the servers whose restart has not ended."""
         return [server.id for server in self.servers if server.phase == Phase.RESTARTING]
 
     def waiting_for(self, server: ServerRelease) -> str:
-        """What a server's phase waits for, as a text for operators."""
+        """Describes for operators what the current phase of a server is waiting for."""
         current = self.current_statuses(server)
         if server.phase == Phase.DRAINING:
             waits = [
-                f"{status.in_flight} at {node}"
+                f"{status.in_flight} in flight at {node}"
                 for node, status, _ in current
                 if status is not None and status.in_flight
             ]
@@ -161,13 +172,17 @@
         return ", ".join(sorted(server.pending_nodes))
 
     def in_use(self, node: str) -> set[str]:
-        """The servers that a node uses, without those that entered maintenance since its status."""
+        """Returns the servers in use at a node, without those that entered maintenance since its status."""
         out = {server.id for server in self.servers if server.maybe_in_maintenance}
         statuses = self.statuses[node].servers.values()
         return {s.id for s in statuses if s.state == IN_USE and not s.ejected} - out
 
     def current_statuses(self, server: ServerRelease) -> list[tuple[str, ServerStatus | None, int]]:
-        """Node, server's status there if the node lists it, and other processes: of statuses since its phase began."""
+        """Returns what the statuses requested since the server's phase began say about the server.
+
+        Each entry holds the node, the server's status there (None if the node does not list it), and the number of
+        other processes of the node.
+        """
         return [
             (node, status.servers.get(server.id), status.other_processes)
             for node, status in self.statuses.items()
@@ -177,18 +192,18 @@
     # ---- steps ----------------------------------------------------------------------------------------
 
     def stop(self, reason: str) -> None:
-        """No further server enters maintenance; those that are out are brought to their end."""
+        """Lets no further server enter maintenance; the release ends once the servers in progress are done."""
         if not self.stop_reason:
             self.stop_reason = reason
         self.messages.append(reason)
 
     def enter_phase(self, now: float, server: ServerRelease, phase: Phase) -> None:
-        """Moves a server into a phase."""
+        """Sets the phase of a server."""
         server.phase, server.phase_began = phase, now
         self.messages.append(f"{server.id}: {phase.value}")
 
     def fetch_statuses(self, now: float) -> list[Action]:
-        """Fetches the status of every node without a call under way."""
+        """Returns actions that fetch the status of every node without a status call in progress."""
         self.next_status_at = now + STATUS_INTERVAL_S
         nodes = [node for node in self.nodes if node not in self.status_calls]
         for node in nodes:
@@ -196,7 +211,7 @@
         return [Action(ActionKind.FETCH_STATUS, node) for node in nodes]
 
     def check_preconditions(self) -> None:
-        """Stops unless every server is in use at every node, and enough others can stay in use."""
+        """Stops the release unless every server is in use at every node and enough others can stay in use."""
         for node, status in self.statuses.items():
             for server in self.servers:
                 server_status = status.servers.get(server.id)
@@ -208,12 +223,12 @@
         for node in self.nodes:
             used = len(self.in_use(node))
             if used - 1 < least[node]:
-                return self.stop(f"{node}: {used} servers are in use and {least[node]} must stay")
+                return self.stop(f"{node}: {used} servers are in use and {least[node]} must stay in use")
         self.min_in_use = least
         return None
 
     def step(self, now: float) -> list[Action]:
-        """Moves every server on that can move, and finishes the release once nothing is left to do."""
+        """Advances every server that can advance, and finishes the release when nothing is left to do."""
         actions: list[Action] = []
         if self.finished:
             return actions
@@ -227,7 +242,7 @@
         return actions
 
     def step_server(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
-        """Moves one server on, if it can move."""
+        """Advances one server if it can advance."""
         if server.phase == Phase.ENTERING_MAINTENANCE and not server.pending_nodes:
             if self.stop_reason:
                 self.start_exit(now, server, actions)
@@ -243,7 +258,7 @@
             self.check_warm(now, server, actions)
 
     def start_next(self, now: float, actions: list[Action]) -> bool:
-        """Takes the next server out, where the limits allow it; returns whether it did."""
+        """Starts the maintenance of the next server if the limits allow it; returns whether it did."""
         server = next((s for s in self.servers if s.phase == Phase.WAITING), None)
         if server is None or sum(s.phase in ACTIVE_PHASES for s in self.servers) >= self.limits.batch:
             self.below_min_in_use_since = None
@@ -263,21 +278,21 @@
         return True
 
     def wait_for_more_in_use(self, now: float, node: str, used: int) -> None:
-        """Too few servers are in use at a node; stops once that has lasted too long."""
+        """Records that too few servers are in use at a node; stops the release if that lasts too long."""
         if self.below_min_in_use_since is None:
             self.below_min_in_use_since = now
         elif now - self.below_min_in_use_since > self.limits.warm_up_timeout_s:
-            self.stop(f"{node}: {used} servers are in use and {self.min_in_use[node]} must stay")
+            self.stop(f"{node}: {used} servers are in use and {self.min_in_use[node]} must stay in use")
 
     def check_drained(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
-        """Restarts a drained server; puts it back where the release stops or somebody else has put it back."""
+        """Restarts a drained server; ends its maintenance instead if the release stops or somebody else ended it."""
         if self.stop_reason:
             self.start_exit(now, server, actions)
             return
         current = self.current_statuses(server)
         for node, status, _ in current:
             if status is None or status.state != OUT:
-                self.stop(f"{node}: {server.id} was put back by somebody else")
+                self.stop(f"{node}: {server.id} left maintenance, but not through this release")
                 self.start_exit(now, server, actions)
                 return
         if len(current) == len(self.nodes) and not self.waiting_for(server):
@@ -285,19 +300,23 @@
             actions.append(Action(ActionKind.RESTART, server=server.id))
 
     def start_exit(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
-        """Ends the maintenance of a server at every node where it may be out."""
+        """Ends the maintenance of a server at every node where it may be in maintenance."""
         self.enter_phase(now, server, Phase.EXITING_MAINTENANCE)
         server.pending_nodes = set(server.maybe_in_maintenance)
         for node in sorted(server.pending_nodes):
             self.request_exit(server, node, actions)
 
     def request_exit(self, server: ServerRelease, node: str, actions: list[Action]) -> None:
-        """Calls one node to end the maintenance of a server."""
+        """Adds the call that ends the maintenance of a server at one node."""
         server.exit_calls[node] = server.exit_calls.get(node, 0) + 1
         actions.append(Action(ActionKind.EXIT_MAINTENANCE, node, server.id))
 
     def check_warm(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
-        """Finishes a server that is warm everywhere; one that a late call has taken out is put back again."""
+        """Finishes a server whose slow start is over at every node.
+
+        A call whose response was lost may take effect late and put the server into maintenance again; that
+        maintenance is ended once more.
+        """
         current = self.current_statuses(server)
         for node, status, _ in current:
             late_call = node in server.effect_unknown
@@ -308,7 +327,7 @@
                 server.maybe_in_maintenance.add(node)
                 self.start_exit(now, server, actions)
             else:
-                self.stop(f"{node}: {server.id} was taken out again by somebody else")
+                self.stop(f"{node}: {server.id} entered maintenance again, but not through this release")
                 self.enter_phase(now, server, Phase.DONE)
             return
         node_failing = any(n >= MAX_STATUS_FAILURES for n in self.status_failures.values())
@@ -318,19 +337,19 @@
             self.enter_phase(now, server, Phase.LEFT_IN_MAINTENANCE if server.effect_unknown else Phase.DONE)
 
     def check_timeouts(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
-        """Stops over a phase that takes too long."""
+        """Stops the release if a phase of the server takes too long."""
         waited, limits = now - server.phase_began, self.limits
         if server.phase == Phase.RESTARTING and waited > limits.restart_timeout_s:
             server.phase_began = now
             self.stop(
-                f"the restart of {server.id} takes longer than {limits.restart_timeout_s:g} s and is ended"
+                f"the restart of {server.id} exceeded {limits.restart_timeout_s:g} s and is being terminated"
             )
             actions.append(Action(ActionKind.END_RESTART, server=server.id))
         elif self.stop_reason:
             return
         elif server.phase == Phase.DRAINING and waited > limits.drain_timeout_s:
-            reason = self.waiting_for(server) or "not seen to be empty"
-            self.stop(f"{server.id} is not empty after {limits.drain_timeout_s:g} s: {reason}")
+            reason = self.waiting_for(server) or "no status since then shows it as drained"
+            self.stop(f"{server.id} is not drained after {limits.drain_timeout_s:g} s: {reason}")
         elif server.phase == Phase.WARMING_UP and waited > limits.warm_up_timeout_s:
-            reason = self.waiting_for(server) or "not seen to be warm"
+            reason = self.waiting_for(server) or "no status since then shows it as warm"
             self.stop(f"{server.id} is not warm after {limits.warm_up_timeout_s:g} s: {reason}")
--- a/harecross/admin_client/release_runner.py
+++ b/harecross/admin_client/release_runner.py
@@ -1,4 +1,4 @@
-"""Carries a release out: calls to nodes in threads, restarts as processes, Ctrl-C as interrupts."""
+"""Runs a release: makes calls to nodes in threads, runs restarts as processes, handles Ctrl-C as an interrupt."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from harecross.platform.child_process import describe_exit
 
 TICK_S = 0.1
-SIGNAL_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL for a restart that takes too long
+# The time between SIGTERM and SIGKILL for a restart that exceeded its timeout.
+SIGNAL_TIMEOUT_S = 5.0
 MIN_CALL_THREADS = 4
 INTERRUPTED_STATUS = 130
 PATHS = {
@@ -29,24 +30,27 @@
 
 
 class ReleaseRunner:
-    """One release, from its first status to its end."""
+    """Runs one release from its first status call to its end."""
 
     def __init__(
         self, release: Release, restart_command: str | None, print_line: Callable[[str], None]
     ) -> None:
-        """`restart_command` is for a shell, with `HARECROSS_SERVER` set; without one people restart servers."""
+        """`restart_command` runs in a shell with `HARECROSS_SERVER` set to the server id.
+
+        If it is None, operators restart servers by hand.
+        """
         self.release = release
         self.restart_command = restart_command
         self.print_line = print_line
-        # Unlike the lock of a plain Queue, this queue's may be taken in a signal handler.
+        # The signal handler puts events into this queue. Unlike Queue, SimpleQueue is reentrant.
         self.events: SimpleQueue[Callable[[float], list[Action]]] = SimpleQueue()
         self.pool = ThreadPoolExecutor(max(MIN_CALL_THREADS, 2 * len(release.nodes)))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.manual_restarts: set[str] = set()  # servers that people are restarting
+        self.manual_restarts: set[str] = set()  # servers that operators are restarting
         self.reading_input = False
 
     def run(self) -> int:
-        """Returns the exit status: 0 for all done, 1 for a release that stopped, 130 when interrupted."""
+        """Runs the release; returns its exit status: 0 if it completed, 1 if it stopped, 130 if interrupted."""
         previous = signal.signal(signal.SIGINT, lambda *_: self.events.put(self.release.interrupt))
         try:
             self.execute(self.release.begin(time.monotonic()))
@@ -66,13 +70,13 @@
         return 1 if self.release.stop_reason else 0
 
     def print_messages(self) -> None:
-        """Prints the messages of the release and removes them."""
+        """Prints and removes the messages of the release."""
         messages, self.release.messages = self.release.messages, []
         for message in messages:
             self.print_line(message)
 
     def execute(self, actions: list[Action]) -> None:
-        """Starts the actions; each ends with an event."""
+        """Starts the actions; the end of each is reported as an event."""
         for action in actions:
             if action.kind is ActionKind.FETCH_STATUS:
                 self.pool.submit(self.fetch_status, action.node)
@@ -84,12 +88,12 @@
                 threading.Thread(target=self.end_restart, args=(action.server,), daemon=True).start()
 
     def fetch_status(self, node: str) -> None:
-        """Runs in a thread of the pool."""
+        """Fetches the status of a node; runs in a thread of the pool."""
         status = fetch_status(node)
         self.events.put(lambda now: self.release.status_received(now, node, status))
 
     def call(self, action: Action) -> None:
-        """Runs in a thread of the pool."""
+        """Makes the call of an action; runs in a thread of the pool."""
         result = call_node(action.node, "POST", PATHS[action.kind], action.server)
         self.events.put(
             lambda now: self.release.call_answered(now, action.kind, action.node, action.server, result)
@@ -98,13 +102,13 @@
     # ---- restarts -------------------------------------------------------------------------------------
 
     def restart(self, server: str) -> None:
-        """Starts the restart command, or asks people to restart the server."""
+        """Starts the restart command, or asks operators to restart the server."""
         if self.restart_command is None:
             self.ask_for_manual_restart(server)
             return
         env = {**os.environ, "HARECROSS_SERVER": server}
         try:
-            # In a session of its own, because the first Ctrl-C is for the release alone.
+            # The command runs in its own session, because the first Ctrl-C must only reach the release.
             process = subprocess.Popen(
                 self.restart_command, shell=True, env=env, stdin=subprocess.DEVNULL, start_new_session=True
             )
@@ -115,12 +119,12 @@
         threading.Thread(target=self.wait, args=(server, process), daemon=True).start()
 
     def wait(self, server: str, process: subprocess.Popen[Any]) -> None:
-        """Runs in a thread of its own until the restart command ends."""
+        """Waits for the restart command to end; runs in its own thread."""
         status = process.wait()
         self.restart_ended(server, ok=status == 0, how=describe_exit(status))
 
     def end_restart(self, server: str) -> None:
-        """Ends a restart that takes too long, with all processes that it has started."""
+        """Terminates a restart that takes too long, including all processes that it has started."""
         process = self.processes.get(server)
         if process is None:
             self.manual_restarts.discard(server)
@@ -137,27 +141,27 @@
                 continue
 
     def ask_for_manual_restart(self, server: str) -> None:
-        """Asks people to restart a server and to report it on standard input."""
+        """Asks operators to restart a server and to report the result on standard input."""
         self.manual_restarts.add(server)
-        self.print_line(f"{server} is out and empty: restart it, then type {server} (or: {server} failed)")
+        self.print_line(f"{server} is drained: restart it, then type {server} (or: {server} failed)")
         if not self.reading_input:
             self.reading_input = True
             threading.Thread(target=self.read_input, daemon=True).start()
 
     def read_input(self) -> None:
-        """Reads people's reports on their restarts until the input ends."""
+        """Reads the reports on manual restarts until standard input ends."""
         for line in sys.stdin:
             name, _, result = line.strip().partition(" ")
             if name not in self.manual_restarts or result not in ("", "failed"):
-                expected = ", ".join(sorted(self.manual_restarts)) or "nothing"
-                self.print_line(f"waiting for one of: {expected} (ID, or ID failed)")
+                expected = ", ".join(sorted(self.manual_restarts)) or "none"
+                self.print_line(f"expected ID, or ID failed, for one of these servers: {expected}")
                 continue
             self.manual_restarts.discard(name)
             self.restart_ended(name, ok=result == "", how="was reported as failed")
         for name in sorted(self.manual_restarts):
-            self.restart_ended(name, ok=False, how="was not reported: standard input has ended")
+            self.restart_ended(name, ok=False, how="was not reported before standard input ended")
         self.reading_input = False
 
     def restart_ended(self, server: str, *, ok: bool, how: str) -> None:
-        """Passes the end of a restart to the release."""
+        """Reports the end of a restart to the release."""
         self.events.put(lambda now: self.release.restart_ended(now, server, ok=ok, how=how))
--- a/harecross/admin_client/release_state.py
+++ b/harecross/admin_client/release_state.py
@@ -1,4 +1,4 @@
-"""The records of a release: phases, actions, limits, and the state of one server."""
+"""The data types of a release: phases, actions, limits, and the state of one server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Phase(Enum):
-    """The phase of one server. Operators read the values."""
+    """The phase of one server in a release. The values are shown to operators."""
 
     WAITING = "waiting"
     ENTERING_MAINTENANCE = "being taken out"
@@ -34,18 +34,26 @@
 
 
 class ActionKind(Enum):
-    """What an action does."""
+    """The kind of an action.
 
-    FETCH_STATUS = auto()  # at a node
-    ENTER_MAINTENANCE = auto()  # of a server at a node
-    EXIT_MAINTENANCE = auto()  # of a server at a node
-    RESTART = auto()  # a server
-    END_RESTART = auto()  # of a server, because it takes too long
+    Attributes:
+        FETCH_STATUS: Fetch the status of a node.
+        ENTER_MAINTENANCE: Put a server into maintenance at a node.
+        EXIT_MAINTENANCE: End the maintenance of a server at a node.
+        RESTART: Restart a server.
+        END_RESTART: Terminate the restart of a server because it takes too long.
+    """
+
+    FETCH_STATUS = auto()
+    ENTER_MAINTENANCE = auto()
+    EXIT_MAINTENANCE = auto()
+    RESTART = auto()
+    END_RESTART = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """One action, for a node, a server or both."""
+    """One action on a node, a server, or a server at a node."""
 
     kind: ActionKind
     node: str = ""
@@ -65,23 +73,29 @@
 
 @dataclass(slots=True, eq=False)
 class ServerRelease:
-    """The release of one server. The sets and maps are by node."""
+    """The state of one server in a release. Sets and mappings hold nodes.
+
+    Attributes:
+        maybe_in_maintenance: Nodes where the server is, or may be, in maintenance.
+        pending_nodes: Nodes with a call for this server that is in progress or will be retried.
+        retry_at: By node, when the call that ends the maintenance is retried.
+        exit_calls: By node, the number of calls made to end the maintenance.
+        effect_unknown: Nodes that never answered a call to put the server into maintenance.
+    """
 
     id: str
     phase: Phase = Phase.WAITING
     phase_began: float = 0.0
-    maybe_in_maintenance: set[str] = field(
-        default_factory=set
-    )  # the server is in maintenance there, or may be
-    pending_nodes: set[str] = field(default_factory=set)  # a call is under way there, or due again
-    retry_at: dict[str, float] = field(default_factory=dict)  # when the call to put it back is due again
-    exit_calls: dict[str, int] = field(default_factory=dict)  # calls to put it back
-    effect_unknown: set[str] = field(default_factory=set)  # a call to take it out was never answered there
+    maybe_in_maintenance: set[str] = field(default_factory=set)
+    pending_nodes: set[str] = field(default_factory=set)
+    retry_at: dict[str, float] = field(default_factory=dict)
+    exit_calls: dict[str, int] = field(default_factory=dict)
+    effect_unknown: set[str] = field(default_factory=set)
     restarted: bool = False
 
 
 def reason_not_warm(status: ServerStatus | None) -> str:
-    """Why a server does not get its full share at one node; empty for a warm server in use."""
+    """Returns why a server does not get its full share of traffic at one node; empty if it does."""
     if status is None:
         return "not listed"
     if status.state != IN_USE:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -89,7 +89,7 @@
         if self.chance("door dies", 0.3):
             self.dead[d.node] = self.now + self.rng.choice([1, 60])
         if self.dead.get(d.node, 0) > self.now:
-            result = CallResult(False, "nobody listens there")
+            result = CallResult(False, "connection refused")
         elif self.chance("call lost before"):
             result = CallResult(False, "no answer", effect_unknown=True)
         elif d.kind is ActionKind.ENTER_MAINTENANCE and self.chance("call late"):
@@ -319,8 +319,8 @@
         assert (await client.answer())[0] == 200
         code, text = await waiting
         assert code == 0
-        assert f"{busy} has 1 at" in text
-        assert "nothing is out" in text
+        assert f"{busy} has 1 in flight at" in text
+        assert "no requests in flight" in text
         code, text = await site.door("status", *site.at())
         assert code == 0
         assert text.count(f"servers out: {busy}") == 2
@@ -349,7 +349,7 @@
         assert site.out() == [set(), set()]
         code, text = await site.door("release", "s2", "s0", *site.at(), "--restart", restart)
         assert code == 1
-        assert "ended with status 1; it stays out" in text
+        assert "ended with status 1; the server stays in maintenance" in text
         assert text.count("harecross door back s2 --at") == 1
         assert log.read_text().split() == ["s0", "s1", "s2"]
         assert site.out() == [{"s2"}, {"s2"}]
@@ -376,7 +376,7 @@
             while "harecross door back s0 --at" not in (
                 line := await asyncio.to_thread(made.stdout.readline)
             ):
-                assert "restarted; ended: interrupted" in line or "s0: its restart still runs" in line
+                assert "restarted; stopped: interrupted" in line or "s0: its restart is still running" in line
         finally:
             made.kill()
             made.wait()
