--- a/harecross/follow/__init__.py
+++ b/harecross/follow/__init__.py
@@ -1,1 +1,1 @@
-"""One request's way through nodes and tiers: the attempt log and its reader."""
+"""The attempt log, and the tools that follow one request through the logs of many nodes and tiers."""
--- a/harecross/follow/attempt_log.py
+++ b/harecross/follow/attempt_log.py
@@ -1,8 +1,8 @@
-"""The attempt log: one line for each event of a request's life. Off by default; a node without it never imports this.
+"""The attempt log: one line for each event of a request. It is off by default; then a node never imports this module.
 
-Field names are those of OpenTelemetry's semantic conventions where they have one (`service.instance.id`,
-`server.address`, `http.request.resend_count`, `error.type`); times are Unix nanoseconds, as in its logs data model.
-Field names, event names and values are read by operators' tools: they do not follow the code's names.
+Field names follow OpenTelemetry's semantic conventions where these define one (`service.instance.id`,
+`server.address`, `http.request.resend_count`, `error.type`). Times are Unix nanoseconds, as in its logs data model.
+Operators' tools read the field names, event names and values, so these stay the same when names in the code change.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 from harecross.dispatch.request import DispatchedRequest, FinalAnswer, UpstreamAttempt
 from harecross.interface import EndpointUpdateKind, FinalReason, Outcome
 
-EVENT_PREFIX = (
-    "attempt "  # before the object: a log may hold other lines, and what collects it may put times first
-)
+# Precedes the object of an event in a line. A log may hold other lines, and a log collector may put times before it.
+EVENT_PREFIX = "attempt "
+# Events that are flushed at once.
 FLUSHED_EVENTS = frozenset(("start", "list", "process", "final"))
-MAX_UNFLUSHED_LINES = 64  # lost at most in a crash
+# The maximum number of lines that a crash can lose.
+MAX_UNFLUSHED_LINES = 64
 
 
 def process_uptime() -> float:
-    """Seconds since this process was started, the interpreter's start and the imports among them (proc(5))."""
+    """Returns the seconds since this process was started, including interpreter startup and imports (proc(5))."""
     try:
         with open("/proc/self/stat", "rb") as file:
             start_ticks = int(file.read().rpartition(b")")[2].split()[19])
@@ -40,13 +41,19 @@
 
 
 class AttemptLog:
-    """Writes the events of one node's requests (a `RequestTracer`)."""
+    """Writes the events of the requests of one node; implements `RequestTracer`."""
 
     def __init__(self, node: str, path: str, server_numbers: Mapping[str, int]) -> None:
-        """`path` is a file that is appended to, or `-` for standard error. OSError where it cannot be written.
+        """Opens the log and writes the `start` event.
 
-        `server_numbers`: the balancer's numbers of servers by discovery's names. These are the same at all nodes;
-        addresses may differ from node to node.
+        Args:
+            node: The name of the node.
+            path: The file to append to, or `-` for standard error.
+            server_numbers: The balancer's numbers of servers by their names in discovery. The log holds the names,
+                because they are the same at all nodes, while addresses may differ from node to node.
+
+        Raises:
+            OSError: The file cannot be written.
         """
         self.node = node
         self.server_numbers = server_numbers
@@ -56,7 +63,7 @@
         self.write("start", **{"process.uptime": process_uptime()})
 
     def write(self, event: str, request_id: str = "", /, **fields: object) -> None:
-        """Writes one line; `request_id` is "" for what is no request's event."""
+        """Writes one line; `request_id` is empty for an event that belongs to no request."""
         line = {
             "timeUnixNano": time.time_ns(),
             "service.instance.id": self.node,
@@ -70,18 +77,18 @@
             self.flush()
 
     def write_request_event(self, request: DispatchedRequest, event: str, /, **fields: object) -> None:
-        """Writes one line of a request's."""
+        """Writes one line about a request."""
         self.write(event, request.parsed.request_id.decode("latin-1"), **fields)
 
     def flush(self) -> None:
-        """Hands what was written to the kernel."""
+        """Flushes buffered lines to the kernel."""
         self.unflushed = 0
         self.stream.flush()
 
     # ---- events -----------------------------------------------------------------------------------------
 
     def request_admitted(self, request: DispatchedRequest, now: int) -> None:
-        """See `RequestTracer`. `time_left` in microseconds; classes go by their numbers."""
+        """See `RequestTracer`. `time_left` is in microseconds; request classes are identified by their numbers."""
         fields = {
             "request.class": str(request.parsed.request_class),
             "time_left": request.deadline_us - now,
@@ -90,7 +97,7 @@
         self.write_request_event(request, "taken", **fields)
 
     def attempt_sent(self, attempt: UpstreamAttempt) -> None:
-        """See `RequestTracer`. Of a retry, with the outcome of the attempt before it."""
+        """See `RequestTracer`. A retry is logged with the outcome of the attempt before it."""
         outcome = attempt.request.last_outcome
         fields = {} if outcome is None else {"retry.cause": outcome.name.lower()}
         self.write_request_event(attempt.request, "sent", **self.attempt_fields(attempt), **fields)
@@ -101,7 +108,7 @@
         self.write_request_event(attempt.request, "written", **fields, fresh=fresh, whole=whole)
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome, report: Sequence[float]) -> None:
-        """See `RequestTracer`. A load report's figures are in the order of the settings."""
+        """See `RequestTracer`. The values of a load report are in the order given in the settings."""
         fields: dict[str, object] = {} if outcome == Outcome.OK else {"error.type": outcome.name.lower()}
         if report:
             fields["server.load"] = list(report)
@@ -127,7 +134,7 @@
         self.write("list", kind=name, generation=generation, came=sorted(added), left=sorted(removed))
 
     def process_changed(self, transition: Transition, now: float) -> None:
-        """See `RequestTracer`. With the statement that decided it: whose, and how old in seconds."""
+        """See `RequestTracer`. Logs the statement that caused the change, its source and its age in seconds."""
         statement = transition.statement
         self.write(
             "process",
@@ -141,7 +148,7 @@
         )
 
     def attempt_fields(self, attempt: UpstreamAttempt) -> dict[str, object]:
-        """The attempt's number and its server."""
+        """Returns the fields that identify an attempt: its number and its server."""
         fields: dict[str, object] = {
             "http.request.resend_count": attempt.number,
             "server.id": self.server_name(attempt.server),
@@ -152,7 +159,7 @@
         return fields
 
     def server_name(self, server: int) -> str:
-        """Discovery's name for a server; its number if there is none any more."""
+        """Returns the name of a server in discovery, or its number if it no longer has a name."""
         if server not in self.server_names:
             self.server_names = {number: name for name, number in self.server_numbers.items()}
         return self.server_names.get(server, str(server))
--- a/harecross/follow/cli.py
+++ b/harecross/follow/cli.py
@@ -1,4 +1,4 @@
-"""`harecross follow`: one request's way through the logs of many nodes, or those that ended badly."""
+"""`harecross follow`: shows one request across the logs of many nodes, or lists requests that ended badly."""
 
 from __future__ import annotations
 
@@ -24,27 +24,39 @@
 
 
 def follow(
-    words: Annotated[list[str], typer.Argument(help="A request's id, then attempt logs; or logs alone.")],
+    words: Annotated[
+        list[str], typer.Argument(help="A request id followed by attempt logs, or attempt logs only.")
+    ],
     ended_badly: Annotated[
-        bool, typer.Option("--ended-badly", help="No id: lists the requests that broke a rule or their time.")
+        bool,
+        typer.Option(
+            "--ended-badly", help="Without an id: list requests that broke a rule or missed their deadline."
+        ),
     ] = False,
     leaving: Annotated[
         bool,
-        typer.Option("--leaving", help="No id: lists what went to servers already announced as leaving."),
+        typer.Option(
+            "--leaving", help="Without an id: list requests sent to servers already announced as leaving."
+        ),
     ] = False,
     effect: Annotated[
         list[str] | None,
-        typer.Option(help="CLASS=safe, keyed or unsafe; a class not named is taken as unsafe."),
+        typer.Option(help="CLASS=safe, CLASS=keyed or CLASS=unsafe; other classes count as unsafe."),
     ] = None,
 ) -> None:
-    """A request's way through all nodes and tiers, in order. 1 where some have ended badly, 2 for bad input."""
+    """Show the events of a request at all nodes and tiers, in order.
+
+    The exit status is 1 if a listing finds any requests, and 2 for bad input.
+    """
     idempotency = dict(parse_class_idempotency(text) for text in effect or [])
     if ended_badly and leaving:
-        exit_with_error("follow: one of --ended-badly and --leaving")
+        exit_with_error("follow: only one of --ended-badly and --leaving is allowed")
     listing = ended_badly or leaving
     paths = [Path(word) for word in (words if listing else words[1:])]
     if not paths:
-        exit_with_error("follow: no log is named" if listing else "follow: an id and at least one log")
+        exit_with_error(
+            "follow: no log given" if listing else "follow: a request id and at least one log are required"
+        )
     logs = read_logs_or_exit(paths)
     if leaving:
         list_late_sends(logs)
@@ -55,15 +67,15 @@
 
 
 def parse_class_idempotency(text: str) -> tuple[str, Idempotency]:
-    """Parses CLASS=WORD; ends the command for another text."""
+    """Parses CLASS=WORD; exits if the text is not valid."""
     name, sign, word = text.partition("=")
     if not sign or word not in IDEMPOTENCY_BY_WORD:
-        exit_with_error(f"--effect {text}: CLASS=one of {', '.join(IDEMPOTENCY_BY_WORD)}")
+        exit_with_error(f"--effect {text}: expected CLASS=WORD with one of {', '.join(IDEMPOTENCY_BY_WORD)}")
     return name, IDEMPOTENCY_BY_WORD[word]
 
 
 def read_logs_or_exit(paths: list[Path]) -> AttemptLogs:
-    """Reads the logs and names their torn lines; ends the command if one cannot be read."""
+    """Reads the logs and reports truncated lines; exits if a log cannot be read."""
     from harecross.follow.events import BadLogError
     from harecross.follow.logs import read_logs
 
@@ -72,7 +84,7 @@
     except BadLogError as error:
         exit_with_error(str(error))
     for line in logs.truncated_lines:
-        typer.echo(f"{line}: torn, passed over", err=True)
+        typer.echo(f"{line}: truncated, skipped", err=True)
     return logs
 
 
@@ -91,12 +103,12 @@
 
 
 def list_late_sends(logs: AttemptLogs) -> None:
-    """Prints each send that came too late, with the times that made it so; exits with 1 if there are any."""
+    """Prints each late send with the times that make it late; exits with 1 if there are any."""
     from harecross.follow.late_sends import late_sends
 
     if not any(logs.node_events.values()):
         exit_with_error(
-            "follow: no list was read in these logs: they are older than that line, or begin after it"
+            "follow: no list was read in these logs: they are older than the list event, or begin after it"
         )
     begin_ns = min(event.time_ns for events in logs.node_events.values() for event in events)
     found = late_sends(logs)
@@ -111,11 +123,11 @@
     """Prints one send with its times, in seconds since `begin_ns`."""
 
     def seconds(time_ns: int | None) -> str:
-        """Seconds with three decimals."""
+        """Formats a time as seconds since `begin_ns`, with three decimals."""
         return "never" if time_ns is None else f"{(time_ns - begin_ns) / 1e9:.3f}"
 
     typer.echo(
-        f"{send.request_id} node={send.node} server={send.server}: {send.delay_s:.3f} s after it was told; "
+        f"{send.request_id} node={send.node} server={send.server}: {send.delay_s:.3f} s after its notification; "
         f"listed={seconds(send.listed_ns)} started={seconds(send.process_started_ns or None)} "
         f"read={seconds(send.read_ns)} sent={seconds(send.sent_ns)} written={seconds(send.written_ns)} "
         f"(listed: first read by {send.listed_by})"
@@ -131,7 +143,7 @@
 
 
 def show_request(logs: AttemptLogs, request_id: str, log_count: int) -> None:
-    """Prints a request's way; ends the command if no log has it."""
+    """Prints the events of a request; exits if no log has it."""
     try:
         request = logs.first_request(request_id)
     except KeyError:
@@ -140,7 +152,7 @@
 
 
 def show_events(logs: AttemptLogs, request: LoggedRequest, start_ns: int, tier: int) -> None:
-    """Prints its events with seconds since the first, and below each attempt the calls that it caused."""
+    """Prints events with the seconds since the first one, and below each attempt the calls that it caused."""
     indent = "    " * tier
     for event in request.events:
         fields = " ".join(f"{name}={value}" for name, value in event.fields.items())
@@ -155,12 +167,14 @@
 def show_calls_below(
     logs: AttemptLogs, request: LoggedRequest, attempt_number: int, start_ns: int, tier: int
 ) -> None:
-    """Prints the calls that an attempt caused in the tier below."""
+    """Prints the calls to the tier below that an attempt caused."""
     attempt = request.attempt(attempt_number)
     if attempt is None:
         return
     below = logs.calls_below(request, attempt)
     for call in below.requests:
         if not below.certain:
-            typer.echo(f"          {'    ' * tier}    (of this attempt or of another one there at the time:)")
+            typer.echo(
+                f"          {'    ' * tier}    (caused by this attempt or by another one at the server at the time:)"
+            )
         show_events(logs, call, start_ns, tier + 1)
--- a/harecross/follow/events.py
+++ b/harecross/follow/events.py
@@ -1,4 +1,4 @@
-"""Reads the lines of attempt logs."""
+"""Parses the lines of attempt logs."""
 
 from __future__ import annotations
 
@@ -15,39 +15,52 @@
 
 
 class BadLogError(Exception):
-    """A file that cannot be read as an attempt log: the text names the file, the line and the problem."""
+    """A file is not a readable attempt log. The message names the file, the line and the problem."""
 
 
 @dataclass(slots=True)
 class Event:
-    """One line."""
+    """One event of an attempt log.
 
-    time_ns: int  # Unix
+    Attributes:
+        time_ns: The time in Unix nanoseconds.
+        request_id: The id of the request; empty for an event that belongs to no request.
+        fields: All other fields of the line.
+    """
+
+    time_ns: int
     node: str
     name: str
-    request_id: str  # "" for what is no request's event
-    fields: dict[str, Any]  # all others
+    request_id: str
+    fields: dict[str, Any]
 
     @property
     def attempt_number(self) -> int:
-        """0 for the first attempt."""
+        """The number of the attempt, starting at 0."""
         return int(self.fields.get("http.request.resend_count", 0))
 
     @property
     def server(self) -> str:
-        """Discovery's name for it."""
+        """The name of the server in discovery."""
         return str(self.fields["server.id"])
 
 
 class LogFile(NamedTuple):
-    """What one file holds."""
+    """The contents of one file.
+
+    `truncated_line` is the file and number of an incomplete last line; empty if there is none.
+    """
 
     events: list[Event]
-    truncated_line: str  # file and number of a last line that is not complete; "" if there is none
+    truncated_line: str
 
 
 def read_log_file(path: Path) -> LogFile:
-    """Reads one file. Raises BadLogError if it holds no event, or a bad one before its last line."""
+    """Reads one file.
+
+    Raises:
+        BadLogError: The file holds no event, or an invalid event before its last line.
+    """
     text = read_text(path)
     lines = text.splitlines()
     events: list[Event] = []
@@ -68,12 +81,14 @@
                 raise BadLogError(f"{path}: line {number}: not an event of an attempt log") from None
             truncated_line = f"{path}: line {number}"
     if not any_found:
-        raise BadLogError(f"{path}: no attempt log ([log] attempts in the operators' file writes one)")
+        raise BadLogError(
+            f"{path}: no attempt log (a node writes one if `attempts` is set in [log] of the operators' file)"
+        )
     return LogFile(events, truncated_line)
 
 
 def read_text(path: Path) -> str:
-    """Reads a file as UTF-8. Raises BadLogError."""
+    """Reads a file as UTF-8; raises BadLogError if that fails."""
     try:
         return path.read_text(encoding="utf-8", errors="strict")
     except OSError as error:
@@ -83,7 +98,7 @@
 
 
 def parse_event(text: str) -> Event:
-    """Parses the object of one line. Raises ValueError, KeyError or TypeError for one that is no event."""
+    """Parses the JSON object of one line; raises ValueError, KeyError or TypeError if it is not an event."""
     fields = json.loads(text)
     time_ns, node, name, request_id = (fields.pop(field) for field in COMMON_FIELDS)
     if name == "sent":
@@ -93,5 +108,5 @@
     float(fields.get("process.uptime", 0))
     for field in LIST_FIELDS:
         if not isinstance(fields.get(field, []), list):
-            raise TypeError(f"{field}: not a list of servers: {fields[field]!r}")
+            raise TypeError(f"{field}: expected a list of servers, got {fields[field]!r}")
     return Event(int(time_ns), str(node), str(name), str(request_id), fields)
--- a/harecross/follow/late_sends.py
+++ b/harecross/follow/late_sends.py
@@ -1,8 +1,9 @@
-"""Finds requests that were sent to servers already announced as leaving, from many nodes' attempt logs.
+"""Finds requests that were sent to servers already announced as leaving, from the attempt logs of many nodes.
 
-When discovery listed a change is not in the logs: the first node that read it stands for that. The node that sends is
-notified of the change 250 ms (and 50 of slack) after it read it itself, after its process started if it was listed
-before, and 6 s after it was listed, whichever comes first (PROTOCOL, "Discovery" and "Figures").
+The logs do not hold when discovery listed a change, so the time at which the first node read it is used. A sending
+process counts as notified at the earliest of: when its node read the change, when the process started if the change was
+listed before, and 6 s after the change was listed. It may still send for 250 ms, and 50 ms of slack, after that
+(PROTOCOL, "Discovery" and "Figures").
 """
 
 from __future__ import annotations
@@ -22,27 +23,37 @@
 
 @dataclass(frozen=True, slots=True)
 class LateSend:
-    """One send that came too late. Times in Unix nanoseconds."""
+    """One late send. Times are Unix nanoseconds.
+
+    Attributes:
+        listed_ns: When the first node read that the server leaves.
+        listed_by: The node that read it first.
+        read_ns: When the sending node read it before the send; None if it did not.
+        process_started_ns: When the sending process started; 0 if the logs do not hold it.
+        sent_ns: When the server was chosen.
+        written_ns: When the first byte was sent.
+        state_change: The last state change of the server at that node before the send, if the logs hold one.
+    """
 
     request_id: str
     node: str
     server: str
-    listed_ns: int  # first read by any node
-    listed_by: str  # that node
-    read_ns: int | None  # by the node that sent, before it did
-    process_started_ns: int  # the process that sent; 0 if the logs do not have it
-    sent_ns: int  # the server was chosen
-    written_ns: int  # the first byte was sent
-    state_change: Event | None = None  # the last one of the server at that node before, if the logs have it
+    listed_ns: int
+    listed_by: str
+    read_ns: int | None
+    process_started_ns: int
+    sent_ns: int
+    written_ns: int
+    state_change: Event | None = None
 
     @property
     def delay_s(self) -> float:
-        """Seconds from the notification of the process that sent to the first byte."""
+        """The seconds from the notification of the sending process to the first byte."""
         return (self.written_ns - self.notified_ns) / NS_PER_S
 
     @property
     def notified_ns(self) -> int:
-        """When the process that sent counts as notified."""
+        """When the sending process counts as notified."""
         times = [max(self.listed_ns + int(STALENESS_LIMIT_S * NS_PER_S), self.process_started_ns)]
         if self.listed_ns < self.process_started_ns:
             times.append(self.process_started_ns)
@@ -53,29 +64,32 @@
 
 @dataclass(slots=True)
 class Announcements:
-    """When nodes read that one server is in service or leaves, in order of time."""
+    """The times at which nodes read that one server is in service or leaves, in order."""
 
     times_ns: list[int] = field(default_factory=list)
     nodes: list[str] = field(default_factory=list)
     leaving: list[bool] = field(default_factory=list)
 
     def add(self, time_ns: int, node: str, *, leaving: bool) -> None:
-        """Adds the next one in time."""
+        """Adds the next announcement in order of time."""
         self.times_ns.append(time_ns)
         self.nodes.append(node)
         self.leaving.append(leaving)
 
     def first_leaving(self, before_ns: int) -> int | None:
-        """Returns the place of the first one that says it leaves, with none since, up to a time, that it is back."""
+        """Returns the index of the first announcement of the server's last leave up to `before_ns`.
+
+        Returns None if the last announcement up to then says that the server is in service, or if there is none.
+        """
         found = None
-        for place in range(bisect_right(self.times_ns, before_ns) - 1, -1, -1):
-            if not self.leaving[place]:
+        for position in range(bisect_right(self.times_ns, before_ns) - 1, -1, -1):
+            if not self.leaving[position]:
                 break
-            found = place
+            found = position
         return found
 
     def read_by(self, node: str, first: int, begin_ns: int, end_ns: int) -> int | None:
-        """Returns when a node read the first one from place `first` on, within the times; None if it did not."""
+        """Returns when a node first read an announcement from index `first` on, within the times; None if never."""
         for time_ns, reader in zip(self.times_ns[first:], self.nodes[first:], strict=True):
             if reader == node and begin_ns <= time_ns <= end_ns:
                 return time_ns
@@ -83,7 +97,7 @@
 
 
 def announcements_by_server(logs: AttemptLogs) -> dict[str, Announcements]:
-    """Collects the changes of all nodes' lists; a list kept from before a process started says nothing new."""
+    """Collects the endpoint list changes of all nodes; lists cached before a process started are not news."""
     found: dict[str, Announcements] = defaultdict(Announcements)
     events = [event for node_events in logs.node_events.values() for event in node_events]
     for event in sorted(events, key=lambda event: event.time_ns):
@@ -96,7 +110,7 @@
 
 
 def last_state_change(logs: AttemptLogs, node: str, server: str, before_ns: int) -> Event | None:
-    """Returns the last change of a server's state that a node logged up to a time."""
+    """Returns the last state change of a server that a node logged up to `before_ns`."""
     changes = (
         event
         for event in logs.node_events.get(node, ())
@@ -106,7 +120,7 @@
 
 
 def process_starts(logs: AttemptLogs) -> dict[str, list[int]]:
-    """Returns when each node's processes were started, in order: before the `start` line, by their uptime there."""
+    """Returns when the processes of each node were started, in order: the `start` event minus its uptime."""
     return {
         node: sorted(
             event.time_ns - int(float(event.fields.get("process.uptime", 0)) * NS_PER_S)
@@ -118,7 +132,7 @@
 
 
 def late_sends(logs: AttemptLogs) -> list[LateSend]:
-    """Returns each send whose first byte came over `SEND_STOP_GRACE_S` after its notification, in time order."""
+    """Returns each send whose first byte was sent over `SEND_STOP_GRACE_S` after notification, in time order."""
     announcements = announcements_by_server(logs)
     starts = process_starts(logs)
     found = [
@@ -133,35 +147,40 @@
 def sends_to_leaving(
     logs: AttemptLogs, request: LoggedRequest, announcements: dict[str, Announcements], starts: list[int]
 ) -> Iterator[LateSend]:
-    """Yields the request's sends to servers that some node had read as leaving; `starts`: of the node's processes."""
+    """Yields the sends of a request to servers that some node had read as leaving.
+
+    `starts` holds the times at which the processes of the node were started.
+    """
     for attempt in request.attempts:
-        of_server = announcements.get(attempt.server)
-        if attempt.written_ns is None or of_server is None:
+        server_announcements = announcements.get(attempt.server)
+        if attempt.written_ns is None or server_announcements is None:
             continue
-        first = of_server.first_leaving(attempt.written_ns)
+        first = server_announcements.first_leaving(attempt.written_ns)
         if first is not None:
-            yield make_late_send(logs, request, attempt, of_server, first, attempt.written_ns, starts)
+            yield make_late_send(
+                logs, request, attempt, server_announcements, first, attempt.written_ns, starts
+            )
 
 
 def make_late_send(
     logs: AttemptLogs,
     request: LoggedRequest,
     attempt: LoggedAttempt,
-    of_server: Announcements,
+    server_announcements: Announcements,
     first: int,
     written_ns: int,
     starts: list[int],
 ) -> LateSend:
-    """Collects the times of one send; `first`: the place of the announcement that the server leaves."""
+    """Collects the times of one send; `first` is the index of the announcement that the server leaves."""
     earlier_starts = bisect_right(starts, written_ns)
     started_ns = starts[earlier_starts - 1] if earlier_starts else 0
     return LateSend(
         request_id=request.id,
         node=request.node,
         server=attempt.server,
-        listed_ns=of_server.times_ns[first],
-        listed_by=of_server.nodes[first],
-        read_ns=of_server.read_by(request.node, first, started_ns, written_ns),
+        listed_ns=server_announcements.times_ns[first],
+        listed_by=server_announcements.nodes[first],
+        read_ns=server_announcements.read_by(request.node, first, started_ns, written_ns),
         process_started_ns=started_ns,
         sent_ns=attempt.sent_ns,
         written_ns=written_ns,
--- a/harecross/follow/logs.py
+++ b/harecross/follow/logs.py
@@ -1,4 +1,4 @@
-"""Several nodes' attempt logs as one: requests, the nodes' own events, and the way of a request down the tiers."""
+"""Merges the attempt logs of several nodes: requests, node events, and the calls that requests cause in lower tiers."""
 
 from __future__ import annotations
 
@@ -14,28 +14,38 @@
 
 
 class CallsBelow(NamedTuple):
-    """The calls that an attempt may have caused in the tier below."""
+    """The calls that an attempt may have caused in the tier below.
+
+    `certain` means that no other attempt of that class was at the server at the time.
+    """
 
     requests: list[LoggedRequest]
-    certain: bool  # no other attempt of that class was at the server at the time
+    certain: bool
 
 
 @dataclass(slots=True)
 class AttemptLogs:
-    """All that was read. Times in Unix nanoseconds."""
+    """The merged events of several logs. Times are Unix nanoseconds.
+
+    Attributes:
+        requests: The requests by node and id.
+        node_events: The events of each node that belong to no request.
+        truncated_lines: The incomplete last lines, by file and number.
+        end_ns: The time of the last event of a request.
+        sidecars: The node that runs beside each server, for its calls to the tier below.
+        by_node: The requests of each node in the order in which they were admitted.
+    """
 
-    requests: dict[tuple[str, str], LoggedRequest] = field(default_factory=dict)  # by node and id
+    requests: dict[tuple[str, str], LoggedRequest] = field(default_factory=dict)
     by_id: dict[str, list[LoggedRequest]] = field(default_factory=lambda: defaultdict(list))
-    node_events: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))  # no request's
-    truncated_lines: list[str] = field(
-        default_factory=list
-    )  # last lines that are not complete, by file and number
-    end_ns: int = 0  # of the last event of a request
-    sidecars: dict[str, str] = field(default_factory=dict)  # the node beside a server
-    by_node: dict[str, list[LoggedRequest]] = field(default_factory=dict)  # as they were admitted
+    node_events: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))
+    truncated_lines: list[str] = field(default_factory=list)
+    end_ns: int = 0
+    sidecars: dict[str, str] = field(default_factory=dict)
+    by_node: dict[str, list[LoggedRequest]] = field(default_factory=dict)
 
     def add(self, event: Event) -> None:
-        """Adds the next event in time."""
+        """Adds the next event in order of time."""
         if not event.request_id:
             self.node_events[event.node].append(event)
             return
@@ -48,7 +58,7 @@
         self.end_ns = max(self.end_ns, event.time_ns)
 
     def finish(self) -> None:
-        """Prepares `calls_below` once all events have been added."""
+        """Builds the indexes for `calls_below`; called once all events have been added."""
         by_node: dict[str, list[LoggedRequest]] = defaultdict(list)
         for request in self.requests.values():
             by_node[request.node].append(request)
@@ -58,13 +68,13 @@
         self.sidecars = infer_sidecars(self.requests.values(), self.end_ns)
 
     def first_request(self, request_id: str) -> LoggedRequest:
-        """Returns the first request of that id. Raises KeyError if no log has one."""
+        """Returns the first request with that id; raises KeyError if no log has one."""
         if request_id not in self.by_id:
             raise KeyError(request_id)
         return min(self.by_id[request_id], key=lambda request: request.admitted_ns)
 
     def calls_below(self, request: LoggedRequest, attempt: LoggedAttempt) -> CallsBelow:
-        """Returns the calls of the node beside the server, of the same class, while the server had the attempt."""
+        """Returns the calls of the same class at the server's sidecar while the server handled the attempt."""
         node = self.sidecars.get(attempt.server)
         if node is None or attempt.written_ns is None:
             return CallsBelow([], certain=True)
@@ -87,7 +97,7 @@
 
 
 def read_logs(paths: Sequence[Path]) -> AttemptLogs:
-    """Reads several nodes' logs as one. Raises BadLogError."""
+    """Reads and merges the logs of several nodes; raises BadLogError if one cannot be read."""
     logs = AttemptLogs()
     events: list[Event] = []
     for path in paths:
--- a/harecross/follow/requests.py
+++ b/harecross/follow/requests.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts, put together from the events of attempt logs. Times in Unix nanoseconds."""
+"""Reconstructs requests and their attempts from the events of attempt logs. Times are Unix nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,39 +7,50 @@
 from harecross.follow.events import Event
 from harecross.interface import Idempotency
 
-ANSWER_SLACK_NS = 500_000_000  # after its deadline, before an answer counts as never given (FLEET, "rules")
-NEVER_RAN = frozenset(("rejected", "connect_failed", "not_sent"))  # outcomes that prove that no server ran it
-CLIENT_DISCONNECTED = "left"  # as a final answer
+# The time after the deadline of a request before its answer counts as late or missing (FLEET, "rules").
+ANSWER_SLACK_NS = 500_000_000
+# The outcomes of an attempt that prove that no server ran the request.
+NEVER_RAN = frozenset(("rejected", "connect_failed", "not_sent"))
+# The value of a final answer if the client disconnected first.
+CLIENT_DISCONNECTED = "left"
 
 
 @dataclass(slots=True)
 class LoggedAttempt:
-    """One attempt of a request; None for an event that the logs do not have."""
+    """One attempt of a request. The time of an event that the logs do not have is None.
+
+    `error_type` is the outcome of a failed attempt; empty if it succeeded or has not ended.
+    """
 
     number: int
     server: str
     sent_ns: int
     written_ns: int | None = None
     ended_ns: int | None = None
-    error_type: str = ""  # of its end; "" for a good response, or while it has none
+    error_type: str = ""
 
 
 @dataclass(slots=True)
 class LoggedRequest:
-    """One request at one node."""
+    """One request at one node.
+
+    Attributes:
+        admitted_ns: When the node admitted the request; 0 if the logs begin after that.
+        answer: The final answer: served, refused, failed or left; empty if there is none.
+    """
 
     id: str
     node: str
     events: list[Event] = field(default_factory=list)
     request_class: str = ""
-    admitted_ns: int = 0  # 0 if the logs begin in the middle of it
+    admitted_ns: int = 0
     deadline_ns: int = 0
-    answer: str = ""  # served, refused, failed, left; "" for none
+    answer: str = ""
     answered_ns: int | None = None
     attempts: list[LoggedAttempt] = field(default_factory=list)
 
     def add(self, event: Event) -> None:
-        """Adds the next event in time."""
+        """Adds the next event in order of time."""
         self.events.append(event)
         if event.name == "taken":
             self.admitted_ns = event.time_ns
@@ -48,14 +59,14 @@
         elif event.name == "sent":
             self.attempts.append(LoggedAttempt(event.attempt_number, event.server, event.time_ns))
         elif event.name == "final":
-            # Of two final answers, a fault of the node that `problems` reports, the time of the first counts.
+            # Two final answers are a fault of the node, which `problems` reports. The time of the first one counts.
             self.answer = str(event.fields.get("answer", ""))
             self.answered_ns = self.answered_ns or event.time_ns
         else:
             self.add_to_attempt(event)
 
     def add_to_attempt(self, event: Event) -> None:
-        """Adds what became of an attempt."""
+        """Adds an event of an attempt after it was sent."""
         attempt = self.attempt(event.attempt_number)
         if attempt is not None and event.name == "written":
             attempt.written_ns = event.time_ns
@@ -64,14 +75,14 @@
             attempt.error_type = str(event.fields.get("error.type", ""))
 
     def attempt(self, number: int) -> LoggedAttempt | None:
-        """Returns an attempt; None if the logs begin after it was sent."""
+        """Returns an attempt by its number; None if the logs begin after it was sent."""
         return next((attempt for attempt in self.attempts if attempt.number == number), None)
 
     def problems(self, end_ns: int, idempotency: Idempotency) -> list[str]:
-        """Returns what went wrong with it; `end_ns`: the last time in the logs.
+        """Describes what went wrong with the request; `end_ns` is the last time in the logs.
 
-        Which servers discard the repeats of a request with an idempotency key is not in the logs: repeats of those
-        are no problem.
+        The logs do not tell which servers discard repeats of a request with an idempotency key, so such repeats are not
+        reported.
         """
         found = []
         final_answers = sum(event.name == "final" for event in self.events)
@@ -87,12 +98,12 @@
         return found
 
     def deadline_problems(self, end_ns: int) -> list[str]:
-        """Returns that it had no answer, or a late one; nothing if its deadline is not known."""
+        """Reports a missing or late answer; nothing if the deadline is not known."""
         latest_ns = self.deadline_ns + ANSWER_SLACK_NS
         if not self.admitted_ns:
             return []
         if self.answered_ns is None:
             return ["no final answer"] if end_ns > latest_ns else []
         if self.answer != CLIENT_DISCONNECTED and self.answered_ns > latest_ns:
-            return [f"answered {(self.answered_ns - self.deadline_ns) / 1e9:.2f} s after its time"]
+            return [f"answered {(self.answered_ns - self.deadline_ns) / 1e9:.2f} s after its deadline"]
         return []
--- a/harecross/follow/sidecars.py
+++ b/harecross/follow/sidecars.py
@@ -1,7 +1,8 @@
-"""Learns from attempt logs which node runs beside which server, and sends that server's calls to the tier below.
+"""Infers from attempt logs which node is the sidecar of which server.
 
-A server's calls have ids of their own, and no message ties them to the request for which it makes them. A node beside
-a server is one that never has more calls open than the server has attempts in flight, class by class.
+The sidecar of a server is the node that runs beside it and forwards its calls to the tier below. Those calls have their
+own ids, and no message links them to the request for which the server makes them. A sidecar is recognised because, in
+each request class, it never has more calls open than its server has attempts in flight.
 """
 
 from __future__ import annotations
@@ -13,34 +14,36 @@
 
 from harecross.follow.requests import LoggedRequest
 
-MIN_CALLS = 3  # of a node
-MIN_COVERAGE = 0.8  # calls of a node for each attempt that a server answered
-MAX_UNEXPLAINED_SHARE = (
-    0.02  # of a node's calls that its server cannot have made: clocks differ, ends are missing
-)
+# The minimum number of calls of a node.
+MIN_CALLS = 3
+# The minimum ratio of the calls of a node to the attempts that the server answered.
+MIN_COVERAGE = 0.8
+# The maximum share of a node's calls that the server cannot have made. Such calls appear because clocks differ and
+# ends of calls are missing in the logs.
+MAX_UNEXPLAINED_SHARE = 0.02
 
 
 @dataclass(slots=True)
 class Intervals:
-    """When something was open, from its begin to its end."""
+    """The times for which calls or attempts were open, each from its begin to its end."""
 
     begins: list[int] = field(default_factory=list)
     ends: list[int] = field(default_factory=list)
     succeeded: int = 0
 
     def add(self, begin: int, end: int, *, succeeded: bool) -> None:
-        """Adds one; `sort` follows."""
+        """Adds an interval; call `sort` after the last one."""
         self.begins.append(begin)
         self.ends.append(end)
         self.succeeded += succeeded
 
     def sort(self) -> None:
-        """Prepares `open_at`."""
+        """Sorts the intervals for `open_at`."""
         self.begins.sort()
         self.ends.sort()
 
     def open_at(self, time: int) -> int:
-        """How many are open, those that begin just then among them."""
+        """Returns the number of intervals open at a time, including those that begin or end at it."""
         return bisect_right(self.begins, time) - bisect_left(self.ends, time)
 
 
@@ -49,9 +52,11 @@
 
 
 def unexplained_share(attempts: IntervalsByClass, calls: IntervalsByClass) -> float | None:
-    """Returns the part of a node's calls that a server cannot have made: more were open than it had attempts.
+    """Returns the share of a node's calls that a server cannot have made.
 
-    A server makes its calls one after another. None if the node made too few for what the server answered.
+    These are calls that began when more calls were open than the server had attempts in flight, because a server makes
+    the calls for one attempt sequentially. Returns None if the node made too few calls for the attempts that the server
+    answered.
     """
     count = sum(len(intervals.begins) for intervals in calls.values())
     if count < max(MIN_CALLS, MIN_COVERAGE * sum(intervals.succeeded for intervals in attempts.values())):
@@ -65,10 +70,10 @@
 
 
 def infer_sidecars(requests: Iterable[LoggedRequest], end_ns: int) -> dict[str, str]:
-    """Returns the node beside each server for which that is clear; `end_ns`: the last time in the logs."""
+    """Returns the sidecar of each server that has an unambiguous one; `end_ns` is the last time in the logs."""
     attempts: dict[str, dict[str, Intervals]] = defaultdict(lambda: defaultdict(Intervals))  # by server
     calls: dict[str, dict[str, Intervals]] = defaultdict(lambda: defaultdict(Intervals))  # by node
-    senders: dict[str, set[str]] = defaultdict(set)  # nodes that send to a server are not beside it
+    senders: dict[str, set[str]] = defaultdict(set)  # nodes that send to a server, by server
     for request in requests:
         request_class = request.request_class
         for attempt in request.attempts:
@@ -93,14 +98,14 @@
 
 
 def unambiguous_sidecar(attempts: IntervalsByClass, candidates: Mapping[str, IntervalsByClass]) -> str | None:
-    """Returns the one node whose calls fit a server's attempts; None if none does, or another fits nearly as well."""
-    parts = sorted(
-        (part, node)
+    """Returns the one node whose calls fit the attempts of a server; None if none or several nodes fit."""
+    shares = sorted(
+        (share, node)
         for node, calls in candidates.items()
-        if (part := unexplained_share(attempts, calls)) is not None
+        if (share := unexplained_share(attempts, calls)) is not None
     )
-    if not parts or parts[0][0] > MAX_UNEXPLAINED_SHARE:
+    if not shares or shares[0][0] > MAX_UNEXPLAINED_SHARE:
         return None
-    if len(parts) > 1 and parts[1][0] <= 2 * MAX_UNEXPLAINED_SHARE:
+    if len(shares) > 1 and shares[1][0] <= 2 * MAX_UNEXPLAINED_SHARE:
         return None
-    return parts[0][1]
+    return shares[0][1]
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -182,7 +182,7 @@
     whole = served_request_lines("n", "r", 1.0, 1.0, "s")
     result = run("r", *write_logs(tmp_path, n=whole + whole[:40]))
     assert result.exit_code == 0
-    assert "torn, passed over" in result.stderr
+    assert "truncated, skipped" in result.stderr
 
 
 def list_line(
