--- a/tests/test_accept_filter.py
+++ b/tests/test_accept_filter.py
@@ -1,4 +1,4 @@
-"""The end of a listening socket: who has begun to connect is served, who has not is refused, nobody is reset."""
+"""Closing a listening socket: handshakes in progress are accepted, later ones are refused, none is reset."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from harecross.downstream.accept_filter import refuse_new_connections
 from harecross.downstream.listener import Listener
 
-REFUSED_WITHIN = 5.0  # seconds; Linux asks again after one
+REFUSED_WITHIN = 5.0  # seconds; Linux retransmits a SYN after one second
 
 
 def listening_socket() -> socket.socket:
@@ -23,13 +23,13 @@
 
 
 def start_connect(address: tuple[str, int]) -> tuple[socket.socket, int]:
-    """A socket on its way to an address, and what connect(2) said of it."""
+    """Starts to connect a socket; returns it with the error number of connect(2)."""
     client = socket.socket()
     client.setblocking(False)
     return client, client.connect_ex(address)
 
 
-def test_handshakes_that_have_begun_are_accepted_and_later_ones_refused():
+def test_handshakes_in_progress_are_accepted_and_later_ones_refused():
     async def test() -> None:
         loop = asyncio.get_running_loop()
         after = socket.socket()
@@ -60,15 +60,15 @@
     other = sock.dup()
     other.setblocking(False)
     refuse_new_connections(sock)
-    client, said = start_connect(sock.getsockname())
+    client, error = start_connect(sock.getsockname())
     with pytest.raises(BlockingIOError):
         other.accept()
-    assert said == errno.EINPROGRESS
+    assert error == errno.EINPROGRESS
     for each in (sock, other, client):
         each.close()
 
 
-def test_a_filter_without_kernel_memory_is_set_by_a_later_try(monkeypatch):
+def test_setting_the_filter_is_retried_when_the_kernel_is_out_of_memory(monkeypatch):
     async def test() -> None:
         failures = [OSError(errno.ENOMEM, "Cannot allocate memory")] * 3
 
@@ -81,8 +81,8 @@
         sock = listening_socket()
         listener = Listener(sock, lambda waiting: asyncio.Protocol(), lambda: None)
         await listener.refuse_new()
-        client, said = start_connect(sock.getsockname())
-        assert said == errno.EINPROGRESS
+        client, error = start_connect(sock.getsockname())
+        assert error == errno.EINPROGRESS
         assert not failures
         await listener.close()
         client.close()
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -1,4 +1,4 @@
-"""A client that leaves while its request waits: nothing is sent on for it (PROTOCOL, "Callers to nodes")."""
+"""Clients that disconnect while their request waits: it is not forwarded (PROTOCOL, "Callers to nodes")."""
 
 import asyncio
 from random import Random
@@ -11,7 +11,7 @@
 
 every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
 cancels = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
-BEHIND = {"tier": 1, "layers": ["front", "store"]}  # requests are queued there
+BEHIND = {"tier": 1, "layers": ["front", "store"]}  # a node in tier 1 queues requests
 
 
 def requests_at_servers(world: World) -> int:
@@ -28,13 +28,13 @@
 
 @every_kind
 @cancels
-@pytest.mark.parametrize("order", ["before it is up", "after it is up"])
+@pytest.mark.parametrize("order", ["before it is open", "after it is open"])
 def test_a_client_that_disconnects_while_the_upstream_connection_is_opened(kind, cancel, order):
     async def test(world: World) -> None:
         held, client = HeldConnects(world.node.pool), await world.client()
         client.send(kind[0], key=kind[1])
         await held.begun.get()
-        if order == "before it is up":
+        if order == "before it is open":
             client.writer.close()
             await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
             held.release()
@@ -49,9 +49,8 @@
             client.writer.close()
             await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
             await turns()
-            assert (
-                received.gone.is_set() == cancel
-            )  # it may run: to close is to cancel, which the settings must allow
+            # The request may be running. Closing the connection cancels it, which the settings must allow.
+            assert received.gone.is_set() == cancel
             if not cancel:
                 received.answer()
             await until(lambda: not world.node.dispatcher.requests)
@@ -63,14 +62,15 @@
 @every_kind
 @cancels
 def test_a_client_whose_disconnect_is_unread_when_the_upstream_connection_is_open(kind, cancel):
-    """The upstream connection is opened in the turn of the loop in which the disconnect is still in the kernel."""
+    """The upstream connection opens in a turn of the event loop in which the disconnect has not been read yet."""
 
     async def test(world: World) -> None:
         held, client = HeldConnects(world.node.pool), Plain(world.node.address)
         await taken(world, 1)
         client.send(*kind)
         await held.begun.get()
-        world.node.loop.call_soon(client.leave)  # in the turn in which the connection is opened
+        # The client disconnects in the turn of the event loop in which the connection is opened.
+        world.node.loop.call_soon(client.leave)
         held.release()
         await until(lambda: world.node.dispatcher.statistics.final_answers["left"])
         await turns()
@@ -97,8 +97,8 @@
 
 
 @every_kind
-def test_a_client_that_disconnects_after_many_requests_at_once(kind):
-    """Nothing after the first request is read while that has no answer, not even the end of the connection."""
+def test_a_client_that_disconnects_after_pipelined_requests(kind):
+    """While the first request is unanswered, nothing after it is read, not even the end of the connection."""
 
     async def test(world: World) -> None:
         await warm(world)
@@ -119,7 +119,7 @@
 @every_kind
 @cancels
 def test_a_client_that_disconnects_before_a_retry(kind, cancel):
-    """A rejected attempt would be retried at the other server; the disconnect comes after bytes that are not read."""
+    """A rejected attempt would be retried at the other server; the disconnect is behind data that is not read yet."""
 
     async def test(world: World) -> None:
         await warm(world)
@@ -137,7 +137,9 @@
     with_node(test, servers=2, settings=allowing(cancel))
 
 
-@pytest.mark.parametrize("seen", [True, False], ids=["its end is read", "more lies before its end"])
+@pytest.mark.parametrize(
+    "seen", [True, False], ids=["the disconnect is read", "unread data precedes the disconnect"]
+)
 def test_a_client_that_disconnects_while_its_request_is_queued(seen):
     async def test(world: World) -> None:
         clients = []
@@ -153,7 +155,7 @@
         received[0].answer()
         await until(lambda: world.node.dispatcher.statistics.final_answers["left"] == 1)
         await turns()
-        # After the first answer the same client's second request is sent; nothing of the client that has gone is.
+        # After the first answer that client's second request is sent, but none of the disconnected client.
         assert requests_at_servers(world) == (0 if seen else 1)
         assert not world.node.dispatcher.balancer.queue
 
@@ -165,40 +167,40 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_attempt_is_sent_after_its_client_has_disconnected(seed):
-    """Many clients disconnect at seeded moments; counted at the servers 0.3 s after each, and at once.
+    """Many clients disconnect at seeded moments; no server may receive a request more than 0.3 s after that.
 
-    Before the mend 287 requests of the 240 callers of the six seeds were begun later than that.
+    Before the fix, 287 requests of the 240 clients in the six seeds were sent later than that.
     """
     rng, counted = Random(seed), dict.fromkeys(MOMENTS, 0)
 
     async def test(world: World) -> None:
         left: dict[str, int] = {}
         held = HeldConnects(world.node.pool)
-        callers: list[tuple[str, Plain, str]] = []
+        clients: list[tuple[str, Plain, str]] = []
         for n in range(40):
             moment = rng.choice(MOMENTS)
-            caller, name = Plain(world.node.address), f"c{n}"
+            client, name = Plain(world.node.address), f"c{n}"
             await turns(2)
             path, key = rng.choice(KINDS)
             times = 3 if moment in ("queued", "between") else 1
-            callers.append((moment, caller, name))
-            caller.send(f"{path}/{name}", key=key, times=times)
+            clients.append((moment, client, name))
+            client.send(f"{path}/{name}", key=key, times=times)
             if moment == "unread":
                 left[name] = monotonic_us()
-                caller.leave()
+                client.leave()
             elif rng.random() < 0.5:
                 await turns(2)
         await turns()
-        if any(moment == "stopping" for moment, *_ in callers):
+        if any(moment == "stopping" for moment, *_ in clients):
             world.node.stop_requested.set()
-        rng.shuffle(callers)
-        for moment, caller, name in callers:
+        rng.shuffle(clients)
+        for moment, client, name in clients:
             if moment == "unread":
                 continue
             if moment == "between" and seed % 3 and rng.random() < 0.5:
                 held.release()
             left[name] = monotonic_us()
-            caller.leave()
+            client.leave()
             await turns(rng.randrange(3))
         await asyncio.sleep(0.31)
         held.release()
@@ -209,7 +211,7 @@
                     received = origin.arrived.get_nowait()
                     name = received.head.split(b" ")[1].split(b"/")[3].decode()
                     late = received.came - left[name] > 300_000
-                    counted[next(m for m, _, n in callers if n == name)] += late
+                    counted[next(m for m, _, n in clients if n == name)] += late
                     if not received.writer.transport.is_closing():
                         unseen = rng.random() < 0.5
                         received.answer(503, extra=b"X-Not-Processed: 1\r\n") if unseen else received.answer()
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""The attempt log of a node, and `harecross follow`, which reads several."""
+"""The attempt log of a node, and `harecross follow`, which reads the attempt logs of several nodes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def attempt_lines(
     node: str, request: str, at_s: float, took: float, server: str, number: int = 0, cause: str = ""
 ) -> str:
-    """The lines of an attempt: sent, written and ended."""
+    """Returns the lines of one attempt: sent, written and ended."""
     place = {"http__request__resend_count": number, "server__id": server}
     more = {"error__type": cause} if cause else {}
     return (
@@ -64,7 +64,8 @@
 
 
 def test_a_node_logs_a_request_with_its_attempts(tmp_path, monkeypatch):
-    # A kept connection rests for a part of what its last exchange took: on a busy machine longer than the retry waits.
+    # A kept connection is not reused for part of the duration of its last exchange, which on a busy machine is
+    # longer than the delay of the retry.
     monkeypatch.setattr(connection, "MAX_REST_US", 0)
     path = tmp_path / "n0.log"
 
@@ -91,7 +92,7 @@
 
 
 def test_a_request_is_followed_into_the_tier_below(tmp_path):
-    """Calls to the tier below have ids of their own: the node beside a server is learned from their times."""
+    """Calls to the tier below have their own ids, so the sidecar of a server is inferred from their times."""
     front = beside = other = ""
     for i in range(6):
         front += served_request_lines("n0", f"f{i}", 10.0 * i, 1.0, "s1") + served_request_lines(
@@ -143,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "text", "said"),
+    ("words", "text", "message"),
     [
         (["other"], served_request_lines("n", "r", 1.0, 1.0, "s"), "no request other in 1 logs"),
         (["r"], "nothing of the kind\n", "no attempt log"),
@@ -160,14 +161,14 @@
         ),
     ],
 )
-def test_bad_input_is_one_line_and_status_2(tmp_path, words, text, said):
+def test_bad_input_is_one_line_and_status_2(tmp_path, words, text, message):
     result = run(*words, *write_logs(tmp_path, n=text))
     assert result.exit_code == 2
     assert len(result.stderr.splitlines()) == 1
-    assert said in result.stderr
+    assert message in result.stderr
 
 
-def test_a_log_that_begins_within_a_request_is_read(tmp_path):
+def test_a_log_that_begins_in_the_middle_of_a_request_is_read(tmp_path):
     whole = served_request_lines("n", "r", 1.0, 9.0, "s").splitlines(keepends=True)
     paths = write_logs(tmp_path, n="".join(whole[2:]) + served_request_lines("n", "other", 20.0, 1.0, "s"))
     shown = run("r", *paths)
@@ -176,7 +177,7 @@
     assert run("--ended-badly", *paths).output == "0 of 2 requests ended badly\n"
 
 
-def test_a_missing_file_is_bad_input_and_a_torn_last_line_is_skipped(tmp_path):
+def test_a_missing_file_is_bad_input_and_a_truncated_last_line_is_skipped(tmp_path):
     assert run("r", tmp_path / "none").exit_code == 2
     assert run("r").exit_code == 2
     whole = served_request_lines("n", "r", 1.0, 1.0, "s")
@@ -196,16 +197,16 @@
 
 
 def test_sends_to_a_server_announced_as_leaving_are_listed_with_their_times(tmp_path):
-    """A process starts with a cached list that still has the server; its start takes most of the 300 ms."""
+    """A process starts with a cached list that still has the server; its startup takes most of the 300 ms allowed."""
     first = start_line("n0", 1.0, 0.2) + list_line("n0", 5.0, left=("s1",))
-    herd = start_line("n1", 8.27, 0.27) + list_line("n1", 8.28, "cached", came=("s1", "s2"))
-    herd += served_request_lines("n1", "late", 8.301, 0.4, "s1") + served_request_lines(
+    restarted = start_line("n1", 8.27, 0.27) + list_line("n1", 8.28, "cached", came=("s1", "s2"))
+    restarted += served_request_lines("n1", "late", 8.301, 0.4, "s1") + served_request_lines(
         "n1", "other", 8.31, 0.4, "s2"
     )
-    herd += list_line("n1", 8.32, left=("s1",)) + served_request_lines("n1", "later", 9.0, 0.4, "s1")
-    herd += list_line("n1", 10.0, came=("s1",)) + served_request_lines("n1", "back", 12.0, 0.4, "s1")
+    restarted += list_line("n1", 8.32, left=("s1",)) + served_request_lines("n1", "later", 9.0, 0.4, "s1")
+    restarted += list_line("n1", 10.0, came=("s1",)) + served_request_lines("n1", "back", 12.0, 0.4, "s1")
     silent = start_line("n2", 1.0, 0.0) + served_request_lines("n2", "unheard", 11.4, 0.4, "s2")
-    shown = run("--leaving", *write_logs(tmp_path, a=first, b=herd, c=silent))
+    shown = run("--leaving", *write_logs(tmp_path, a=first, b=restarted, c=silent))
     assert shown.exit_code == 1
     late, later, total = shown.output.splitlines()
     assert late.startswith("late node=n1 server=s1: 0.301 s after")
@@ -268,20 +269,23 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "says"),
+    ("words", "message"),
     [
         (["--leaving", "--ended-badly", "a"], "one of"),
-        (["--leaving", "torn"], "line 1: not an event"),
+        (["--leaving", "invalid"], "line 1: not an event"),
         (["--leaving", "old"], "no list was read"),
     ],
 )
-def test_wrong_use_of_leaving_is_one_line_and_status_2(tmp_path, monkeypatch, words, says):
-    torn = log_line("n0", "", 1.0, "list", kind="changes", left="s1")
+def test_invalid_use_of_leaving_is_one_line_and_status_2(tmp_path, monkeypatch, words, message):
+    invalid = log_line("n0", "", 1.0, "list", kind="changes", left="s1")
     write_logs(
-        tmp_path, a=start_line("n0", 1.0, 0.0), old=served_request_lines("n0", "r", 1.0, 0.5, "s1"), torn=torn
+        tmp_path,
+        a=start_line("n0", 1.0, 0.0),
+        old=served_request_lines("n0", "r", 1.0, 0.5, "s1"),
+        invalid=invalid,
     )
     monkeypatch.chdir(tmp_path)
     shown = run(*words)
     assert shown.exit_code == 2
-    assert says in shown.output
+    assert message in shown.output
     assert len(shown.output.splitlines()) == 1
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -1,4 +1,4 @@
-"""A node's connections from clients over loopback sockets: idle, slow and too many of them."""
+"""Client connections of a node over loopback sockets: idle, slow, and too many."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 @pytest.mark.parametrize(
     "text", [b"", b"GET /read/1 HTTP/1.1\r\n", b"POST /pay/1" + HEAD + CHUNKED + b"\r\n5\r\nab"]
 )
-def test_callers_that_stop_half_way_are_let_go(text, monkeypatch):
-    """Silence and half requests held a connection, and its descriptor, for good."""
+def test_a_connection_with_an_incomplete_request_is_closed(text, monkeypatch):
+    """Guards against silent connections and incomplete requests that hold a descriptor indefinitely."""
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
@@ -34,7 +34,7 @@
     with_node(test)
 
 
-def test_idle_connections_are_let_go(monkeypatch):
+def test_idle_connections_are_closed(monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
     async def test(w: World) -> None:
@@ -48,8 +48,8 @@
     with_node(test)
 
 
-def test_a_caller_that_does_not_read_is_let_go(monkeypatch):
-    """Its answers piled up in memory without bound."""
+def test_the_connection_of_a_client_that_does_not_read_is_closed(monkeypatch):
+    """Guards against responses that accumulate in memory without bound."""
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     full = asyncio.Event()
     pause = connection_manager.ClientConnection.pause_writing
@@ -72,7 +72,8 @@
                 answered += 1
 
         task = asyncio.create_task(answer())
-        # Seen as it happens: looked for now and then, it had passed on a busy machine, and its caller with it.
+        # An event records that writing was paused. Polling for it missed the pause on a busy machine, where the
+        # connection was closed before the next poll.
         for i in range(1000):
             text = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: n%d\r\nX-Timeout: 9000m\r\n\r\n" % i
             await loop.sock_sendall(sock, text)
@@ -105,8 +106,8 @@
     with_node(test, memory_mb=1)
 
 
-def test_connections_beyond_the_limit_are_closed_at_once_and_usual_callers_last(monkeypatch):
-    """Hundreds of connections that said nothing took every descriptor; then no server could be reached."""
+def test_connections_beyond_the_limit_are_closed_and_active_clients_keep_theirs(monkeypatch):
+    """Guards against hundreds of silent connections that use every descriptor, so that no server can be reached."""
     monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 0)
 
     async def test(w: World) -> None:
@@ -119,10 +120,10 @@
         assert most < 128
         silent = [await w.client() for _ in range(most + 20)]
         assert len(w.node.client_connections.open) <= most
-        usual.send()  # its connection is still there
+        usual.send()  # the connection is still open
         (await w.origins[0].arrived.get()).answer()
         assert (await usual.answer())[0] == 200
-        # Where nothing may be put out, the newest is turned away and costs no more than that.
+        # If no connection may be evicted, the newest one is refused, and nothing else is affected.
         monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
         usual.send()
         at = await w.origins[0].arrived.get()
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -1,4 +1,4 @@
-"""Requests at a node over loopback sockets: what is forwarded, what is refused, and the one final answer."""
+"""Requests to a node over loopback sockets: what is forwarded, what is refused, and the final answer."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.usefixtures("no_rest")
-def test_requests_may_come_in_single_bytes_or_two_at_once():
+def test_requests_may_arrive_byte_by_byte_or_pipelined():
     async def test(world: World) -> None:
         client = await world.client()
         text = b"GET /read/%d HTTP/1.1\r\nX-Request-ID: r%d\r\nX-Timeout: 20s\r\n\r\n".replace(
@@ -145,7 +145,7 @@
 
 
 def test_limits_on_one_request_do_not_add_up_over_a_connection():
-    """The limits on a head and on the number of waiting requests hold for one request."""
+    """The limits on heads and on pipelined requests apply to the current request, not to the whole connection."""
 
     async def test(world: World) -> None:
         client = await world.client()
@@ -159,7 +159,7 @@
 
 
 def test_the_id_of_an_open_request_gets_409():
-    """Forwarded it could run twice; shed, it would be told that a retry does no harm."""
+    """Forwarding the second request could run it twice, and shedding it would tell the client that a retry is safe."""
 
     async def test(world: World) -> None:
         first, second = await world.client(), await world.client()
@@ -171,9 +171,8 @@
         assert (await first.answer())[0] == 200
         assert world.origins[0].links == 1
         assert not world.node.dispatcher.open_request_ids
-        first.send(
-            "/pay/1", X_Request_ID="same"
-        )  # the first request has its answer: the id may be used again
+        # The first request has its answer, so its id may be used again.
+        first.send("/pay/1", X_Request_ID="same")
         (await world.origins[0].arrived.get()).answer()
         assert (await first.answer())[0] == 200
 
@@ -214,18 +213,19 @@
         client.send("/pay/1", left="300m")
         received = await world.origins[0].arrived.get()
         assert (await client.answer())[0] == 502
-        await received.gone.wait()  # a late response would be taken for that of the next request
+        # The connection is closed, because a late response would be mistaken for that of the next request.
+        await received.gone.wait()
         assert not world.node.dispatcher.requests
 
     with_node(test)
 
 
 def ignore_request(self, *args):
-    """A balancer that does nothing with a request."""
+    """Replaces a balancer method that then ignores a request."""
 
 
 def raise_error(self, *args):
-    """A balancer that fails."""
+    """Replaces a balancer method that then raises an exception."""
     raise RuntimeError("boom")
 
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,4 +1,4 @@
-"""A release of servers: the machine against a world that fails in every way, then the command against real nodes."""
+"""A release of servers: the state machine against simulated nodes with faults, and the command against real nodes."""
 
 from __future__ import annotations
 
@@ -24,202 +24,218 @@
 LIMITS = ReleaseLimits(drain_timeout_s=20, restart_timeout_s=20, warm_up_timeout_s=20)
 
 
-# ---- the machine, against a world that fails ---------------------------------------------------------------
+# ---- the state machine, against simulated nodes with faults ------------------------------------------------
 
 
 @dataclass
-class World:
-    """Nodes and servers on a clock of their own. `faults` is the chance of each fault at each chance for it."""
+class SimulatedNodes:
+    """Nodes and servers with a simulated clock.
+
+    Attributes:
+        faults: The probability of each fault whenever it can occur.
+        queue: The scheduled events: when each is due, a number that breaks ties, and the function to call.
+        requests_until: By node and server, until when requests are in flight.
+        slow_start_until: By server, until when it is in slow start.
+        other_process_until: By node, until when another process serves as this node.
+        delayed_calls: Calls, by node and server, that take effect after the call that follows them.
+        unreachable_until: By node, until when no call reaches it.
+    """
 
     release: Release
     rng: Random
     faults: float = 0.0
     restart_fails: float = 0.0
     now: float = 0.0
-    queue: list = field(default_factory=list)  # (due, number, what happens)
-    out: dict[str, set[str]] = field(default_factory=dict)
-    open: dict[tuple[str, str], float] = field(default_factory=dict)  # until when something is out
-    cold: dict[str, float] = field(default_factory=dict)
-    beside: dict[str, float] = field(default_factory=dict)  # doors with another process, until when
-    late: set[tuple[str, str]] = field(default_factory=set)  # calls that come behind the one after them
-    dead: dict[str, float] = field(default_factory=dict)  # doors that answer nothing until then
+    queue: list = field(default_factory=list)
+    in_maintenance: dict[str, set[str]] = field(default_factory=dict)
+    requests_until: dict[tuple[str, str], float] = field(default_factory=dict)
+    slow_start_until: dict[str, float] = field(default_factory=dict)
+    other_process_until: dict[str, float] = field(default_factory=dict)
+    delayed_calls: set[tuple[str, str]] = field(default_factory=set)
+    unreachable_until: dict[str, float] = field(default_factory=dict)
     restarts: Counter = field(default_factory=Counter)
     running: set[str] = field(default_factory=set)
-    most_out: int = 0
+    max_in_maintenance: int = 0
     seen: Counter = field(default_factory=Counter)
 
-    def chance(self, what: str, share: float = 1.0) -> bool:
+    def fault_occurs(self, fault: str, share: float = 1.0) -> bool:
         hit = self.rng.random() < self.faults * share
-        self.seen[what] += hit
+        self.seen[fault] += hit
         return hit
 
-    def later(self, delay: float, event) -> None:
+    def schedule(self, delay: float, event) -> None:
         self.queue.append((self.now + delay, len(self.queue) + self.rng.random(), event))
 
-    def do(self, todo: list[Action]) -> None:
-        for d in todo:
+    def perform(self, actions: list[Action]) -> None:
+        for action in actions:
             delay = self.rng.uniform(0.01, 0.2)
-            if d.kind is ActionKind.FETCH_STATUS:
-                self.later(delay, lambda d=d: self.look(d.node))
-            elif d.kind in (ActionKind.ENTER_MAINTENANCE, ActionKind.EXIT_MAINTENANCE):
-                self.later(delay, lambda d=d: self.call(d))
-            elif d.kind is ActionKind.RESTART:
-                self.restart(d.server)
+            if action.kind is ActionKind.FETCH_STATUS:
+                self.schedule(delay, lambda action=action: self.send_status(action.node))
+            elif action.kind in (ActionKind.ENTER_MAINTENANCE, ActionKind.EXIT_MAINTENANCE):
+                self.schedule(delay, lambda action=action: self.call(action))
+            elif action.kind is ActionKind.RESTART:
+                self.restart(action.server)
             else:
-                self.later(delay, lambda d=d: self.end(d.server, False))
+                self.schedule(delay, lambda action=action: self.end_restart(action.server, False))
 
-    def look(self, door: str) -> None:
-        if self.dead.get(door, 0) > self.now or self.chance("look lost"):
-            return self.do(self.release.status_received(self.now, door, StatusFailure("no answer")))
-        if self.chance("put back by others", 0.1) and self.out[door]:
-            self.out[door].discard(self.rng.choice(sorted(self.out[door])))
+    def send_status(self, node: str) -> None:
+        if self.unreachable_until.get(node, 0) > self.now or self.fault_occurs("status lost"):
+            return self.perform(self.release.status_received(self.now, node, StatusFailure("no answer")))
+        if self.fault_occurs("maintenance ended by others", 0.1) and self.in_maintenance[node]:
+            self.in_maintenance[node].discard(self.rng.choice(sorted(self.in_maintenance[node])))
         rows = {}
-        for name in NAMES:
-            state = OUT if name in self.out[door] else IN_USE
-            out = int(self.open.get((door, name), 0) > self.now)
+        for name in SERVERS:
+            state = OUT if name in self.in_maintenance[node] else IN_USE
+            out = int(self.requests_until.get((node, name), 0) > self.now)
             rows[name] = ServerStatus(
-                name, state, True, out, 1.0 if self.cold.get(name, 0) <= self.now else 0.5, False
+                name, state, True, out, 1.0 if self.slow_start_until.get(name, 0) <= self.now else 0.5, False
             )
-        if self.chance("another process"):
-            self.beside[door] = self.now + 3
-        others = int(self.beside.get(door, 0) > self.now)
-        return self.do(self.release.status_received(self.now, door, NodeStatus(door, False, others, rows)))
-
-    def call(self, d: Action) -> None:
-        if self.chance("door dies", 0.3):
-            self.dead[d.node] = self.now + self.rng.choice([1, 60])
-        if self.dead.get(d.node, 0) > self.now:
+        if self.fault_occurs("another process"):
+            self.other_process_until[node] = self.now + 3
+        others = int(self.other_process_until.get(node, 0) > self.now)
+        return self.perform(
+            self.release.status_received(self.now, node, NodeStatus(node, False, others, rows))
+        )
+
+    def call(self, action: Action) -> None:
+        if self.fault_occurs("node unreachable", 0.3):
+            self.unreachable_until[action.node] = self.now + self.rng.choice([1, 60])
+        if self.unreachable_until.get(action.node, 0) > self.now:
             result = CallResult(False, "connection refused")
-        elif self.chance("call lost before"):
+        elif self.fault_occurs("call lost"):
             result = CallResult(False, "no answer", effect_unknown=True)
-        elif d.kind is ActionKind.ENTER_MAINTENANCE and self.chance("call late"):
-            self.late.add((d.node, d.server))
+        elif action.kind is ActionKind.ENTER_MAINTENANCE and self.fault_occurs("call delayed"):
+            self.delayed_calls.add((action.node, action.server))
             result = CallResult(False, "no answer", effect_unknown=True)
-        elif self.chance("no"):
-            result = CallResult(False, "a no")
+        elif self.fault_occurs("refused"):
+            result = CallResult(False, "refused")
         else:
-            self.effect(d)
-            lost = self.chance("answer lost")
+            self.apply_call(action)
+            lost = self.fault_occurs("answer lost")
             result = CallResult(False, "no answer", effect_unknown=True) if lost else CallResult(True, "yes")
-        self.do(self.release.call_answered(self.now, d.kind, d.node, d.server, result))
-
-    def effect(self, d: Action) -> None:
-        assert d.server not in self.running, "a server is put back, or out, in its restart"
-        if d.kind is ActionKind.ENTER_MAINTENANCE:
-            self.out[d.node].add(d.server)
-            self.open[d.node, d.server] = self.now + (
-                40 if self.chance("long work") else self.rng.choice([0, 1, 5])
+        self.perform(self.release.call_answered(self.now, action.kind, action.node, action.server, result))
+
+    def apply_call(self, action: Action) -> None:
+        assert action.server not in self.running, "maintenance starts or ends during a restart"
+        if action.kind is ActionKind.ENTER_MAINTENANCE:
+            self.in_maintenance[action.node].add(action.server)
+            self.requests_until[action.node, action.server] = self.now + (
+                40 if self.fault_occurs("slow drain") else self.rng.choice([0, 1, 5])
             )
         else:
-            self.out[d.node].discard(d.server)
-            if (d.node, d.server) in self.late:
-                self.late.discard((d.node, d.server))
-                self.out[d.node].add(d.server)
-        out = set().union(*self.out.values())
+            self.in_maintenance[action.node].discard(action.server)
+            if (action.node, action.server) in self.delayed_calls:
+                self.delayed_calls.discard((action.node, action.server))
+                self.in_maintenance[action.node].add(action.server)
+        out = set().union(*self.in_maintenance.values())
         failed = {s.id for s in self.release.servers if s.phase == Phase.LEFT_IN_MAINTENANCE}
-        self.most_out = max(self.most_out, len(out - failed))
+        self.max_in_maintenance = max(self.max_in_maintenance, len(out - failed))
 
     def restart(self, server: str) -> None:
-        for door in DOORS:
-            # Somebody else's call may have come after the look; the release cannot know.
-            assert server in self.out[door] or self.seen["put back by others"]
-            assert self.open[door, server] <= self.now, "restarted with work out on it"
-            assert self.beside.get(door, 0) <= self.now, (
-                "restarted while a process not seen from here used it"
+        for node in NODES:
+            # Somebody else's call may have arrived after the last status, which the release cannot know.
+            assert server in self.in_maintenance[node] or self.seen["maintenance ended by others"]
+            assert self.requests_until[node, server] <= self.now, "restarted with requests in flight"
+            assert self.other_process_until.get(node, 0) <= self.now, (
+                "restarted while another process of a node used it"
             )
         self.running.add(server)
         self.restarts[server] += 1
-        if not self.chance("restart hangs"):
+        if not self.fault_occurs("restart hangs"):
             ok = self.rng.random() >= self.restart_fails
-            self.later(self.rng.uniform(0.5, 3), lambda: self.end(server, ok))
+            self.schedule(self.rng.uniform(0.5, 3), lambda: self.end_restart(server, ok))
 
-    def end(self, server: str, ok: bool) -> None:
+    def end_restart(self, server: str, ok: bool) -> None:
         if server in self.running:
             self.running.discard(server)
-            self.cold[server] = self.now + 2
-            self.do(self.release.restart_ended(self.now, server, ok=ok, how="ended"))
+            self.slow_start_until[server] = self.now + 2
+            self.perform(self.release.restart_ended(self.now, server, ok=ok, how="ended"))
 
-    def play(self, interrupts: list[float]) -> None:
+    def run(self, interrupts: list[float]) -> None:
         for at in interrupts:
-            self.later(at, lambda: self.do(self.release.interrupt(self.now)))
-        self.do(self.release.begin(self.now))
+            self.schedule(at, lambda: self.perform(self.release.interrupt(self.now)))
+        self.perform(self.release.begin(self.now))
         while not self.release.finished:
             self.now += 0.1
-            assert self.now < 1500, "it never ends"
+            assert self.now < 1500, "the release does not end"
             for event in sorted(e for e in self.queue if e[0] <= self.now):
                 if not self.release.finished:
                     self.queue.remove(event)
                     event[2]()
             if not self.release.finished:
-                self.do(self.release.tick(self.now))
+                self.perform(self.release.tick(self.now))
 
 
-DOORS = ["a:1", "b:1", "c:1"]
-NAMES = [f"s{i}" for i in range(8)]
+NODES = ["a:1", "b:1", "c:1"]
+SERVERS = [f"s{i}" for i in range(8)]
 
 
-def world(seed: int, batch: int, faults: float, restart_fails: float = 0.0, keep: float = 0.5) -> World:
+def simulate(
+    seed: int, batch: int, faults: float, restart_fails: float = 0.0, keep: float = 0.5
+) -> SimulatedNodes:
     limits = ReleaseLimits(
         batch, keep, LIMITS.drain_timeout_s, LIMITS.restart_timeout_s, LIMITS.warm_up_timeout_s
     )
-    release = Release(NAMES[:6], DOORS, limits)
-    return World(release, Random(seed), faults, restart_fails, out={d: set() for d in DOORS})
+    release = Release(SERVERS[:6], NODES, limits)
+    return SimulatedNodes(
+        release, Random(seed), faults, restart_fails, in_maintenance={node: set() for node in NODES}
+    )
 
 
 @pytest.mark.parametrize("batch", [1, 2, 7])
-def test_without_faults_each_server_is_restarted_once_and_none_stays_out(batch):
+def test_without_faults_each_server_is_restarted_once_and_none_stays_in_maintenance(batch):
     for seed in range(10):
-        w = world(seed, batch, 0)
-        w.play([])
+        w = simulate(seed, batch, 0)
+        w.run([])
         r = w.release
         assert not r.stop_reason
         assert not r.servers_in_maintenance()
-        assert not any(w.out.values())
-        assert w.restarts == Counter(NAMES[:6])
+        assert not any(w.in_maintenance.values())
+        assert w.restarts == Counter(SERVERS[:6])
         assert all(s.phase == Phase.DONE for s in r.servers)
-        assert w.most_out == min(batch, 4), "four of eight stay in use"
+        assert w.max_in_maintenance == min(batch, 4), "four of eight stay in use"
 
 
-def test_with_faults_every_server_that_stays_out_is_named_and_none_is_restarted_with_requests_in_flight():
-    ends, seen = Counter(), Counter()
+def test_with_faults_servers_left_in_maintenance_are_listed_and_none_is_restarted_with_requests_in_flight():
+    results, seen = Counter(), Counter()
     for seed in range(600):
         rng = Random(seed)
         restart_fails = rng.choice([0, 0.1])
-        w = world(seed, rng.choice([1, 2, 3]), rng.choice([0.0005, 0.01, 0.05]), restart_fails)
-        w.play(sorted(rng.uniform(0, 60) for _ in range(rng.choice([0, 0, 0, 1, 2]))))
+        w = simulate(seed, rng.choice([1, 2, 3]), rng.choice([0.0005, 0.01, 0.05]), restart_fails)
+        w.run(sorted(rng.uniform(0, 60) for _ in range(rng.choice([0, 0, 0, 1, 2]))))
         r = w.release
-        held = {(d, name) for name, doors in r.servers_in_maintenance().items() for d in doors}
-        unnamed = {(d, name) for d, names in w.out.items() for name in names} - held
-        # What a second Ctrl-C cuts off may still be under way: it is named all the same.
+        held = {(node, name) for name, nodes in r.servers_in_maintenance().items() for node in nodes}
+        unnamed = {(node, name) for node, names in w.in_maintenance.items() for name in names} - held
+        # Calls in progress at a second Ctrl-C may still take effect, so their servers are listed as well.
         assert not unnamed, (seed, unnamed)
-        assert w.most_out <= r.limits.batch
+        assert w.max_in_maintenance <= r.limits.batch
         assert all(n == 1 for n in w.restarts.values())
         if not r.stop_reason:
-            assert set(w.restarts) == set(NAMES[:6])
+            assert set(w.restarts) == set(SERVERS[:6])
             assert not held
         if r.interrupts < 2:
             assert not w.running
             assert not r.running_restarts()
             left = {s.id for s in r.servers if s.phase == Phase.LEFT_IN_MAINTENANCE}
             assert {name for _, name in held} <= left
-            if not (restart_fails or w.seen["door dies"] or w.seen["restart hangs"]):
+            if not (restart_fails or w.seen["node unreachable"] or w.seen["restart hangs"]):
                 assert not held, (seed, held)
-        ends["stopped" if r.stop_reason else "done"] += 1
+        results["stopped" if r.stop_reason else "done"] += 1
         seen += w.seen
-    assert min(ends["done"], ends["stopped"]) > 50, "both kinds of end were played"
-    assert len(seen) == 10 and min(seen.values()) > 2, f"every fault was met: {seen}"
+    assert min(results["done"], results["stopped"]) > 50, "releases ended in both ways"
+    assert len(seen) == 10 and min(seen.values()) > 2, f"every fault occurred: {seen}"
 
 
-def test_a_release_does_nothing_if_a_server_is_unknown_or_out_or_too_few_would_stay():
+def test_a_release_does_nothing_if_a_server_is_unknown_or_in_maintenance_or_too_few_would_stay_in_use():
     for name, keep, out, why in (
         ("nobody", 0.5, "", "no such server"),
         ("s0", 0.5, "s0", "not in use but out"),
         ("s0", 1.0, "", "8 servers are in use and 8 must stay"),
     ):
-        w = world(1, 1, 0, keep=keep)
-        w.release = Release([name], DOORS, ReleaseLimits(min_in_use=keep))
-        w.out["b:1"] = {out} - {""}
-        w.play([])
+        w = simulate(1, 1, 0, keep=keep)
+        w.release = Release([name], NODES, ReleaseLimits(min_in_use=keep))
+        w.in_maintenance["b:1"] = {out} - {""}
+        w.run([])
         assert why in w.release.stop_reason
         assert not w.restarts
         assert not w.release.servers_in_maintenance()
@@ -229,7 +245,7 @@
 
 
 class Site:
-    """Two nodes with doors before three servers."""
+    """Two nodes with admin servers, and three servers behind them."""
 
     async def start(self) -> Site:
         self.origins = [await Origin().start() for _ in range(3)]
@@ -248,22 +264,22 @@
             self.nodes.append(node)
             self.tasks.append(asyncio.create_task(node.run()))
             await node.started.wait()
-            # Until discovery has told a list, or for a second, `status` says no.
+            # `status` fails until discovery has sent a list, for one second at most.
             _, watch = await self.catalog.watches.get()
             self.watches.append(watch)
             self.catalog.push(watch, line(2, *entries))
             await until(node.admin_operations.has_current_list)
         return self
 
-    def at(self) -> list[str]:
-        doors = [n.admin_operations.server.address for n in self.nodes]
-        return [word for host, port in doors for word in ("--at", f"{host}:{port}")]
+    def node_options(self) -> list[str]:
+        addresses = [n.admin_operations.server.address for n in self.nodes]
+        return [word for host, port in addresses for word in ("--at", f"{host}:{port}")]
 
-    def out(self) -> list[set[str]]:
+    def in_maintenance(self) -> list[set[str]]:
         return [set(n.registry.in_maintenance) for n in self.nodes]
 
-    async def door(self, *words: str, **more) -> tuple[int, str]:
-        """The command to its end: status and all it said."""
+    async def run_door(self, *words: str, **more) -> tuple[int, str]:
+        """Runs `harecross door`; returns its exit status and its output."""
         done = await asyncio.to_thread(
             subprocess.run,
             [sys.executable, "-m", "harecross", "door", *words],
@@ -288,7 +304,7 @@
     run(body())
 
 
-def test_the_command_takes_servers_out_at_every_node_waits_until_drained_and_puts_them_back():
+def test_the_command_puts_servers_into_maintenance_at_every_node_waits_until_drained_and_ends_it():
     async def test(site: Site) -> None:
         from node_support import Client
 
@@ -308,9 +324,11 @@
             5,
         )
         busy = next(f"s{i}" for i, o in enumerate(site.origins) if o.links)
-        waiting = asyncio.create_task(site.door("out", busy, *site.at(), "--wait", "--within", "25"))
-        await until(lambda: site.out() == [{busy}, {busy}])
-        code, text = await site.door("servers", busy, *site.at()[:2])
+        waiting = asyncio.create_task(
+            site.run_door("out", busy, *site.node_options(), "--wait", "--within", "25")
+        )
+        await until(lambda: site.in_maintenance() == [{busy}, {busy}])
+        code, text = await site.run_door("servers", busy, *site.node_options()[:2])
         assert code == 0
         assert "out" in text
         assert " 1 " in text
@@ -321,58 +339,69 @@
         assert code == 0
         assert f"{busy} has 1 in flight at" in text
         assert "no requests in flight" in text
-        code, text = await site.door("status", *site.at())
+        code, text = await site.run_door("status", *site.node_options())
         assert code == 0
         assert text.count(f"servers out: {busy}") == 2
-        assert (await site.door("back", busy, *site.at()))[0] == 0
-        assert site.out() == [set(), set()]
-        # A no is status 1 and says who said it; wrong use is status 2.
-        code, text = await site.door("out", "nobody", *site.at())
+        assert (await site.run_door("back", busy, *site.node_options()))[0] == 0
+        assert site.in_maintenance() == [set(), set()]
+        # A refused call gives exit status 1 and a message that names the node; invalid arguments give 2.
+        code, text = await site.run_door("out", "nobody", *site.node_options())
         assert code == 1
         assert text.count("nobody: no such server") == 2
         nowhere = ["--at", "127.0.0.1:1"]
-        assert (await site.door("status", *nowhere))[0] == 1
+        assert (await site.run_door("status", *nowhere))[0] == 1
         for wrong in (["out", "s0"], ["out", "s0", "--at", "here"], ["release", "s0", "s0", *nowhere]):
-            code, text = await site.door(*wrong, env={k: v for k, v in os.environ.items() if k != "LB_ADMIN"})
+            code, text = await site.run_door(
+                *wrong, env={k: v for k, v in os.environ.items() if k != "LB_ADMIN"}
+            )
             assert code == 2 and "Traceback" not in text, text
 
     with_site(test)
 
 
-def test_the_release_command_restarts_each_server_and_ends_at_a_failed_restart(tmp_path):
+def test_the_release_command_restarts_each_server_and_stops_at_a_failed_restart(tmp_path):
     async def test(site: Site) -> None:
         log = tmp_path / "log"
         restart = f'echo $HARECROSS_SERVER >> {log}; test "$HARECROSS_SERVER" != s2'
-        code, text = await site.door("release", "s0", "s1", *site.at(), "--restart", restart, "--keep", "0.3")
+        code, text = await site.run_door(
+            "release", "s0", "s1", *site.node_options(), "--restart", restart, "--keep", "0.3"
+        )
         assert code == 0 and "2 of 2 restarted" in text, text
         assert log.read_text().split() == ["s0", "s1"]
-        assert site.out() == [set(), set()]
-        code, text = await site.door("release", "s2", "s0", *site.at(), "--restart", restart)
+        assert site.in_maintenance() == [set(), set()]
+        code, text = await site.run_door("release", "s2", "s0", *site.node_options(), "--restart", restart)
         assert code == 1
         assert "ended with status 1; the server stays in maintenance" in text
         assert text.count("harecross door back s2 --at") == 1
         assert log.read_text().split() == ["s0", "s1", "s2"]
-        assert site.out() == [{"s2"}, {"s2"}]
+        assert site.in_maintenance() == [{"s2"}, {"s2"}]
 
     with_site(test)
 
 
-def test_a_second_interrupt_ends_a_release_at_once_and_names_what_is_out(tmp_path):
+def test_a_second_interrupt_stops_a_release_immediately_and_lists_servers_in_maintenance(tmp_path):
     async def test(site: Site) -> None:
-        words = ["release", "s0", "s1", *site.at(), "--restart", f"echo $$ > {tmp_path}/pid; exec sleep 30"]
+        words = [
+            "release",
+            "s0",
+            "s1",
+            *site.node_options(),
+            "--restart",
+            f"echo $$ > {tmp_path}/pid; exec sleep 30",
+        ]
         made = subprocess.Popen(
             [sys.executable, "-m", "harecross", "door", *words], stdout=subprocess.PIPE, text=True
         )
         try:
             pid = tmp_path / "pid"
             await until(lambda: pid.exists() and pid.read_text().strip())
-            assert site.out() == [{"s0"}, {"s0"}]
+            assert site.in_maintenance() == [{"s0"}, {"s0"}]
             made.send_signal(signal.SIGINT)
             while "interrupted" not in (line := await asyncio.to_thread(made.stdout.readline)):
                 assert line
             made.send_signal(signal.SIGINT)
             assert await asyncio.to_thread(made.wait) == 130
-            # Not to the pipe's end: the restart that still runs holds it too.
+            # Do not read to the end of the pipe: the restart that is still running keeps it open.
             while "harecross door back s0 --at" not in (
                 line := await asyncio.to_thread(made.stdout.readline)
             ):
--- a/tests/test_sidecars.py
+++ b/tests/test_sidecars.py
@@ -1,4 +1,4 @@
-"""Which node runs beside which server, learned from attempt logs."""
+"""Inferring from attempt logs which node is the sidecar of which server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def intervals(*begins: int, length: int = 1) -> dict[str, Intervals]:
-    """Successful ones of one class, of the same length, in seconds."""
+    """Returns intervals of successful requests of one class; all times are in seconds."""
     made = Intervals()
     for begin in begins:
         made.add(begin * SECOND, (begin + length) * SECOND, succeeded=True)
@@ -18,7 +18,7 @@
 
 
 def request(node: str, at_s: float, server: str = "", took_s: float = 0.5) -> LoggedRequest:
-    """A request that was answered, with one attempt at a server or none."""
+    """Returns an answered request with one attempt at `server`, or none if that is empty."""
     begin, end = int(at_s * SECOND), int((at_s + took_s) * SECOND)
     attempts = [LoggedAttempt(0, server, begin, begin, end)] if server else []
     return LoggedRequest(
@@ -31,21 +31,21 @@
     assert [made.open_at(second * SECOND) for second in range(6)] == [0, 1, 2, 2, 1, 0]
 
 
-def test_calls_outside_the_attempts_are_foreign():
+def test_calls_outside_the_attempts_are_unexplained():
     assert unexplained_share(intervals(0, 10, 20, 30), intervals(0, 10, 20, 35)) == 0.25
 
 
-def test_too_few_calls_say_nothing():
+def test_too_few_calls_give_no_result():
     assert unexplained_share(intervals(0, 10, 20, 30), intervals(0, 10)) is None
 
 
-def test_a_node_that_sends_to_a_server_is_not_beside_it():
+def test_a_node_that_sends_to_a_server_is_not_its_sidecar():
     requests = [request("front", 10.0 * i, "s1", took_s=1.0) for i in range(5)]
     requests += [request("beside", 10.0 * i + 0.2) for i in range(5)]
     assert infer_sidecars(requests, 100 * SECOND) == {"s1": "beside"}
 
 
-def test_no_neighbour_is_clear_where_two_fit():
+def test_no_sidecar_is_unambiguous_if_two_nodes_fit():
     attempts = intervals(0, 10, 20)
     assert unambiguous_sidecar(attempts, {"a": intervals(0, 10, 20)}) == "a"
     assert unambiguous_sidecar(attempts, {"a": intervals(0, 10, 20), "b": intervals(0, 10, 20)}) is None
--- a/tests/test_streamed_uploads.py
+++ b/tests/test_streamed_uploads.py
@@ -1,4 +1,4 @@
-"""Request bodies larger than what is buffered, over loopback sockets: slow, stalling and broken peers."""
+"""Request bodies too large to buffer, over loopback sockets: slow, stalled and broken peers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from harecross.standins.http import read_body
 
 
-def test_an_attempt_counts_as_in_flight_and_runs_out_of_time_only_once_its_body_is_sent():
+def test_an_attempt_counts_as_in_flight_and_can_time_out_only_once_its_body_is_sent():
     node, recorder = balancer(servers=1)
     _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
     server_state, controller = node.subset.servers[server], node.controller
@@ -31,7 +31,7 @@
     end(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
     assert (server_state.in_flight, controller.in_flight) == (0, 0)
     assert not node.requests
-    node.uploading(9_200_000, request, True)  # there is no request any more
+    node.uploading(9_200_000, request, True)  # the request has ended
     assert (server_state.in_flight, controller.in_flight) == (0, 0)
 
 
@@ -48,7 +48,7 @@
     node, recorder = balancer(servers=2)
     _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
     attempt = 0
-    if first is not None:  # an attempt before this one may have run
+    if first is not None:  # an earlier attempt may have run
         ((_, _, server, _),) = end(node, recorder, 2000, request, 0, server, first)
         attempt = 1
     node.response_started(3000, request, attempt, server, 0)
@@ -148,7 +148,7 @@
         writer.transport.abort()
 
     async def test(world) -> None:
-        # The first bytes are still kept: whichever server got the first attempt, the other gets the whole body.
+        # The node still has the first bytes: if the first attempt fails, the other server receives the whole body.
         for i in range(4):
             client = await world.client()
             client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:20_000])
@@ -157,7 +157,8 @@
             assert (await client.answer())[0] == 200
             client.writer.close()
         assert bodies == [BIG] * 4
-        # They are gone, and no server can have run the request: it is shed with Retry-After and not retried.
+        # The node no longer has the first bytes, and no server can have run the request: it is shed with Retry-After
+        # and not retried.
         cut[0] = 250_000
         world.node.registry.enter_maintenance("s1")
         before = len(heads)
@@ -176,7 +177,7 @@
     with_peers(test, dies, server_that_stores(heads, bodies))
 
 
-def test_a_body_that_stops_half_way_gets_408(monkeypatch):
+def test_a_body_that_stalls_gets_408(monkeypatch):
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 100_000)
     heads: list[bytes] = []
@@ -196,7 +197,7 @@
     with_peers(test, server_that_stores(heads, []))
 
 
-def test_a_body_that_comes_too_slowly_gets_408(monkeypatch):
+def test_a_body_that_arrives_too_slowly_gets_408(monkeypatch):
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 60_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 60_000)
 
