--- a/harecross/follow/attempt_log.py
+++ b/harecross/follow/attempt_log.py
@@ -21,7 +21,7 @@
 
 # Precedes the object of an event in a line. A log may hold other lines, and a log collector may put times before it.
 EVENT_PREFIX = "attempt "
-# Events that are flushed at once.
+# Events that are flushed immediately.
 FLUSHED_EVENTS = frozenset(("start", "list", "process", "final"))
 # The maximum number of lines that a crash can lose.
 MAX_UNFLUSHED_LINES = 64
--- a/harecross/follow/sidecars.py
+++ b/harecross/follow/sidecars.py
@@ -98,7 +98,7 @@
 
 
 def unambiguous_sidecar(attempts: IntervalsByClass, candidates: Mapping[str, IntervalsByClass]) -> str | None:
-    """Returns the one node whose calls fit the attempts of a server; None if none or several nodes fit."""
+    """Returns the one node whose calls fit the attempts of a server; None if none fits or a second one nearly does."""
     shares = sorted(
         (share, node)
         for node, calls in candidates.items()
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -15,12 +15,12 @@
 from harecross.follow.logs import read_logs
 from harecross.upstream import connection
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
 
 def log_line(node: str, request: str, at_s: float, event: str, **more: object) -> str:
     fields = {
-        "timeUnixNano": int(at_s * S),
+        "timeUnixNano": int(at_s * NS_PER_S),
         "service.instance.id": node,
         "event.name": event,
         "request.id": request,
@@ -43,9 +43,9 @@
 
 
 def served_request_lines(
-    node: str, request: str, at_s: float, took: float, server: str, klass: str = "0"
+    node: str, request: str, at_s: float, took: float, server: str, request_class: str = "0"
 ) -> str:
-    taken = log_line(node, request, at_s, "taken", request__class=klass, time_left=2_000_000)
+    taken = log_line(node, request, at_s, "taken", request__class=request_class, time_left=2_000_000)
     return (
         taken
         + attempt_lines(node, request, at_s, took, server)
--- a/tests/test_streamed_uploads.py
+++ b/tests/test_streamed_uploads.py
@@ -57,9 +57,9 @@
 
 
 def test_two_processes_of_a_node_share_the_memory_for_bodies():
-    for whole in (0, 7, 20 << 20):
-        together = request_body_bytes(whole, 1, shared=True) + request_body_bytes(whole, 2, shared=True)
-        assert together <= whole == request_body_bytes(whole, 1, shared=False)
+    for total in (0, 7, 20 << 20):
+        both = request_body_bytes(total, 1, shared=True) + request_body_bytes(total, 2, shared=True)
+        assert both <= total == request_body_bytes(total, 1, shared=False)
 
 
 def server_that_stores(heads: list[bytes], bodies: list[bytes], reply: bytes = b"ok") -> Peer:
@@ -137,12 +137,12 @@
 def test_a_server_that_fails_early_in_a_body_is_replaced_and_a_later_failure_is_final():
     heads: list[bytes] = []
     bodies: list[bytes] = []
-    cut = [10_000]
+    bytes_before_abort = [10_000]
 
-    async def dies(reader, writer) -> None:
+    async def aborting_server(reader, writer) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(cut[0])
+            await reader.readexactly(bytes_before_abort[0])
         except asyncio.IncompleteReadError:
             pass
         writer.transport.abort()
@@ -159,7 +159,7 @@
         assert bodies == [BIG] * 4
         # The node no longer has the first bytes, and no server can have run the request: it is shed with Retry-After
         # and not retried.
-        cut[0] = 250_000
+        bytes_before_abort[0] = 250_000
         world.node.registry.enter_maintenance("s1")
         before = len(heads)
         client = await world.client()
@@ -174,7 +174,7 @@
         assert (await client.answer())[0] == 200
         client.writer.close()
 
-    with_peers(test, dies, server_that_stores(heads, bodies))
+    with_peers(test, aborting_server, server_that_stores(heads, bodies))
 
 
 def test_a_body_that_stalls_gets_408(monkeypatch):
