--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -19,7 +19,7 @@
 from node_support import STARTED, Client, Origin, chunk, config_of, entry, held_calls, run, update
 
 from harecross.downstream.listener import Listener
-from harecross.downstream.read_delay import Heartbeat, ReadDelay, WaitingSocket
+from harecross.downstream.read_delay import Heartbeat, ReadDelay, UnreadInterval
 from harecross.platform.clock import monotonic_us
 from harecross.platform.system_errors import AcceptFailure
 from harecross.standins.cluster import NodeProcess
@@ -169,7 +169,7 @@
             accepted = listener.accept()
             assert isinstance(accepted, socket.socket)
             accepted.close()
-            came_after.append(listener.came_after)
+            came_after.append(listener.earliest_arrival_us)
         assert before <= came_after[0] == came_after[1] == came_after[2], "since the first one was accepted"
         assert listener.accept() is AcceptFailure.NO_CONNECTION
         assert listener.waiting_since is None
@@ -209,15 +209,15 @@
 def test_the_delay_of_the_event_loop_limits_the_age_reported_by_the_kernel(loop_delay_ms, age_ms, delay_ms):
     heartbeat = Heartbeat()
     heartbeat.due = 1_000_000
-    read_delay_us = ReadDelay(heartbeat).of(1_000_000 + loop_delay_ms * MS, FakeSocket(age_ms))
+    read_delay_us = ReadDelay(heartbeat).measure(1_000_000 + loop_delay_ms * MS, FakeSocket(age_ms))
     assert read_delay_us == delay_ms * MS
 
 
 def test_a_new_connection_with_a_request_has_waited_with_its_listener():
     heartbeat = Heartbeat()
     heartbeat.due = 10_000_000
-    delay = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
-    assert delay.of(1_005_000, FakeSocket(None)) == 405 * MS
-    assert delay.of(1_005_000, FakeSocket(None)) == 0, "only its first bytes have waited"
-    late = ReadDelay(heartbeat, WaitingSocket(accepted_at=1_000_000, came_after=600_000))
-    assert late.of(1_500_000, FakeSocket(None)) == 0, "bytes that arrive later have not waited"
+    delay = ReadDelay(heartbeat, UnreadInterval(reading_since_us=1_000_000, earliest_arrival_us=600_000))
+    assert delay.measure(1_005_000, FakeSocket(None)) == 405 * MS
+    assert delay.measure(1_005_000, FakeSocket(None)) == 0, "only its first bytes have waited"
+    late = ReadDelay(heartbeat, UnreadInterval(reading_since_us=1_000_000, earliest_arrival_us=600_000))
+    assert late.measure(1_500_000, FakeSocket(None)) == 0, "bytes that arrive later have not waited"
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -1,4 +1,4 @@
-"""A node's connections from clients over loopback sockets: idle, slow and too many of them."""
+"""Client connections of a node over loopback sockets: idle, slow, and too many."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 @pytest.mark.parametrize(
     "text", [b"", b"GET /read/1 HTTP/1.1\r\n", b"POST /pay/1" + HEAD + CHUNKED + b"\r\n5\r\nab"]
 )
-def test_callers_that_stop_half_way_are_let_go(text, monkeypatch):
-    """Silence and half requests held a connection, and its descriptor, for good."""
+def test_a_connection_with_an_incomplete_request_is_closed(text, monkeypatch):
+    """Guards against silent connections and incomplete requests that hold a descriptor indefinitely."""
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
 
-    async def test(w: World) -> None:
-        client = await w.client()
+    async def test(world: World) -> None:
+        client = await world.client()
         client.writer.write(text)
         if text:
             assert (await client.answer())[0] == 408
@@ -34,22 +34,22 @@
     with_node(test)
 
 
-def test_idle_connections_are_let_go(monkeypatch):
+def test_idle_connections_are_closed(monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
-    async def test(w: World) -> None:
-        client = await w.client()
+    async def test(world: World) -> None:
+        client = await world.client()
         client.send("/_health")
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
-        assert not w.node.client_connections.open
-        assert w.node.descriptor_budget.client_connections == 0
+        assert not world.node.client_connections.open
+        assert world.node.descriptor_budget.client_connections == 0
 
     with_node(test)
 
 
-def test_a_caller_that_does_not_read_is_let_go(monkeypatch):
-    """Its answers piled up in memory without bound."""
+def test_the_connection_of_a_client_that_does_not_read_is_closed(monkeypatch):
+    """Guards against responses that accumulate in memory without bound."""
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     full = asyncio.Event()
     pause = connection_manager.ClientConnection.pause_writing
@@ -57,22 +57,23 @@
         connection_manager.ClientConnection, "pause_writing", lambda c: (full.set(), pause(c))[1]
     )
 
-    async def test(w: World) -> None:
+    async def test(world: World) -> None:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(sock, w.node.address)
+        await loop.sock_connect(sock, world.node.address)
         answered = 0
 
         async def answer() -> None:
             nonlocal answered
             while True:
-                (await w.origins[0].arrived.get()).answer(body=b"x" * 65536)
+                (await world.origins[0].arrived.get()).answer(body=b"x" * 65536)
                 answered += 1
 
         task = asyncio.create_task(answer())
-        # Seen as it happens: looked for now and then, it had passed on a busy machine, and its caller with it.
+        # An event records that writing was paused. Polling for it missed the pause on a busy machine, where the
+        # connection was closed before the next poll.
         for i in range(1000):
             text = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: n%d\r\nX-Timeout: 9000m\r\n\r\n" % i
             await loop.sock_sendall(sock, text)
@@ -81,7 +82,7 @@
             if full.is_set():
                 break
         assert full.is_set()
-        while w.node.client_connections.open:
+        while world.node.client_connections.open:
             await asyncio.sleep(0.01)
         task.cancel()
         sock.close()
@@ -90,9 +91,9 @@
 
 
 def test_bodies_are_bounded_by_the_memory_limit():
-    async def test(w: World) -> None:
-        assert w.node.client_connections.max_buffered_body_bytes == 1 << 18
-        clients = [await w.client() for _ in range(5)]
+    async def test(world: World) -> None:
+        assert world.node.client_connections.max_buffered_body_bytes == 1 << 18
+        clients = [await world.client() for _ in range(5)]
         for client in clients:
             client.writer.write(b"POST /pay/1" + HEAD + b"Content-Length: 65536\r\n\r\n" + b"x" * 65535)
         done, waiting = await asyncio.wait(
@@ -105,34 +106,34 @@
     with_node(test, memory_mb=1)
 
 
-def test_connections_beyond_the_limit_are_closed_at_once_and_usual_callers_last(monkeypatch):
-    """Hundreds of connections that said nothing took every descriptor; then no server could be reached."""
+def test_connections_beyond_the_limit_are_closed_and_active_clients_keep_theirs(monkeypatch):
+    """Guards against hundreds of silent connections that use every descriptor, so that no server can be reached."""
     monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 0)
 
-    async def test(w: World) -> None:
-        usual = await w.client()
-        usual.send()
-        (await w.origins[0].arrived.get()).answer()
-        await usual.answer()
-        room = w.node.descriptor_budget
-        most = room.total - room.upstream_reserve()
-        assert most < 128
-        silent = [await w.client() for _ in range(most + 20)]
-        assert len(w.node.client_connections.open) <= most
-        usual.send()  # its connection is still there
-        (await w.origins[0].arrived.get()).answer()
-        assert (await usual.answer())[0] == 200
-        # Where nothing may be put out, the newest is turned away and costs no more than that.
+    async def test(world: World) -> None:
+        active_client = await world.client()
+        active_client.send()
+        (await world.origins[0].arrived.get()).answer()
+        await active_client.answer()
+        budget = world.node.descriptor_budget
+        max_clients = budget.total - budget.upstream_reserve()
+        assert max_clients < 128
+        silent = [await world.client() for _ in range(max_clients + 20)]
+        assert len(world.node.client_connections.open) <= max_clients
+        active_client.send()  # the connection is still open
+        (await world.origins[0].arrived.get()).answer()
+        assert (await active_client.answer())[0] == 200
+        # If no connection may be evicted, the newest one is refused, and nothing else is affected.
         monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
-        usual.send()
-        at = await w.origins[0].arrived.get()
-        extra = [await w.client() for _ in range(most)]
+        active_client.send()
+        received = await world.origins[0].arrived.get()
+        extra = [await world.client() for _ in range(max_clients)]
         with contextlib.suppress(ConnectionError):
             assert await extra[-1].reader.read() == b""
-        assert w.node.client_connections.refused_connections > 0
-        assert w.node.descriptor_budget.client_connections <= most
-        at.answer()
-        assert (await usual.answer())[0] == 200
-        assert len(silent) == most + 20
+        assert world.node.client_connections.refused_connections > 0
+        assert world.node.descriptor_budget.client_connections <= max_clients
+        received.answer()
+        assert (await active_client.answer())[0] == 200
+        assert len(silent) == max_clients + 20
 
     with_node(test, sockets=160)
