--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -125,7 +125,7 @@
     answer = SrvAnswer((SrvEndpoint(0, "t.", "10.0.0.1", 80, 5),), 30.0)
     encoded = cache_file.encode({NAME: cache_file.CachedSet(answer, 1.0, 2.0)})
     body = corrupted(rng, encoded.partition(b"\n")[2])
-    cache_file.decode(cache_file.VERSION + sha256(body).hexdigest().encode() + b"\n" + body)
+    cache_file.decode(cache_file.FORMAT_PREFIX + sha256(body).hexdigest().encode() + b"\n" + body)
 
 
 EXPECTED_ERRORS = (MessageError, address_file.AddressFileError, cache_file.CacheFileError)
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -36,8 +36,8 @@
         return int(f.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-class CountingHost:
-    """A host that counts the lines it gets."""
+class CountingConsumer:
+    """A consumer that counts the entries it gets."""
 
     lines = 0
 
@@ -55,10 +55,10 @@
 
 
 def ledger(names: int, boxes: int) -> dict[str, float]:
-    """CPU seconds and megabytes; the host is told, and does nothing with it."""
-    host = CountingHost()
+    """CPU seconds and megabytes; the consumer is told, and does nothing with it."""
+    consumer = CountingConsumer()
     base = memory_mb()
-    publisher = MembershipPublisher(host)
+    publisher = MembershipPublisher(consumer)
     sets = []
     for n in range(names):
         publisher.reconciler.add_source(f"srv:{n}", 1)
@@ -94,7 +94,7 @@
     idle = (time.process_time() - began) / 100
     return {
         "boxes": names * boxes, "first_s": round(first, 3), "one_name_ms": round(1000 * median(changes), 2),
-        "nothing_ms": round(1000 * idle, 3), "memory_mb": round(held, 1), "lines_told": host.lines,
+        "nothing_ms": round(1000 * idle, 3), "memory_mb": round(held, 1), "lines_told": consumer.lines,
     }  # fmt: skip
 
 
--- a/harecross/node/operators_file.py
+++ b/harecross/node/operators_file.py
@@ -25,7 +25,9 @@
         attempt_log=file.log.attempts,
         listen_backlog=file.listen.backlog,
         embedded_service=embedded_xds_service(path, file.xds) if file.xds.listen else None,
-        additional_sources=AdditionalSourcesFactory(path, file.sources) if file.sources.on else None,
+        additional_sources=AdditionalSourcesFactory(path, file.sources)
+        if file.sources.has_additional_sources
+        else None,
     )
 
 
--- a/harecross/node/options.py
+++ b/harecross/node/options.py
@@ -44,7 +44,7 @@
     def on_names_changed(self, callback: Callable[[], None]) -> None:
         """`callback` is called before endpoints with new names are published."""
 
-    def explain(self, box: str) -> dict[str, Any]:
+    def explain(self, endpoint: str) -> dict[str, Any]:
         """What each source states of one endpoint, or of all for an empty name."""
 
     async def stop(self) -> None:
--- a/harecross/sources/cache_file.py
+++ b/harecross/sources/cache_file.py
@@ -17,7 +17,7 @@
 from harecross.dns.srv import SrvAnswer, SrvEndpoint
 from harecross.platform.durable_file import replace_file
 
-VERSION = b"harecross-sources 1 "
+FORMAT_PREFIX = b"harecross-sources 1 "
 MAX_FILE_BYTES = 1 << 28
 
 
@@ -50,15 +50,15 @@
         for name, cached in sets.items()
     }
     body = json.dumps(document, separators=(",", ":")).encode()
-    return VERSION + sha256(body).hexdigest().encode() + b"\n" + body
+    return FORMAT_PREFIX + sha256(body).hexdigest().encode() + b"\n" + body
 
 
 def decode(data: bytes) -> dict[str, CachedSet]:
     """The sets in a file. CacheFileError for anything but the whole of what `encode` made."""
     head, _, body = data.partition(b"\n")
-    if not head.startswith(VERSION):
+    if not head.startswith(FORMAT_PREFIX):
         raise CacheFileError("not a file of kept sets")
-    if head[len(VERSION) :] != sha256(body).hexdigest().encode():
+    if head[len(FORMAT_PREFIX) :] != sha256(body).hexdigest().encode():
         raise CacheFileError("its checksum does not hold")
     try:
         return {name: _decode_set(item) for name, item in json.loads(body).items()}
--- a/harecross/sources/config.py
+++ b/harecross/sources/config.py
@@ -10,7 +10,7 @@
 
 from harecross.dns.servers import server_address
 from harecross.sources.address_file import AddressFileError, read_address_file
-from harecross.sources.source import Limits
+from harecross.sources.source import MergeLimits
 
 Rank = Annotated[int, msgspec.Meta(ge=0, le=1000)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.05, le=7 * 86_400)]
@@ -60,13 +60,13 @@
     overflow_leave: Share = 0.7
 
     @property
-    def on(self) -> bool:
+    def has_additional_sources(self) -> bool:
         """Whether there is any source beside the watch."""
         return bool(self.srv or self.file)
 
-    def limits(self) -> Limits:
+    def merge_limits(self) -> MergeLimits:
         """How far sources may disagree."""
-        return Limits(self.step_s, self.mass)
+        return MergeLimits(self.step_s, self.mass)
 
     def servers(self, srv: SrvConfig) -> tuple[str, ...]:
         """The DNS servers that a name is queried from."""
@@ -77,7 +77,7 @@
     """Checks what a schema cannot, and reads the files of addresses. ValueError names the key and what is allowed."""
     if not 0 < table.overflow_enter < table.overflow_leave <= 1:
         raise ValueError(f"{where}.overflow_enter: below overflow_leave")
-    if not table.watch and not table.on:
+    if not table.watch and not table.has_additional_sources:
         raise ValueError(f"{where}.watch: false leaves no source; add [[{where}.srv]] or [[{where}.file]]")
     if table.tls_ca and not Path(table.tls_ca).is_file():
         raise ValueError(f"{where}.tls_ca: {table.tls_ca!r} is not a file")
--- a/harecross/sources/explanation.py
+++ b/harecross/sources/explanation.py
@@ -88,7 +88,7 @@
 def _endpoint_row(view: SourcesView, endpoint: MergedEndpoint, *, with_statuses: bool) -> dict[str, Any]:
     reconciler, in_use = view.publisher.reconciler, view.publisher.priorities_in_use
     present = endpoint.address in reconciler.endpoints
-    held_out = endpoint.held_by(view.maintenance)
+    held_out = endpoint.is_in_maintenance(view.maintenance)
     spare = present and endpoint.eligible and endpoint.statement.priority not in in_use
     row: dict[str, Any] = {
         "address": endpoint.address,
--- a/harecross/sources/file_source.py
+++ b/harecross/sources/file_source.py
@@ -41,7 +41,7 @@
     def __init__(self, name: str, config: AddressFileConfig) -> None:
         self.name = name
         self.config = config
-        self.due = 0.0  # when to check the file again
+        self.next_check_at = 0.0  # when to check the file again
         self.problem = ""
         self._seen: Signature | None = None  # at the last check
         self._loaded: Signature | None = None  # when it was last read
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -20,8 +20,8 @@
 from harecross.sources.explanation import SourcesView, explain
 from harecross.sources.file_source import POLL_INTERVAL_S, FileSource
 from harecross.sources.priorities import PriorityOverflow
-from harecross.sources.publisher import FIRST_STATEMENTS_S, WATCH, MembershipPublisher
-from harecross.sources.registry_host import RegistryHost
+from harecross.sources.publisher import FIRST_LISTS_WAIT_S, WATCH, MembershipPublisher
+from harecross.sources.registry_adapter import RegistryAdapter
 from harecross.sources.source import Confidence
 
 if TYPE_CHECKING:
@@ -51,13 +51,13 @@
         self.now = self.loop.time
         self.wall = time.time
         self._log_prefix = f"{label}: " if label else ""
-        self._host = RegistryHost(registry)
+        self._registry_adapter = RegistryAdapter(registry)
         self.membership = MembershipPublisher(
-            self._host,
-            table.limits(),
+            self._registry_adapter,
+            table.merge_limits(),
             PriorityOverflow(table.overflow_enter, table.overflow_leave),
             table.watch_rank if table.watch else None,
-            self.now() + FIRST_STATEMENTS_S,
+            self.now() + FIRST_LISTS_WAIT_S,
         )
         registry.use_merged_sources(self.membership.resolve)
         self._watch_heard_at = self.now()
@@ -77,7 +77,7 @@
         """Adds, changes and removes sources; no endpoint that another source lists is lost."""
         self.table = table
         reconciler, overflow = self.membership.reconciler, self.membership.overflow
-        reconciler.limits = table.limits()
+        reconciler.limits = table.merge_limits()
         overflow.enter, overflow.leave = table.overflow_enter, table.overflow_leave
         if table.watch:
             reconciler.add_source(WATCH, table.watch_rank)
@@ -128,7 +128,7 @@
             source.configure(config)
         if first:
             statements = source.load()
-            source.due = self.now() + POLL_INTERVAL_S
+            source.next_check_at = self.now() + POLL_INTERVAL_S
             self.membership.update_source(self.now(), name, statements)
 
     def _client(self, servers: Sequence[str]) -> DnsClient:
@@ -155,7 +155,7 @@
             # What cannot be used is logged; but a bad line of a server that is removed does no harm.
             if not isinstance(item, dict) or (
                 item.get(wire_format.LIFECYCLE) == wire_format.IN_SERVICE
-                and item.get(wire_format.HOST_PORT) not in self.membership.watch_lines
+                and item.get(wire_format.HOST_PORT) not in self.membership.watch_entries
             ):
                 log_line(f"discovery: bad entry {item!r:.200}")
         self._publish_changes()
@@ -182,24 +182,24 @@
 
     def on_names_changed(self, callback: Callable[[], None]) -> None:
         """`callback` is called before endpoints with new names are published."""
-        self._host.on_names_changed(callback)
+        self._registry_adapter.on_names_changed(callback)
 
     def republish(self) -> None:
         """Publishes the whole list once more, soon."""
         published = self.membership.published
         self.loop.call_soon(lambda: self.registry.apply(wire_format.full_list(published.values()), full=True))
 
-    def explain(self, box: str = "") -> dict[str, Any]:
+    def explain(self, endpoint: str = "") -> dict[str, Any]:
         """What each source says, and how each endpoint came to be in service or not."""
         view = SourcesView(
             self.now(),
             self.membership,
             self.dns_sources,
             self.file_sources,
-            set(self._host.maintenance()),
+            set(self._registry_adapter.maintenance()),
             self._watch_heard_at,
         )
-        return explain(view, box)
+        return explain(view, endpoint)
 
     # ---- the main task ------------------------------------------------------------------------------------
 
@@ -237,7 +237,7 @@
     def _next_due(self) -> float:
         names = [source.cached_name for source in self.dns_sources.values()]
         times = [name.refresh_at for name in names if not name.refreshing]
-        times += [source.due for source in self.file_sources.values()]
+        times += [source.next_check_at for source in self.file_sources.values()]
         reconcile_at = self.membership.reconciler.next_due()
         if reconcile_at is not None:
             times.append(reconcile_at)
@@ -252,8 +252,8 @@
                 self._start_task(self._refresh(dns_source))
             self._publish_dns(dns_source)
         for file_source in self.file_sources.values():
-            if now >= file_source.due:
-                file_source.due = now + POLL_INTERVAL_S
+            if now >= file_source.next_check_at:
+                file_source.next_check_at = now + POLL_INTERVAL_S
                 self._start_task(self._poll_file(file_source))
         self._check_watch(now)
         self._publish_changes()
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -14,14 +14,14 @@
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.sources.priorities import Health, PriorityOverflow
 from harecross.sources.reconciler import MembershipReconciler, MergedEndpoint
-from harecross.sources.source import Confidence, Limits, Statement
-from harecross.sources.statements import watch_lines_by_address, watch_started_at_ms, watch_statement
+from harecross.sources.source import Confidence, MergeLimits, Statement
+from harecross.sources.statements import watch_entries_by_address, watch_started_at_ms, watch_statement
 
 WATCH = "watch"  # the source that is the platform's watch
-FIRST_STATEMENTS_S = 3.0  # how long a start waits for sources that have said nothing yet
+FIRST_LISTS_WAIT_S = 3.0  # how long a start waits for sources that have said nothing yet
 
 
-class MembershipHost(Protocol):
+class MembershipConsumer(Protocol):
     """Who gets the endpoint list."""
 
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
@@ -90,8 +90,8 @@
 
     def __init__(
         self,
-        host: MembershipHost,
-        limits: Limits | None = None,
+        consumer: MembershipConsumer,
+        limits: MergeLimits | None = None,
         overflow: PriorityOverflow | None = None,
         watch_rank: int | None = 0,
         wait_until: float = 0.0,
@@ -99,12 +99,12 @@
         """`watch_rank` is None where the platform's watch is no source. Up to `wait_until` sources that have said
         nothing yet are waited for: until then no endpoint is published as not listed.
         """
-        self.host = host
+        self.consumer = consumer
         self.reconciler = MembershipReconciler(limits)
         self.overflow = overflow or PriorityOverflow()
         self.watch_endpoints = ListedEndpoints()
-        self.watch_lines: dict[str, Mapping[str, Any]] = {}  # by address
-        self.published: dict[str, dict[str, Any]] = {}  # the lines that the host has, by address
+        self.watch_entries: dict[str, Mapping[str, Any]] = {}  # by address
+        self.published: dict[str, dict[str, Any]] = {}  # the entries that the host has, by address
         self.names = NameIndex()
         self.priorities = PriorityIndex()
         self.priorities_in_use: list[int] = []
@@ -113,7 +113,7 @@
         ] = {}  # by address: when it appeared, and that in Unix ms
         self.full_list_published = False  # a whole list, from sources that are fresh
         self.wait_until = wait_until
-        self.remembered: dict[str, dict[str, Any]] = {}  # lines of before the start, used until then
+        self.remembered: dict[str, dict[str, Any]] = {}  # entries of before the start, used until then
         if watch_rank is not None:
             self.reconciler.add_source(WATCH, watch_rank)
 
@@ -124,18 +124,18 @@
         wire_format.entries_of(update)  # ValueError
         full = full or cached or wire_format.is_reset(update)
         self.watch_endpoints.apply(update, full=full, cached=cached)
-        before, self.watch_lines = (
-            self.watch_lines,
-            watch_lines_by_address(self.watch_endpoints.entries.values()),
+        before, self.watch_entries = (
+            self.watch_entries,
+            watch_entries_by_address(self.watch_endpoints.entries.values()),
         )
-        for where, line in self.watch_lines.items():
-            old = before.get(where)
-            replaced = old is not None and old.get(wire_format.INSTANCE_ID) != line.get(
+        for address, entry in self.watch_entries.items():
+            old = before.get(address)
+            replaced = old is not None and old.get(wire_format.INSTANCE_ID) != entry.get(
                 wire_format.INSTANCE_ID
             )
-            if replaced and not watch_started_at_ms(line):
+            if replaced and not watch_started_at_ms(entry):
                 # Another server at the address has just started, and must not count as warmed up.
-                self.watch_lines[where] = {**line, wire_format.STARTED_AT_MS: int(wall * 1000)}
+                self.watch_entries[address] = {**entry, wire_format.STARTED_AT_MS: int(wall * 1000)}
         self._update_from_watch(now)
         if cached:
             self.reconciler.set_confidence(WATCH, Confidence.STALE)
@@ -147,7 +147,7 @@
             self._update_from_watch(now)
 
     def _update_from_watch(self, now: float) -> None:
-        statements = (watch_statement(where, line) for where, line in self.watch_lines.items())
+        statements = (watch_statement(address, entry) for address, entry in self.watch_entries.items())
         self.reconciler.update_source(now, WATCH, statements)
 
     # ---- any source ---------------------------------------------------------------------------------------
@@ -160,11 +160,14 @@
         """Sets how far a source's last list can be relied on from now on."""
         self.reconciler.set_confidence(source, confidence)
 
-    def remember(self, lines: Iterable[dict[str, Any]]) -> None:
+    def remember(self, entries: Iterable[dict[str, Any]]) -> None:
         """Lines that this program published before its start: used until the sources have spoken."""
         self.remembered = {
-            str(line[wire_format.HOST_PORT]): {**line, wire_format.INSTANCE_ID: line[wire_format.HOST_PORT]}
-            for line in lines
+            str(entry[wire_format.HOST_PORT]): {
+                **entry,
+                wire_format.INSTANCE_ID: entry[wire_format.HOST_PORT],
+            }
+            for entry in entries
         }
 
     def resolve(self, name: str) -> str:
@@ -174,32 +177,32 @@
     # ---- publishing ---------------------------------------------------------------------------------------
 
     def publish_changes(self, now: float, wall: float) -> int:
-        """Applies the merge rule and publishes what has changed; returns the number of lines."""
-        self.reconciler.set_maintenance(self.host.maintenance())
+        """Applies the merge rule and publishes what has changed; returns the number of entries."""
+        self.reconciler.set_maintenance(self.consumer.maintenance())
         self.reconciler.reconcile(now)
         changed = self.reconciler.take_changed()
-        for where in changed:
-            self._index(where, self.reconciler.endpoints.get(where))
+        for address in changed:
+            self._index(address, self.reconciler.endpoints.get(address))
         in_use = self._choose_priorities()
         if in_use != self.priorities_in_use:
             self.priorities_in_use = in_use
             changed.update(self.reconciler.endpoints)
-        lines = self._changed_lines(now, wall, changed)
-        if lines:
-            self.host.names_changed()
-        self._publish(now, lines)
-        return len(lines)
+        entries = self._changed_entries(now, wall, changed)
+        if entries:
+            self.consumer.names_changed()
+        self._publish(now, entries)
+        return len(entries)
 
-    def _index(self, where: str, endpoint: MergedEndpoint | None) -> None:
-        self.priorities.set_priority(where, endpoint.statement.priority if endpoint is not None else None)
-        self.names.set_names(where, endpoint.names if endpoint is not None else frozenset())
+    def _index(self, address: str, endpoint: MergedEndpoint | None) -> None:
+        self.priorities.set_priority(address, endpoint.statement.priority if endpoint is not None else None)
+        self.names.set_names(address, endpoint.names if endpoint is not None else frozenset())
 
     def _choose_priorities(self) -> list[int]:
         """The priorities whose endpoints get new work. What drains or is in maintenance is missing to its priority."""
         priorities = self.priorities.priorities()
         if len(priorities) < 2:
             return priorities
-        unhealthy = self.host.unhealthy()
+        unhealthy = self.consumer.unhealthy()
         health = dict.fromkeys(priorities, Health(0, 0))
         for endpoint in self.reconciler.endpoints.values():
             healthy, total = health[endpoint.statement.priority]
@@ -207,38 +210,38 @@
             health[endpoint.statement.priority] = Health(healthy, total + 1)
         return self.overflow.in_use(health)
 
-    def _changed_lines(self, now: float, wall: float, changed: set[str]) -> list[dict[str, Any]]:
-        lines: list[dict[str, Any]] = []
-        for where in sorted(changed):
-            endpoint = self.reconciler.endpoints.get(where)
+    def _changed_entries(self, now: float, wall: float, changed: set[str]) -> list[dict[str, Any]]:
+        entries: list[dict[str, Any]] = []
+        for address in sorted(changed):
+            endpoint = self.reconciler.endpoints.get(address)
             if endpoint is None:
-                if self.published.pop(where, None) is not None:
-                    lines.append(
+                if self.published.pop(address, None) is not None:
+                    entries.append(
                         {
-                            wire_format.INSTANCE_ID: where,
-                            wire_format.HOST_PORT: where,
+                            wire_format.INSTANCE_ID: address,
+                            wire_format.HOST_PORT: address,
                             wire_format.LIFECYCLE: wire_format.TERMINATED,
                         }
                     )
-                self.derived_starts.pop(where, None)
+                self.derived_starts.pop(address, None)
                 continue
-            line = self._line(now, wall, endpoint)
-            if line != self.published.get(where):
-                self.published[where] = line
-                lines.append(line)
-        return lines
+            entry = self._entry(now, wall, endpoint)
+            if entry != self.published.get(address):
+                self.published[address] = entry
+                entries.append(entry)
+        return entries
 
-    def _publish(self, now: float, lines: list[dict[str, Any]]) -> None:
+    def _publish(self, now: float, entries: list[dict[str, Any]]) -> None:
         if self.full_list_published:
-            if lines:
-                self.host.apply(wire_format.change(lines))
+            if entries:
+                self.consumer.apply(wire_format.change(entries))
         elif self._sources_complete(now):
             self.full_list_published, self.remembered = True, {}
-            self.host.apply(wire_format.full_list(self.published.values()), full=True)
-        elif lines or self.remembered:
+            self.consumer.apply(wire_format.full_list(self.published.values()), full=True)
+        elif entries or self.remembered:
             # The first source to answer after a restart must not remove what only the others list.
             known = {**self.remembered, **self.published}
-            self.host.apply(wire_format.full_list(known.values()), cached=True)
+            self.consumer.apply(wire_format.full_list(known.values()), cached=True)
 
     def _sources_complete(self, now: float) -> bool:
         """Whether a source is fresh, and every source has spoken or has had its time."""
@@ -247,26 +250,26 @@
             Confidence.NONE not in confidences or now >= self.wait_until
         )
 
-    def _line(self, now: float, wall: float, endpoint: MergedEndpoint) -> dict[str, Any]:
+    def _entry(self, now: float, wall: float, endpoint: MergedEndpoint) -> dict[str, Any]:
         """An endpoint as discovery would list it. One in a priority that is not in use drains."""
-        watch_line, statement = self.watch_lines.get(endpoint.address), endpoint.statement
+        watch_entry, statement = self.watch_entries.get(endpoint.address), endpoint.statement
         in_service = endpoint.eligible and statement.priority in self.priorities_in_use
-        watch_zone = str(watch_line.get(wire_format.ZONE, "")) if watch_line else ""
+        watch_zone = str(watch_entry.get(wire_format.ZONE, "")) if watch_entry else ""
         return {
-            **(watch_line or {}),
+            **(watch_entry or {}),
             wire_format.INSTANCE_ID: endpoint.address,
             wire_format.HOST_PORT: endpoint.address,
             wire_format.LIFECYCLE: wire_format.IN_SERVICE if in_service else wire_format.TERMINATING,
             wire_format.ZONE: statement.zone or watch_zone,
             wire_format.WEIGHT: statement.weight,
-            wire_format.STARTED_AT_MS: self._started_at_ms(now, wall, endpoint, watch_line),
+            wire_format.STARTED_AT_MS: self._started_at_ms(now, wall, endpoint, watch_entry),
         }
 
     def _started_at_ms(
-        self, now: float, wall: float, endpoint: MergedEndpoint, watch_line: Mapping[str, Any] | None
+        self, now: float, wall: float, endpoint: MergedEndpoint, watch_entry: Mapping[str, Any] | None
     ) -> int:
-        if watch_line is not None:
-            return watch_started_at_ms(watch_line)
+        if watch_entry is not None:
+            return watch_started_at_ms(watch_entry)
         if endpoint.statement.started_at_ms or endpoint.appeared_at is None:
             return endpoint.statement.started_at_ms
         # No source says when it started. It was not in its source's first list, so it has just started.
--- a/harecross/sources/reconciler.py
+++ b/harecross/sources/reconciler.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from harecross.sources.rule import Evidence, MergeDecision, Verdict, decide
-from harecross.sources.source import Confidence, Limits, Source, Statement, one_per_address
+from harecross.sources.source import Confidence, MergeLimits, Source, Statement, one_per_address
 
 MAX_CHANGES = 5  # of each endpoint, for operators
 MAX_TOMBSTONES = 1000
@@ -56,9 +56,9 @@
         # One that is kept as it was stays drained where it was.
         kept = self.verdict.decision == MergeDecision.KEEP and not self.statement.draining and self.eligible
         self.eligible = self.verdict.decision == MergeDecision.USE or kept
-        self.in_service = self.eligible and not self.held_by(maintenance)
+        self.in_service = self.eligible and not self.is_in_maintenance(maintenance)
 
-    def held_by(self, maintenance: set[str]) -> bool:
+    def is_in_maintenance(self, maintenance: set[str]) -> bool:
         """Whether operators hold it out of service, by its address or any of its names."""
         return self.address in maintenance or bool(self.names & maintenance)
 
@@ -69,8 +69,8 @@
     The work of `reconcile` depends on what has changed, not on the number of endpoints or sources.
     """
 
-    def __init__(self, limits: Limits | None = None) -> None:
-        self.limits = limits or Limits()
+    def __init__(self, limits: MergeLimits | None = None) -> None:
+        self.limits = limits or MergeLimits()
         self.sources: dict[str, Source] = {}
         self.endpoints: dict[str, MergedEndpoint] = {}
         self.tombstones: OrderedDict[str, MergedEndpoint] = (
@@ -79,7 +79,7 @@
         self.maintenance: set[str] = set()  # names or addresses that operators hold out of service
         self.changed: set[str] = set()  # addresses that were added, removed or changed since `take_changed`
         self.sources_by_address: dict[str, set[str]] = {}  # the names of the sources that know an endpoint
-        self.unsettled: set[str] = set()  # addresses whose evidence has changed since the last `reconcile`
+        self.dirty: set[str] = set()  # addresses whose evidence has changed since the last `reconcile`
         self.in_first_lists: set[str] = set()  # those of them that come from a source's first list
         self.recent_drops: list[tuple[float, str]] = []  # a heap: when a drop is recent no longer
         self.remembered_drops: list[tuple[float, str, str]] = []  # a heap: when to forget whose drop of what
@@ -93,7 +93,7 @@
             self.sources[name] = Source(name, rank)
         elif known.rank != rank:
             known.rank = rank
-            self.unsettled.update(known.known_addresses())
+            self.dirty.update(known.known_addresses())
 
     def remove_source(self, name: str) -> None:
         """Removes a source. What it alone listed is removed; what others list stays."""
@@ -102,7 +102,7 @@
             return
         for address in source.known_addresses():
             self._forget_source_of(address, name)
-            self.unsettled.add(address)
+            self.dirty.add(address)
             listed = any(address in other.listed for other in self.sources.values())
             if address in self.endpoints and not listed:
                 self._move_to_tombstones(address)
@@ -113,16 +113,16 @@
         fresh = one_per_address(statements)
         before = source.current()
         for address in source.replace_list(now, fresh, self.limits):
-            heappush(self.recent_drops, (now + self.limits.step_s, address))
+            heappush(self.recent_drops, (now + self.limits.grace_s, address))
             heappush(self.remembered_drops, (now + self.limits.drop_memory_s, name, address))
         if source.confidence != Confidence.FRESH:
-            self.unsettled.update(source.known_addresses())
+            self.dirty.update(source.known_addresses())
             if source.updated_at is None:
                 self.in_first_lists.update(a for a in source.listed if a not in self.endpoints)
         for address in (*before, *fresh):
             if before.get(address) != fresh.get(address):
                 self._index_source(address, source)
-                self.unsettled.add(address)
+                self.dirty.add(address)
         source.confidence, source.updated_at = Confidence.FRESH, now
 
     def set_confidence(self, name: str, confidence: Confidence) -> None:
@@ -132,14 +132,16 @@
         source = self.sources[name]
         if source.confidence not in (Confidence.LOST, confidence):
             source.confidence = confidence
-            self.unsettled.update(source.known_addresses())
+            self.dirty.update(source.known_addresses())
 
     def set_maintenance(self, names: Iterable[str]) -> None:
         """Sets what operators hold out of service, by name or address, whatever the sources say."""
         maintenance = set(names)
         if maintenance != self.maintenance:
             moved, self.maintenance = maintenance ^ self.maintenance, maintenance
-            self.unsettled.update(a for a, endpoint in self.endpoints.items() if endpoint.held_by(moved))
+            self.dirty.update(
+                a for a, endpoint in self.endpoints.items() if endpoint.is_in_maintenance(moved)
+            )
 
     def _index_source(self, address: str, source: Source) -> None:
         if source.knows(address):
@@ -166,9 +168,9 @@
     def reconcile(self, now: float) -> Mapping[str, MergedEndpoint]:
         """Applies the rule to every endpoint whose evidence has changed; returns all endpoints."""
         while self.recent_drops and self.recent_drops[0][0] <= now:
-            self.unsettled.add(heappop(self.recent_drops)[1])
-        unsettled, self.unsettled = self.unsettled, set()
-        for address in unsettled:
+            self.dirty.add(heappop(self.recent_drops)[1])
+        dirty, self.dirty = self.dirty, set()
+        for address in dirty:
             self._reconcile_one(now, address)
         self.in_first_lists.clear()
         self._forget_drops(now)
@@ -237,7 +239,7 @@
             others = self.sources_by_address.get(address, set()) - {name}
             if forget_at > now or any(address in self.sources[other].listed for other in others):
                 # Dropped again since, or other sources still list it: checked again later.
-                later = max(forget_at, now + self.limits.step_s)
+                later = max(forget_at, now + self.limits.grace_s)
                 heappush(self.remembered_drops, (later, name, address))
                 continue
             del source.dropped[address]
--- a/harecross/sources/registry_host.py
+++ b/harecross/sources/registry_adapter.py
@@ -11,8 +11,8 @@
 UNHEALTHY_COST = 4.0  # an endpoint on which a request costs so many times the mean is not healthy
 
 
-class RegistryHost:
-    """Implements `publisher.MembershipHost`."""
+class RegistryAdapter:
+    """Implements `publisher.MembershipConsumer`."""
 
     def __init__(self, registry: EndpointRegistry) -> None:
         self._registry = registry
--- a/harecross/sources/rule.py
+++ b/harecross/sources/rule.py
@@ -36,18 +36,18 @@
 class RuleLine(StrEnum):
     """The line of the rule that decided, as operators read it."""
 
-    DRAINED = "1 a source drains it"
-    AGREED = "2 listed, and no source has dropped it"
-    FRESH_DROP = "3 listed by one, dropped by another a short while ago"
-    MASS_DROP = "4 listed by one, dropped by another with many others"
-    RANK_KEEPS = "5 listed by the source that ranks higher, dropped by another"
-    RANK_DROPS = "6 dropped by the source that ranks higher, listed by another"
-    STALE_LISTS = "7 a stale source lists it, and none has dropped it"
-    STALE_DOUBT = "8 a stale source lists it, dropped by another just now or with many others"
-    STALE_LOSES = "9 a stale source lists it, dropped by another"
-    FLAPS = "10 dropped just now by a source that drops it and lists it again and again"
+    DRAINING = "1 a source drains it"
+    LISTED = "2 listed, and no source has dropped it"
+    RECENTLY_DROPPED = "3 listed by one, dropped by another a short while ago"
+    MASS_DROPPED = "4 listed by one, dropped by another with many others"
+    HIGHER_RANK_LISTS = "5 listed by the source that ranks higher, dropped by another"
+    HIGHER_RANK_DROPPED = "6 dropped by the source that ranks higher, listed by another"
+    STALE_LISTED = "7 a stale source lists it, and none has dropped it"
+    STALE_UNCERTAIN = "8 a stale source lists it, dropped by another just now or with many others"
+    STALE_DROPPED = "9 a stale source lists it, dropped by another"
+    FLAPPING = "10 dropped just now by a source that drops it and lists it again and again"
     DROPPED = "11 dropped, and no source lists it"
-    UNSAID = "12 no source says anything of it that counts"
+    NO_EVIDENCE = "12 no source says anything of it that counts"
 
 
 DROP_STATUSES = frozenset(
@@ -81,7 +81,7 @@
     """
     statuses = {item.status for item in evidence}
     if ListingStatus.DRAINING in statuses:
-        return Verdict(MergeDecision.DRAIN, RuleLine.DRAINED)
+        return Verdict(MergeDecision.DRAIN, RuleLine.DRAINING)
     drops = statuses & DROP_STATUSES
     if ListingStatus.LISTED in statuses:
         return _decide_listed(evidence, drops)
@@ -92,35 +92,35 @@
 
 def _decide_listed(evidence: Sequence[Evidence], drops: set[ListingStatus]) -> Verdict:
     if not drops:
-        return Verdict(MergeDecision.USE, RuleLine.AGREED)
+        return Verdict(MergeDecision.USE, RuleLine.LISTED)
     # Sources may be out of step for a while, as in a release; nothing is removed and added again meanwhile.
     if ListingStatus.RECENTLY_DROPPED in drops or ListingStatus.FLAPPING in drops:
-        return Verdict(MergeDecision.USE, RuleLine.FRESH_DROP)
+        return Verdict(MergeDecision.USE, RuleLine.RECENTLY_DROPPED)
     # A source that suddenly lists a part only is not believed against one that lists all.
     if drops == {ListingStatus.MASS_DROPPED}:
-        return Verdict(MergeDecision.USE, RuleLine.MASS_DROP)
+        return Verdict(MergeDecision.USE, RuleLine.MASS_DROPPED)
     if _best_rank(evidence, ListingStatus.LISTED) < _best_rank(evidence, ListingStatus.DROPPED):
-        return Verdict(MergeDecision.USE, RuleLine.RANK_KEEPS)
-    return Verdict(MergeDecision.REMOVE, RuleLine.RANK_DROPS)
+        return Verdict(MergeDecision.USE, RuleLine.HIGHER_RANK_LISTS)
+    return Verdict(MergeDecision.REMOVE, RuleLine.HIGHER_RANK_DROPPED)
 
 
 def _decide_stale(drops: set[ListingStatus]) -> Verdict:
     if not drops:
-        return Verdict(MergeDecision.USE, RuleLine.STALE_LISTS)
+        return Verdict(MergeDecision.USE, RuleLine.STALE_LISTED)
     if ListingStatus.DROPPED not in drops:
-        return Verdict(MergeDecision.KEEP, RuleLine.STALE_DOUBT)
-    return Verdict(MergeDecision.REMOVE, RuleLine.STALE_LOSES)
+        return Verdict(MergeDecision.KEEP, RuleLine.STALE_UNCERTAIN)
+    return Verdict(MergeDecision.REMOVE, RuleLine.STALE_DROPPED)
 
 
 def _decide_unlisted(evidence: Sequence[Evidence], drops: set[ListingStatus]) -> Verdict:
     if not drops:
-        return Verdict(MergeDecision.KEEP, RuleLine.UNSAID)
+        return Verdict(MergeDecision.KEEP, RuleLine.NO_EVIDENCE)
     # An endpoint that flaps stays as it is: each return would find it warming up and without connections.
     if ListingStatus.FLAPPING in drops and (
         ListingStatus.DROPPED not in drops
         or _best_rank(evidence, ListingStatus.FLAPPING) < _best_rank(evidence, ListingStatus.DROPPED)
     ):
-        return Verdict(MergeDecision.KEEP, RuleLine.FLAPS)
+        return Verdict(MergeDecision.KEEP, RuleLine.FLAPPING)
     return Verdict(MergeDecision.REMOVE, RuleLine.DROPPED)
 
 
--- a/harecross/sources/source.py
+++ b/harecross/sources/source.py
@@ -9,8 +9,12 @@
 
 from harecross.sources.rule import ListingStatus
 
-FLAPPING_DROPS = 3  # drops within `DROP_MEMORY_STEPS` after which an endpoint flaps (the idea of RFC 2439)
-DROP_MEMORY_STEPS = 10  # a drop that no other source contradicts is forgotten after so many times `step_s`
+FLAPPING_DROPS = (
+    3  # drops within `DROP_MEMORY_GRACE_PERIODS` after which an endpoint flaps (the idea of RFC 2439)
+)
+DROP_MEMORY_GRACE_PERIODS = (
+    10  # a drop that no other source contradicts is forgotten after so many times `grace_s`
+)
 
 
 class Confidence(StrEnum):
@@ -36,24 +40,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MergeLimits:
     """How far sources may disagree."""
 
-    step_s: float = 60.0  # how long sources may be out of step
-    mass: float = 0.3  # the share of a source's list that, dropped within `step_s`, is not believed alone
-    mass_least: int = 3  # fewer drops are no mass drop
+    grace_s: float = 60.0  # how long sources may be out of step
+    mass_drop_share: float = (
+        0.3  # the share of a source's list that, dropped within `grace_s`, is not believed alone
+    )
+    mass_drop_min: int = 3  # fewer drops are no mass drop
 
     @property
     def drop_memory_s(self) -> float:
         """How long a drop is remembered."""
-        return DROP_MEMORY_STEPS * self.step_s
+        return DROP_MEMORY_GRACE_PERIODS * self.grace_s
 
 
 class Drop(NamedTuple):
     """An endpoint that a source listed and no longer does."""
 
     at: float
-    in_mass: bool  # dropped together with many others
+    in_mass_drop: bool  # dropped together with many others
 
 
 def one_per_address(statements: Iterable[Statement]) -> dict[str, Statement]:
@@ -80,7 +86,7 @@
     drop_times: dict[str, list[float]] = field(default_factory=dict)  # the last ones, to find what flaps
     updated_at: float | None = None
 
-    def status(self, address: str, now: float, limits: Limits) -> ListingStatus:
+    def status(self, address: str, now: float, limits: MergeLimits) -> ListingStatus:
         """What it says of an endpoint now."""
         if address in self.draining and self.confidence != Confidence.LOST:
             return ListingStatus.DRAINING
@@ -94,11 +100,11 @@
         drop = self.dropped.get(address)
         return ListingStatus.NEVER_LISTED if drop is None else self._drop_status(address, drop, now, limits)
 
-    def _drop_status(self, address: str, drop: Drop, now: float, limits: Limits) -> ListingStatus:
-        if now - drop.at < limits.step_s:
+    def _drop_status(self, address: str, drop: Drop, now: float, limits: MergeLimits) -> ListingStatus:
+        if now - drop.at < limits.grace_s:
             flapping = len(self.drop_times.get(address, ())) >= FLAPPING_DROPS
             return ListingStatus.FLAPPING if flapping else ListingStatus.RECENTLY_DROPPED
-        return ListingStatus.MASS_DROPPED if drop.in_mass else ListingStatus.DROPPED
+        return ListingStatus.MASS_DROPPED if drop.in_mass_drop else ListingStatus.DROPPED
 
     def knows(self, address: str) -> bool:
         """Whether it says anything of an endpoint, or has."""
@@ -112,22 +118,24 @@
         """Its list, drains included."""
         return {**self.listed, **self.draining}
 
-    def replace_list(self, now: float, fresh: Mapping[str, Statement], limits: Limits) -> list[str]:
+    def replace_list(self, now: float, fresh: Mapping[str, Statement], limits: MergeLimits) -> list[str]:
         """Takes a whole new list; returns the addresses that were in service and are dropped by it."""
         dropped = [address for address in self.listed if address not in fresh]
-        # A release in small steps is no mass drop: only what was dropped within `step_s` counts together.
+        # A release in small steps is no mass drop: only what was dropped within `grace_s` counts together.
         recent = [
             address
             for address, drop in self.dropped.items()
-            if now - drop.at < limits.step_s and address not in fresh
+            if now - drop.at < limits.grace_s and address not in fresh
         ]
         missing = len({*dropped, *recent})
-        in_mass = missing >= limits.mass_least and missing > limits.mass * (len(fresh) + missing)
+        in_mass_drop = missing >= limits.mass_drop_min and missing > limits.mass_drop_share * (
+            len(fresh) + missing
+        )
         for address in dropped:
-            self._record_drop(address, Drop(now, in_mass), now - limits.drop_memory_s)
-        if in_mass:
+            self._record_drop(address, Drop(now, in_mass_drop), now - limits.drop_memory_s)
+        if in_mass_drop:
             for address in recent:
-                self.dropped[address] = self.dropped[address]._replace(in_mass=True)
+                self.dropped[address] = self.dropped[address]._replace(in_mass_drop=True)
         for address in fresh:
             self.dropped.pop(address, None)
         self.listed = {address: statement for address, statement in fresh.items() if not statement.draining}
@@ -140,7 +148,7 @@
         times = [time for time in self.drop_times.get(address, ()) if time > remember_since]
         self.drop_times[address] = [*times[-FLAPPING_DROPS:], drop.at]
 
-    def forget_drop_times(self, address: str, now: float, limits: Limits) -> None:
+    def forget_drop_times(self, address: str, now: float, limits: MergeLimits) -> None:
         """Forgets the times of an endpoint's drops once the last of them is old."""
         times = self.drop_times.get(address, [now])
         if times[-1] + limits.drop_memory_s <= now:
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -63,43 +63,43 @@
     return f"[{ip_address}]:{port}" if ":" in ip_address else f"{ip_address}:{port}"
 
 
-def watch_lines_by_address(lines: Iterable[Mapping[str, Any]]) -> dict[str, Mapping[str, Any]]:
-    """The watch's lines by address: the younger one where a server has taken over another's address, and of two as
+def watch_entries_by_address(entries: Iterable[Mapping[str, Any]]) -> dict[str, Mapping[str, Any]]:
+    """The watch's entries by address: the younger one where a server has taken over another's address, and of two as
     young the one that drains. Lines without a usable address are left out.
     """
     by_address: dict[str, Mapping[str, Any]] = {}
-    for line in lines:
-        where = str(line.get(wire_format.HOST_PORT, ""))
+    for entry in entries:
+        address = str(entry.get(wire_format.HOST_PORT, ""))
         try:
-            parse_address(where)
+            parse_address(address)
         except ValueError:
             continue
-        other = by_address.get(where)
-        if other is None or _youth(line) > _youth(other):
-            by_address[where] = line
+        other = by_address.get(address)
+        if other is None or _youth(entry) > _youth(other):
+            by_address[address] = entry
     return by_address
 
 
-def _youth(line: Mapping[str, Any]) -> tuple[int, bool]:
-    """Sorts lines of one address: later starts last, and drains after the rest."""
-    return watch_started_at_ms(line), line.get(wire_format.LIFECYCLE) != wire_format.IN_SERVICE
+def _youth(entry: Mapping[str, Any]) -> tuple[int, bool]:
+    """Sorts entries of one address: later starts last, and drains after the rest."""
+    return watch_started_at_ms(entry), entry.get(wire_format.LIFECYCLE) != wire_format.IN_SERVICE
 
 
-def watch_started_at_ms(line: Mapping[str, Any]) -> int:
+def watch_started_at_ms(entry: Mapping[str, Any]) -> int:
     """When the server started, in Unix milliseconds; 0 where the watch does not say."""
-    started_at_ms = line.get(wire_format.STARTED_AT_MS)
+    started_at_ms = entry.get(wire_format.STARTED_AT_MS)
     return started_at_ms if isinstance(started_at_ms, int) else 0
 
 
-def watch_statement(where: str, line: Mapping[str, Any]) -> Statement:
+def watch_statement(address: str, entry: Mapping[str, Any]) -> Statement:
     """What the watch says of the endpoint at an address.
 
     Its weights are nominal sizes, which the decision module measures itself: they are left out.
     """
     return Statement(
-        address=where,
-        name=str(line.get(wire_format.INSTANCE_ID, where)),
-        draining=DRAINING_BY_LIFECYCLE.get(str(line.get(wire_format.LIFECYCLE)), True),
-        zone=str(line.get(wire_format.ZONE, "")),
-        started_at_ms=watch_started_at_ms(line),
+        address=address,
+        name=str(entry.get(wire_format.INSTANCE_ID, address)),
+        draining=DRAINING_BY_LIFECYCLE.get(str(entry.get(wire_format.LIFECYCLE)), True),
+        zone=str(entry.get(wire_format.ZONE, "")),
+        started_at_ms=watch_started_at_ms(entry),
     )
--- a/harecross/store/documents.py
+++ b/harecross/store/documents.py
@@ -82,7 +82,7 @@
         self, row_type: str, collection: str, key: str, version: int, changed_at: float, body: str, crc: int
     ) -> Document:
         if checksum(collection, key, version, changed_at, body) != crc:
-            raise DamagedError(f"{self._database.path}: {damage(row_type, collection, key)}")
+            raise DamagedError(f"{self._database.path}: {damage_message(row_type, collection, key)}")
         return Document(version, changed_at, json.loads(body))
 
     def version(self, collection: str, key: str) -> int:
@@ -133,7 +133,7 @@
             rows = self._connection.execute(f"SELECT kind, key, version, at, body, crc FROM {table}")
             for collection, key, *fields, crc in rows:
                 if checksum(collection, key, *fields) != crc:
-                    yield damage(row_type, collection, key)
+                    yield damage_message(row_type, collection, key)
 
     def dump(self) -> Iterator[dict[str, Any]]:
         """Each document, followed by its records, as plain values."""
@@ -163,7 +163,7 @@
     return collection, key, version, changed_at, body, crc
 
 
-def damage(row_type: str, collection: str, key: str) -> str:
+def damage_message(row_type: str, collection: str, key: str) -> str:
     """A damaged row in words."""
     return f"{row_type} {collection} {key}: its checksum does not hold"
 
--- a/harecross/store/leases.py
+++ b/harecross/store/leases.py
@@ -53,7 +53,7 @@
             return None
         holder, token, expires_at, crc = row
         if checksum(name, holder, token, expires_at) != crc:
-            raise DamagedError(f"{self._database.path}: {damage(name)}")
+            raise DamagedError(f"{self._database.path}: {damage_message(name)}")
         return Lease(name, holder, token, expires_at)
 
     def verify(self, lease: Lease) -> None:
@@ -69,9 +69,9 @@
             "SELECT name, holder, token, until, crc FROM leases"
         ):
             if checksum(name, *fields) != crc:
-                yield damage(name)
+                yield damage_message(name)
 
 
-def damage(name: str) -> str:
+def damage_message(name: str) -> str:
     """A damaged lease in words."""
     return f"lease {name}: its checksum does not hold"
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -134,7 +134,11 @@
     def sources(self, name: str, cluster: ClusterTable) -> None:
         """A cluster must have a source, and name its SRV names in one place."""
         key, table = f"clusters.{name}", cluster.table()
-        self.require(key, bool(cluster.discovery) or table.on, "discovery, srv or sources is needed")
+        self.require(
+            key,
+            bool(cluster.discovery) or table.has_additional_sources,
+            "discovery, srv or sources is needed",
+        )
         twice = bool(cluster.sources and (cluster.srv or cluster.resolvers))
         self.require(f"{key}.sources", not twice, "not beside srv and resolvers: name them in it")
         try:
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -79,7 +79,7 @@
         super().__init__(name, dispatcher, EndpointRegistry(dispatcher, self._pool, (), ()), on_change)
         dispatcher.start()
         sources = table.table()
-        self.sources = SourceManager(sources, self.registry, name) if sources.on else None
+        self.sources = SourceManager(sources, self.registry, name) if sources.has_additional_sources else None
         where = parse_address(table.discovery) if table.discovery else NO_DISCOVERY
         self.discovery = DiscoveryClient(self.registry, where, consumer=self.sources, seed=seed)
         self._schedule = HealthCheckSchedule(int(table.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,7 +17,7 @@
 from harecross.sources.priorities import PriorityOverflow
 from harecross.sources.publisher import WATCH, MembershipPublisher
 from harecross.sources.reconciler import MembershipReconciler
-from harecross.sources.source import Confidence, Limits
+from harecross.sources.source import Confidence, MergeLimits
 from harecross.sources.statements import srv_statements
 
 SETS = {
@@ -143,8 +143,8 @@
     }  # fmt: skip
 
 
-class RecordingHost:
-    """A host that records who is in service; tests set what it says of health and maintenance."""
+class RecordingConsumer:
+    """A consumer that records who is in service; tests set what it says of health and maintenance."""
 
     def __init__(self) -> None:
         self.in_service: dict[str, dict] = {}
@@ -192,38 +192,38 @@
 
 @pytest.fixture
 def two_priorities():
-    """A host and its publisher, with four endpoints of the first priority and two of the second."""
-    host = RecordingHost()
-    publisher = MembershipPublisher(host, overflow=PriorityOverflow(0.5, 0.7), watch_rank=None)
+    """A consumer and its publisher, with four endpoints of the first priority and two of the second."""
+    consumer = RecordingConsumer()
+    publisher = MembershipPublisher(consumer, overflow=PriorityOverflow(0.5, 0.7), watch_rank=None)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.update_source(
         0, "srv:x", srv_statements([*endpoints("1", "2", "3", "4"), *endpoints("5", "6", priority=9)])
     )
     publisher.publish_changes(0, 0)
-    assert set(host.in_service) == FIRST
-    return host, publisher
+    assert set(consumer.in_service) == FIRST
+    return consumer, publisher
 
 
 def test_the_next_priority_is_used_while_the_first_is_short_of_healthy_endpoints(two_priorities):
-    host, publisher = two_priorities
+    consumer, publisher = two_priorities
     for count, expected in ((2, FIRST), (3, FIRST | SPARE), (2, FIRST | SPARE), (1, FIRST)):
-        host.unhealthy_addresses = set(sorted(FIRST)[:count])
+        consumer.unhealthy_addresses = set(sorted(FIRST)[:count])
         publisher.publish_changes(1, 1)
-        assert set(host.in_service) == expected, "in under a half, out at seven tenths"
+        assert set(consumer.in_service) == expected, "in under a half, out at seven tenths"
 
 
 def test_the_next_priority_is_used_while_the_first_is_in_maintenance(two_priorities):
-    host, publisher = two_priorities
-    host.maintenance_names = sorted(FIRST)[:3]
+    consumer, publisher = two_priorities
+    consumer.maintenance_names = sorted(FIRST)[:3]
     publisher.publish_changes(2, 2)
-    assert set(host.in_service) >= SPARE
+    assert set(consumer.in_service) >= SPARE
 
 
 @pytest.fixture
 def endpoint_in_two_names():
-    """A host and its publisher; two SRV names list 10.0.0.1, with weights of their own."""
-    host = RecordingHost()
-    publisher = MembershipPublisher(host, watch_rank=None)
+    """A consumer and its publisher; two SRV names list 10.0.0.1, with weights of their own."""
+    consumer = RecordingConsumer()
+    publisher = MembershipPublisher(consumer, watch_rank=None)
     for name, rank in (("srv:a", 2), ("srv:b", 1)):
         publisher.reconciler.add_source(name, rank)
     lists = {
@@ -233,28 +233,28 @@
     for name, listed in lists.items():
         publisher.update_source(0, name, srv_statements(listed))
     publisher.publish_changes(0, 0)
-    return host, publisher
+    return consumer, publisher
 
 
 def test_an_endpoint_in_two_names_has_the_weight_of_the_one_that_ranks_higher(endpoint_in_two_names):
-    host, publisher = endpoint_in_two_names
-    assert host.in_service["10.0.0.1:80"]["weight"] == 0.5
+    consumer, publisher = endpoint_in_two_names
+    assert consumer.in_service["10.0.0.1:80"]["weight"] == 0.5
     publisher.reconciler.add_source("srv:a", 0)  # a reload gives it the better rank
     publisher.publish_changes(1, 1)
-    assert host.in_service["10.0.0.1:80"]["weight"] == 1.5
+    assert consumer.in_service["10.0.0.1:80"]["weight"] == 1.5
 
 
 def test_an_endpoint_in_two_names_is_one_and_is_found_by_both(endpoint_in_two_names):
-    host, publisher = endpoint_in_two_names
-    assert len(host.in_service) == 3
+    consumer, publisher = endpoint_in_two_names
+    assert len(consumer.in_service) == 3
     assert publisher.resolve("x:80") == publisher.resolve("z:80") == "10.0.0.1:80"
 
 
 def test_a_resolver_dead_for_an_hour_is_asked_seldom_and_takes_nothing_out():
     name, now, queries = CachedName(CacheLimits(), Random(4), 0.0), 0.0, 0
     name.receive_answer(0.0, SrvAnswer(endpoints("1", "2"), 5.0))
-    host = RecordingHost()
-    publisher = MembershipPublisher(host, watch_rank=None)
+    consumer = RecordingConsumer()
+    publisher = MembershipPublisher(consumer, watch_rank=None)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.update_source(0, "srv:x", srv_statements(name.view(0.0).endpoints))
     while now < 3600:
@@ -265,37 +265,37 @@
         if name.view(now).status == CacheStatus.STALE:
             publisher.set_confidence("srv:x", Confidence.STALE)
         publisher.publish_changes(now, now)
-        assert len(host.in_service) == 2
+        assert len(consumer.in_service) == 2
     assert 100 < queries < 300, "each half minute, drawn"
     name.receive_answer(now, SrvAnswer(endpoints("2", "3"), 5.0))
     publisher.update_source(now, "srv:x", srv_statements(name.view(now).endpoints))
     publisher.publish_changes(now, now)
-    assert set(host.in_service) == {"10.0.0.2:80", "10.0.0.3:80"}
+    assert set(consumer.in_service) == {"10.0.0.2:80", "10.0.0.3:80"}
 
 
 def test_a_start_takes_nothing_out_before_every_source_has_spoken_or_had_its_time():
-    host = RecordingHost()
-    publisher = MembershipPublisher(host, wait_until=3.0)
+    consumer = RecordingConsumer()
+    publisher = MembershipPublisher(consumer, wait_until=3.0)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.remember([{"hostPort": "10.0.0.9:80", "lifecycle": "in_service"}])
     publisher.update_watch(0, 0, watch_list("1"), cached=False, full=True)
     publisher.publish_changes(0, 0)
-    assert set(host.in_service) == {"10.0.0.1:80", "10.0.0.9:80"}, "what was known before the start stays"
+    assert set(consumer.in_service) == {"10.0.0.1:80", "10.0.0.9:80"}, "what was known before the start stays"
     publisher.publish_changes(3.0, 3.0)
-    assert set(host.in_service) == {"10.0.0.1:80"}
+    assert set(consumer.in_service) == {"10.0.0.1:80"}
 
 
 @pytest.fixture
 def ten_endpoints_of_one_name():
-    """A host and its publisher; the watch lists two endpoints, an SRV name one of them and ten of a target."""
-    host = RecordingHost()
-    publisher = MembershipPublisher(host)
+    """A consumer and its publisher; the watch lists two endpoints, an SRV name one of them and ten of a target."""
+    consumer = RecordingConsumer()
+    publisher = MembershipPublisher(consumer)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.update_watch(0, 0, watch_list("1", "2"), cached=False, full=True)
     ten = [SrvEndpoint(0, "many.", f"10.0.1.{i}", 80, 1) for i in range(10)]
     publisher.update_source(0, "srv:x", srv_statements([*endpoints("1"), *ten]))
     publisher.publish_changes(0, 0)
-    return host, publisher
+    return consumer, publisher
 
 
 def test_a_name_leads_to_its_endpoint_unless_it_stands_for_several(ten_endpoints_of_one_name):
@@ -305,50 +305,50 @@
 
 
 def test_an_endpoint_has_its_address_as_its_id(ten_endpoints_of_one_name):
-    host, _ = ten_endpoints_of_one_name
-    assert len(host.in_service) == 12
-    assert all(key == line["hostPort"] for key, line in host.in_service.items())
+    consumer, _ = ten_endpoints_of_one_name
+    assert len(consumer.in_service) == 12
+    assert all(key == line["hostPort"] for key, line in consumer.in_service.items())
 
 
-def started_at_ms(host: RecordingHost, *numbers: str) -> list[int]:
-    return [host.in_service[f"10.0.0.{n}:80"]["startedAtMs"] for n in numbers]
+def started_at_ms(consumer: RecordingConsumer, *numbers: str) -> list[int]:
+    return [consumer.in_service[f"10.0.0.{n}:80"]["startedAtMs"] for n in numbers]
 
 
 @pytest.fixture
 def later_endpoints():
-    """A host and its publisher: at 50 s an SRV name lists another endpoint, and the watch another server."""
-    host = RecordingHost()
-    publisher = MembershipPublisher(host)
+    """A consumer and its publisher: at 50 s an SRV name lists another endpoint, and the watch another server."""
+    consumer = RecordingConsumer()
+    publisher = MembershipPublisher(consumer)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.update_watch(0, 1000, watch_list("1"), cached=False, full=True)
     publisher.update_source(0, "srv:x", srv_statements(endpoints("2")))
     publisher.publish_changes(0, 1000)
-    assert started_at_ms(host, "1", "2") == [0, 0], "there before us"
+    assert started_at_ms(consumer, "1", "2") == [0, 0], "there before us"
     publisher.update_source(50, "srv:x", srv_statements(endpoints("2", "3")))
     other = watch_list("1")
     other["instances"][0]["instanceId"] = "id-new"
     publisher.update_watch(50, 1050, other, cached=False, full=True)
     publisher.publish_changes(50, 1050)
-    return host, publisher
+    return consumer, publisher
 
 
 def test_an_endpoint_that_comes_later_has_just_started(later_endpoints):
-    host, _ = later_endpoints
-    assert started_at_ms(host, "3") == [1_050_000]
+    consumer, _ = later_endpoints
+    assert started_at_ms(consumer, "3") == [1_050_000]
 
 
 def test_another_server_at_an_address_has_just_started(later_endpoints):
-    host, _ = later_endpoints
-    assert started_at_ms(host, "1") == [1_050_000]
+    consumer, _ = later_endpoints
+    assert started_at_ms(consumer, "1") == [1_050_000]
 
 
 def test_a_clock_set_back_changes_no_start(later_endpoints):
-    host, publisher = later_endpoints
+    consumer, publisher = later_endpoints
     publisher.publish_changes(90, 5)
     more = [*endpoints("2", "3"), SrvEndpoint(0, "c.", "10.0.0.3", 81, 1)]
     publisher.update_source(90, "srv:x", srv_statements(more))
     publisher.publish_changes(90, 5)
-    assert started_at_ms(host, "3") == [1_050_000]
+    assert started_at_ms(consumer, "3") == [1_050_000]
 
 
 # ---- the reconciler -----------------------------------------------------------------------------------------
@@ -358,7 +358,10 @@
     """Beside a reconciler that looks at every endpoint at each step."""
     for seed in range(150):
         rng = Random(seed)
-        quick, thorough = MembershipReconciler(Limits(step_s=20)), MembershipReconciler(Limits(step_s=20))
+        quick, thorough = (
+            MembershipReconciler(MergeLimits(grace_s=20)),
+            MembershipReconciler(MergeLimits(grace_s=20)),
+        )
         names = ["a", "b", "c"]
         for reconciler in (quick, thorough):
             for rank, name in enumerate(names):
@@ -377,7 +380,7 @@
                 else:
                     reconciler.remove_source(name)
                     reconciler.add_source(name, int(draw * 100) % 3)
-            thorough.unsettled.update(f"10.0.0.{n}:80" for n in range(9))
+            thorough.dirty.update(f"10.0.0.{n}:80" for n in range(9))
             quick.reconcile(now)
             thorough.reconcile(now)
             found, expected = (
@@ -390,7 +393,7 @@
 @pytest.fixture
 def reconciler_of_many_removed():
     """One source, which lists another endpoint at each of 3000 steps."""
-    reconciler = MembershipReconciler(Limits(step_s=1))
+    reconciler = MembershipReconciler(MergeLimits(grace_s=1))
     reconciler.add_source("a", 0)
     for step in range(3000):
         reconciler.update_source(step * 2.0, "a", srv_statements(endpoints(str(step))))
@@ -435,8 +438,8 @@
     seen: Counter[str] = Counter()
     for day in range(2000):
         rng = Random(day)
-        host = RecordingHost()
-        publisher = MembershipPublisher(host, Limits(step_s=60))
+        consumer = RecordingConsumer()
+        publisher = MembershipPublisher(consumer, MergeLimits(grace_s=60))
         limits = CacheLimits(empty_confirmation=30, max_stale=20_000 if day % 2 else 600)
         dns_names = {f"srv:{i}": CachedName(limits, rng, 0.0) for i in range(rng.choice([1, 2]))}
         for i, source in enumerate(dns_names):
@@ -457,7 +460,7 @@
             if rng.random() < 0.1:
                 drained ^= {rng.choice(true)}
             drained &= set(true)
-            before = set(host.in_service)
+            before = set(consumer.in_service)
             failing = step > 0 and all(state in ("dead", "empty") for state in states.values())
             for source, state in states.items():
                 seen[state] += 1
@@ -481,7 +484,7 @@
                     published[source] = key
                     publish_view(publisher, now, source, view)
             publisher.publish_changes(now, now)
-            after = set(host.in_service)
+            after = set(consumer.in_service)
             where = {f"10.0.0.{n}:80" for n in true}
             out = {f"10.0.0.{n}:80" for n in drained}
             if states[WATCH] not in ("dead", "empty"):
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -14,7 +14,7 @@
 from harecross.sources.priorities import Health, PriorityOverflow
 from harecross.sources.reconciler import MembershipReconciler
 from harecross.sources.rule import Evidence, ListingStatus, MergeDecision, RuleLine, decide
-from harecross.sources.source import Confidence, Limits, Statement
+from harecross.sources.source import Confidence, MergeLimits, Statement
 
 TABLE = Path(__file__).parent.parent / "docs" / "design-sources.md"
 DROPS = {"new no", "flap no", "no", "mass no"}
@@ -98,7 +98,7 @@
     return [Statement(a, f"n-{a}", draining=a in draining.split()) for a in addresses]
 
 
-def watch_and_srv(limits: Limits | None = None) -> MembershipReconciler:
+def watch_and_srv(limits: MergeLimits | None = None) -> MembershipReconciler:
     reconciler = MembershipReconciler(limits)
     reconciler.add_source("watch", 0)
     reconciler.add_source("srv", 1)
@@ -226,7 +226,7 @@
     seen: Counter[str] = Counter()
     for seed in range(250):
         rng = Random(seed)
-        reconciler = MembershipReconciler(Limits(step_s=60))
+        reconciler = MembershipReconciler(MergeLimits(grace_s=60))
         names = ["watch", "srv", "file"][: rng.choice([1, 2, 3])]
         for rank, name in enumerate(names):
             reconciler.add_source(name, rank)
