--- a/harecross/sources/__init__.py
+++ b/harecross/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Membership from several sources: the platform's watch, SRV names and address files, merged into one endpoint list."""
+"""Merges the endpoint lists of several sources: discovery's watch, SRV names and address files."""
--- a/harecross/sources/address_file.py
+++ b/harecross/sources/address_file.py
@@ -1,4 +1,4 @@
-"""A plain file of addresses, one endpoint a line. `parse` is free of I/O."""
+"""Reads address files: plain text files with one endpoint per line. `parse` performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,20 +13,26 @@
 
 
 class AddressFileError(ValueError):
-    """A file that cannot be used; the text names the line and what is allowed."""
+    """Raised for an invalid address file; the message names the line and what is allowed there."""
 
 
 def parse(text: str, zone: str = "", priority_offset: int = 0) -> list[Statement]:
-    """The endpoints in a file. AddressFileError for the first bad line: no part of a bad file is used.
+    """Parses the content of an address file.
 
-    `zone` is that of lines that name none; `priority_offset` is added to every priority.
+    Args:
+        text: The content of the file.
+        zone: The zone of endpoints whose line names none.
+        priority_offset: The number that is added to the priority of every endpoint.
+
+    Raises:
+        AddressFileError: A line is invalid. No part of such a file is used.
     """
     lines = text.splitlines()
     if len(lines) > MAX_LINES:
-        raise AddressFileError(f"{len(lines)} lines; {MAX_LINES} at most")
+        raise AddressFileError(f"the file has {len(lines)} lines; at most {MAX_LINES} are allowed")
     if text and not text.endswith("\n"):
-        # A file that is read while it is being written may end in the middle of an address.
-        raise AddressFileError(f"line {len(lines)}: does not end; the last line needs an end too")
+        # The last line of a file that is still being written may be cut in the middle of an address.
+        raise AddressFileError(f"line {len(lines)}: missing newline at the end of the file")
     statements: list[Statement] = []
     for number, line in enumerate(lines, 1):
         words = line.split("#", 1)[0].split()
@@ -42,7 +48,7 @@
 def _parse_line(words: list[str], zone: str, priority_offset: int) -> Statement:
     host_port, *options = words
     if parse_address(host_port)[1] == 0:
-        raise ValueError(f"{host_port!r}: nobody listens on port 0")
+        raise ValueError(f"{host_port!r}: port 0 cannot be used")
     values = {"weight": "1", "priority": "0", "zone": zone, "name": host_port}
     draining = False
     for option in options:
@@ -52,27 +58,31 @@
         elif equals and key in values and value:
             values[key] = value
         else:
-            raise ValueError(f"{option!r} is not understood")
-    weight, priority = _numbers(values)
+            raise ValueError(f"unknown option {option!r}")
+    weight, priority = _parse_weight_and_priority(values)
     return Statement(host_port, values["name"], draining, values["zone"], weight, priority + priority_offset)
 
 
-def _numbers(values: dict[str, str]) -> tuple[float, int]:
-    """The weight and the priority of a line."""
+def _parse_weight_and_priority(values: dict[str, str]) -> tuple[float, int]:
     weight, priority = float(values["weight"]), int(values["priority"])
     if not isfinite(weight) or not 0 < weight <= MAX_WEIGHT:
-        raise ValueError(f"weight={values['weight']}: above 0, at most {MAX_WEIGHT}")
+        raise ValueError(f"weight={values['weight']}: must be above 0 and at most {MAX_WEIGHT}")
     if not 0 <= priority <= MAX_PRIORITY:
-        raise ValueError(f"priority={values['priority']}: 0 to {MAX_PRIORITY}")
+        raise ValueError(f"priority={values['priority']}: must be between 0 and {MAX_PRIORITY}")
     return weight, priority
 
 
 def read_address_file(path: str, zone: str = "", priority_offset: int = 0) -> list[Statement]:
-    """The endpoints in the file of that name, see `parse`. AddressFileError or OSError."""
+    """Reads and parses the address file at `path`; see `parse`.
+
+    Raises:
+        AddressFileError: The file is invalid.
+        OSError: The file cannot be read.
+    """
     with open(path, "rb") as file:
         data = file.read()
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
-        raise AddressFileError(f"not UTF-8 at byte {error.start}") from None
+        raise AddressFileError(f"invalid UTF-8 at byte {error.start}") from None
     return parse(text, zone, priority_offset)
--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -1,4 +1,7 @@
-"""`harecross sources`: why a box is in or out, asked of running nodes. Status 0, 1 for a no, 2 for wrong use."""
+"""`harecross sources`: asks running nodes why an endpoint is in service or not, and checks `[sources]` tables.
+
+The exit status is 0 on success, 1 if a node reports an error, and 2 for invalid arguments or files.
+"""
 
 from __future__ import annotations
 
@@ -11,50 +14,61 @@
 
 from harecross.exits import exit_with_error
 
-sources_app = typer.Typer(no_args_is_help=True, help="Where the list of servers comes from.")
+sources_app = typer.Typer(no_args_is_help=True, help="Inspect the sources of the endpoint list.")
 
 
 @sources_app.callback()
 def group() -> None:
-    """Where the list of servers comes from."""
+    """Inspect the sources of the endpoint list."""
 
 
 @sources_app.command("explain")
 def explain(
     at: Annotated[
-        list[str], typer.Option("--at", envvar="LB_ADMIN", help="HOST:PORT of a door; once for each.")
+        list[str],
+        typer.Option(
+            "--at", envvar="LB_ADMIN", help="HOST:PORT of a node's admin server; repeat for each node."
+        ),
     ],
-    box: Annotated[str, typer.Argument(metavar="[BOX]", help="An address, or a name any source uses.")] = "",
-    as_json: Annotated[bool, typer.Option("--json", help="To standard output.")] = False,
+    endpoint: Annotated[
+        str, typer.Argument(metavar="[ENDPOINT]", help="An address, or a name that any source uses.")
+    ] = "",
+    as_json: Annotated[bool, typer.Option("--json", help="Print the response as JSON.")] = False,
 ) -> None:
-    """What each source says, how old that is, and which line of the rule decided."""
+    """Show what each source lists, how old its list is, and which line of the merge rule decided."""
     from urllib.parse import urlencode
 
     from harecross.admin_client.calls import call_node
     from harecross.admin_client.cli import checked_nodes
 
-    path = f"/sources?{urlencode({'box': box})}" if box else "/sources"
+    path = f"/sources?{urlencode({'box': endpoint})}" if endpoint else "/sources"
     succeeded = True
     for address in checked_nodes(at):
-        answer = call_node(address, "GET", path)
-        if not answer.ok:
-            problem = "it has no sources beside the watch" if answer.text == "no such call" else answer.text
-            print(f"{address}: no: {problem}", file=sys.stderr)
+        result = call_node(address, "GET", path)
+        if not result.ok:
+            problem = (
+                "no sources besides the watch are configured"
+                if result.text == "no such call"
+                else result.text
+            )
+            print(f"{address}: error: {problem}", file=sys.stderr)
             succeeded = False
             continue
         if as_json:
-            print(answer.text)
+            print(result.text)
             continue
         try:
-            show(address, json.loads(answer.text), with_details=bool(box))
+            show(address, json.loads(result.text), with_details=bool(endpoint))
         except (ValueError, KeyError, TypeError):
-            print(f"{address}: no: what answers there is no door of this version", file=sys.stderr)
+            print(
+                f"{address}: error: the response is not from an admin server of this version", file=sys.stderr
+            )
             succeeded = False
     raise typer.Exit(0 if succeeded else 1)
 
 
 def show(address: str, explanation: dict[str, Any], *, with_details: bool) -> None:
-    """Prints an answer to `GET /sources`: the sources, and the endpoints as a table or in detail."""
+    """Prints a response to `GET /sources`: the sources, then the endpoints, as a table or in detail."""
     from harecross.console import out, table
 
     sources = table(f"sources at {address}", "source", "rank", "is", "lists", "drains", "age", "left", "why")
@@ -76,7 +90,7 @@
 
 
 def show_endpoint(row: dict[str, Any]) -> None:
-    """Prints one endpoint: its state, what each source says of it, and its last changes."""
+    """Prints one endpoint: its state, its status in each source, and its last changes."""
     from harecross.console import out
 
     out.print(f"{row['address']} ({', '.join(row['names']) or 'no name'}): {state(row)}", highlight=False)
@@ -89,12 +103,12 @@
 
 
 def seconds(value: float | None) -> str:
-    """A time for a table; nothing where it is not known."""
+    """Formats a number of seconds; returns an empty string if it is unknown."""
     return "" if value is None else f"{value:,.1f} s"
 
 
 def state(row: dict[str, Any]) -> str:
-    """Whether an endpoint is in service, and if not, why."""
+    """Describes whether an endpoint is in service and, if not, why."""
     if row["held_out"]:
         return "out, held by operators"
     if row["spare"]:
@@ -104,13 +118,13 @@
 
 @sources_app.command("check")
 def check_file(
-    config: Annotated[Path, typer.Argument(help="An operators' file with [sources].")],
+    config: Annotated[Path, typer.Argument(help="An operators' file with a [sources] table.")],
 ) -> None:
-    """Whether a file can be used: its keys, its names, the files it names. Asks no server."""
+    """Check the keys, the SRV names and the address files of a [sources] table, without any DNS query."""
     try:
         from harecross.operators import OperatorsFile, OperatorsFileError, read_toml
     except ImportError as error:
-        exit_with_error(f"sources check needs the extra `operators`: {error}")
+        exit_with_error(f"`harecross sources check` requires the extra `operators`: {error}")
     from harecross.sources.address_file import read_address_file
     from harecross.sources.config import check
 
--- a/harecross/sources/dns_source.py
+++ b/harecross/sources/dns_source.py
@@ -1,4 +1,4 @@
-"""One SRV name as a source of membership: resolved when it is due, and passed on to the publisher."""
+"""An SRV name as a source of endpoints: resolves the name when it is due and passes its set to the publisher."""
 
 from __future__ import annotations
 
@@ -16,7 +16,13 @@
 
 
 class PublishedState(NamedTuple):
-    """What the publisher last got of a name."""
+    """The state of a name that was last passed to the publisher.
+
+    Attributes:
+        status: The status of the cached set.
+        answered_at: The time of the last good answer, in seconds of the monotonic clock.
+        problem: The reason why the last refresh brought no good set; empty if it did.
+    """
 
     status: CacheStatus
     answered_at: float
@@ -24,7 +30,7 @@
 
 
 def cache_limits(config: SrvConfig) -> CacheLimits:
-    """The bounds that a name's settings set."""
+    """Returns the cache limits in a name's settings."""
     return CacheLimits(
         config.floor_s,
         config.ceiling_s,
@@ -34,7 +40,14 @@
 
 
 class DnsSource:
-    """An SRV name that is a source."""
+    """Resolves one SRV name and passes its cached set to the publisher.
+
+    Attributes:
+        name: The name of the source.
+        config: The settings of the SRV name.
+        cached_name: The cached set of the SRV name.
+        client: The DNS client that resolves the name.
+    """
 
     def __init__(
         self,
@@ -46,7 +59,7 @@
         clock: Callable[[], float],
         log_prefix: str,
     ) -> None:
-        """`name` is the source's; `clock` returns monotonic seconds; `log_prefix` begins its log lines."""
+        """`clock` returns seconds of a monotonic clock; `log_prefix` precedes the source's name in log lines."""
         self.name = name
         self.config = config
         self.cached_name = cached_name
@@ -58,13 +71,13 @@
         self._logged_notes: frozenset[str] = frozenset()
 
     def configure(self, config: SrvConfig, client: DnsClient) -> None:
-        """Takes new settings; the cached set stays."""
+        """Applies new settings; keeps the cached set."""
         if self.config != config:
             self.config, self.cached_name.limits, self._published = config, cache_limits(config), None
         self.client = client
 
     async def refresh(self) -> None:
-        """Resolves the name."""
+        """Resolves the name and stores the answer or the failure in the cache."""
         try:
             answer = await self.client.resolve(srv_query_name(self.config.name, self.name))
         except LookupFailedError as error:
@@ -76,7 +89,10 @@
             self.cached_name.receive_answer(self._clock(), answer)
 
     def publish(self) -> bool:
-        """Passes the name's state on to the publisher where it is new; returns whether a good set was among it."""
+        """Passes the name's state to the publisher if it has changed.
+
+        Returns True if the state has changed and holds a fresh set, which the cache file should get.
+        """
         view = self.cached_name.view(self._clock())
         state = PublishedState(view.status, self.cached_name.answered_at, view.problem)
         if state == self._published:
@@ -91,8 +107,10 @@
         return self._publish_view(view)
 
     def _publish_view(self, view: CacheView) -> bool:
-        unheard = self._publisher.reconciler.sources[self.name].confidence == Confidence.NONE
-        updated = view.status in (CacheStatus.FRESH, CacheStatus.EMPTY) or (unheard and bool(view.endpoints))
+        has_no_list = self._publisher.reconciler.sources[self.name].confidence == Confidence.NONE
+        updated = view.status in (CacheStatus.FRESH, CacheStatus.EMPTY) or (
+            has_no_list and bool(view.endpoints)
+        )
         if updated:
             statements = srv_statements(view.endpoints, self.config.zone, self.config.priority)
             self._publisher.update_source(self._clock(), self.name, statements)
@@ -106,7 +124,7 @@
         log_line(f"sources: {self._log_prefix}{self.name}: {text}")
 
     def cached_set(self, wall: float) -> CachedSet | None:
-        """The last good set, for the cache file; None where there is none. `wall` is Unix time."""
+        """Returns the last good set for the cache file, or None if there is none. `wall` is the Unix time."""
         answer, now = self.cached_name.answer, self._clock()
         if answer is None or not answer.endpoints:
             return None
--- a/harecross/sources/explanation.py
+++ b/harecross/sources/explanation.py
@@ -1,4 +1,4 @@
-"""Why an endpoint is in service or not, in plain values for operators (`GET /sources`). Free of I/O."""
+"""Explains to operators why endpoints are in service or not: the body of `GET /sources`. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,20 +17,31 @@
 
 @dataclass(frozen=True, slots=True)
 class SourcesView:
-    """What an explanation is made from, at one moment."""
+    """The state from which an explanation is built.
+
+    Attributes:
+        now: The current time, in seconds of the monotonic clock.
+        publisher: The publisher, with the endpoints and the sources.
+        dns_sources: The SRV names that are sources, by the source's name.
+        file_sources: The address files that are sources, by the source's name.
+        maintenance: The names and addresses that are in maintenance.
+        watch_heard_at: The time at which the watch last received data, on the same clock as `now`.
+    """
 
-    now: float  # monotonic seconds
+    now: float
     publisher: MembershipPublisher
     dns_sources: Mapping[str, DnsSource]
     file_sources: Mapping[str, FileSource]
-    maintenance: set[str]  # names that operators hold out of service
+    maintenance: set[str]
     watch_heard_at: float
 
 
 def explain(view: SourcesView, name: str = "") -> dict[str, Any]:
-    """`sources`: a row for each; `boxes`: for the endpoint of that name or address, or for all.
+    """Returns the explanation as JSON values.
 
-    Ages and times left are seconds. Endpoints that were removed are among them for a while.
+    `sources` holds a row for each source. `boxes` holds a row for each endpoint, or for the endpoints with the name or
+    address `name` if one is given. It includes endpoints that were removed and still have a tombstone. Ages and
+    remaining times are in seconds.
     """
     reconciler = view.publisher.reconciler
     removed = (e for a, e in reconciler.tombstones.items() if a not in reconciler.endpoints)
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -1,5 +1,7 @@
-"""The sources of one cluster at work: DNS names are resolved, files are read, good sets are cached on disk, and the
-merged list goes from the platform's watch and the other sources to the endpoint registry.
+"""Runs the sources of one cluster.
+
+The manager resolves SRV names, reads address files, caches good sets on disk, and passes the merged list of the
+platform's watch and the other sources to the endpoint registry.
 """
 
 from __future__ import annotations
@@ -30,20 +32,34 @@
     from harecross.sources.cache_file import CachedSet
     from harecross.sources.dns_source import DnsSource
 
-MIN_STEP_S, MAX_STEP_S = 0.02, 0.5  # between two steps
-MIN_SAVE_INTERVAL_S = 1.0  # between two writes of the cache file
+MIN_STEP_S, MAX_STEP_S = 0.02, 0.5  # bounds of the time between two steps of the main task
+MIN_SAVE_INTERVAL_S = 1.0  # minimum time between two writes of the cache file
 
 
 class SourceManager:
-    """Consumes the watch's endpoint lists, and stands between it and the registry.
-
-    Every decision is that of the publisher, the reconciler or a cached name.
+    """Performs the I/O and the scheduling of the sources, and receives the watch's lists instead of the registry.
+
+    The publisher, the reconciler and the cached names make all decisions.
+
+    Attributes:
+        loop: The event loop.
+        table: The current `[sources]` table.
+        registry: The endpoint registry that receives the merged list.
+        rng: The random numbers for DNS queries and for the times of refreshes.
+        now: Returns seconds of the monotonic clock.
+        wall: Returns the Unix time in seconds.
+        membership: The publisher of the merged list.
+        dns_sources: The SRV names that are sources, by the source's name.
+        file_sources: The address files that are sources, by the source's name.
     """
 
     def __init__(
         self, table: SourcesTable, registry: EndpointRegistry, label: str = "", rng: Random | None = None
     ) -> None:
-        """Reads the cache file and the files of addresses. ValueError for a file of addresses that is bad."""
+        """Reads the cache file and the address files. Raises ValueError if an address file is invalid.
+
+        `label` precedes the source's name in log lines.
+        """
         self.loop = asyncio.get_running_loop()
         self.table = table
         self.registry = registry
@@ -68,13 +84,16 @@
         self._main_task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
         self._unsaved, self._saved_at = False, 0.0
-        self._save_lock = threading.Lock()  # one thread at a time writes the cache file
+        self._save_lock = threading.Lock()  # held by the thread that writes the cache file
         self.configure(table, first=True)
 
     # ---- configuration ------------------------------------------------------------------------------------
 
     def configure(self, table: SourcesTable, *, first: bool = False) -> None:
-        """Adds, changes and removes sources; no endpoint that another source lists is lost."""
+        """Adds, changes and removes sources. An endpoint of a removed source stays if another source lists it.
+
+        `first` is True at startup, when the cache file and the address files are read at once.
+        """
         self.table = table
         reconciler, overflow = self.membership.reconciler, self.membership.overflow
         reconciler.limits = table.merge_limits()
@@ -112,7 +131,7 @@
         if config.name in cached_sets:
             cached = cached_sets[config.name]
             age_s, expired_s = cached.age(self.wall())
-            # A set from before the start counts as stale, whatever its TTL, until DNS has answered.
+            # A set from the cache file counts as stale, whatever its TTL, until DNS has answered.
             cached_name.restore(self.now(), cached.answer, age_s, -max(expired_s, 0.001))
         self.dns_sources[name] = DnsSource(
             name, config, cached_name, client, self.membership, self.now, self._log_prefix
@@ -132,7 +151,7 @@
             self.membership.update_source(self.now(), name, statements)
 
     def _client(self, servers: Sequence[str]) -> DnsClient:
-        """The DNS client of these servers; names with the same servers share one."""
+        """Returns the DNS client of these servers; SRV names with the same servers share a client."""
         from harecross.dns.client import DnsClient
         from harecross.dns.servers import TLS
 
@@ -147,21 +166,25 @@
     # ---- the watch ----------------------------------------------------------------------------------------
 
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
-        """Takes a list or change of the watch. ValueError if it is none."""
+        """Applies a list or change of the watch. Raises ValueError if it is neither."""
         if not self.table.watch:
             return
         self.membership.update_watch(self.now(), self.wall(), update, cached=cached, full=full)
         for item in update[wire_format.INSTANCES]:
-            # What cannot be used is logged; but a bad line of a server that is removed does no harm.
+            # An invalid entry is logged if its server would be in service; for a server that is draining or removed,
+            # an invalid entry does no harm.
             if not isinstance(item, dict) or (
                 item.get(wire_format.LIFECYCLE) == wire_format.IN_SERVICE
                 and item.get(wire_format.HOST_PORT) not in self.membership.watch_entries
             ):
-                log_line(f"discovery: bad entry {item!r:.200}")
+                log_line(f"discovery: ignoring invalid entry {item!r:.200}")
         self._publish_changes()
 
     def connectivity_changed(self, *, connected: bool) -> None:
-        """The watch has received data, or its connection has ended."""
+        """Called when the watch has received data or its connection has ended.
+
+        A stale watch becomes fresh again when it is connected.
+        """
         if not connected or not self.table.watch:
             return
         self._watch_heard_at = self.now()
@@ -172,7 +195,7 @@
 
     @property
     def list_is_current(self) -> bool:
-        """Whether the registry has a whole list, from sources that are fresh."""
+        """Whether the registry has received a full list, which requires at least one fresh source."""
         return self.membership.full_list_published
 
     @property
@@ -181,16 +204,19 @@
         return self.table.watch
 
     def on_names_changed(self, callback: Callable[[], None]) -> None:
-        """`callback` is called before endpoints with new names are published."""
+        """Sets a callback that is called before endpoints with new names are published."""
         self._registry_adapter.on_names_changed(callback)
 
     def republish(self) -> None:
-        """Publishes the whole list once more, soon."""
+        """Publishes the full list again in the next iteration of the event loop."""
         published = self.membership.published
         self.loop.call_soon(lambda: self.registry.apply(wire_format.full_list(published.values()), full=True))
 
     def explain(self, endpoint: str = "") -> dict[str, Any]:
-        """What each source says, and how each endpoint came to be in service or not."""
+        """Returns what each source lists, and why endpoints are in service or not.
+
+        `endpoint` is the name or address of an endpoint; all endpoints are included if it is empty.
+        """
         view = SourcesView(
             self.now(),
             self.membership,
@@ -204,11 +230,11 @@
     # ---- the main task ------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begins to resolve names and to check files."""
+        """Starts to resolve SRV names and to check address files."""
         self._main_task = self.loop.create_task(self._run())
 
     async def stop(self) -> None:
-        """Ends what is in progress, and writes the cache file."""
+        """Cancels all tasks, closes the DNS clients and writes the cache file."""
         tasks = [*self._tasks, *([self._main_task] if self._main_task is not None else [])]
         for task in tasks:
             task.cancel()
@@ -216,7 +242,7 @@
         for client in self._clients.values():
             await client.close()
         if self.table.keep and self.dns_sources:
-            # A write that was cancelled above may not have begun.
+            # A write that was cancelled above may not have started.
             self._save_cache_file(self._cached_sets())
 
     async def _run(self) -> None:
@@ -244,7 +270,7 @@
         return min(times, default=self.now() + MAX_STEP_S)
 
     def _step(self) -> None:
-        """Does everything that is due now."""
+        """Starts the DNS queries, file checks and writes that are due, and publishes changes."""
         now = self.now()
         for dns_source in list(self.dns_sources.values()):
             if dns_source.cached_name.due(now):
@@ -262,13 +288,15 @@
             self._start_task(asyncio.to_thread(self._save_cache_file, self._cached_sets()))
 
     def _check_watch(self, now: float) -> None:
-        """Marks the watch's list stale once it has been silent for too long."""
+        """Marks the watch's list as stale if the watch has been silent for more than `watch_stale_s`."""
         if not self.table.watch or now - self._watch_heard_at <= self.table.watch_stale_s:
             return
         confidence = self.membership.reconciler.sources[WATCH].confidence
         if confidence == Confidence.FRESH:
             silent_s = self.table.watch_stale_s
-            log_line(f"sources: {self._log_prefix}watch: silent for {silent_s:g} s, its list is stale")
+            log_line(
+                f"sources: {self._log_prefix}watch: no data for {silent_s:g} s; marking its list as stale"
+            )
         if confidence != Confidence.NONE:
             self.membership.set_confidence(WATCH, Confidence.STALE)
 
@@ -287,20 +315,20 @@
 
     async def _refresh(self, source: DnsSource) -> None:
         await source.refresh()
-        if self.dns_sources.get(source.name) is source:  # not removed meanwhile
+        if self.dns_sources.get(source.name) is source:  # the source may have been removed meanwhile
             self._publish_dns(source)
             self._wake.set()
 
     def _publish_dns(self, source: DnsSource) -> None:
-        has_good_set = source.publish()
-        self._unsaved = self._unsaved or (has_good_set and bool(self.table.keep))
+        has_new_set = source.publish()
+        self._unsaved = self._unsaved or (has_new_set and bool(self.table.keep))
 
     async def _poll_file(self, source: FileSource) -> None:
         try:
             loaded = await source.load_if_changed()
         except (OSError, AddressFileError) as error:
             source.fail(error)
-            if self.file_sources.get(source.name) is source:  # not removed meanwhile
+            if self.file_sources.get(source.name) is source:  # the source may have been removed meanwhile
                 self.membership.set_confidence(source.name, Confidence.STALE)
         else:
             if loaded is None:
@@ -313,14 +341,14 @@
     # ---- the cache file -----------------------------------------------------------------------------------
 
     def _load_cache_file(self) -> dict[str, CachedSet]:
-        """The cached sets; a file that is no good is logged, and nothing of it used."""
+        """Returns the sets in the cache file; returns none, and logs the reason, if the file cannot be used."""
         from harecross.sources.cache_file import CacheFileError, read_cache_file, remove_leftovers
 
         try:
             remove_leftovers(self.table.keep)
             return read_cache_file(self.table.keep)
         except (CacheFileError, OSError) as error:
-            log_line(f"sources: {self.table.keep}: kept sets not used: {error}")
+            log_line(f"sources: {self.table.keep}: ignoring the cache file: {error}")
             return {}
 
     def _cached_sets(self) -> dict[str, CachedSet]:
@@ -335,14 +363,14 @@
             with self._save_lock:
                 write_cache_file(self.table.keep, sets)
         except OSError as error:
-            log_line(f"sources: {self.table.keep}: sets not kept: {error.strerror}")
+            log_line(f"sources: {self.table.keep}: cannot write the cache file: {error.strerror}")
 
 
 def dns_source_name(config: SrvConfig) -> str:
-    """The source of an SRV name, as operators read it."""
+    """Returns the name of the source for an SRV name, as operators see it."""
     return f"srv:{config.name}"
 
 
 def file_source_name(config: AddressFileConfig) -> str:
-    """The source of a file of addresses, as operators read it."""
+    """Returns the name of the source for an address file, as operators see it."""
     return f"file:{config.path}"
--- a/harecross/sources/priorities.py
+++ b/harecross/sources/priorities.py
@@ -1,4 +1,4 @@
-"""Which priorities are in use. Free of I/O."""
+"""Chooses which priorities are in use, by the health of their endpoints. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,32 +7,40 @@
 
 
 class Health(NamedTuple):
-    """How many of a priority's endpoints are healthy."""
+    """The number of healthy endpoints of a priority, and of all its endpoints."""
 
     healthy: int
     total: int
 
     @property
     def share(self) -> float:
-        """The healthy part; 0 of none."""
+        """The share of endpoints that are healthy; 0 if there are no endpoints."""
         return self.healthy / self.total if self.total else 0.0
 
 
 class PriorityOverflow:
-    """Uses the first priority, and each next one only while the ones before it are short of healthy endpoints.
+    """Uses the first priority, and each further one only while all before it lack healthy endpoints.
 
-    With hysteresis: the next priority is used once the healthy share is below `enter`, until it reaches `leave`.
+    There is a hysteresis: the next priority comes into use when the share of healthy endpoints falls below `enter`,
+    and stays in use until that share reaches `leave`.
+
+    Attributes:
+        enter: The share of healthy endpoints below which the next priority is used too.
+        leave: The share of healthy endpoints at which the next priority is no longer used.
+        overflowing: The priorities that currently make the next priority come into use.
     """
 
     def __init__(self, enter: float = 0.5, leave: float = 0.7) -> None:
-        """ValueError where `leave` is not above `enter`."""
+        """Raises ValueError unless 0 < `enter` < `leave` <= 1."""
         if not 0 < enter < leave <= 1:
-            raise ValueError(f"overflow: 0 < enter < leave <= 1, not {enter:g} and {leave:g}")
+            raise ValueError(
+                f"overflow: expected 0 < enter < leave <= 1, got enter {enter:g} and leave {leave:g}"
+            )
         self.enter, self.leave = enter, leave
-        self.overflowing: set[int] = set()  # priorities after which the next one is used too
+        self.overflowing: set[int] = set()
 
     def in_use(self, health: Mapping[int, Health]) -> list[int]:
-        """The priorities to use, the first one first, by the health of each."""
+        """Returns the priorities to use, in ascending order, given the health of each priority."""
         used = []
         self.overflowing &= set(health)
         for priority in sorted(health):
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -1,7 +1,7 @@
-"""From the merged endpoints to the one endpoint list that a host gets. Free of I/O: time is handed in.
+"""Publishes the merged endpoints of all sources as one endpoint list. Performs no I/O; the caller passes the time.
 
-Endpoints go by their addresses, also to the host: whoever lists them, and under whichever name, they are one. What the
-host gets has the form of discovery's updates.
+The consumer receives lists and changes in discovery's format. An endpoint is identified by its address, in the
+published list too: entries with the same address are one endpoint, whichever source lists them and under any name.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 from harecross.sources.source import Confidence, MergeLimits, Statement
 from harecross.sources.statements import watch_entries_by_address, watch_started_at_ms, watch_statement
 
-WATCH = "watch"  # the source that is the platform's watch
-FIRST_LISTS_WAIT_S = 3.0  # how long a start waits for sources that have said nothing yet
+WATCH = "watch"  # the name of the source that is the platform's watch
+FIRST_LISTS_WAIT_S = 3.0  # how long the first full list waits for sources that have not provided a list yet
 
 
 class MembershipConsumer(Protocol):
-    """Who gets the endpoint list."""
+    """Receives the published endpoint list, and provides the health and the maintenance of endpoints."""
 
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
-        """Takes a list or change in the form of discovery's updates."""
+        """Applies a list or change in discovery's format."""
 
     def unhealthy(self) -> set[str]:
-        """Addresses of endpoints that cost much more than the others, or are ejected."""
+        """Returns the addresses of endpoints that are ejected or on which a request costs far more than the mean."""
 
     def maintenance(self) -> Iterable[str]:
-        """Names or addresses that operators hold out of service."""
+        """Returns the names and addresses that are in maintenance."""
 
     def names_changed(self) -> None:
         """Called before endpoints with new names are published."""
 
 
 class NameIndex:
-    """The addresses of endpoints by the names that sources use for them."""
+    """Maps the names that sources use for endpoints to the endpoints' addresses."""
 
     def __init__(self) -> None:
         self._addresses: dict[str, set[str]] = {}
@@ -57,20 +57,20 @@
             self._names[address] = names
 
     def resolve(self, name: str) -> str:
-        """The address of the endpoint of that name; the name itself where it is none, or that of several."""
+        """Returns the address of the endpoint with this name, or `name` itself if there is none or more than one."""
         addresses = self._addresses.get(name, ())
         return next(iter(addresses)) if len(addresses) == 1 else name
 
 
 class PriorityIndex:
-    """The priority of each endpoint, and how many endpoints each priority has."""
+    """Tracks the priority of each endpoint and the number of endpoints of each priority."""
 
     def __init__(self) -> None:
         self._priorities: dict[str, int] = {}
         self._counts: Counter[int] = Counter()
 
     def set_priority(self, address: str, priority: int | None) -> None:
-        """Replaces the priority of the endpoint at an address; None where it is removed."""
+        """Replaces the priority of the endpoint at an address; None removes the endpoint."""
         old = self._priorities.pop(address, None)
         if old is not None:
             self._counts[old] -= 1
@@ -81,12 +81,31 @@
             self._counts[priority] += 1
 
     def priorities(self) -> list[int]:
-        """All priorities that have endpoints, the first one first."""
+        """Returns all priorities that have endpoints, in ascending order."""
         return sorted(self._counts)
 
 
 class MembershipPublisher:
-    """The reconciler with a host on its other side."""
+    """Feeds the statements of the sources to the reconciler and publishes its endpoints to a consumer.
+
+    Attributes:
+        consumer: The receiver of the endpoint list.
+        reconciler: Merges the statements of the sources into endpoints.
+        overflow: Chooses the priorities in use.
+        watch_endpoints: The watch's entries, by the server's name in discovery.
+        watch_entries: The watch's entries, by address.
+        published: The entries that the consumer has, by address.
+        names: The endpoints' addresses, by name.
+        priorities: The endpoints' priorities.
+        priorities_in_use: The priorities whose endpoints get new work, in ascending order.
+        derived_starts: For endpoints whose start time no source provides, by address: when the endpoint appeared, in
+            seconds of the monotonic clock, and the start time derived from that, as Unix time in milliseconds.
+        full_list_published: Whether a full list has been published, which requires at least one fresh source.
+        wait_until: The time, in seconds of the monotonic clock, until which the first full list waits for sources
+            that have not provided a list yet.
+        remembered: Entries that were published before a restart, by address. They are in use until the first full
+            list is published.
+    """
 
     def __init__(
         self,
@@ -96,32 +115,28 @@
         watch_rank: int | None = 0,
         wait_until: float = 0.0,
     ) -> None:
-        """`watch_rank` is None where the platform's watch is no source. Up to `wait_until` sources that have said
-        nothing yet are waited for: until then no endpoint is published as not listed.
-        """
+        """`watch_rank` is None if the platform's watch is not a source."""
         self.consumer = consumer
         self.reconciler = MembershipReconciler(limits)
         self.overflow = overflow or PriorityOverflow()
         self.watch_endpoints = ListedEndpoints()
-        self.watch_entries: dict[str, Mapping[str, Any]] = {}  # by address
-        self.published: dict[str, dict[str, Any]] = {}  # the entries that the host has, by address
+        self.watch_entries: dict[str, Mapping[str, Any]] = {}
+        self.published: dict[str, dict[str, Any]] = {}
         self.names = NameIndex()
         self.priorities = PriorityIndex()
         self.priorities_in_use: list[int] = []
-        self.derived_starts: dict[
-            str, tuple[float, int]
-        ] = {}  # by address: when it appeared, and that in Unix ms
-        self.full_list_published = False  # a whole list, from sources that are fresh
+        self.derived_starts: dict[str, tuple[float, int]] = {}
+        self.full_list_published = False
         self.wait_until = wait_until
-        self.remembered: dict[str, dict[str, Any]] = {}  # entries of before the start, used until then
+        self.remembered: dict[str, dict[str, Any]] = {}
         if watch_rank is not None:
             self.reconciler.add_source(WATCH, watch_rank)
 
     # ---- the watch ----------------------------------------------------------------------------------------
 
     def update_watch(self, now: float, wall: float, update: Any, *, cached: bool, full: bool) -> None:
-        """Takes a list or change of the watch. ValueError if it is none."""
-        wire_format.entries_of(update)  # ValueError
+        """Applies a list or change of the watch. Raises ValueError if it is neither."""
+        wire_format.entries_of(update)  # raises ValueError
         full = full or cached or wire_format.is_reset(update)
         self.watch_endpoints.apply(update, full=full, cached=cached)
         before, self.watch_entries = (
@@ -134,14 +149,14 @@
                 wire_format.INSTANCE_ID
             )
             if replaced and not watch_started_at_ms(entry):
-                # Another server at the address has just started, and must not count as warmed up.
+                # Another server has just started at this address; without a start time it would skip slow start.
                 self.watch_entries[address] = {**entry, wire_format.STARTED_AT_MS: int(wall * 1000)}
         self._update_from_watch(now)
         if cached:
             self.reconciler.set_confidence(WATCH, Confidence.STALE)
 
     def restore_watch(self, now: float) -> None:
-        """The watch is connected again: its last list holds, as it has sent no change since."""
+        """Makes the watch's last list fresh when it is connected again: it has sent no change since that list."""
         watch = self.reconciler.sources.get(WATCH)
         if watch is not None and watch.confidence in (Confidence.STALE, Confidence.LOST):
             self._update_from_watch(now)
@@ -153,15 +168,15 @@
     # ---- any source ---------------------------------------------------------------------------------------
 
     def update_source(self, now: float, source: str, statements: Iterable[Statement]) -> None:
-        """Takes a source's whole list."""
+        """Replaces a source's list."""
         self.reconciler.update_source(now, source, statements)
 
     def set_confidence(self, source: str, confidence: Confidence) -> None:
-        """Sets how far a source's last list can be relied on from now on."""
+        """Lowers the confidence in a source's last list; see `MembershipReconciler.set_confidence`."""
         self.reconciler.set_confidence(source, confidence)
 
     def remember(self, entries: Iterable[dict[str, Any]]) -> None:
-        """Lines that this program published before its start: used until the sources have spoken."""
+        """Sets the entries that were published before a restart, for use until the sources have provided lists."""
         self.remembered = {
             str(entry[wire_format.HOST_PORT]): {
                 **entry,
@@ -171,13 +186,13 @@
         }
 
     def resolve(self, name: str) -> str:
-        """The address of the endpoint of that name; the name itself where it is none, or that of several."""
+        """Returns the address of the endpoint with this name, or `name` itself if there is none or more than one."""
         return self.names.resolve(name)
 
     # ---- publishing ---------------------------------------------------------------------------------------
 
     def publish_changes(self, now: float, wall: float) -> int:
-        """Applies the merge rule and publishes what has changed; returns the number of entries."""
+        """Applies the merge rule and publishes the changed entries; returns their number."""
         self.reconciler.set_maintenance(self.consumer.maintenance())
         self.reconciler.reconcile(now)
         changed = self.reconciler.take_changed()
@@ -198,7 +213,10 @@
         self.names.set_names(address, endpoint.names if endpoint is not None else frozenset())
 
     def _choose_priorities(self) -> list[int]:
-        """The priorities whose endpoints get new work. What drains or is in maintenance is missing to its priority."""
+        """Returns the priorities whose endpoints get new work.
+
+        Endpoints that drain or are in maintenance count as unhealthy endpoints of their priority.
+        """
         priorities = self.priorities.priorities()
         if len(priorities) < 2:
             return priorities
@@ -239,19 +257,22 @@
             self.full_list_published, self.remembered = True, {}
             self.consumer.apply(wire_format.full_list(self.published.values()), full=True)
         elif entries or self.remembered:
-            # The first source to answer after a restart must not remove what only the others list.
+            # The first source to answer after a restart must not remove endpoints that only the others list.
             known = {**self.remembered, **self.published}
             self.consumer.apply(wire_format.full_list(known.values()), cached=True)
 
     def _sources_complete(self, now: float) -> bool:
-        """Whether a source is fresh, and every source has spoken or has had its time."""
+        """Whether a source is fresh, and all sources have provided a list or `wait_until` has passed."""
         confidences = [source.confidence for source in self.reconciler.sources.values()]
         return Confidence.FRESH in confidences and (
             Confidence.NONE not in confidences or now >= self.wait_until
         )
 
     def _entry(self, now: float, wall: float, endpoint: MergedEndpoint) -> dict[str, Any]:
-        """An endpoint as discovery would list it. One in a priority that is not in use drains."""
+        """Returns the entry of an endpoint in discovery's format.
+
+        An endpoint of a priority that is not in use is listed as draining.
+        """
         watch_entry, statement = self.watch_entries.get(endpoint.address), endpoint.statement
         in_service = endpoint.eligible and statement.priority in self.priorities_in_use
         watch_zone = str(watch_entry.get(wire_format.ZONE, "")) if watch_entry else ""
@@ -272,7 +293,7 @@
             return watch_started_at_ms(watch_entry)
         if endpoint.statement.started_at_ms or endpoint.appeared_at is None:
             return endpoint.statement.started_at_ms
-        # No source says when it started. It was not in its source's first list, so it has just started.
+        # No source provides a start time. The endpoint was not in its source's first list, so it has just started.
         derived = self.derived_starts.get(endpoint.address)
         if derived is None or derived[0] != endpoint.appeared_at:
             derived = endpoint.appeared_at, int((wall - (now - endpoint.appeared_at)) * 1000)
--- a/harecross/sources/reconciler.py
+++ b/harecross/sources/reconciler.py
@@ -1,7 +1,7 @@
-"""The reconciler: from the statements of all sources to the merged endpoints, by the merge rule. Free of I/O.
+"""Merges the statements of all sources into endpoints, by the merge rule. Performs no I/O.
 
-An endpoint is its address: two names at one address are one endpoint with one limit, and one whose address changes is
-another endpoint. Times are seconds of a monotonic clock.
+An endpoint is identified by its address: two names with the same address are one endpoint with one concurrency limit,
+and a server whose address changes becomes another endpoint. Times are in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from harecross.sources.rule import Evidence, MergeDecision, Verdict, decide
 from harecross.sources.source import Confidence, MergeLimits, Source, Statement, one_per_address
 
-MAX_CHANGES = 5  # of each endpoint, for operators
+MAX_CHANGES = 5  # maximum number of changes that are kept of each endpoint, for operators
 MAX_TOMBSTONES = 1000
 
 
 class Change(NamedTuple):
-    """A change of what becomes of an endpoint."""
+    """A change of an endpoint's verdict, at a time in seconds of the monotonic clock."""
 
     at: float
     verdict: Verdict
@@ -28,75 +28,98 @@
 
 @dataclass(slots=True)
 class MergedEndpoint:
-    """One endpoint, as the rule last had it."""
+    """One endpoint, as the merge rule last decided on it.
+
+    Attributes:
+        address: The endpoint's address.
+        verdict: The last decision of the merge rule.
+        eligible: Whether the endpoint gets new work by the merge rule, regardless of maintenance.
+        in_service: Whether the endpoint is eligible and not in maintenance.
+        statement: The statement of the source with the best rank among those that list the endpoint.
+        names: The names that sources use for the endpoint.
+        appeared_at: The time at which the endpoint was first listed, or listed again after a drain; None if it was
+            in the first list of its source.
+        changes: The last changes of the verdict, the oldest first.
+    """
 
     address: str
     verdict: Verdict
-    eligible: bool  # by the rule it gets new work...
-    in_service: bool  # ...and it is not in maintenance
-    statement: Statement  # by the source that ranks highest among those that list it
+    eligible: bool
+    in_service: bool
+    statement: Statement
     names: frozenset[str]
-    appeared_at: float | None  # first listed, or again after a drain; None where it was there from the start
+    appeared_at: float | None
     changes: deque[Change] = field(default_factory=lambda: deque(maxlen=MAX_CHANGES))
 
     def set_verdict(self, now: float, verdict: Verdict) -> None:
-        """Takes a verdict, and records it where it is another."""
+        """Sets the verdict, and records the change if it differs from the last one."""
         if verdict != self.verdict:
             if self.verdict.decision == MergeDecision.DRAIN and verdict.decision == MergeDecision.USE:
-                # One that was drained and is listed again has been restarted, as far as is known.
+                # An endpoint that was drained and is listed again has probably been restarted.
                 self.appeared_at = now
             self.changes.append(Change(now, verdict))
         self.verdict = verdict
 
     def update(self, statements: list[Statement], maintenance: set[str]) -> None:
-        """Takes what the sources say, the one that ranks highest first, and derives whether it is in service."""
+        """Applies the statements of the sources, the best rank first, and derives whether it is in service."""
         if statements:
             self.statement = statements[0]
             self.names = frozenset(statement.name for statement in statements)
-        # One that is kept as it was stays drained where it was.
+        # An endpoint that is kept unchanged stays drained if it was.
         kept = self.verdict.decision == MergeDecision.KEEP and not self.statement.draining and self.eligible
         self.eligible = self.verdict.decision == MergeDecision.USE or kept
         self.in_service = self.eligible and not self.is_in_maintenance(maintenance)
 
     def is_in_maintenance(self, maintenance: set[str]) -> bool:
-        """Whether operators hold it out of service, by its address or any of its names."""
+        """Whether `maintenance` holds the endpoint's address or any of its names."""
         return self.address in maintenance or bool(self.names & maintenance)
 
 
 class MembershipReconciler:
-    """All sources, and the endpoints that they make.
-
-    The work of `reconcile` depends on what has changed, not on the number of endpoints or sources.
+    """Holds all sources and the endpoints that result from merging them.
+
+    The cost of `reconcile` depends on the number of changes, not on the number of endpoints or sources.
+
+    Attributes:
+        limits: The limits within which sources may disagree.
+        sources: The sources, by name.
+        endpoints: The merged endpoints, by address.
+        tombstones: The endpoints that were removed last, by address, for operators.
+        maintenance: The names and addresses that are in maintenance.
+        changed: The addresses that were added, removed or changed since the last `take_changed`.
+        sources_by_address: The names of the sources that list, drain or have dropped an endpoint, by its address.
+        dirty: The addresses whose evidence has changed since the last `reconcile`.
+        in_first_lists: The dirty addresses that a source listed in its first list.
+        recent_drops: A heap of drops with the time at which each is no longer recent.
+        remembered_drops: A heap of drops, each with the time at which to forget it, the source's name and the address.
     """
 
     def __init__(self, limits: MergeLimits | None = None) -> None:
         self.limits = limits or MergeLimits()
         self.sources: dict[str, Source] = {}
         self.endpoints: dict[str, MergedEndpoint] = {}
-        self.tombstones: OrderedDict[str, MergedEndpoint] = (
-            OrderedDict()
-        )  # the last ones removed, for operators
-        self.maintenance: set[str] = set()  # names or addresses that operators hold out of service
-        self.changed: set[str] = set()  # addresses that were added, removed or changed since `take_changed`
-        self.sources_by_address: dict[str, set[str]] = {}  # the names of the sources that know an endpoint
-        self.dirty: set[str] = set()  # addresses whose evidence has changed since the last `reconcile`
-        self.in_first_lists: set[str] = set()  # those of them that come from a source's first list
-        self.recent_drops: list[tuple[float, str]] = []  # a heap: when a drop is recent no longer
-        self.remembered_drops: list[tuple[float, str, str]] = []  # a heap: when to forget whose drop of what
+        self.tombstones: OrderedDict[str, MergedEndpoint] = OrderedDict()
+        self.maintenance: set[str] = set()
+        self.changed: set[str] = set()
+        self.sources_by_address: dict[str, set[str]] = {}
+        self.dirty: set[str] = set()
+        self.in_first_lists: set[str] = set()
+        self.recent_drops: list[tuple[float, str]] = []
+        self.remembered_drops: list[tuple[float, str, str]] = []
 
     # ---- sources ------------------------------------------------------------------------------------------
 
     def add_source(self, name: str, rank: int) -> None:
-        """Adds a source; one of that name keeps its statements and takes the rank."""
-        known = self.sources.get(name)
-        if known is None:
+        """Adds a source. If there is one with this name, sets its rank and keeps its statements."""
+        existing = self.sources.get(name)
+        if existing is None:
             self.sources[name] = Source(name, rank)
-        elif known.rank != rank:
-            known.rank = rank
-            self.dirty.update(known.known_addresses())
+        elif existing.rank != rank:
+            existing.rank = rank
+            self.dirty.update(existing.known_addresses())
 
     def remove_source(self, name: str) -> None:
-        """Removes a source. What it alone listed is removed; what others list stays."""
+        """Removes a source, and the endpoints that no other source lists."""
         source = self.sources.pop(name, None)
         if source is None:
             return
@@ -108,26 +131,27 @@
                 self._move_to_tombstones(address)
 
     def update_source(self, now: float, name: str, statements: Iterable[Statement]) -> None:
-        """Takes a source's whole list, which is fresh."""
+        """Replaces a source's list with a new one, which makes the source fresh."""
         source = self.sources[name]
-        fresh = one_per_address(statements)
-        before = source.current()
-        for address in source.replace_list(now, fresh, self.limits):
+        new_list = one_per_address(statements)
+        old_list = source.current_list()
+        for address in source.replace_list(now, new_list, self.limits):
             heappush(self.recent_drops, (now + self.limits.grace_s, address))
             heappush(self.remembered_drops, (now + self.limits.drop_memory_s, name, address))
         if source.confidence != Confidence.FRESH:
             self.dirty.update(source.known_addresses())
             if source.updated_at is None:
                 self.in_first_lists.update(a for a in source.listed if a not in self.endpoints)
-        for address in (*before, *fresh):
-            if before.get(address) != fresh.get(address):
+        for address in (*old_list, *new_list):
+            if old_list.get(address) != new_list.get(address):
                 self._index_source(address, source)
                 self.dirty.add(address)
         source.confidence, source.updated_at = Confidence.FRESH, now
 
     def set_confidence(self, name: str, confidence: Confidence) -> None:
-        """Lowers the confidence in a source's list. One that is lost stays so until the source's next list, or its
-        old statements would count again.
+        """Lowers the confidence in a source's list.
+
+        A lost source stays lost until its next list; otherwise, its old statements would count again.
         """
         source = self.sources[name]
         if source.confidence not in (Confidence.LOST, confidence):
@@ -135,12 +159,12 @@
             self.dirty.update(source.known_addresses())
 
     def set_maintenance(self, names: Iterable[str]) -> None:
-        """Sets what operators hold out of service, by name or address, whatever the sources say."""
+        """Sets the names and addresses that are in maintenance, which overrides all sources."""
         maintenance = set(names)
         if maintenance != self.maintenance:
-            moved, self.maintenance = maintenance ^ self.maintenance, maintenance
+            toggled, self.maintenance = maintenance ^ self.maintenance, maintenance
             self.dirty.update(
-                a for a, endpoint in self.endpoints.items() if endpoint.is_in_maintenance(moved)
+                a for a, endpoint in self.endpoints.items() if endpoint.is_in_maintenance(toggled)
             )
 
     def _index_source(self, address: str, source: Source) -> None:
@@ -159,14 +183,14 @@
     # ---- endpoints ----------------------------------------------------------------------------------------
 
     def evidence(self, address: str, now: float) -> dict[str, Evidence]:
-        """What each source says of an endpoint, by the source's name."""
+        """Returns the evidence of each source on an endpoint, by the source's name."""
         return {
             source.name: Evidence(source.rank, source.status(address, now, self.limits))
             for source in self.sources.values()
         }
 
     def reconcile(self, now: float) -> Mapping[str, MergedEndpoint]:
-        """Applies the rule to every endpoint whose evidence has changed; returns all endpoints."""
+        """Applies the merge rule to every endpoint whose evidence has changed; returns all endpoints."""
         while self.recent_drops and self.recent_drops[0][0] <= now:
             self.dirty.add(heappop(self.recent_drops)[1])
         dirty, self.dirty = self.dirty, set()
@@ -177,16 +201,16 @@
         return self.endpoints
 
     def next_due(self) -> float | None:
-        """When `reconcile` has work again by the passing of time alone."""
+        """Returns the time at which `reconcile` next has work even if no source changes; None if there is none."""
         return self.recent_drops[0][0] if self.recent_drops else None
 
     def take_changed(self) -> set[str]:
-        """Addresses whose endpoint was added, removed or changed since the last call."""
+        """Returns the addresses whose endpoint was added, removed or changed since the last call."""
         changed, self.changed = self.changed, set()
         return changed
 
     def _reconcile_one(self, now: float, address: str) -> None:
-        # Sources that know nothing of an endpoint are left out: NEVER_LISTED and UNKNOWN decide nothing.
+        # Sources that do not know the endpoint are omitted: NEVER_LISTED and UNKNOWN have no effect on the verdict.
         names = self.sources_by_address.get(address, ())
         sources = sorted((self.sources[name] for name in names), key=lambda s: (s.rank, s.name))
         verdict = decide([Evidence(s.rank, s.status(address, now, self.limits)) for s in sources])
@@ -217,7 +241,7 @@
         return endpoint
 
     def _move_to_tombstones(self, address: str) -> None:
-        """Removes an endpoint; operators can ask for a while what became of it."""
+        """Removes an endpoint, and keeps it as a tombstone so that operators can see why it was removed."""
         self.tombstones[address] = self.endpoints.pop(address)
         self.tombstones.move_to_end(address)
         self.changed.add(address)
@@ -225,7 +249,7 @@
             self.tombstones.popitem(last=False)
 
     def _forget_drops(self, now: float) -> None:
-        """Forgets old drops, or endpoints that come and go all day would be remembered for good."""
+        """Forgets old drops. Without this, memory would grow with every endpoint that was ever listed."""
         while self.remembered_drops and self.remembered_drops[0][0] <= now:
             _, name, address = heappop(self.remembered_drops)
             source = self.sources.get(name)
@@ -238,7 +262,7 @@
             forget_at = drop.at + self.limits.drop_memory_s
             others = self.sources_by_address.get(address, set()) - {name}
             if forget_at > now or any(address in self.sources[other].listed for other in others):
-                # Dropped again since, or other sources still list it: checked again later.
+                # The endpoint has been dropped again since, or another source still lists it.
                 later = max(forget_at, now + self.limits.grace_s)
                 heappush(self.remembered_drops, (later, name, address))
                 continue
--- a/harecross/sources/registry_adapter.py
+++ b/harecross/sources/registry_adapter.py
@@ -1,4 +1,4 @@
-"""The endpoint registry and its decision module as the host of a membership publisher."""
+"""Connects a membership publisher to the endpoint registry and its decision module."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from harecross.discovery.endpoint_registry import EndpointRegistry
 from harecross.platform.clock import monotonic_us
 
-UNHEALTHY_COST = 4.0  # an endpoint on which a request costs so many times the mean is not healthy
+# An endpoint is unhealthy if the cost of a request there is at least this multiple of the mean.
+UNHEALTHY_COST = 4.0
 
 
 class RegistryAdapter:
@@ -19,13 +20,14 @@
         self._on_names_changed: Callable[[], None] = lambda: None
 
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
-        """Passes a list or change on to the registry."""
+        """Passes a list or change to the registry."""
         self._registry.apply(update, cached=cached, full=full)
 
     def unhealthy(self) -> set[str]:
-        """Addresses of servers that the decision module holds ejected, or finds much slower or failing.
+        """Returns the addresses of servers that are ejected or on which a request costs far more than the mean.
 
-        It ejects a third of its members at most; the others of a dead priority show by what a request costs there.
+        The decision module ejects at most a third of its servers. If a whole priority is down, its other servers are
+        recognized by the cost of a request, which is high if they are slow or failing.
         """
         names = {number: name for name, number in self._registry.numbers.items()}
         views = self._registry.dispatcher.balancer.endpoint_snapshots(monotonic_us())
@@ -36,13 +38,13 @@
         }
 
     def maintenance(self) -> Iterable[str]:
-        """Names that operators hold out of service."""
+        """Returns the names that are in maintenance."""
         return self._registry.in_maintenance
 
     def names_changed(self) -> None:
-        """Calls who asked for it by `on_names_changed`."""
+        """Calls the callback that was set with `on_names_changed`."""
         self._on_names_changed()
 
     def on_names_changed(self, callback: Callable[[], None]) -> None:
-        """`callback` is called before endpoints with new names are published."""
+        """Sets a callback that is called before endpoints with new names are published."""
         self._on_names_changed = callback
--- a/harecross/sources/rule.py
+++ b/harecross/sources/rule.py
@@ -1,6 +1,6 @@
-"""The merge rule: from what each source says of an endpoint to whether it is used. Free of I/O.
+"""The merge rule: decides by the statuses of an endpoint in all sources whether it is used. Performs no I/O.
 
-docs/design-sources.md holds the same as a table; a test compares every combination with it.
+docs/design-sources.md holds the same rule as a table; a test compares every combination with it.
 """
 
 from __future__ import annotations
@@ -11,30 +11,51 @@
 
 
 class ListingStatus(StrEnum):
-    """What one source says of one endpoint. The values are what operators read."""
+    """The status of one endpoint in one source. The values are shown to operators.
+
+    Attributes:
+        LISTED: The source is fresh and lists the endpoint as in service.
+        DRAINING: The source is not lost, and its last list holds the endpoint as draining.
+        NEVER_LISTED: The source is fresh, and does not remember that it ever listed the endpoint.
+        RECENTLY_DROPPED: The source is fresh and dropped the endpoint less than the grace period ago.
+        FLAPPING: The source is fresh, dropped the endpoint less than the grace period ago, and has dropped it
+            repeatedly.
+        DROPPED: The source is fresh and dropped the endpoint at least the grace period ago.
+        MASS_DROPPED: The source is fresh and dropped the endpoint at least the grace period ago, together with a
+            large part of its list.
+        STALE_LISTED: The source is stale, and its last list holds the endpoint as in service.
+        UNKNOWN: The source has not provided a list yet, or its last list says nothing that still counts.
+    """
 
-    LISTED = "yes"  # the source is fresh, and lists it in service
-    DRAINING = "drain"  # the source said that it drains, and has not taken that back
-    NEVER_LISTED = "never"  # the source is fresh, and has never listed it
-    RECENTLY_DROPPED = "new no"  # the source is fresh, and dropped it a short while ago
-    FLAPPING = "flap no"  # as before, and the source has dropped it repeatedly
-    DROPPED = "no"  # the source is fresh, and dropped it longer ago
-    MASS_DROPPED = "mass no"  # the source is fresh, and dropped it together with a large part of its list
-    STALE_LISTED = "old yes"  # the source is stale, and listed it
-    UNKNOWN = "silent"  # the source has said nothing yet, or nothing that still counts
+    LISTED = "yes"
+    DRAINING = "drain"
+    NEVER_LISTED = "never"
+    RECENTLY_DROPPED = "new no"
+    FLAPPING = "flap no"
+    DROPPED = "no"
+    MASS_DROPPED = "mass no"
+    STALE_LISTED = "old yes"
+    UNKNOWN = "silent"
 
 
 class MergeDecision(StrEnum):
-    """What becomes of an endpoint. The values are what operators read."""
+    """The decision on an endpoint. The values are shown to operators.
+
+    Attributes:
+        USE: The endpoint gets new work.
+        KEEP: The endpoint stays as it is; if there is none, none is added.
+        DRAIN: The endpoint gets no new work.
+        REMOVE: The endpoint is removed.
+    """
 
     USE = "use"
-    KEEP = "keep"  # as it was: used if it was, and not added
+    KEEP = "keep"
     DRAIN = "drain"
     REMOVE = "gone"
 
 
 class RuleLine(StrEnum):
-    """The line of the rule that decided, as operators read it."""
+    """The line of the merge rule's table that decided. The values are shown to operators."""
 
     DRAINING = "1 a source drains it"
     LISTED = "2 listed, and no source has dropped it"
@@ -61,23 +82,24 @@
 
 
 class Evidence(NamedTuple):
-    """What one source says of an endpoint. The source with the lower rank is believed."""
+    """The rank of a source, and the status of an endpoint in it. A lower rank takes precedence."""
 
     rank: int
     status: ListingStatus
 
 
 class Verdict(NamedTuple):
-    """What becomes of an endpoint, and by which line of the rule."""
+    """The decision on an endpoint, and the line of the merge rule that led to it."""
 
     decision: MergeDecision
     line: RuleLine
 
 
 def decide(evidence: Sequence[Evidence]) -> Verdict:
-    """Applies the rule to one endpoint. Operators' maintenance stands above it.
+    """Applies the merge rule to one endpoint. The caller applies maintenance, which overrides the decision.
 
-    Failures of sources alone (`UNKNOWN`, `STALE_LISTED`) never remove an endpoint, and a drain overrides the rest.
+    Failures of sources alone (`UNKNOWN`, `STALE_LISTED`) never remove an endpoint. A drain overrides all other
+    statuses.
     """
     statuses = {item.status for item in evidence}
     if ListingStatus.DRAINING in statuses:
@@ -93,10 +115,11 @@
 def _decide_listed(evidence: Sequence[Evidence], drops: set[ListingStatus]) -> Verdict:
     if not drops:
         return Verdict(MergeDecision.USE, RuleLine.LISTED)
-    # Sources may be out of step for a while, as in a release; nothing is removed and added again meanwhile.
+    # Sources may disagree for a while, for example during a release. Removing the endpoint now could mean adding it
+    # again shortly after.
     if ListingStatus.RECENTLY_DROPPED in drops or ListingStatus.FLAPPING in drops:
         return Verdict(MergeDecision.USE, RuleLine.RECENTLY_DROPPED)
-    # A source that suddenly lists a part only is not believed against one that lists all.
+    # A source that suddenly lists only a part of the endpoints does not override one that lists all of them.
     if drops == {ListingStatus.MASS_DROPPED}:
         return Verdict(MergeDecision.USE, RuleLine.MASS_DROPPED)
     if _best_rank(evidence, ListingStatus.LISTED) < _best_rank(evidence, ListingStatus.DROPPED):
@@ -115,7 +138,7 @@
 def _decide_unlisted(evidence: Sequence[Evidence], drops: set[ListingStatus]) -> Verdict:
     if not drops:
         return Verdict(MergeDecision.KEEP, RuleLine.NO_EVIDENCE)
-    # An endpoint that flaps stays as it is: each return would find it warming up and without connections.
+    # A flapping endpoint stays as it is: otherwise, it would return in slow start and without connections each time.
     if ListingStatus.FLAPPING in drops and (
         ListingStatus.DROPPED not in drops
         or _best_rank(evidence, ListingStatus.FLAPPING) < _best_rank(evidence, ListingStatus.DROPPED)
--- a/harecross/sources/source.py
+++ b/harecross/sources/source.py
@@ -1,4 +1,4 @@
-"""One source's statements over time: what it lists, what it drains and what it has dropped. Free of I/O."""
+"""One source's statements over time: the endpoints that it lists, drains and has dropped. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,63 +9,91 @@
 
 from harecross.sources.rule import ListingStatus
 
-FLAPPING_DROPS = (
-    3  # drops within `DROP_MEMORY_GRACE_PERIODS` after which an endpoint flaps (the idea of RFC 2439)
-)
-DROP_MEMORY_GRACE_PERIODS = (
-    10  # a drop that no other source contradicts is forgotten after so many times `grace_s`
-)
+# An endpoint is flapping once it has been dropped this many times within `MergeLimits.drop_memory_s`; the idea is that
+# of route flap damping (RFC 2439).
+FLAPPING_DROPS = 3
+# A drop is forgotten after this many grace periods unless another source still lists the endpoint.
+DROP_MEMORY_GRACE_PERIODS = 10
 
 
 class Confidence(StrEnum):
-    """How far a source's present list can be relied on. The values are what operators read."""
+    """How far a source's last list can be relied on. The values are shown to operators.
+
+    Attributes:
+        NONE: The source has not provided a list yet.
+        FRESH: The list is up to date.
+        STALE: The list has expired or cannot be refreshed; it still counts, but proves nothing about endpoints that
+            it does not hold.
+        LOST: The list has been stale for longer than the settings allow, and no longer counts.
+    """
 
     NONE = "no word yet"
     FRESH = "fresh"
-    STALE = "stale"  # past its life, and no answer
-    LOST = "lost"  # stale for longer than is allowed
+    STALE = "stale"
+    LOST = "lost"
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """What a source says of one endpoint."""
+    """One endpoint as one source lists it.
+
+    Attributes:
+        address: The endpoint's address, as HOST:PORT.
+        name: The name that the source uses for the endpoint, such as an id or the target of an SRV record.
+        draining: Whether the source lists the endpoint as draining.
+        zone: The endpoint's zone; empty if it is unknown.
+        weight: The endpoint's weight, relative to the others of its priority.
+        priority: The endpoint's priority; lower priorities are used first.
+        started_at_ms: The endpoint's start, as Unix time in milliseconds; 0 if it is unknown.
+    """
 
     address: str
-    name: str  # the id or target by which the source knows it
+    name: str
     draining: bool = False
     zone: str = ""
     weight: float = 1.0
-    priority: int = 0  # lower ones first
-    started_at_ms: int = 0  # Unix time; 0 where it is not known
+    priority: int = 0
+    started_at_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class MergeLimits:
-    """How far sources may disagree."""
+    """The limits within which sources may disagree.
+
+    Attributes:
+        grace_s: The grace period, in seconds: the time for which a drop by one source does not override another
+            source that lists the endpoint.
+        mass_drop_share: Drops within `grace_s` are a mass drop if they exceed this share of the source's list. A mass
+            drop does not count while another source lists the endpoints.
+        mass_drop_min: The minimum number of drops in a mass drop.
+    """
 
-    grace_s: float = 60.0  # how long sources may be out of step
-    mass_drop_share: float = (
-        0.3  # the share of a source's list that, dropped within `grace_s`, is not believed alone
-    )
-    mass_drop_min: int = 3  # fewer drops are no mass drop
+    grace_s: float = 60.0
+    mass_drop_share: float = 0.3
+    mass_drop_min: int = 3
 
     @property
     def drop_memory_s(self) -> float:
-        """How long a drop is remembered."""
+        """The time for which a drop is remembered, in seconds."""
         return DROP_MEMORY_GRACE_PERIODS * self.grace_s
 
 
 class Drop(NamedTuple):
-    """An endpoint that a source listed and no longer does."""
+    """The removal of an endpoint from a source's list.
+
+    Attributes:
+        at: The time of the drop, in seconds of the monotonic clock.
+        in_mass_drop: Whether the endpoint was dropped together with a large part of the list.
+    """
 
     at: float
-    in_mass_drop: bool  # dropped together with many others
+    in_mass_drop: bool
 
 
 def one_per_address(statements: Iterable[Statement]) -> dict[str, Statement]:
-    """The statement that counts for each address: a drain, else the lowest priority and the largest weight.
+    """Returns the statement that counts for each address: a drain, else the lowest priority and the largest weight.
 
-    An endpoint is its address, so two names at one address are one endpoint.
+    An endpoint is identified by its address, so two names with the same address are one endpoint.
     """
     chosen: dict[str, Statement] = {}
     for statement in sorted(statements, key=lambda s: (not s.draining, s.priority, -s.weight, s.name)):
@@ -75,19 +103,30 @@
 
 @dataclass(slots=True)
 class Source:
-    """One source. Times are seconds of a monotonic clock; endpoints go by their addresses."""
+    """One source. Times are in seconds of a monotonic clock; endpoints are identified by their addresses.
+
+    Attributes:
+        name: The name of the source.
+        rank: The rank of the source; a lower rank takes precedence.
+        confidence: How far the last list can be relied on.
+        listed: The endpoints that the last list holds as in service, by address.
+        draining: The endpoints that the last list holds as draining, by address.
+        dropped: The endpoints that were in service in an earlier list and are not in the last one, by address.
+        drop_times: The times of the last drops, by address, to detect flapping.
+        updated_at: The time of the last list; None if there is none.
+    """
 
     name: str
-    rank: int  # the lower, the more it is believed
+    rank: int
     confidence: Confidence = Confidence.NONE
-    listed: dict[str, Statement] = field(default_factory=dict)  # in service
+    listed: dict[str, Statement] = field(default_factory=dict)
     draining: dict[str, Statement] = field(default_factory=dict)
     dropped: dict[str, Drop] = field(default_factory=dict)
-    drop_times: dict[str, list[float]] = field(default_factory=dict)  # the last ones, to find what flaps
+    drop_times: dict[str, list[float]] = field(default_factory=dict)
     updated_at: float | None = None
 
     def status(self, address: str, now: float, limits: MergeLimits) -> ListingStatus:
-        """What it says of an endpoint now."""
+        """Returns the current status of an endpoint in this source."""
         if address in self.draining and self.confidence != Confidence.LOST:
             return ListingStatus.DRAINING
         if self.confidence in (Confidence.NONE, Confidence.LOST):
@@ -96,7 +135,7 @@
             fresh = self.confidence == Confidence.FRESH
             return ListingStatus.LISTED if fresh else ListingStatus.STALE_LISTED
         if self.confidence == Confidence.STALE:
-            return ListingStatus.UNKNOWN  # an old list proves nothing of what it lacks
+            return ListingStatus.UNKNOWN  # a stale list proves nothing about endpoints that it does not hold
         drop = self.dropped.get(address)
         return ListingStatus.NEVER_LISTED if drop is None else self._drop_status(address, drop, now, limits)
 
@@ -107,49 +146,51 @@
         return ListingStatus.MASS_DROPPED if drop.in_mass_drop else ListingStatus.DROPPED
 
     def knows(self, address: str) -> bool:
-        """Whether it says anything of an endpoint, or has."""
+        """Whether this source lists or drains an endpoint, or has dropped it."""
         return address in self.listed or address in self.draining or address in self.dropped
 
     def known_addresses(self) -> set[str]:
-        """All endpoints that it says anything of, or has."""
+        """Returns the addresses that this source lists, drains or has dropped."""
         return {*self.listed, *self.draining, *self.dropped}
 
-    def current(self) -> dict[str, Statement]:
-        """Its list, drains included."""
+    def current_list(self) -> dict[str, Statement]:
+        """Returns the last list, including draining endpoints."""
         return {**self.listed, **self.draining}
 
-    def replace_list(self, now: float, fresh: Mapping[str, Statement], limits: MergeLimits) -> list[str]:
-        """Takes a whole new list; returns the addresses that were in service and are dropped by it."""
-        dropped = [address for address in self.listed if address not in fresh]
-        # A release in small steps is no mass drop: only what was dropped within `grace_s` counts together.
+    def replace_list(self, now: float, new_list: Mapping[str, Statement], limits: MergeLimits) -> list[str]:
+        """Replaces the list; returns the addresses that were in service and are not in the new list."""
+        dropped = [address for address in self.listed if address not in new_list]
+        # A release in small steps is not a mass drop: only drops within `grace_s` are counted together.
         recent = [
             address
             for address, drop in self.dropped.items()
-            if now - drop.at < limits.grace_s and address not in fresh
+            if now - drop.at < limits.grace_s and address not in new_list
         ]
         missing = len({*dropped, *recent})
         in_mass_drop = missing >= limits.mass_drop_min and missing > limits.mass_drop_share * (
-            len(fresh) + missing
+            len(new_list) + missing
         )
         for address in dropped:
             self._record_drop(address, Drop(now, in_mass_drop), now - limits.drop_memory_s)
         if in_mass_drop:
             for address in recent:
                 self.dropped[address] = self.dropped[address]._replace(in_mass_drop=True)
-        for address in fresh:
+        for address in new_list:
             self.dropped.pop(address, None)
-        self.listed = {address: statement for address, statement in fresh.items() if not statement.draining}
-        # A drain holds until its source lists the endpoint in service, or drops it.
-        self.draining = {address: statement for address, statement in fresh.items() if statement.draining}
+        self.listed = {
+            address: statement for address, statement in new_list.items() if not statement.draining
+        }
+        # A drain lasts until its source drops the endpoint or lists it as in service.
+        self.draining = {address: statement for address, statement in new_list.items() if statement.draining}
         return dropped
 
-    def _record_drop(self, address: str, drop: Drop, remember_since: float) -> None:
+    def _record_drop(self, address: str, drop: Drop, forget_before: float) -> None:
         self.dropped[address] = drop
-        times = [time for time in self.drop_times.get(address, ()) if time > remember_since]
+        times = [time for time in self.drop_times.get(address, ()) if time > forget_before]
         self.drop_times[address] = [*times[-FLAPPING_DROPS:], drop.at]
 
     def forget_drop_times(self, address: str, now: float, limits: MergeLimits) -> None:
-        """Forgets the times of an endpoint's drops once the last of them is old."""
+        """Forgets the times of an endpoint's drops if the last one is older than `limits.drop_memory_s`."""
         times = self.drop_times.get(address, [now])
         if times[-1] + limits.drop_memory_s <= now:
             self.drop_times.pop(address, None)
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -1,4 +1,4 @@
-"""From an SRV name's endpoints, or the platform's watch, to statements. Free of I/O."""
+"""Converts the endpoints of SRV names and the entries of the platform's watch to statements. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,23 +12,32 @@
 if TYPE_CHECKING:
     from harecross.dns.srv import SrvEndpoint
 
-MIN_WEIGHT, MAX_WEIGHT = 0.05, 20.0  # of a record, in mean weights of its priority
+MIN_WEIGHT, MAX_WEIGHT = (
+    0.05,
+    20.0,
+)  # bounds of a record's weight, relative to the mean weight of its priority
 DRAINING_BY_LIFECYCLE = {wire_format.IN_SERVICE: False, wire_format.TERMINATING: True}
 
 
 class WeightedEndpoint(NamedTuple):
-    """An SRV record's endpoint with its place among the records of its name."""
+    """The endpoint of an SRV record, with its priority and weight relative to the other records of the name.
+
+    Attributes:
+        endpoint: The endpoint.
+        priority: The position of the record's priority among those of the name, counted from 0.
+        weight: The record's weight, relative to the mean weight of its priority.
+    """
 
     endpoint: SrvEndpoint
-    priority: int  # counted from 0 within the name
-    weight: float  # in mean weights of that priority
+    priority: int
+    weight: float
 
 
 def weighted_endpoints(endpoints: Iterable[SrvEndpoint]) -> list[WeightedEndpoint]:
-    """Each endpoint with its relative priority and weight.
+    """Returns each endpoint with its relative priority and weight.
 
-    RFC 2782: priorities and weights compare within one name only. A weight of 0 among others still gets a
-    little; where all are 0 they are alike.
+    By RFC 2782, priorities and weights can be compared only within one SRV name. A record with the weight 0 still gets
+    a small share of the requests; if all records of a priority have the weight 0, they get equal shares.
     """
     by_priority: dict[int, list[SrvEndpoint]] = {}
     for endpoint in endpoints:
@@ -45,7 +54,7 @@
 def srv_statements(
     endpoints: Iterable[SrvEndpoint], zone: str = "", priority_offset: int = 0
 ) -> list[Statement]:
-    """What an SRV name says of its endpoints."""
+    """Returns the statements of an SRV name; `priority_offset` is added to the relative priorities."""
     return [
         Statement(
             address=host_port(endpoint.address, endpoint.port),
@@ -59,13 +68,15 @@
 
 
 def host_port(ip_address: str, port: int) -> str:
-    """HOST:PORT, with an IPv6 address in brackets."""
+    """Returns HOST:PORT, with an IPv6 address in brackets."""
     return f"[{ip_address}]:{port}" if ":" in ip_address else f"{ip_address}:{port}"
 
 
 def watch_entries_by_address(entries: Iterable[Mapping[str, Any]]) -> dict[str, Mapping[str, Any]]:
-    """The watch's entries by address: the younger one where a server has taken over another's address, and of two as
-    young the one that drains. Lines without a usable address are left out.
+    """Returns the watch's entries by address.
+
+    If several servers have the same address, the entry with the latest start time counts; among equal start times, an
+    entry that is not in service counts. Entries without a valid address are omitted.
     """
     by_address: dict[str, Mapping[str, Any]] = {}
     for entry in entries:
@@ -75,26 +86,27 @@
         except ValueError:
             continue
         other = by_address.get(address)
-        if other is None or _youth(entry) > _youth(other):
+        if other is None or _age_order(entry) > _age_order(other):
             by_address[address] = entry
     return by_address
 
 
-def _youth(entry: Mapping[str, Any]) -> tuple[int, bool]:
-    """Sorts entries of one address: later starts last, and drains after the rest."""
+def _age_order(entry: Mapping[str, Any]) -> tuple[int, bool]:
+    """Sort key for the entries of one address: by start time, then entries in service before others."""
     return watch_started_at_ms(entry), entry.get(wire_format.LIFECYCLE) != wire_format.IN_SERVICE
 
 
 def watch_started_at_ms(entry: Mapping[str, Any]) -> int:
-    """When the server started, in Unix milliseconds; 0 where the watch does not say."""
+    """Returns the start time of the server, as Unix time in milliseconds; 0 if the entry has none."""
     started_at_ms = entry.get(wire_format.STARTED_AT_MS)
     return started_at_ms if isinstance(started_at_ms, int) else 0
 
 
 def watch_statement(address: str, entry: Mapping[str, Any]) -> Statement:
-    """What the watch says of the endpoint at an address.
+    """Returns the statement of the watch for the endpoint at `address`.
 
-    Its weights are nominal sizes, which the decision module measures itself: they are left out.
+    It omits the weight in the entry: that is the nominal capacity of the server, and the decision module measures the
+    actual one.
     """
     return Statement(
         address=address,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -99,7 +99,7 @@
     ("text", "problem"),
     [
         ("10.0.0.1:80\n10.0.0.2\n", "line 2"),
-        ("10.0.0.1:80\n10.0.0.2:8", "line 2: does not end"),
+        ("10.0.0.1:80\n10.0.0.2:8", "line 2: missing newline"),
         ("10.0.0.1:0\n", "port 0"),
         ("10.0.0.1:80 weight=0\n", "weight"),
         ("10.0.0.1:80 weight=nan\n", "weight"),
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -359,7 +359,7 @@
     ('[[sources.file]]\npath = "/nowhere/boxes"\n', "/nowhere/boxes: No such file"),
     ('[sources]\nwatch = false\n', "leaves no source"),
     ('[sources]\nmas = 0.3\n', "allowed:"),
-    ('[sources]\nkeep = "/nowhere/kept"\n', "is no folder"),
+    ('[sources]\nkeep = "/nowhere/kept"\n', "is not a directory"),
     ('[sources]\noverflow_enter = 0.8\n', "below overflow_leave"),
 ]  # fmt: skip
 
