--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -30,8 +30,8 @@
             "--at", envvar="LB_ADMIN", help="HOST:PORT of a node's admin server; repeat for each node."
         ),
     ],
-    endpoint: Annotated[
-        str, typer.Argument(metavar="[ENDPOINT]", help="An address, or a name that any source uses.")
+    box: Annotated[
+        str, typer.Argument(metavar="[BOX]", help="An endpoint's address, or a name that any source uses.")
     ] = "",
     as_json: Annotated[bool, typer.Option("--json", help="Print the response as JSON.")] = False,
 ) -> None:
@@ -41,7 +41,7 @@
     from harecross.admin_client.calls import call_node
     from harecross.admin_client.cli import checked_nodes
 
-    path = f"/sources?{urlencode({'box': endpoint})}" if endpoint else "/sources"
+    path = f"/sources?{urlencode({'box': box})}" if box else "/sources"
     succeeded = True
     for address in checked_nodes(at):
         result = call_node(address, "GET", path)
@@ -58,7 +58,7 @@
             print(result.text)
             continue
         try:
-            show(address, json.loads(result.text), with_details=bool(endpoint))
+            show(address, json.loads(result.text), with_details=bool(box))
         except (ValueError, KeyError, TypeError):
             print(
                 f"{address}: error: the response is not from an admin server of this version", file=sys.stderr
