--- a/harecross/store/__init__.py
+++ b/harecross/store/__init__.py
@@ -1,1 +1,1 @@
-"""A small durable store on SQLite: documents with their records, and leases with fencing tokens."""
+"""A small durable store on SQLite: documents with records of their changes, and leases with fencing tokens."""
--- a/harecross/store/cli.py
+++ b/harecross/store/cli.py
@@ -1,4 +1,8 @@
-"""`harecross store`: what is stored, and whether it is whole. Status 0, 1 for damage, 2 for wrong use."""
+"""`harecross store`: checks, dumps and compacts the files of stores.
+
+The exit status is 0 on success, 1 if the store is damaged or an operation fails, and 2 if the store cannot be opened or
+the arguments are invalid.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +16,19 @@
 from harecross.store.errors import DamagedError, StoreError
 from harecross.store.store import Store
 
-store_app = typer.Typer(no_args_is_help=True, help="State that survives crashes.")
-File = Annotated[Path, typer.Argument(help="The store's file.")]
+store_app = typer.Typer(
+    no_args_is_help=True, help="Check, dump and compact the files that hold durable state."
+)
+StorePath = Annotated[Path, typer.Argument(help="Path of the store's file.")]
 
 
 @store_app.callback()
 def group() -> None:
-    """State that survives crashes."""
+    """Check, dump and compact the files that hold durable state."""
 
 
 def open_store(path: Path) -> Store:
-    """Opens a store that exists; ends the command with its status where that fails."""
+    """Opens an existing store; exits with an error message and status if that fails."""
     if not path.is_file():
         exit_with_error(f"{path}: no such file")
     try:
@@ -34,8 +40,8 @@
 
 
 @store_app.command("check")
-def check(path: File) -> None:
-    """Look the whole file through: pages and the checksum of each row."""
+def check(path: StorePath) -> None:
+    """Check the whole file: its pages and the checksum of each row."""
     store = open_store(path)
     counts = [f"{len(store.keys(collection))} {collection}" for collection in store.collections()]
     print(f"{path}: whole; {', '.join(counts) or 'nothing in it'}; {store.size()} bytes")
@@ -43,8 +49,8 @@
 
 
 @store_app.command("dump")
-def dump(path: File) -> None:
-    """Everything in it, one JSON object a line."""
+def dump(path: StorePath) -> None:
+    """Print all documents and records, one JSON object per line."""
     store = open_store(path)
     try:
         for item in store.dump():
@@ -57,9 +63,10 @@
 
 @store_app.command("compact")
 def compact(
-    path: File, keep: Annotated[int, typer.Option(min=0, help="Records of each document that stay.")] = 1000
+    path: StorePath,
+    keep: Annotated[int, typer.Option(min=0, help="Number of records to keep of each document.")] = 1000,
 ) -> None:
-    """Drop old records and give their room back."""
+    """Delete old records and return their space to the file system."""
     store = open_store(path)
     try:
         before, after = store.compact(keep)
--- a/harecross/store/database.py
+++ b/harecross/store/database.py
@@ -1,4 +1,4 @@
-"""The SQLite file below the store: opened, migrated, with transactions, checksums and errors of the store's own."""
+"""The SQLite file of a store: schema migrations, transactions, checksums, and translation of SQLite's errors."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 from harecross.store.errors import DamagedError, FullError, StoreError
 
-SCHEMA_VERSION = 2  # `MIGRATIONS[n]` leads from version n to n + 1
+SCHEMA_VERSION = 2
+# `MIGRATIONS[n]` is the script that migrates a file from version n to version n + 1.
 MIGRATIONS = (
     """
     CREATE TABLE documents (
@@ -25,20 +26,23 @@
     CREATE TABLE leases (name TEXT PRIMARY KEY, holder TEXT, token INTEGER, until REAL, crc INTEGER);
     """,
 )
-MAX_PAGES = 1 << 16  # of 4 KiB: 256 MiB
-BUSY_TIMEOUT_S = 5.0  # how long to wait for another writer
+MAX_PAGES = 1 << 16  # default limit of a file's size: 256 MiB with pages of 4 KiB
+BUSY_TIMEOUT_S = 5.0  # how long to wait for another writer's transaction
 
 
 def checksum(*fields: object) -> int:
-    """The CRC-32 of all of a row's fields, its key included: a row found under another key is damaged too."""
+    """Returns the CRC-32 of all fields of a row, including its key, so that a row under a wrong key is detected too."""
     return zlib.crc32(json.dumps(fields, separators=(",", ":")).encode())
 
 
 class Database:
-    """One SQLite file. Its methods raise StoreError in place of SQLite's errors."""
+    """One SQLite file. SQLite's errors become StoreErrors within `translated_errors` and `transaction`."""
 
     def __init__(self, path: str, max_pages: int = MAX_PAGES) -> None:
-        """Opens the file, or creates it, and migrates it. StoreError for one of a newer version."""
+        """Opens or creates the file and migrates it to the current schema version.
+
+        Raises StoreError if the file cannot be opened or has a newer schema version.
+        """
         self.path = path
         with self.translated_errors():
             self.connection = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
@@ -57,7 +61,9 @@
     def _migrate(self) -> None:
         version = self._pragma("user_version")
         if version > SCHEMA_VERSION:
-            raise StoreError(f"{self.path}: of version {version}; this program knows {SCHEMA_VERSION}")
+            raise StoreError(
+                f"{self.path}: schema version {version} is too new; at most {SCHEMA_VERSION} is supported"
+            )
         if version == SCHEMA_VERSION:
             return
         self.connection.execute("BEGIN IMMEDIATE")
@@ -71,11 +77,12 @@
 
     @contextmanager
     def translated_errors(self) -> Iterator[None]:
-        """Rolls back after an error of SQLite, and raises the StoreError that stands for it."""
+        """Rolls back the open transaction after an error of SQLite, and raises the corresponding StoreError."""
         try:
             yield
         except sqlite3.Error as error:
-            with suppress(sqlite3.Error, AttributeError):  # the connection may be closed, or not open yet
+            # The connection may be closed, or may not have been opened yet.
+            with suppress(sqlite3.Error, AttributeError):
                 if self.connection.in_transaction:
                     self.connection.execute("ROLLBACK")
             raise self._translated(error) from None
@@ -91,7 +98,7 @@
 
     @contextmanager
     def transaction(self) -> Iterator[sqlite3.Connection]:
-        """A write transaction: committed at the end, rolled back after an error."""
+        """Runs a write transaction: commits it at the end, or rolls it back after a StoreError or an SQLite error."""
         with self.translated_errors():
             self.connection.execute("BEGIN IMMEDIATE")
             try:
@@ -102,17 +109,17 @@
             self.connection.execute("COMMIT")
 
     def integrity_errors(self) -> list[str]:
-        """What SQLite's own check finds wrong with the file's pages; nothing for a sound file."""
+        """Returns the errors that SQLite's integrity check finds in the file's pages, at most 10."""
         rows = self.connection.execute("PRAGMA integrity_check(10)")
         return [text for (text,) in rows if text != "ok"]
 
     def shrink(self) -> None:
-        """Returns free pages to the file system."""
+        """Returns the space of free pages to the file system."""
         self.connection.execute("VACUUM")
         self.connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
 
     def size(self) -> int:
-        """The size of the file in bytes, without the write-ahead log."""
+        """Returns the size of the file in bytes, without the write-ahead log."""
         return self._pragma("page_count") * self._pragma("page_size")
 
     def close(self) -> None:
--- a/harecross/store/documents.py
+++ b/harecross/store/documents.py
@@ -1,7 +1,7 @@
-"""Documents and the records of their changes: two tables, written in one transaction.
+"""Documents and the records of their changes: two tables that are written in one transaction.
 
-A document is the latest state of one thing, by its collection and its key. Its records are what led there, the oldest
-first. The collection's column is `kind`.
+A document holds the latest state of one object, which is identified by a collection and a key. Its records hold the
+changes that led to that state, the oldest first. The name of the collection is in the column `kind`.
 """
 
 from __future__ import annotations
@@ -16,15 +16,21 @@
 from harecross.store.database import Database, checksum
 from harecross.store.errors import DamagedError, StoreError
 
-MAX_RECORDS = 10_000  # of one document; older ones are deleted
-MAX_BODY_BYTES = 1 << 20  # of one document or record
-RESERVE_BYTES = 1 << 16  # kept free for what has to be written to a full store
-RESERVE_COLLECTION = "_reserve"
+MAX_RECORDS = 10_000  # maximum number of records of a document; older ones are deleted
+MAX_BODY_BYTES = 1 << 20  # maximum size of the body of a document or record
+RESERVE_BYTES = 1 << 16  # space that is reserved for urgent writes to a full store
+RESERVE_COLLECTION = "_reserve"  # holds a single document that takes up the reserved space
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """One state. `version` counts the document's changes from 1; `changed_at` is Unix time."""
+    """The state of a document or of one of its records.
+
+    Attributes:
+        version: The number of the change that led to this state, counted from 1.
+        changed_at: The time of that change, as Unix time in seconds.
+        body: The content.
+    """
 
     version: int
     changed_at: float
@@ -32,10 +38,10 @@
 
 
 def encode_body(body: Mapping[str, Any]) -> str:
-    """The body as JSON. StoreError for one of more than `MAX_BODY_BYTES`."""
+    """Returns the body as JSON. Raises StoreError if that is longer than `MAX_BODY_BYTES`."""
     text = json.dumps(body, sort_keys=True, separators=(",", ":"), allow_nan=False)
     if len(text) > MAX_BODY_BYTES:
-        raise StoreError(f"{len(text)} bytes; {MAX_BODY_BYTES} at most")
+        raise StoreError(f"the body has {len(text)} bytes; at most {MAX_BODY_BYTES} are allowed")
     return text
 
 
@@ -47,14 +53,14 @@
         self._connection = database.connection
 
     def collections(self) -> list[str]:
-        """The names of the collections that hold documents."""
+        """Returns the names of the collections that hold documents, without the reserve."""
         rows = self._connection.execute(
             "SELECT DISTINCT kind FROM documents WHERE kind <> ? ORDER BY kind", (RESERVE_COLLECTION,)
         )
         return [collection for (collection,) in rows]
 
     def keys(self, collection: str) -> list[str]:
-        """The keys of a collection's documents."""
+        """Returns the keys of a collection's documents."""
         with self._database.translated_errors():
             rows = self._connection.execute(
                 "SELECT key FROM documents WHERE kind=? ORDER BY key", (collection,)
@@ -62,7 +68,10 @@
             return [key for (key,) in rows]
 
     def get(self, collection: str, key: str) -> Document | None:
-        """A document's latest state. DamagedError where its checksum does not match."""
+        """Returns a document's latest state; None if there is no such document.
+
+        Raises DamagedError if its checksum does not match.
+        """
         with self._database.translated_errors():
             row = self._connection.execute(
                 "SELECT version, at, body, crc FROM documents WHERE kind=? AND key=?", (collection, key)
@@ -70,7 +79,7 @@
         return self._decode("document", collection, key, *row) if row is not None else None
 
     def records(self, collection: str, key: str, limit: int) -> list[Document]:
-        """The last `limit` records of a document, the oldest first."""
+        """Returns the last `limit` records of a document, the oldest first."""
         with self._database.translated_errors():
             rows = self._connection.execute(
                 "SELECT version, at, body, crc FROM records WHERE kind=? AND key=? ORDER BY id DESC LIMIT ?",
@@ -86,14 +95,14 @@
         return Document(version, changed_at, json.loads(body))
 
     def version(self, collection: str, key: str) -> int:
-        """A document's version; 0 where there is none."""
+        """Returns a document's version; 0 if there is no such document."""
         row = self._connection.execute(
             "SELECT version FROM documents WHERE kind=? AND key=?", (collection, key)
         ).fetchone()
         return int(row[0]) if row is not None else 0
 
     def insert_document(self, collection: str, key: str, version: int, changed_at: float, body: str) -> None:
-        """Writes a document in place of the one before, within the caller's transaction."""
+        """Writes a document, replacing the one with the same key, within the caller's transaction."""
         self._connection.execute(
             "INSERT OR REPLACE INTO documents VALUES (?,?,?,?,?,?)",
             row_with_checksum(collection, key, version, changed_at, body),
@@ -102,7 +111,7 @@
     def insert_records(
         self, collection: str, key: str, version: int, changed_at: float, bodies: Sequence[str]
     ) -> None:
-        """Adds records and deletes those above `MAX_RECORDS`, within the caller's transaction."""
+        """Adds records and deletes the oldest ones beyond `MAX_RECORDS`, within the caller's transaction."""
         for body in bodies:
             self._connection.execute(
                 "INSERT INTO records (kind, key, version, at, body, crc) VALUES (?,?,?,?,?,?)",
@@ -115,7 +124,7 @@
         )
 
     def create_reserve(self) -> None:
-        """Takes space that only urgent writes may have. Does nothing where that fails: the store may be full."""
+        """Reserves space for urgent writes. Does nothing if that fails, since the store may be full."""
         with suppress(StoreError, sqlite3.Error):
             if not self.version(RESERVE_COLLECTION, ""):
                 self.insert_document(
@@ -128,7 +137,7 @@
             self._connection.execute("DELETE FROM documents WHERE kind=?", (RESERVE_COLLECTION,))
 
     def damaged_rows(self) -> Iterator[str]:
-        """Every row whose checksum does not match, in words."""
+        """Yields an error message for each row whose checksum does not match."""
         for table, row_type in (("documents", "document"), ("records", "record")):
             rows = self._connection.execute(f"SELECT kind, key, version, at, body, crc FROM {table}")
             for collection, key, *fields, crc in rows:
@@ -136,7 +145,7 @@
                     yield damage_message(row_type, collection, key)
 
     def dump(self) -> Iterator[dict[str, Any]]:
-        """Each document, followed by its records, as plain values."""
+        """Yields each document, followed by its records, as JSON values."""
         for collection in self.collections():
             for key in self.keys(collection):
                 document = self.get(collection, key)
@@ -146,7 +155,7 @@
                     yield {"record of": [collection, key], **state_to_json(record)}
 
     def delete_old_records(self, records_to_keep: int) -> None:
-        """Keeps the last `records_to_keep` records of each document, within the caller's transaction."""
+        """Deletes all but the last `records_to_keep` records of each document, within the caller's transaction."""
         for collection, key in self._connection.execute("SELECT kind, key FROM documents").fetchall():
             self._connection.execute(
                 "DELETE FROM records WHERE kind=? AND key=? AND id NOT IN (SELECT id FROM records WHERE kind=?"
@@ -158,16 +167,16 @@
 def row_with_checksum(
     collection: str, key: str, version: int, changed_at: float, body: str
 ) -> tuple[Any, ...]:
-    """A row of `documents` or, but for its id, of `records`."""
+    """Returns a row of the table `documents`, or a row of the table `records` without its id."""
     crc = checksum(collection, key, version, changed_at, body)
     return collection, key, version, changed_at, body, crc
 
 
 def damage_message(row_type: str, collection: str, key: str) -> str:
-    """A damaged row in words."""
-    return f"{row_type} {collection} {key}: its checksum does not hold"
+    """Returns the error message for a row whose checksum does not match."""
+    return f"{row_type} {collection} {key}: checksum mismatch"
 
 
 def state_to_json(state: Document) -> dict[str, Any]:
-    """A document or record as `harecross store dump` writes it."""
+    """Returns a document or record in the format of `harecross store dump`."""
     return {"version": state.version, "at": state.changed_at, "body": state.body}
--- a/harecross/store/errors.py
+++ b/harecross/store/errors.py
@@ -1,19 +1,19 @@
-"""The errors of the store. After any of them the store is as it was before the call; the text is for operators."""
+"""The errors of the store. A call that raises one of them has not changed the store; the message is for operators."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """The store cannot do that now."""
+    """The store cannot perform the operation."""
 
 
 class DamagedError(StoreError):
-    """What is stored is not what was written; the text names the row."""
+    """The stored data is not what was written. The message names the row, or quotes SQLite if no row can be read."""
 
 
 class FullError(StoreError):
-    """There is no space left, on the disk or within the store's own limit."""
+    """There is no space left, either on the disk or within the store's size limit."""
 
 
 class FencedError(StoreError):
-    """The lease has had another holder since: a writer that was paused past its lease may change nothing."""
+    """Another holder has acquired the lease, so a writer that was paused past its lease must not change anything."""
--- a/harecross/store/leases.py
+++ b/harecross/store/leases.py
@@ -1,4 +1,4 @@
-"""Leases: who may act, until when, and the fencing token that excludes earlier holders."""
+"""Leases: who may act, until when, and with which fencing token, which excludes earlier holders."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The right to change something. The fencing token grows with each holder; `expires_at` is Unix time."""
+    """The exclusive right of a holder to act, for a limited time.
+
+    Attributes:
+        name: The name of the lease.
+        holder: The name of the holder.
+        fencing_token: A number that is larger for each new holder.
+        expires_at: The time at which the lease expires, as Unix time in seconds.
+    """
 
     name: str
     holder: str
@@ -27,9 +34,10 @@
         self._connection = database.connection
 
     def acquire(self, name: str, holder: str, now: float, duration_s: float) -> Lease | None:
-        """Takes a free or expired lease, or renews the holder's own; None while it is another's.
+        """Acquires a free or expired lease, or renews the holder's own. Returns None while another holder has it.
 
-        `now` is Unix time. A new holder gets a larger fencing token; so does one whose own lease expired.
+        `now` is the Unix time in seconds. A new holder gets a larger fencing token, and so does a holder whose own
+        lease has expired.
         """
         with self._database.transaction():
             current = self.current(name)
@@ -45,7 +53,10 @@
             return lease
 
     def current(self, name: str) -> Lease | None:
-        """A lease as it was last written, expired or not. DamagedError where its checksum does not match."""
+        """Returns a lease as it was last written, even if it has expired; None if there is none.
+
+        Raises DamagedError if its checksum does not match.
+        """
         row = self._connection.execute(
             "SELECT holder, token, until, crc FROM leases WHERE name=?", (name,)
         ).fetchone()
@@ -57,14 +68,14 @@
         return Lease(name, holder, token, expires_at)
 
     def verify(self, lease: Lease) -> None:
-        """FencedError where the lease has had another holder since it was acquired."""
+        """Raises FencedError if the lease has been acquired again since, by another holder or after it expired."""
         current = self.current(lease.name)
         if current is None or current.fencing_token != lease.fencing_token or current.holder != lease.holder:
             holder = current.holder if current is not None else "nobody"
-            raise FencedError(f"{self._database.path}: lease {lease.name}: {holder} has it now")
+            raise FencedError(f"{self._database.path}: lease {lease.name} is now held by {holder}")
 
     def damaged_rows(self) -> Iterator[str]:
-        """Every lease whose checksum does not match, in words."""
+        """Yields an error message for each lease whose checksum does not match."""
         for name, *fields, crc in self._connection.execute(
             "SELECT name, holder, token, until, crc FROM leases"
         ):
@@ -73,5 +84,5 @@
 
 
 def damage_message(name: str) -> str:
-    """A damaged lease in words."""
-    return f"lease {name}: its checksum does not hold"
+    """Returns the error message for a lease whose checksum does not match."""
+    return f"lease {name}: checksum mismatch"
--- a/harecross/store/store.py
+++ b/harecross/store/store.py
@@ -1,7 +1,8 @@
 """The store: documents, the records of their changes, and leases with fencing tokens, in one SQLite file.
 
-A document and its records are written in one transaction, and are on disk before the call returns (WAL,
-synchronous=FULL). Each row has a checksum of all its fields, as SQLite finds a torn page but not every wrong byte.
+A document and its records are written in one transaction, and are on disk before the call returns (WAL mode with
+synchronous=FULL). Each row has a checksum of all its fields, because SQLite detects a torn page but not every wrong
+byte.
 """
 
 from __future__ import annotations
@@ -16,12 +17,14 @@
 
 
 class Store:
-    """One file. Its methods raise StoreError, and have changed nothing then."""
+    """One file. A method that raises StoreError has not changed the file."""
 
     def __init__(self, path: str, max_pages: int = MAX_PAGES) -> None:
-        """Opens the file, or creates it, and checks all of it.
+        """Opens or creates the file, and checks all of it.
 
-        DamagedError for a file that is not whole; StoreError for one of a newer version, or that cannot be opened.
+        Raises:
+            DamagedError: The file is damaged.
+            StoreError: The file cannot be opened, or has a newer schema version.
         """
         self.path = path
         self.database = Database(path, max_pages)
@@ -43,19 +46,22 @@
     # ---- documents ----------------------------------------------------------------------------------------
 
     def collections(self) -> list[str]:
-        """The names of the collections that hold documents."""
+        """Returns the names of the collections that hold documents."""
         return self._documents.collections()
 
     def keys(self, collection: str) -> list[str]:
-        """The keys of a collection's documents."""
+        """Returns the keys of a collection's documents."""
         return self._documents.keys(collection)
 
     def get(self, collection: str, key: str) -> Document | None:
-        """A document's latest state. DamagedError where its checksum does not match."""
+        """Returns a document's latest state; None if there is no such document.
+
+        Raises DamagedError if its checksum does not match.
+        """
         return self._documents.get(collection, key)
 
     def records(self, collection: str, key: str, limit: int = MAX_RECORDS) -> list[Document]:
-        """The last `limit` records of a document, the oldest first."""
+        """Returns the last `limit` records of a document, the oldest first."""
         return self._documents.records(collection, key, limit)
 
     def put(
@@ -70,11 +76,23 @@
         expected_version: int | None = None,
         urgent: bool = False,
     ) -> int:
-        """Writes a document and the records of its change, both or neither; returns the document's version.
-
-        `changed_at` is Unix time. With `lease`, FencedError where the lease has had another holder since. With
-        `expected_version`, StoreError where the document has another version; 0 stands for no document. An urgent
-        write may take the reserved space of a full store.
+        """Writes a document and the records of its change in one transaction; returns the document's new version.
+
+        Args:
+            collection: The collection of the document.
+            key: The key of the document.
+            body: The new content.
+            changed_at: The time of the change, as Unix time in seconds.
+            records: The records to add.
+            lease: The lease that the writer must still hold, if any.
+            expected_version: The version that the document must have before the change, if any; 0 if there must be no
+                document.
+            urgent: Whether the write may use the reserved space of a full store.
+
+        Raises:
+            FencedError: The lease has been acquired again since.
+            FullError: There is no space left.
+            StoreError: The document has another version, or the write fails for another reason.
         """
         write = (collection, key, body, changed_at, records, lease, expected_version)
         try:
@@ -100,12 +118,13 @@
         with self.database.transaction():
             if lease is not None:
                 self._leases.verify(lease)
-            present = self._documents.version(collection, key)
-            if expected_version is not None and expected_version != present:
+            current_version = self._documents.version(collection, key)
+            if expected_version is not None and expected_version != current_version:
                 raise StoreError(
-                    f"{self.path}: {collection} {key} has changed: version {present}, not {expected_version}"
+                    f"{self.path}: {collection} {key} has changed: expected version {expected_version}, "
+                    f"found {current_version}"
                 )
-            version = present + 1
+            version = current_version + 1
             self._documents.insert_document(collection, key, version, changed_at, encoded_body)
             self._documents.insert_records(collection, key, version, changed_at, encoded_records)
         return version
@@ -113,20 +132,24 @@
     # ---- leases -------------------------------------------------------------------------------------------
 
     def acquire_lease(self, name: str, holder: str, now: float, duration_s: float) -> Lease | None:
-        """Takes a free or expired lease, or renews the holder's own; None while it is another's.
+        """Acquires a free or expired lease, or renews the holder's own. Returns None while another holder has it.
 
-        `now` is Unix time. A new holder gets a larger fencing token; so does one whose own lease expired.
+        `now` is the Unix time in seconds. A new holder gets a larger fencing token, and so does a holder whose own
+        lease has expired.
         """
         return self._leases.acquire(name, holder, now, duration_s)
 
     def current_lease(self, name: str) -> Lease | None:
-        """A lease as it was last written, expired or not. DamagedError where its checksum does not match."""
+        """Returns a lease as it was last written, even if it has expired; None if there is none.
+
+        Raises DamagedError if its checksum does not match.
+        """
         return self._leases.current(name)
 
     # ---- check, dump and compaction ---------------------------------------------------------------------
 
     def check(self) -> list[str]:
-        """What is damaged, by name; nothing for a whole store."""
+        """Returns an error message for each damaged row or page; an empty list if the store is undamaged."""
         with self.database.translated_errors():
             return [
                 *self.database.integrity_errors(),
@@ -135,12 +158,15 @@
             ]
 
     def dump(self) -> Iterator[dict[str, Any]]:
-        """Each document, followed by its records, as plain values."""
+        """Yields each document, followed by its records, as JSON values."""
         with self.database.translated_errors():
             yield from self._documents.dump()
 
     def compact(self, records_to_keep: int = 1000) -> tuple[int, int]:
-        """Deletes older records and returns their space; the file's size before and after, in bytes."""
+        """Deletes older records of each document and returns their space to the file system.
+
+        Returns the size of the file before and after, in bytes.
+        """
         with self.database.translated_errors():
             before = self.size()
             with self.database.transaction():
@@ -149,5 +175,5 @@
             return before, self.size()
 
     def size(self) -> int:
-        """The size of the file in bytes, without the write-ahead log."""
+        """Returns the size of the file in bytes, without the write-ahead log."""
         return self.database.size()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -230,7 +230,7 @@
     store = Store(str(path))
     store.database.connection.execute("PRAGMA user_version=99")
     store.close()
-    with pytest.raises(StoreError, match="of version 99"):
+    with pytest.raises(StoreError, match="schema version 99"):
         Store(str(path))
 
 
