--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from random import Random
 
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     Endpoint,
@@ -21,10 +21,10 @@
         now += 10_000
         if i == 200:
             node.endpoint_update(now, EndpointUpdateKind.CHANGES, [Endpoint(2, ready_at=now)])
-            recorder.take()
-        action = ask(node, recorder, now, i)
+            recorder.take_calls()
+        action = send_request(node, recorder, now, i)
         cold += i >= 200 and action[2] == 2
-        end(node, recorder, now, i, 0, action[2], Outcome.OK, 250_000)
+        end_attempt(node, recorder, now, i, 0, action[2], Outcome.OK, 250_000)
     # two seconds at up to 0.4 + 0.6 x 0.5 of a warm member's 25 to 33 a second
     assert 5 <= cold <= 40
 
@@ -42,7 +42,7 @@
 def test_when_the_servers_drawn_are_warming_up_another_member_serves():
     entries = [Endpoint(i + 1, ready_at=SEC) for i in range(20)] + [Endpoint(21)]
     node, recorder = balancer(entries)
-    assert {ask(node, recorder, SEC + 1000 * i, i)[2] for i in range(20)} == {21}
+    assert {send_request(node, recorder, SEC + 1000 * i, i)[2] for i in range(20)} == {21}
 
 
 def rolling_replacement(seed: int, late: bool) -> tuple[float, float]:
@@ -66,9 +66,9 @@
             )
         for due, request, server in [o for o in open_ if o[0] <= now]:
             open_.remove((due, request, server))
-            end(node, recorder, now, request, 0, server, Outcome.OK, (1_900_000 if late else 100_000))
+            end_attempt(node, recorder, now, request, 0, server, Outcome.OK, (1_900_000 if late else 100_000))
         number = now // (s // 20) + 1
-        action = ask(node, recorder, now, number, request_class=2)
+        action = send_request(node, recorder, now, number, request_class=2)
         if now >= 15 * s:
             asked += 1
             refused += action[0] == "shed"
@@ -114,10 +114,10 @@
     sent: dict[int, list[int]] = {i: [] for i in range(1, 5)}
     for i in range(400):
         now = 10 * SEC + i * SEC // 100
-        kind, request, *rest = ask(node, recorder, now, i)
+        kind, request, *rest = send_request(node, recorder, now, i)
         if kind == "send":
             sent[rest[0]].append(now)
-            end(node, recorder, now + 1000, request, 0, rest[0], Outcome.OK, 1000)
+            end_attempt(node, recorder, now + 1000, request, 0, rest[0], Outcome.OK, 1000)
     # 25 requests a second are an even part; a server at so much of its capacity bears three times that of it for 1 s.
     for at in sent.values():
         assert len(at) > 5
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from node_support import run, until
+from node_support import run, wait_until
 
 from harecross.soak.plan import LinkFault, LinkFaultKind, ServerPlan
 from harecross.soak.planner import make_plan
@@ -51,7 +51,7 @@
         writer.write(REQUEST)
         await asyncio.sleep(0.05)
         writer.close()
-        await until(lambda: server.records.attempts)
+        await wait_until(lambda: server.records.attempts)
         (record,) = server.records.attempts
         assert record.received_at > sent + HELD_S - 0.01
         assert record.first_byte_at < sent + 0.05, "it is judged by when it left its node"
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -11,7 +11,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from node_support import WAIT, Client, config_of, entry, run, until
+from node_support import TEST_TIMEOUT_S, Client, config_dict, entry, run, wait_until
 
 pytest.importorskip("dns")
 
@@ -65,7 +65,7 @@
 
     async def start(self, boxes: int) -> None:
         self.dns = await DnsServer().start()
-        self.catalog = await StandinDiscovery().start()
+        self.discovery_server = await StandinDiscovery().start()
         self.boxes = [await Box(f"box{i}").start() for i in range(boxes)]
         for i in range(boxes):
             self.dns.set_records(f"box{i}.{ZONE}", "A", "127.0.0.1", ttl=1)
@@ -86,7 +86,7 @@
 
     async def serve(self, table: SourcesTable, **more) -> Node:
         check(table)
-        config = config_of(self.catalog.address, admin="127.0.0.1:0", **more)
+        config = config_dict(self.discovery_server.address, admin="127.0.0.1:0", **more)
         self.node = Node(
             config_from(config), NodeOptions(additional_sources=lambda d: SourceManager(table, d))
         )
@@ -116,7 +116,7 @@
             await asyncio.gather(self.task, return_exceptions=True)
             await self.node.membership.additional_sources.stop()
             self.node.discovery.unsubscribe()
-        await self.catalog.stop()
+        await self.discovery_server.stop()
         self.dns.stop()
 
 
@@ -176,7 +176,7 @@
         async with running_site(5) as site:
             site.srv(0, 1, 2)
             await site.serve(table(site, srv={"stale_max_s": 300.0}))
-            await until(lambda: site.up() == {0, 1, 2})
+            await wait_until(lambda: site.up() == {0, 1, 2})
             load = Load(site)
 
             async def steady(seconds: float, wanted: set[int]) -> None:
@@ -195,8 +195,8 @@
             await steady(0.4, {0, 1, 2})
             # The watch begins to speak: it lists another box too, and drains one.
             site.srv(0, 1, 2)
-            site.catalog.put(*site.line(0, 1, 2, 3, draining=(1,)))
-            await until(lambda: site.up() == {0, 2, 3})
+            site.discovery_server.put(*site.line(0, 1, 2, 3, draining=(1,)))
+            await wait_until(lambda: site.up() == {0, 2, 3})
             drained = asyncio.get_running_loop().time()
             # Out of step: DNS drops box 2 while the watch, which ranks higher, still lists it.
             site.srv(0, 1)
@@ -212,9 +212,9 @@
             # It comes back with a new box; the watch takes back its drain.
             site.dns.faults = []
             site.srv(0, 1, 4)
-            await until(lambda: 4 in site.up())
-            site.catalog.put(*site.line(1))
-            await until(lambda: site.up() == {0, 1, 2, 3, 4})
+            await wait_until(lambda: 4 in site.up())
+            site.discovery_server.put(*site.line(1))
+            await wait_until(lambda: site.up() == {0, 1, 2, 3, 4})
             back = asyncio.get_running_loop().time()
             await load.end()
             late = [t for t, *_ in site.boxes[1].ran if drained + 0.25 < t < back - 0.25]
@@ -229,9 +229,9 @@
         async with running_site(4) as site:
             site.srv(0, 1, weights={0: 30, 1: 10}, second=(2, 3))
             await site.serve(table(site, watch=False))
-            await until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.up() == {0, 1})
             load = Load(site)
-            await until(lambda: load.answers.total() >= 900)
+            await wait_until(lambda: load.answers.total() >= 900)
             heavy, light = len(site.boxes[0].ran), len(site.boxes[1].ran)
             # Drawn 3 to 1, tempered by load: of two that are drawn the one with less out gets the call.
             assert 1.6 < heavy / light < 4.0, (heavy, light)
@@ -248,7 +248,7 @@
                     "POST /maintenance/enter", f"box1.site3.example.org:{site.boxes[1].port}"
                 )
             )[0] == 200
-            await until(lambda: site.up() == {2, 3})
+            await wait_until(lambda: site.up() == {2, 3})
             await load.end()
 
     run(test())
@@ -259,17 +259,17 @@
         async with running_site(3) as site:
             site.srv(0, 1)
             node = await site.serve(table(site))
-            await until(lambda: site.up() == {0, 1})
-            site.catalog.put(*site.line(0, 1))
-            await until(lambda: node.registry.resolve_name("s-0") == site.boxes[0].address)
+            await wait_until(lambda: site.up() == {0, 1})
+            site.discovery_server.put(*site.line(0, 1))
+            await wait_until(lambda: node.registry.resolve_name("s-0") == site.boxes[0].address)
             assert (await site.admin_call("POST /maintenance/enter", "s-0"))[0] == 200
             assert site.up() == {1}
             code, reply = await site.admin_call("GET /servers?id=s-0")
             assert json.loads(reply)["servers"][0]["state"] == "out"
             assert json.loads(reply)["servers"][0]["id"] == "s-0"
             site.srv(0, 1, 2)
-            await until(lambda: site.up() == {1, 2})
-            site.catalog.put(*site.line(0, 1))
+            await wait_until(lambda: site.up() == {1, 2})
+            site.discovery_server.put(*site.line(0, 1))
             _code, reply = await site.admin_call("GET /sources?box=s-0")
             assert json.loads(reply)["boxes"][0]["held_out"]
             assert (await site.admin_call("POST /maintenance/enter", "s-9"))[0] == 404
@@ -286,7 +286,7 @@
         async with running_site(2) as site:
             site.srv(0, 1)
             await site.serve(table(site, keep=path, watch=False))
-            await until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.up() == {0, 1})
         assert len(read_cache_file(path)[NAME].answer.endpoints) == 2
         async with running_site(2) as site:
             sets = read_cache_file(path)
@@ -297,7 +297,7 @@
             write_cache_file(path, {NAME: cached})
             site.dns.faults = [standin.silent]
             node = await site.serve(table(site, keep=path, watch=False))
-            await until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.up() == {0, 1})
             client = await Client.open(node.address)
             client.send()
             assert (await client.answer())[0] == 200
@@ -308,7 +308,7 @@
         async with running_site(2) as site:
             site.srv(0)
             await site.serve(table(site, keep=path, watch=False))
-            await until(lambda: site.up() == {0})
+            await wait_until(lambda: site.up() == {0})
 
     run(test())
 
@@ -320,10 +320,10 @@
         async with running_site(3) as site:
             site.srv(0, 1)
             node = await site.serve(table(site, watch=False))
-            await until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.up() == {0, 1})
             file.write_text(f"{site.boxes[1].address}\n{site.boxes[2].address} weight=2\n")
             site.dns.reply_delay_s = 0.3
-            await until(
+            await wait_until(
                 lambda: any(
                     site.cached_name.refreshing
                     for site in node.membership.additional_sources.dns_sources.values()
@@ -331,8 +331,8 @@
             )
             both = table(site, watch=False, file=(AddressFileConfig(str(file)),))
             node.membership.additional_sources.configure(both)
-            await until(lambda: site.up() == {0, 1, 2})
-            await until(
+            await wait_until(lambda: site.up() == {0, 1, 2})
+            await wait_until(
                 lambda: any(
                     site.cached_name.refreshing
                     for site in node.membership.additional_sources.dns_sources.values()
@@ -341,13 +341,13 @@
             node.membership.additional_sources.configure(
                 SourcesTable(file=both.file, watch=False, step_s=1.0)
             )
-            await until(lambda: site.up() == {1, 2})
+            await wait_until(lambda: site.up() == {1, 2})
             # A file that is spoilt is stale, and one that is whole again counts.
             file.write_text(f"{site.boxes[2].address} weigth=2\n")
-            await until(lambda: node.membership.additional_sources.file_sources[f"file:{file}"].problem)
+            await wait_until(lambda: node.membership.additional_sources.file_sources[f"file:{file}"].problem)
             assert site.up() == {1, 2}
             file.write_text(f"{site.boxes[2].address}\n")
-            await until(lambda: site.up() == {2})
+            await wait_until(lambda: site.up() == {2})
 
     run(test())
 
@@ -372,7 +372,7 @@
         [sys.executable, "-m", "harecross", "sources", "check", str(path)],
         capture_output=True,
         text=True,
-        timeout=WAIT,
+        timeout=TEST_TIMEOUT_S,
     )
     assert done.returncode == 2 and why in done.stderr and len(done.stderr.splitlines()) == 1, done.stderr
     assert str(path) in done.stderr
@@ -387,7 +387,7 @@
             path, config = tmp_path / "operators.toml", tmp_path / "config.json"
             text = f'[sources]\nresolvers = ["{site.dns.address}"]\n[[sources.srv]]\nname = "{NAME}"\nfloor_s = 0.05\n'
             path.write_text(text)
-            config.write_text(json.dumps(config_of(site.catalog.address, admin="127.0.0.1:0")))
+            config.write_text(json.dumps(config_dict(site.discovery_server.address, admin="127.0.0.1:0")))
             env = {"LB_CONFIG": str(config), "TMPDIR": str(tmp_path), "PATH": "/usr/bin:/bin"}
             node = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "harecross", "node", "--config", str(path), env=env,
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from node_support import Catalog, World, entry, line, until, with_node
+from node_support import NodeEnvironment, ScriptedDiscovery, entry, line, run_with_node, wait_until
 
 from harecross.discovery import start_times
 from harecross.discovery.start_times import LONG_AGO, StartTimes
@@ -75,15 +75,15 @@
 
 @pytest.mark.parametrize("hours", [-1, 1])
 def test_a_new_server_is_in_slow_start_from_its_first_list_on_though_wall_clocks_are_an_hour_apart(hours):
-    async def test(w: World) -> None:
+    async def test(w: NodeEnvironment) -> None:
         watch = await w.watch()
         started = int((time.time() + hours * 3600) * 1000)
-        new_server = entry("new", w.origins[1].address, startedAtMs=started)
-        Catalog.push(watch, b"")
+        new_server = entry("new", w.upstreams[1].address, startedAtMs=started)
+        ScriptedDiscovery.push(watch, b"")
         await asyncio.sleep(0.05)
         listed_from = monotonic_us()
-        Catalog.push(watch, line(42, new_server))
-        await until(lambda: "new" in w.node.registry.numbers)
+        ScriptedDiscovery.push(watch, line(42, new_server))
+        await wait_until(lambda: "new" in w.node.registry.numbers)
         server = w.node.registry.numbers["new"]
         (view,) = [
             v for v in w.node.dispatcher.balancer.endpoint_snapshots(monotonic_us()) if v.server == server
@@ -92,10 +92,10 @@
         assert listed_from - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
         # Recalled after a drain, it is still the same process.
         ready_at = w.node.registry.listed[server].ready_at
-        Catalog.push(watch, line(43, {**new_server, "lifecycle": "terminating"}))
-        await until(lambda: server not in w.node.registry.listed)
-        Catalog.push(watch, line(44, new_server))
-        await until(lambda: w.node.registry.numbers.get("new") in w.node.registry.listed)
+        ScriptedDiscovery.push(watch, line(43, {**new_server, "lifecycle": "terminating"}))
+        await wait_until(lambda: server not in w.node.registry.listed)
+        ScriptedDiscovery.push(watch, line(44, new_server))
+        await wait_until(lambda: w.node.registry.numbers.get("new") in w.node.registry.listed)
         assert w.node.registry.listed[w.node.registry.numbers["new"]].ready_at == ready_at
 
-    with_node(test, servers=2, known=None)
+    run_with_node(test, servers=2, known=None)
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -5,8 +5,14 @@
 import asyncio
 
 import pytest
-from node_support import until
-from streaming_support import BIG, FORMS, reset_connection, server_that_sends, with_peers
+from node_support import wait_until
+from streaming_support import (
+    LARGE_BODY,
+    RESPONSE_FRAMINGS,
+    reset_connection,
+    run_with_peers,
+    server_that_sends,
+)
 
 from harecross.downstream import connection_manager
 from harecross.http.body_buffer import (
@@ -17,7 +23,7 @@
 from harecross.upstream import connection_pool
 
 
-@pytest.mark.parametrize("form", sorted(FORMS))
+@pytest.mark.parametrize("form", sorted(RESPONSE_FRAMINGS))
 @pytest.mark.parametrize("size", [700, 300_000])
 def test_a_response_of_any_framing_reaches_the_client(form, size):
     async def test(world) -> None:
@@ -25,11 +31,11 @@
         for _ in range(2):
             client.send()
             status, head, body = await client.answer()
-            assert (status, body) == (200, BIG[:size])
+            assert (status, body) == (200, LARGE_BODY[:size])
             assert b"close" not in head
         assert world.node.dispatcher.statistics.final_answers["served"] == 2
 
-    with_peers(test, server_that_sends(FORMS[form](BIG[:size]), close=form == "close"))
+    run_with_peers(test, server_that_sends(RESPONSE_FRAMINGS[form](LARGE_BODY[:size]), close=form == "close"))
 
 
 def test_an_http_1_0_client_gets_a_chunked_response_up_to_the_close():
@@ -38,9 +44,9 @@
         client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
         text = await client.reader.read()
         assert b"chunked" not in text
-        assert text.partition(b"\r\n\r\n")[2] == BIG
+        assert text.partition(b"\r\n\r\n")[2] == LARGE_BODY
 
-    with_peers(test, server_that_sends(FORMS["chunks"](BIG)))
+    run_with_peers(test, server_that_sends(RESPONSE_FRAMINGS["chunks"](LARGE_BODY)))
 
 
 def test_a_streamed_response_goes_on_past_the_deadline():
@@ -48,17 +54,17 @@
         client = await world.client()
         client.send(left="150m")
         status, _, body = await client.answer()
-        assert (status, body) == (200, BIG)
+        assert (status, body) == (200, LARGE_BODY)
         assert not world.node.dispatcher.requests
 
     async def slow(reader, writer) -> None:
         await read_message(reader)
-        text = FORMS["length"](BIG)
+        text = RESPONSE_FRAMINGS["length"](LARGE_BODY)
         for i in range(10):
             writer.write(text[i * 30_100 : (i + 1) * 30_100])
             await asyncio.sleep(0.04)
 
-    with_peers(test, slow)
+    run_with_peers(test, slow)
 
 
 def test_a_streamed_response_that_breaks_off_fails_and_is_not_retried():
@@ -67,7 +73,7 @@
     async def breaks(reader, writer) -> None:
         await read_message(reader)
         asked.append(1)
-        writer.write(FORMS["length"](BIG)[:200_000])
+        writer.write(RESPONSE_FRAMINGS["length"](LARGE_BODY)[:200_000])
         await writer.drain()
         writer.close()
 
@@ -76,18 +82,18 @@
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await until(lambda: not (world.node.dispatcher.requests))
+        await wait_until(lambda: not (world.node.dispatcher.requests))
         assert len(asked) == 1
         assert world.node.dispatcher.statistics.final_answers["failed"] == 1
         assert max(s.failure_rate for s in world.node.dispatcher.balancer.subset.servers.values()) > 0
 
-    with_peers(test, breaks, breaks)
+    run_with_peers(test, breaks, breaks)
 
 
 def test_an_http_1_0_client_sees_a_reset_when_a_response_breaks_off():
     async def breaks(reader, writer) -> None:
         await read_message(reader)
-        writer.write(FORMS["chunks"](BIG)[:200_000])
+        writer.write(RESPONSE_FRAMINGS["chunks"](LARGE_BODY)[:200_000])
         await writer.drain()
         writer.close()
 
@@ -97,13 +103,13 @@
         with pytest.raises(ConnectionError):
             await client.reader.read()
 
-    with_peers(test, breaks)
+    run_with_peers(test, breaks)
 
 
 def test_a_response_without_length_that_is_reset_is_retried():
     async def resets(reader, writer) -> None:
         await read_message(reader)
-        writer.write(FORMS["close"](b"half"))
+        writer.write(RESPONSE_FRAMINGS["close"](b"half"))
         await writer.drain()
         reset_connection(writer)
 
@@ -114,8 +120,8 @@
             status, _, body = await client.answer()
             assert (status, body) == (200, b"good")
 
-    good = server_that_sends(FORMS["length"](b"good"))
-    with_peers(test, resets, good, good, good, good)
+    good = server_that_sends(RESPONSE_FRAMINGS["length"](b"good"))
+    run_with_peers(test, resets, good, good, good, good)
 
 
 def test_a_response_that_stalls_at_its_server_is_abandoned(monkeypatch):
@@ -123,17 +129,17 @@
 
     async def stalls(reader, writer) -> None:
         await read_message(reader)
-        writer.write(FORMS["length"](BIG)[:100_000])
+        writer.write(RESPONSE_FRAMINGS["length"](LARGE_BODY)[:100_000])
 
     async def test(world) -> None:
         client = await world.client()
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
+        await wait_until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
         assert not world.node.pool.streaming
 
-    with_peers(test, stalls)
+    run_with_peers(test, stalls)
 
 
 def test_a_client_that_does_not_read_pauses_the_server_and_is_closed(monkeypatch):
@@ -158,12 +164,12 @@
         await stopped.wait()
         # What was written is in the kernel's buffers, those of the test among them, and not in the node.
         assert written[0] < 12_000_000
-        await until(lambda: not (world.node.client_connections.open))
+        await wait_until(lambda: not (world.node.client_connections.open))
         assert not world.node.dispatcher.requests
         assert not world.node.dispatcher.open_request_ids
         client.writer.close()
 
-    with_peers(test, pours)
+    run_with_peers(test, pours)
 
 
 def test_many_slow_clients_get_small_buffers_and_a_single_one_a_full_buffer():
@@ -198,7 +204,7 @@
         assert pool.stream_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         for client in clients:
             client.writer.transport.abort()
-        await until(lambda: not pool.streaming)
+        await wait_until(lambda: not pool.streaming)
         pool.sweep()
         assert pool.stream_buffer_bytes == MAX_STREAM_BUFFER_BYTES
         # A single response gets the full buffer again, and arrives complete.
@@ -207,4 +213,4 @@
         assert len((await client.answer())[2]) == 3_000_000
         client.writer.close()
 
-    with_peers(test, pours, pours)
+    run_with_peers(test, pours, pours)
--- a/tests/test_streamed_uploads.py
+++ b/tests/test_streamed_uploads.py
@@ -5,9 +5,9 @@
 import asyncio
 
 import pytest
-from node_support import entry, until
-from streaming_support import BIG, FORMS, Peer, chunked, with_peers
-from support import ask, balancer, end
+from node_support import entry, wait_until
+from streaming_support import LARGE_BODY, RESPONSE_FRAMINGS, Peer, chunked, run_with_peers
+from support import balancer, end_attempt, send_request
 
 from harecross.downstream import connection_manager, request_receiver
 from harecross.interface import Outcome
@@ -17,7 +17,7 @@
 
 def test_an_attempt_counts_as_in_flight_and_runs_out_of_time_only_once_its_body_is_sent():
     node, recorder = balancer(servers=1)
-    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    _, request, server, _ = send_request(node, recorder, 1000, 1, request_class=1)
     server_state, controller = node.subset.servers[server], node.controller
     assert (server_state.in_flight, controller.in_flight) == (1, 1)
     node.uploading(1000, request, True)
@@ -28,7 +28,7 @@
     r = node.requests[request]
     assert r.sent_at == 9_000_000
     assert r.deadline > 9_000_000
-    end(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
+    end_attempt(node, recorder, 9_100_000, request, 0, server, Outcome.OK, latency=100_000)
     assert (server_state.in_flight, controller.in_flight) == (0, 0)
     assert not node.requests
     node.uploading(9_200_000, request, True)  # there is no request any more
@@ -37,22 +37,22 @@
 
 def test_no_per_try_timeout_while_the_body_is_being_sent():
     node, recorder = balancer(servers=2)
-    _, request, _server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    _, request, _server, _ = send_request(node, recorder, 1000, 1, request_class=1)
     node.uploading(1000, request, True)
     node.per_try_timeout(2_900_000, node.requests[request])
-    assert not recorder.take("cancel", "set_timer")
+    assert not recorder.take_calls("cancel", "set_timer")
 
 
 @pytest.mark.parametrize("first", [None, Outcome.RESET])
 def test_a_request_without_its_first_bytes_is_shed_only_if_no_attempt_may_have_run(first):
     node, recorder = balancer(servers=2)
-    _, request, server, _ = ask(node, recorder, 1000, 1, request_class=1)
+    _, request, server, _ = send_request(node, recorder, 1000, 1, request_class=1)
     attempt = 0
     if first is not None:  # an attempt before this one may have run
-        ((_, _, server, _),) = end(node, recorder, 2000, request, 0, server, first)
+        ((_, _, server, _),) = end_attempt(node, recorder, 2000, request, 0, server, first)
         attempt = 1
     node.response_started(3000, request, attempt, server, 0)
-    (action,) = end(node, recorder, 4000, request, attempt, server, Outcome.NOT_SENT)
+    (action,) = end_attempt(node, recorder, 4000, request, attempt, server, Outcome.NOT_SENT)
     assert action[0] == ("shed" if first is None else "fail")
 
 
@@ -70,7 +70,7 @@
                 heads.append(head)
                 body = await read_body(reader, head)
                 bodies.append(body)
-                writer.write(FORMS["length"](reply))
+                writer.write(RESPONSE_FRAMINGS["length"](reply))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -89,11 +89,11 @@
         client = await world.client()
         for i in range(2):
             if form == "length":
-                client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(BIG))
-                text = BIG
+                client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY))
+                text = LARGE_BODY
             else:
                 client.writer.write(PUT % i + b"Transfer-Encoding: chunked\r\n\r\n")
-                text = chunked(BIG, 5000)
+                text = chunked(LARGE_BODY, 5000)
             client.writer.write(text[:150_000])
             while len(heads) <= i:
                 await asyncio.sleep(0.005)
@@ -104,11 +104,11 @@
             assert len(bodies) == i
             client.writer.write(text[150_000:])
             assert (await client.answer())[0] == 200
-        assert bodies == [BIG, BIG]
+        assert bodies == [LARGE_BODY, LARGE_BODY]
         assert world.node.dispatcher.balancer.controller.in_flight == 0
         assert world.node.client_connections.buffered_body_bytes == 0
 
-    with_peers(test, server_that_stores(heads, bodies))
+    run_with_peers(test, server_that_stores(heads, bodies))
 
 
 def test_a_client_that_expects_100_continue_gets_it():
@@ -119,9 +119,9 @@
         for i, size in enumerate((5, 200_000)):
             client.writer.write(PUT % i + b"Expect: 100-continue\r\nContent-Length: %d\r\n\r\n" % size)
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
-            client.writer.write(BIG[:size])
+            client.writer.write(LARGE_BODY[:size])
             assert (await client.answer())[0] == 200
-            assert bodies[i] == BIG[:size]
+            assert bodies[i] == LARGE_BODY[:size]
         # A pipelined request gets its 100 after the response to the one before it.
         client.writer.write(PUT % 7 + b"Content-Length: 1\r\n\r\nx")
         client.writer.write(PUT % 8 + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
@@ -131,7 +131,7 @@
         assert (await client.answer())[0] == 200
         assert bodies[-1] == b"y"
 
-    with_peers(test, server_that_stores([], bodies))
+    run_with_peers(test, server_that_stores([], bodies))
 
 
 def test_a_server_that_fails_early_in_a_body_is_replaced_and_a_later_failure_is_final():
@@ -151,29 +151,31 @@
         # The first bytes are still kept: whichever server got the first attempt, the other gets the whole body.
         for i in range(4):
             client = await world.client()
-            client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:20_000])
+            client.writer.write(
+                PUT % i + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:20_000]
+            )
             await asyncio.sleep(0.05)
-            client.writer.write(BIG[20_000:])
+            client.writer.write(LARGE_BODY[20_000:])
             assert (await client.answer())[0] == 200
             client.writer.close()
-        assert bodies == [BIG] * 4
+        assert bodies == [LARGE_BODY] * 4
         # They are gone, and no server can have run the request: it is shed with Retry-After and not retried.
         cut[0] = 250_000
         world.node.registry.enter_maintenance("s1")
         before = len(heads)
         client = await world.client()
-        client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:280_000])
+        client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:280_000])
         status, head, _ = await client.answer()
         assert status == 503
         assert b"Retry-After: " in head
         assert len(heads) == before
         # The rest of that body is discarded, and the connection is kept.
-        client.writer.write(BIG[280_000:])
+        client.writer.write(LARGE_BODY[280_000:])
         client.send("/_health")
         assert (await client.answer())[0] == 200
         client.writer.close()
 
-    with_peers(test, dies, server_that_stores(heads, bodies))
+    run_with_peers(test, dies, server_that_stores(heads, bodies))
 
 
 def test_a_body_that_stops_half_way_gets_408(monkeypatch):
@@ -183,17 +185,17 @@
 
     async def test(world) -> None:
         client = await world.client()
-        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
+        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:150_000])
         status, head, _ = await client.answer()
         assert status == 408
         assert b"Connection: close" in head
-        await until(lambda: not (world.node.pool.open_connections))
+        await wait_until(lambda: not (world.node.pool.open_connections))
         assert not world.node.dispatcher.requests
         assert world.node.dispatcher.statistics.final_answers["served"] == 0
         assert world.node.dispatcher.balancer.controller.in_flight == 0
         assert world.node.client_connections.buffered_body_bytes == 0
 
-    with_peers(test, server_that_stores(heads, []))
+    run_with_peers(test, server_that_stores(heads, []))
 
 
 def test_a_body_that_comes_too_slowly_gets_408(monkeypatch):
@@ -213,7 +215,7 @@
         assert (await client.answer())[0] == 408
         task.cancel()
 
-    with_peers(test, server_that_stores([], []))
+    run_with_peers(test, server_that_stores([], []))
 
 
 def test_a_body_with_a_broken_chunk_is_not_run():
@@ -221,15 +223,17 @@
 
     async def test(world) -> None:
         client = await world.client()
-        client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(BIG, 5000)[:200_000])
+        client.writer.write(
+            PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LARGE_BODY, 5000)[:200_000]
+        )
         await asyncio.sleep(0.02)
         client.writer.write(b"\r\nno chunk\r\n" * 2000)
         assert (await client.answer())[0] == 400
-        await until(lambda: not (world.node.pool.open_connections))
+        await wait_until(lambda: not (world.node.pool.open_connections))
         assert not bodies
         assert not world.node.dispatcher.requests
 
-    with_peers(test, server_that_stores([], bodies))
+    run_with_peers(test, server_that_stores([], bodies))
 
 
 def test_a_shed_body_is_read_to_its_end_and_the_connection_is_kept():
@@ -238,17 +242,17 @@
     async def test(world) -> None:
         client = await world.client()
         world.node.registry.enter_maintenance("s0")  # no server is left
-        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:1000])
+        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:1000])
         assert (await client.answer())[0] == 503
         world.node.registry.in_maintenance.clear()
         world.node.registry.apply({"instances": [entry("s0", world.addresses[0])]})
-        client.writer.write(BIG[1000:])
+        client.writer.write(LARGE_BODY[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
         assert (await client.answer())[0] == 200
         assert bodies == [b"hi"]
         assert world.node.client_connections.buffered_body_bytes == 0
 
-    with_peers(test, server_that_stores([], bodies))
+    run_with_peers(test, server_that_stores([], bodies))
 
 
 def test_a_body_above_the_maximum_gets_413(monkeypatch):
@@ -257,22 +261,22 @@
 
     async def test(world) -> None:
         client = await world.client()
-        client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(BIG, 5000))
+        client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LARGE_BODY, 5000))
         assert (await client.answer())[0] == 413
-        await until(lambda: not (world.node.pool.open_connections))
+        await wait_until(lambda: not (world.node.pool.open_connections))
         assert not bodies
 
-    with_peers(test, server_that_stores([], bodies))
+    run_with_peers(test, server_that_stores([], bodies))
 
 
 def test_a_client_that_disconnects_within_its_body_leaves_no_state():
     async def test(world) -> None:
         client = await world.client()
-        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG[:150_000])
-        await until(lambda: world.node.pool.streaming)
+        client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:150_000])
+        await wait_until(lambda: world.node.pool.streaming)
         client.writer.transport.abort()
-        await until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
+        await wait_until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
         assert world.node.dispatcher.balancer.controller.in_flight == 0
         assert world.node.dispatcher.statistics.outcomes[Outcome.OK] == 0
 
-    with_peers(test, server_that_stores([], []))
+    run_with_peers(test, server_that_stores([], []))
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -8,7 +8,7 @@
 from random import Random
 
 import pytest
-from node_support import SETTINGS, config_from, config_of, held_calls, run, until
+from node_support import SETTINGS, config_dict, config_from, run, unanswered_discovery, wait_until
 from test_adapter import ENV
 
 from harecross.adapter import SUBSCRIBE_TOKEN, InstanceHost
@@ -216,17 +216,17 @@
         monkeypatch.setattr(subscription_schedule, name, value)
 
     async def test() -> None:
-        address, came = await held_calls()
+        address, came = await unanswered_discovery()
         known = update(41, entry("s1", "127.0.0.1:1"), reset=True)
         asked = {**SETTINGS, "discovery": "ask"}
-        node = Node(config_from(config_of(address, known=known, settings=asked)))
+        node = Node(config_from(config_dict(address, known=known, settings=asked)))
         task = asyncio.create_task(node.run())
         await node.started.wait()
         schedule = node.discovery.schedule
         writer = await came.get()
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(42)))
-        await until(lambda: schedule.state is SubscriptionState.SUBSCRIBED)
+        await wait_until(lambda: schedule.state is SubscriptionState.SUBSCRIBED)
         writer = await came.get()  # the first watch has fallen silent
         assert schedule.consecutive_failures == 0
         assert schedule.call_count == 2
@@ -235,7 +235,7 @@
         assert schedule.consecutive_failures == 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(chunk(line(43, entry("s1", "127.0.0.1:1", "terminating"))))
-        await until(lambda: not node.registry.listed)
+        await wait_until(lambda: not node.registry.listed)
         assert schedule.consecutive_failures == 0
         assert schedule.state is SubscriptionState.SUBSCRIBED
         task.cancel()
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,7 +1,7 @@
 """The subset: which servers a node calls as the endpoint list changes."""
 
 import pytest
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     Endpoint,
@@ -15,14 +15,14 @@
 def test_no_request_goes_to_a_draining_or_gone_server(state):
     node, recorder = balancer(4)
     node.endpoint_update(10, EndpointUpdateKind.CHANGES, [Endpoint(2, state)])
-    recorder.take()
+    recorder.take_calls()
     servers = set()
     for i in range(5):
-        servers.add(ask(node, recorder, 20, i, 2)[2])
+        servers.add(send_request(node, recorder, 20, i, 2)[2])
     for i in range(100, 160):
-        server = ask(node, recorder, i, i, 2)[2]
+        server = send_request(node, recorder, i, i, 2)[2]
         servers.add(server)
-        end(node, recorder, i, i, 0, server, Outcome.OK)
+        end_attempt(node, recorder, i, i, 0, server, Outcome.OK)
     assert servers == {1, 3, 4}
 
 
@@ -81,7 +81,7 @@
         now = SEC * (5 + first)
         came = [Endpoint(1001 + i, ready_at=now) for i in range(first, first + 4)]
         node.endpoint_update(now, EndpointUpdateKind.CHANGES, came)
-    recorder.take()
+    recorder.take_calls()
     return {m.id for m in node.subset.members}
 
 
@@ -104,7 +104,7 @@
     node, recorder = balancer(40, instance_count=80)
     before = set(node.subset.members)
     for n in range(1, 13):
-        ask(node, recorder, n * 1000, n)
+        send_request(node, recorder, n * 1000, n)
     out = {r.server for r in node.requests.values()}
     in_flight = node.controller.in_flight
     node.endpoint_update(SEC, EndpointUpdateKind.CHANGES, [Endpoint(s) for s in range(101, 241)])
@@ -112,11 +112,11 @@
     assert displaced
     assert len(before) == 10
     assert len(node.subset.members) == 24
-    assert {c[1] for c in recorder.take("close_idle")} >= {m.id for m in displaced}
+    assert {c[1] for c in recorder.take_calls("close_idle")} >= {m.id for m in displaced}
     assert node.controller.in_flight == in_flight
     assert displaced & out
     for n, r in list(node.requests.items()):
-        end(node, recorder, SEC + 1000, n, 0, r.server.id, Outcome.OK)
+        end_attempt(node, recorder, SEC + 1000, n, 0, r.server.id, Outcome.OK)
     assert node.controller.in_flight == 0
     assert all(m.in_flight == 0 for m in before)
     assert displaced <= set(node.subset.servers.values()), (
@@ -130,7 +130,7 @@
     for n in range(50):
         node.endpoint_update(n, EndpointUpdateKind.FULL, [Endpoint(i + 1) for i in range(120)])
     assert node.subset.members == before
-    assert not recorder.take("close_idle")
+    assert not recorder.take_calls("close_idle")
 
 
 def test_an_ejected_member_is_not_replaced_by_a_newly_listed_server():
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from node_support import Client, Origin, config_of, entry, run
+from node_support import Client, ScriptedServer, config_dict, entry, run
 
 from harecross.soak.shim import CUT_SHORT, DELAYED, CallFault, build, environment
 from harecross.standins.cluster import NodeProcess
@@ -29,7 +29,7 @@
     return built
 
 
-class ClosingOrigin(Origin):
+class ClosingOrigin(ScriptedServer):
     """A server that closes its connection after each response while `closes` is set."""
 
     closes = False
@@ -50,7 +50,7 @@
     """One node process whose system calls fail, three servers and a discovery."""
 
     def __init__(self, node: NodeProcess, origins: list[ClosingOrigin], catalog: StandinDiscovery) -> None:
-        self.node, self.origins, self.catalog = node, origins, catalog
+        self.node, self.upstreams, self.discovery_server = node, origins, catalog
 
     @property
     def pid(self) -> int:
@@ -95,7 +95,7 @@
             "window": DEADLINE,
         }
     ]
-    config = config_of(
+    config = config_dict(
         catalog.address, {"classes": classes}, limits={"sockets": 1024}, known=catalog.full_list(), **more
     )
     node = NodeProcess("n0", folder, config, environment(shim, seed, faults))
@@ -212,7 +212,7 @@
         origins = [await ClosingOrigin().start() for _ in range(2)]
         catalog = await StandinDiscovery().start()
         catalog.put(*(entry(f"s{i}", o.address) for i, o in enumerate(origins)))
-        config = config_of(catalog.address, admin="127.0.0.1:0", known=catalog.full_list())
+        config = config_dict(catalog.address, admin="127.0.0.1:0", known=catalog.full_list())
         lasting = tmp_path / "lasting"
         lasting.mkdir()
         faults = environment(shim, 1, [CallFault(call, error, 1.0, 1.5, ALWAYS)])
@@ -271,7 +271,7 @@
 
     async def test() -> None:
         async with faulty_node(tmp_path, shim, CallFault(call, error, 0.33, 2.0, 5.0)) as world:
-            for origin in world.origins:
+            for origin in world.upstreams:
                 origin.closes = True
             client = await Client.open(world.node.address)
             answers = []
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -11,66 +11,66 @@
 from pathlib import Path
 
 import pytest
-from admin_support import Site, tell, with_site
-from node_support import config_of, until
+from admin_support import MultiProcessSite, call_admin, run_with_site
+from node_support import config_dict, wait_until
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_maintenance_state_outlives_the_process(tmp_path):
-    async def test(site: Site) -> None:
+    async def test(site: MultiProcessSite) -> None:
         async with site.node() as node:
-            await tell(node, "/maintenance/enter", "s0")
-            await tell(node, "/standby")
+            await call_admin(node, "/maintenance/enter", "s0")
+            await call_admin(node, "/standby")
         async with site.node() as node:
             assert node.client_connections.in_standby
-            assert {await site.called() for _ in range(8)} == {1}
-            assert (await tell(node, "/maintenance/exit", "s0"))[0] == 200
-            assert (await tell(node, "/active"))[0] == 200
-            await site.until_called(0)
+            assert {await site.send_and_identify_server() for _ in range(8)} == {1}
+            assert (await call_admin(node, "/maintenance/exit", "s0"))[0] == 200
+            assert (await call_admin(node, "/active"))[0] == 200
+            await site.wait_until_called(0)
 
-    with_site(test, tmp_path, servers=2)
+    run_with_site(test, tmp_path, servers=2)
 
 
 def test_maintenance_calls_to_one_process_are_applied_by_the_other(tmp_path):
-    async def test(site: Site) -> None:
+    async def test(site: MultiProcessSite) -> None:
         async with site.node() as old, site.node() as new:
-            await tell(old, "/maintenance/enter", "s0")
-            await until(lambda: "s0" in new.registry.in_maintenance)
-            await tell(new, "/maintenance/exit", "s0")
-            await until(lambda: not old.registry.in_maintenance)
-            await tell(new, "/maintenance/enter", "s1")
-            await until(lambda: "s1" in old.registry.in_maintenance)
+            await call_admin(old, "/maintenance/enter", "s0")
+            await wait_until(lambda: "s0" in new.registry.in_maintenance)
+            await call_admin(new, "/maintenance/exit", "s0")
+            await wait_until(lambda: not old.registry.in_maintenance)
+            await call_admin(new, "/maintenance/enter", "s1")
+            await wait_until(lambda: "s1" in old.registry.in_maintenance)
 
-    with_site(test, tmp_path, servers=2)
+    run_with_site(test, tmp_path, servers=2)
 
 
 def test_two_processes_divide_the_descriptors_of_one_node(tmp_path):
-    async def test(site: Site) -> None:
+    async def test(site: MultiProcessSite) -> None:
         async with site.node() as old:
             whole = old.descriptor_budget.total
             async with site.node() as new:
-                await until(lambda: old.descriptor_budget.total <= whole // 2)
+                await wait_until(lambda: old.descriptor_budget.total <= whole // 2)
                 assert new.descriptor_budget.total <= whole // 2
-            await until(lambda: old.descriptor_budget.total == whole)
+            await wait_until(lambda: old.descriptor_budget.total == whole)
 
-    with_site(test, tmp_path)
+    run_with_site(test, tmp_path)
 
 
 def test_a_process_that_hands_over_answers_its_requests_and_accepts_no_more(tmp_path):
-    async def test(site: Site) -> None:
+    async def test(site: MultiProcessSite) -> None:
         async with site.node() as old:
             kept, busy = await site.client(), await site.client()
             kept.send()
-            (await site.origins[0].arrived.get()).answer()
+            (await site.upstreams[0].received.get()).answer()
             await kept.answer()
             busy.send()
-            at = await site.origins[0].arrived.get()
+            at = await site.upstreams[0].received.get()
             async with site.node() as new:
                 old.stop_requested.set()
-                await until(lambda: old.client_connections.draining)
+                await wait_until(lambda: old.client_connections.draining)
                 # What comes now is the other's, also what lay in the backlog.
-                assert {await site.called() for _ in range(8)} == {0}
+                assert {await site.send_and_identify_server() for _ in range(8)} == {0}
                 assert new.dispatcher.statistics.final_answers["served"] == 8
                 assert old.dispatcher.statistics.final_answers["served"] == 1
                 # Health on a kept connection does not say no: the node serves on.
@@ -82,24 +82,24 @@
                 status, head, _ = await busy.answer()
                 assert status == 200
                 assert b"Connection: close" in head
-                await until(lambda: not old.client_connections.open)
-                await until(lambda: new.admin_operations.store.other_processes() == 0)
+                await wait_until(lambda: not old.client_connections.open)
+                await wait_until(lambda: new.admin_operations.store.other_processes() == 0)
 
-    with_site(test, tmp_path)
+    run_with_site(test, tmp_path)
 
 
 def test_a_process_without_a_successor_serves_while_it_shuts_down(tmp_path):
-    async def test(site: Site) -> None:
+    async def test(site: MultiProcessSite) -> None:
         async with site.node() as node:
             node.stop_requested.set()
-            await until(lambda: node.client_connections.health_check_failing)
-            assert await site.called() == 0
+            await wait_until(lambda: node.client_connections.health_check_failing)
+            assert await site.send_and_identify_server() == 0
 
-    with_site(test, tmp_path)
+    run_with_site(test, tmp_path)
 
 
-def start_process(site: Site, folder: Path, number: int, fd: int) -> subprocess.Popen:
-    config = config_of(site.catalog.address, admin="127.0.0.1:0", known=site.known)
+def start_process(site: MultiProcessSite, folder: Path, number: int, fd: int) -> subprocess.Popen:
+    config = config_dict(site.discovery_server.address, admin="127.0.0.1:0", known=site.known)
     path = folder / f"config{number}.json"
     path.write_text(json.dumps(config))
     env = {**os.environ, "LB_CONFIG": str(path), "LB_INHERITED_FD": str(fd), "TMPDIR": str(folder)}
@@ -118,8 +118,8 @@
 def test_an_inherited_socket_accepts_connections_after_the_only_process_has_stopped(tmp_path):
     """Whoever gave the socket may start the next process on it later."""
 
-    async def test(site: Site) -> None:
-        site.origins[0].answer_all()
+    async def test(site: MultiProcessSite) -> None:
+        site.upstreams[0].answer_all()
         old = start_process(site, tmp_path, 1, site.sock.fileno())
         try:
             await says(old, b"listening on")
@@ -134,13 +134,13 @@
             client.send()
             assert (await client.answer())[0] == 200
 
-    with_site(test, tmp_path)
+    run_with_site(test, tmp_path)
 
 
 def test_a_process_replaces_another_on_one_listening_socket(tmp_path):
-    async def test(site: Site) -> None:
+    async def test(site: MultiProcessSite) -> None:
         fd = site.sock.fileno()
-        site.origins[0].answer_all()
+        site.upstreams[0].answer_all()
         old = start_process(site, tmp_path, 1, fd)
         new = None
         try:
@@ -170,13 +170,13 @@
                     process.wait()
                     process.stderr.close()
 
-    with_site(test, tmp_path)
+    run_with_site(test, tmp_path)
 
 
 @pytest.mark.parametrize("text", ["nine", "9999", "0"])
 def test_an_inherited_descriptor_that_is_no_listening_socket_ends_the_process(tmp_path, text):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(config_of("127.0.0.1:1")))
+    path.write_text(json.dumps(config_dict("127.0.0.1:1")))
     env = {**os.environ, "LB_CONFIG": str(path), "LB_INHERITED_FD": text}
     done = subprocess.run(
         [sys.executable, "-m", "harecross.node"],
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -4,14 +4,14 @@
 import socket
 
 import pytest
-from crossing_support import KIND_NAMES, KINDS, HeldConnects, turns, warm
-from node_support import SETTINGS, World, first, until, with_node
+from node_support import SETTINGS, NodeEnvironment, first_received, run_with_node, wait_until
+from race_support import REQUEST_KIND_NAMES, REQUEST_KINDS, DelayedConnects, run_event_loop, warm_up
 
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.interface import Outcome
 from harecross.upstream import connection
 
-every_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
+every_kind = pytest.mark.parametrize("kind", REQUEST_KINDS, ids=REQUEST_KIND_NAMES)
 
 
 def deduplication_window(ms: int) -> dict:
@@ -49,12 +49,12 @@
     """Runs a test on a node whose one server is a `Direct`."""
     direct: list[Direct] = []
 
-    async def body(world: World) -> None:
+    async def body(world: NodeEnvironment) -> None:
         direct.append(Direct())
         world.node.pool.update(1, direct[0].address, 0)
         await test(world, direct[0])
 
-    with_node(body)
+    run_with_node(body)
 
 
 @every_kind
@@ -63,7 +63,7 @@
 def test_an_idle_connection_that_the_server_has_ended_is_not_used(kind, what, order):
     """The end is still in the kernel when the next request comes, in one turn of the loop; or it was read before."""
 
-    async def test(world: World, server: Direct) -> None:
+    async def test(world: NodeEnvironment, server: Direct) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -81,7 +81,7 @@
 
         if order == "read":
             happens()
-            await until(lambda: not target.idle)
+            await wait_until(lambda: not target.idle)
             client.send(kind[0], key=kind[1])
         else:
             real = world.node.dispatcher.balancer.request
@@ -105,7 +105,7 @@
 def test_a_late_second_response_is_not_taken_for_the_next_request_s(kind):
     """The connection would be the first choice; a rest keeps it from carrying the next request at once."""
 
-    async def test(world: World, server: Direct) -> None:
+    async def test(world: NodeEnvironment, server: Direct) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -118,7 +118,7 @@
         reused = asyncio.ensure_future(server.request(conn))
         await asyncio.wait([again, reused], return_when=asyncio.FIRST_COMPLETED)
         conn.sendall(answer(b"one"))  # some milliseconds late
-        await turns()
+        await run_event_loop()
         if again.done():
             other = again.result()
             await server.request(other)
@@ -131,7 +131,7 @@
 
 
 def test_a_connection_is_used_again_after_its_rest_which_is_short_for_a_quick_server():
-    async def test(world: World, server: Direct) -> None:
+    async def test(world: NodeEnvironment, server: Direct) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -153,23 +153,23 @@
 def test_a_retry_with_an_idempotency_key_is_sent_within_its_deduplication_window_or_not_at_all(late):
     """Decided within it, the retry waits for a connection; by then servers may no longer discard the repeat."""
 
-    async def test(world: World) -> None:
-        await warm(world)
+    async def test(world: NodeEnvironment) -> None:
+        await warm_up(world)
         for target in world.node.pool.processes.values():
             world.node.pool.close_idle_of(target, CloseReason.IDLE)
         client = await world.client()
         client.send("/put/1", key="k")
-        received = await first(*world.origins)
-        held = HeldConnects(world.node.pool)
+        received = await first_received(*world.upstreams)
+        held = DelayedConnects(world.node.pool)
         received.writer.transport.abort()  # the request may have run
-        await held.begun.get()  # the retry waits for its connection
+        await held.started_connects.get()  # the retry waits for its connection
         if late:
             await asyncio.sleep(0.45)
         held.release()
         if not late:
-            (await first(*world.origins)).answer(body=b"again")
+            (await first_received(*world.upstreams)).answer(body=b"again")
         status, _, body = await client.answer()
         assert (status, body) == ((502, b"") if late else (200, b"again"))
-        assert all(o.arrived.empty() for o in world.origins)
+        assert all(o.received.empty() for o in world.upstreams)
 
-    with_node(test, servers=2, settings=deduplication_window(400 if late else 20_000))
+    run_with_node(test, servers=2, settings=deduplication_window(400 if late else 20_000))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,7 +1,7 @@
 """Zones: the cross-zone fraction, and zones that are ejected."""
 
 import pytest
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     Endpoint,
@@ -18,9 +18,9 @@
         now = near = 0
         for i in range(400):
             now += 20_000
-            server = ask(node, recorder, now, i)[2]
+            server = send_request(node, recorder, now, i)[2]
             near += server % 2
-            end(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
+            end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
         return near / 400
 
     assert near_share(0.04) > 0.7
@@ -34,10 +34,10 @@
     now, far = 0, 0
     for i in range(2000):
         now += 10_000
-        server = ask(node, recorder, now, i, 2)[2]
+        server = send_request(node, recorder, now, i, 2)[2]
         far += i >= 1000 and server % 2 == 0
         crowded = i >= 500 and server % 2 == 1
-        end(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
+        end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
     assert node.zone_preference.fraction > 0.5
     assert far > 300
 
@@ -51,9 +51,9 @@
     now = far = 0
     for i in range(600):
         now += 20_000
-        server = ask(node, recorder, now, i)[2]
+        server = send_request(node, recorder, now, i)[2]
         far += server != 1
-        end(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
+        end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
     assert far / 600 >= least * 5 / 6 - 0.05
     assert node.zone_preference.fraction >= least
 
@@ -81,14 +81,14 @@
     sent_to = []
     for i in range(start, start + count):
         now = i * 100_000
-        action = ask(node, recorder, now, i)
+        action = send_request(node, recorder, now, i)
         while action[0] == "send":
             zone = node.subset.servers[action[2]].zone
             sent_to.append(zone)
             outcome = Outcome.OK if zone == alive else Outcome.CONNECT_FAILED
             attempt = node.requests[i].attempts - 1
             (action, *_) = [
-                *end(node, recorder, now + 50_000, i, attempt, action[2], outcome, 50_000),
+                *end_attempt(node, recorder, now + 50_000, i, attempt, action[2], outcome, 50_000),
                 ("none",),
             ]
     return sent_to
@@ -131,18 +131,18 @@
     now = 0
     for i in range(60):
         now += 100_000
-        action = ask(node, recorder, now, i, request_class=2)  # not tried again
+        action = send_request(node, recorder, now, i, request_class=2)  # not tried again
         if action[0] == "send" and node.subset.servers[action[2]].zone == 1:
             stuck += 1
             if stuck > 4:
-                end(node, recorder, now, i, 0, action[2], Outcome.TIMEOUT, 3 * SEC)
+                end_attempt(node, recorder, now, i, 0, action[2], Outcome.TIMEOUT, 3 * SEC)
         elif action[0] == "send":
-            end(node, recorder, now, i, 0, action[2], Outcome.OK, 50_000)
+            end_attempt(node, recorder, now, i, 0, action[2], Outcome.OK, 50_000)
     assert [zone.id for zone in node.outliers.ejected_zones] == [1]
     assert stuck > 4
     assert node.controller.in_flight == 0
     for i, r in list(node.requests.items()):  # late answers bring the zone back, and the count stays right
-        end(node, recorder, now, i, 0, r.server.id, Outcome.OK, 50_000)
+        end_attempt(node, recorder, now, i, 0, r.server.id, Outcome.OK, 50_000)
     assert node.outliers.ejected_zones == []
     assert node.controller.in_flight == 0
 
@@ -169,9 +169,9 @@
     node, recorder, (_, first) = alone_in_its_zone()
     for i in range(1000, 1400):
         now = i * 100_000
-        action = ask(node, recorder, now, i)
+        action = send_request(node, recorder, now, i)
         if action[0] == "send":
-            end(node, recorder, now + 50_000, i, 0, action[2], Outcome.OK, 50_000)
+            end_attempt(node, recorder, now + 50_000, i, 0, action[2], Outcome.OK, 50_000)
     assert node.outliers.ejected_zones == []
     assert set(node.subset.members) == first
     assert not node.subset.substitutes
