--- a/harecross/cli.py
+++ b/harecross/cli.py
@@ -1,6 +1,7 @@
-"""The `harecross` command: its subcommands, each in the package that it belongs to.
+"""The `harecross` command. Each subcommand is defined in the package that it belongs to.
 
-A subcommand imports what it needs when it runs. An error is one line on standard error and status 2.
+A subcommand imports its dependencies when it runs, so that a command needs only its own extras. An error is reported
+as one line on standard error and exit status 2.
 """
 
 from __future__ import annotations
--- a/harecross/console.py
+++ b/harecross/console.py
@@ -1,4 +1,4 @@
-"""What the commands print on a terminal: tables of a replay, alive and finished."""
+"""Terminal output of the commands: result tables of a finished replay, and live tables of a running one."""
 
 from __future__ import annotations
 
@@ -12,48 +12,49 @@
 if TYPE_CHECKING:
     from harecross.replay.run import ReplayRun
 
-PIPE_WIDTH = 120  # a pipe has no width of its own, and 80 columns would cut the tables
-EVENTS_SHOWN = 4
+# A pipe has no terminal width, and rich's default of 80 columns would truncate the tables.
+PIPE_WIDTH = 120
+MAX_SHOWN_EVENTS = 4
 
 out = Console(width=None if Console().is_terminal else PIPE_WIDTH)
 err = Console(stderr=True, highlight=False, soft_wrap=True)
 
 
 def table(title: str, *columns: str) -> Table:
-    """Returns an empty table: the first column is left-justified, the others are figures."""
-    found = Table(title=title, title_justify="left", title_style="bold")
+    """Returns an empty table. The first column is left-justified, the numeric columns after it right-justified."""
+    result = Table(title=title, title_justify="left", title_style="bold")
     for index, name in enumerate(columns):
-        found.add_column(name, justify="left" if index == 0 else "right")
-    return found
+        result.add_column(name, justify="left" if index == 0 else "right")
+    return result
 
 
 def disposition_table(title: str, report: dict[str, Any]) -> Table:
-    """Returns the figures of a replay's report, in total and by class."""
+    """Returns a table of the results in a replay's report, in total and by request class."""
     columns = ("class", "asked", "in time", "late", "refused", "failed", "open", "service", "p99 ms")
     count_keys = ("asked", "served_in_time", "served_late", "refused", "failed", "open")
-    found = table(title, *columns)
+    result = table(title, *columns)
     for name, row in [("all", report), *report["by_class"].items()]:
         service = "-" if row["service"] is None else f"{row['service']:.4f}"
         latency = f"{row['latency_ms']['p99']:.0f}" if row["latency_ms"] else "-"
-        found.add_row(name, *(f"{row[key]:,}" for key in count_keys), service, latency)
-    return found
+        result.add_row(name, *(f"{row[key]:,}" for key in count_keys), service, latency)
+    return result
 
 
 def live_table(run: ReplayRun, title: str) -> Table:
-    """Returns the present figures of a run that is going on."""
+    """Returns a table of the current results of a running replay."""
     accounting = run.generator.accounting
-    found = table(title, "", "asked", "served", "late", "refused", "failed", "open", "worth in time")
-    found.add_row("all", *_live_figures(accounting.total))
+    result = table(title, "", "asked", "served", "late", "refused", "failed", "open", "worth in time")
+    result.add_row("all", *_live_cells(accounting.total))
     for request_class, tally in zip(run.generator.classes, accounting.by_class, strict=True):
-        found.add_row(request_class.name, *_live_figures(tally))
-    found.caption = _live_caption(run)
-    found.caption_justify = "left"
-    return found
+        result.add_row(request_class.name, *_live_cells(tally))
+    result.caption = _live_caption(run)
+    result.caption_justify = "left"
+    return result
 
 
-def _live_figures(tally: DispositionTally) -> list[str]:
+def _live_cells(tally: DispositionTally) -> list[str]:
     counts = tally.counts
-    figures = (
+    cells = (
         tally.requests,
         counts[Disposition.IN_TIME] + counts[Disposition.LATE],
         counts[Disposition.LATE],
@@ -62,7 +63,7 @@
         counts[Disposition.OPEN],
     )
     service = f"{tally.weight_in_time / tally.offered_weight:.1%}" if tally.offered_weight else "-"
-    return [*(f"{figure:,}" for figure in figures), service]
+    return [*(f"{cell:,}" for cell in cells), service]
 
 
 def _live_caption(run: ReplayRun) -> str:
@@ -71,5 +72,5 @@
         f"{last.get('nodes', 0)} nodes, limit {last.get('limit', 0):g}, in flight {last.get('in_flight', 0):g}, "
         f"ejected {last.get('ejected', 0):g}"
     )
-    events = [f"{e['at_s']:.1f} s  {e['what']} {e['name']}" for e in run.events[-EVENTS_SHOWN:]]
+    events = [f"{e['at_s']:.1f} s  {e['what']} {e['name']}" for e in run.events[-MAX_SHOWN_EVENTS:]]
     return "\n".join([caption, *events])
--- a/harecross/demo.py
+++ b/harecross/demo.py
@@ -1,4 +1,4 @@
-"""The scene of `harecross demo`: six seconds in which one server slows down and another one drains."""
+"""The scenario of `harecross demo`: in six seconds one server slows down and another one drains."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     RequestClass("latest", Idempotency.IDEMPOTENT, 1, 300_000, 1_000_000),
     RequestClass("log-reading", Idempotency.IDEMPOTENCY_KEY, 5, 400_000, 1_500_000),
 ]
-LOG_READING_PART = 0.4  # of the requests
+LOG_READING_FRACTION = 0.4  # the fraction of requests of the class "log-reading"
 SERVERS = [f"s{i}" for i in range(6)]
 NODES = 3
 SECONDS = 6.0
@@ -29,7 +29,7 @@
 
 
 def arrivals(seed: int = 1) -> Iterator[Arrival]:
-    """Yields Poisson arrivals with exponential work, and a burst in the middle."""
+    """Yields Poisson arrivals with exponentially distributed work, at a higher rate during a burst in the middle."""
     rng = Random(seed)
     at_s = 0.0
     while True:
@@ -38,4 +38,4 @@
         if at_s >= SECONDS:
             return
         work_us = min(MAX_WORK_US, max(MIN_WORK_US, int(rng.expovariate(1 / MEAN_WORK_US))))
-        yield Arrival(int(at_s * 1e6), int(rng.random() < LOG_READING_PART), work_us)
+        yield Arrival(int(at_s * 1e6), int(rng.random() < LOG_READING_FRACTION), work_us)
--- a/harecross/exits.py
+++ b/harecross/exits.py
@@ -1,4 +1,4 @@
-"""How a command ends early, and where its JSON goes."""
+"""Helpers of the command line: exits with an error message, and JSON output."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def exit_with_error(text: str, status: int = 2) -> NoReturn:
-    """Ends the command with one line on standard error and that status."""
+    """Prints one line to standard error and ends the command with the given exit status."""
     print(f"harecross: {text}", file=sys.stderr)
     raise typer.Exit(status)
 
 
 def write_json(value: dict[str, Any], destination: str | None) -> None:
-    """Writes a value as JSON to a file, or to standard output for "-"; None for nowhere."""
+    """Writes a value as JSON to the file `destination`, or to standard output for "-". None writes nothing."""
     if destination == STANDARD_OUTPUT:
         print(json.dumps(value, indent=1))
     elif destination is not None:
--- a/harecross/node/__init__.py
+++ b/harecross/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: one Balancer on real sockets."""
+"""The load balancer process (node): runs one Balancer on TCP sockets."""
--- a/harecross/node/__main__.py
+++ b/harecross/node/__main__.py
@@ -18,12 +18,12 @@
 
 
 async def run_node(config: Config, options: NodeOptions) -> None:
-    """Runs one node until it is stopped."""
+    """Runs one node until it has shut down."""
     await Node(config, options).run()
 
 
 def main() -> int:
-    """Runs the node of this process; returns the exit status."""
+    """Runs a node in this process and returns the exit status."""
     try:
         listener = inherited_listener()
         config = read_config()
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -1,4 +1,7 @@
-"""The operators' calls to a running node: maintenance of servers, standby, status. Two processes act as one node."""
+"""The operators' calls to a running node: maintenance of servers, standby and status.
+
+Several processes may run as one node (during a handover). They share the maintenance state through a file.
+"""
 
 from __future__ import annotations
 
@@ -19,20 +22,27 @@
 from harecross.platform.durable_file import UnsyncedReplaceError
 from harecross.platform.log import log_line
 
-REFRESH_INTERVAL_S = 0.05  # between two looks at what another process has written
+# Interval between two checks for a maintenance state that another process has written.
+REFRESH_INTERVAL_S = 0.05
+# Interval between two snapshots of the learned state.
 LEARNED_STATE_INTERVAL_S = 1.0
-FIRST_LIST_WAIT_S = 1.0  # after which `status` accepts a list that was kept from before the start
+# After this time from the start, `status` also accepts an endpoint list that was stored before the start.
+FIRST_LIST_WAIT_S = 1.0
 MAX_SERVER_ID_BYTES = 512
 
 MaintenanceChange = Callable[[MaintenanceState], MaintenanceState]
 
 
 class UnknownServerError(Exception):
-    """A call whose body names no server; the text is the answer's."""
+    """The body of a call does not name a known server. The message is the text of the answer."""
 
 
 class AdminOperations:
-    """Carries out the calls, and applies the stored maintenance state to the node."""
+    """Handles the operators' calls, and applies the stored maintenance state to the node.
+
+    Attributes:
+        started_at: The event loop's time at which the node began to serve; None until then.
+    """
 
     def __init__(
         self,
@@ -41,13 +51,13 @@
         client_connections: ConnectionManager,
         has_current_list: Callable[[], bool],
     ) -> None:
-        """`has_current_list` tells whether any source of endpoints has answered this process."""
+        """Registers the calls. `has_current_list` returns whether any endpoint source has answered this process."""
         self.loop = asyncio.get_running_loop()
         self.store = store
         self.registry = registry
         self.client_connections = client_connections
         self.has_current_list = has_current_list
-        self.started_at: float | None = None  # by the loop's clock; None until the node serves
+        self.started_at: float | None = None
         self.learned_state_saved_at = self.loop.time()
         self.server = AdminServer(
             {
@@ -62,10 +72,13 @@
         self.refresh_timer: asyncio.TimerHandle | None = None
 
     def add_sources_call(self, explain: Callable[[str], dict[str, Any]]) -> None:
-        """Adds the call `/sources`. `explain` tells why an endpoint, or every endpoint, is in use or is not."""
+        """Adds the call `/sources`.
+
+        `explain` returns why one endpoint, or every endpoint for an empty name, is in use or not.
+        """
 
         def sources(query: bytes) -> AdminAnswer:
-            """The explanation as one JSON object; `box` in the query selects one endpoint."""
+            """Returns the explanation as one JSON object. `box` in the query selects one endpoint."""
             endpoint = dict(parse_qsl(query.decode(errors="replace"))).get("box", "")
             explanation = explain(endpoint)
             if endpoint and not explanation["boxes"]:
@@ -75,12 +88,12 @@
         self.server.calls[b"GET", b"/sources"] = sources
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Opens the admin server. OSError if the address cannot be bound."""
+        """Opens the admin server. Raises OSError if the address cannot be bound."""
         await self.server.listen(*address)
         log_line("door: listening on {}:{}".format(*self.server.address))
 
     def node_started(self) -> None:
-        """The node accepts clients from now on."""
+        """Called once the node accepts clients. Starts the periodic refresh of the maintenance state."""
         self.started_at = self.loop.time()
         self.refresh_periodically()
 
@@ -94,19 +107,19 @@
     # ---- learned state --------------------------------------------------------------------------------
 
     def load_learned_state(self) -> None:
-        """Starts with the measurements of the process that serves already, if there is one."""
+        """Imports the measurements of the process that already serves as this node, if there is one."""
         snapshot = self.store.read_learned_state()
         if snapshot is None:
             return
         balancer = self.registry.dispatcher.balancer
         try:
             learned_state.import_learned_state(balancer, self.registry.numbers, snapshot, monotonic_us())
-            log_line("what the other process has learned is taken over")
+            log_line("learned state imported from the running process")
         except ValueError as error:
-            log_line(f"{self.store.learned_state_path}: not taken over: {error}")
+            log_line(f"{self.store.learned_state_path}: learned state not imported: {error}")
 
     def save_learned_state(self) -> None:
-        """Writes a snapshot of the measurements once an interval, until the node drains."""
+        """Writes a snapshot of the measurements once per interval, until the node drains."""
         now = self.loop.time()
         if self.client_connections.draining or now < self.learned_state_saved_at + LEARNED_STATE_INTERVAL_S:
             return
@@ -120,13 +133,13 @@
     # ---- maintenance state ----------------------------------------------------------------------------
 
     def refresh_periodically(self) -> None:
-        """Applies what another process has written, now and at each interval."""
+        """Applies the maintenance state that another process has written, now and at each interval."""
         if self.store.refresh():
             self.apply_maintenance()
         self.refresh_timer = self.loop.call_later(REFRESH_INTERVAL_S, self.refresh_periodically)
 
     def apply_maintenance(self) -> None:
-        """Brings the node into the stored maintenance state."""
+        """Applies the stored maintenance state to the node's servers and client connections."""
         maintenance = self.store.maintenance
         entering, leaving = maintenance_changes(
             self.registry.in_maintenance, map(self.registry.resolve_name, maintenance.servers)
@@ -145,7 +158,7 @@
     # ---- calls ----------------------------------------------------------------------------------------
 
     def status(self, body: bytes) -> AdminAnswer:
-        """Whether the node serves, and what is in maintenance."""
+        """Returns whether the node serves, and which servers are in maintenance. Answers 503 until it is ready."""
         if self.started_at is None:
             return 503, "starting"
         if not self.registry.listed and not self.registry.in_maintenance:
@@ -158,14 +171,15 @@
         return 200, f"{'standby' if maintenance.standby else 'active'}; servers out: {servers}"
 
     def servers(self, query: bytes) -> AdminAnswer:
-        """The status of each server as one JSON object; each `id` in the query selects one server."""
+        """Returns the status of each server as one JSON object. Each `id` in the query selects one server."""
         ids = [name for key, name in parse_qsl(query.decode(errors="replace")) if key == "id"]
         selected = {self.registry.resolve_name(name): name for name in ids}
         rows = endpoint_status_rows(
             self.registry, self.registry.dispatcher.in_flight_by_server(), monotonic_us()
         )
         for row in rows:
-            row["id"] = selected.get(row["id"], row["id"])  # by the name in the query
+            # The answer names a selected server as the query does, which may use an alias of its id.
+            row["id"] = selected.get(row["id"], row["id"])
         answer = {
             "name": self.store.name,
             "standby": self.store.maintenance.standby,
@@ -183,7 +197,7 @@
         return self.change_server(body, self.without_server, "in use")
 
     def without_server(self, maintenance: MaintenanceState, server: str) -> MaintenanceState:
-        """The state without the server, under whichever of its names it entered maintenance."""
+        """Returns the state without the server, under all names by which it may have entered maintenance."""
         aliases = (name for name in maintenance.servers if self.registry.resolve_name(name) == server)
         for name in {server, *aliases}:
             maintenance = maintenance.without_server(name)
@@ -192,15 +206,15 @@
     def change_server(
         self, body: bytes, change: Callable[[MaintenanceState, str], MaintenanceState], result: str
     ) -> AdminAnswer:
-        """Changes the state of the server that the body names; `result` tells its new state."""
+        """Changes the maintenance state of the server that the body names. `result` is the new state in the answer."""
         try:
-            name = self.server_in(body)
+            name = self.parse_server_id(body)
         except UnknownServerError as error:
             return 404, str(error)
         return self.change(lambda maintenance: change(maintenance, name), f"{name}: {result}")
 
-    def server_in(self, body: bytes) -> str:
-        """The server that a body names. UnknownServerError, with the answer's text, if it names none."""
+    def parse_server_id(self, body: bytes) -> str:
+        """Returns the id of the server that the body names. Raises UnknownServerError if it names no known server."""
         try:
             name = body.strip().decode()
         except UnicodeDecodeError:
@@ -218,7 +232,10 @@
         )
 
     def change(self, change: MaintenanceChange, text: str) -> AdminAnswer:
-        """Writes the new state and applies it. 200 only once it is on disk, because it has to outlive the process."""
+        """Writes the new state and applies it.
+
+        Answers 200 only once the state is on disk, because it must outlive the process.
+        """
         try:
             self.store.update(change)
         except UnsyncedReplaceError as error:
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' admin server: a second address that takes one HTTP/1.1 call on each connection."""
+"""The admin server for operators: it listens on an address of its own and handles one HTTP/1.1 call per connection."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 MAX_ADMIN_CONNECTIONS = 8
 LISTEN_BACKLOG = 100
-CALL_TIMEOUT_S = 2.0  # for a call to arrive as a whole
+CALL_TIMEOUT_S = 2.0  # a connection is aborted after this time if its call is still incomplete
 MAX_CALL_BYTES = 1 << 13
 LOGGED_BODY_BYTES = 200
 REASON_PHRASES = {
@@ -26,12 +26,14 @@
     500: b"Internal Server Error",
     503: b"Service Unavailable",
 }
-AdminAnswer = tuple[int, str]  # status and a line of text
-AdminCall = Callable[[bytes], AdminAnswer]  # takes the body of a POST, the query of a GET
+# The HTTP status, and one line of text for the body.
+AdminAnswer = tuple[int, str]
+# A handler, which is called with the body of a POST, or with the query string of a GET.
+AdminCall = Callable[[bytes], AdminAnswer]
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, with the one call that comes on it."""
+    """One connection to the admin server, and its only call."""
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
@@ -43,19 +45,19 @@
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop once the connection is set up."""
+        """Called by the event loop when the connection is established."""
         self.transport = cast(asyncio.Transport, transport)
         self.timeout = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
         self.server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the event loop once the connection is closed."""
+        """Called by the event loop when the connection is closed."""
         if self.timeout is not None:
             self.timeout.cancel()
         self.server.open.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what has come, up to the end of the call."""
+        """Feeds the received bytes to the parser. Bytes after the end of the call are ignored."""
         self.received_bytes += len(data)
         if self.answered:
             return
@@ -69,25 +71,25 @@
             self.answer((400, "too long"))
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser, perhaps with a part of the URL."""
+        """Called by the parser, possibly with only a part of the URL."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser for each header."""
+        """Called by the parser for each header. Answers `Expect: 100-continue`, because the client waits for it."""
         if name.lower() == b"expect" and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser, perhaps with a part of the body."""
+        """Called by the parser, possibly with only a part of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Called by the parser at the end of the call."""
+        """Called by the parser at the end of the call. Runs the call and answers it."""
         if not self.answered:
             self.answer(self.server.call(self.parser.get_method(), self.url, self.body))
 
     def answer(self, answer: AdminAnswer) -> None:
-        """Writes the answer. The client closes the connection; what it still sends until then is discarded."""
+        """Writes the answer. The client closes the connection; bytes that it sends until then are discarded."""
         self.answered = True
         if self.transport is None:
             return
@@ -101,17 +103,22 @@
 
 
 class AdminServer:
-    """The listener. `calls` maps a method and a path to what answers the call."""
+    """Listens for calls and runs them.
+
+    Attributes:
+        calls: The handler of each call, by method and path.
+        open: The open connections, oldest first.
+    """
 
     def __init__(self, calls: dict[tuple[bytes, bytes], AdminCall]) -> None:
         self.loop = asyncio.get_running_loop()
         self.calls = calls
-        self.open: dict[AdminConnection, None] = {}  # the oldest first
+        self.open: dict[AdminConnection, None] = {}
         self.listener: Listener | None = None
         self.address: tuple[str, int] = ("", 0)
 
     async def listen(self, host: str, port: int) -> None:
-        """Opens the listener. OSError if the address cannot be bound."""
+        """Opens the listener. Raises OSError if the address cannot be bound."""
         sock = bind_socket((host, port))
         sock.listen(LISTEN_BACKLOG)
         self.listener = Listener(sock, lambda waiting: AdminConnection(self), self.accept)
@@ -119,7 +126,7 @@
         self.address = sock.getsockname()
 
     def accept(self) -> None:
-        """Accepts one connection that waits."""
+        """Accepts one connection from the backlog."""
         assert self.listener is not None
         connection = self.listener.accept()
         if not isinstance(connection, AcceptFailure):
@@ -135,9 +142,9 @@
                 connection.transport.close()
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Counts the connection; at the limit one that is answered, or else the oldest, is closed for it.
+        """Registers the connection. At the limit it evicts one that is already answered, or else the oldest one.
 
-        Calls that never arrive as a whole could take all places otherwise.
+        Without the eviction, clients whose calls never become complete could use up all connections.
         """
         if len(self.open) >= MAX_ADMIN_CONNECTIONS:
             evicted = next((c for c in self.open if c.answered), next(iter(self.open)))
@@ -147,7 +154,7 @@
         self.open[connection] = None
 
     def call(self, method: bytes, url: bytes, body: bytes) -> AdminAnswer:
-        """Carries out one call, and logs it unless it is a GET."""
+        """Runs one call, and logs it unless it is a GET."""
         path, _, query = url.partition(b"?")
         handler = self.calls.get((method, path))
         if handler is None:
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -23,18 +23,22 @@
 from harecross.platform.descriptor_budget import DescriptorBudget
 from harecross.upstream.connection_pool import ConnectionPool
 
-# Connections that are about to be closed, two watches and those of earlier discoveries, a file.
+# Descriptors for connections that are about to be closed, two watches, the watches of earlier discoveries, and a file.
 RESERVED_DESCRIPTORS = MAX_ACCEPTS_PER_TURN + 8 + MAX_RETIRED_WATCHES
 ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 4
-ADDITIONAL_SOURCES_DESCRIPTORS = 24  # DNS servers, endpoint files, stored lists
+ADDITIONAL_SOURCES_DESCRIPTORS = 24  # for DNS servers, endpoint files and stored lists
 MIN_CONNECTION_DESCRIPTORS = 16
-UNKNOWN_OPEN_DESCRIPTORS = 16  # assumed where /proc cannot be read
-BODY_MEMORY_DIVISOR = 4  # bodies may take this part of the memory limit
+ASSUMED_OPEN_DESCRIPTORS = 16  # the number of open descriptors that is assumed if /proc cannot be read
+BODY_MEMORY_DIVISOR = 4  # buffered bodies may use the memory limit divided by this
 
 
 @dataclass(frozen=True, slots=True)
 class NodeParts:
-    """The parts that live as long as the node."""
+    """The parts of a node, which exist as long as the node.
+
+    Attributes:
+        admin_operations: The operators' calls; None if no admin address is configured.
+    """
 
     descriptor_budget: DescriptorBudget
     pool: ConnectionPool
@@ -43,20 +47,20 @@
     membership: Membership
     client_connections: ConnectionManager
     resource_shares: ResourceShares
-    admin_operations: AdminOperations | None  # None without an admin address
+    admin_operations: AdminOperations | None
 
     def other_processes(self) -> int:
-        """How many other processes serve as this node."""
+        """Returns how many other processes serve as this node."""
         operations = self.admin_operations
         return operations.store.other_processes() if operations is not None else 0
 
     def divide_resources(self) -> None:
-        """Shares descriptors and memory with another process of this node, if one runs."""
+        """Divides descriptors and memory with another process of this node, if one is running."""
         self.resource_shares.divide(2 if self.other_processes() else 1)
 
 
 def build_parts(config: Config, options: NodeOptions) -> NodeParts:
-    """Builds a node's parts. ConfigError for a configuration that cannot be used."""
+    """Builds a node's parts. Raises ConfigError if the configuration cannot be used."""
     budget = DescriptorBudget(connection_descriptors(config, options))
     pool = ConnectionPool(config.connect_timeout, config.idle_time, config.columns, budget)
     dispatcher = RequestDispatcher(config.settings, config.seed, pool)
@@ -72,7 +76,7 @@
 
 
 def connection_descriptors(config: Config, options: NodeOptions) -> int:
-    """How many descriptors client and upstream connections may have; the others are kept for the node itself."""
+    """Returns how many descriptors client and upstream connections may use. The node itself needs the rest."""
     reserved = RESERVED_DESCRIPTORS
     if config.admin:
         reserved += ADMIN_DESCRIPTORS
@@ -82,17 +86,17 @@
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open."""
+    """Returns how many descriptors this process has open."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
-        return UNKNOWN_OPEN_DESCRIPTORS
+        return ASSUMED_OPEN_DESCRIPTORS
 
 
 def open_attempt_log(
     node_name: str, target: str, dispatcher: RequestDispatcher, registry: EndpointRegistry
 ) -> None:
-    """Has the dispatcher write its attempts to a file, or to standard error for "-"."""
+    """Makes the dispatcher log its attempts to the file `target`, or to standard error for "-"."""
     from harecross.follow.attempt_log import AttemptLog
 
     try:
@@ -104,7 +108,7 @@
 def build_membership(
     config: Config, options: NodeOptions, dispatcher: RequestDispatcher, registry: EndpointRegistry
 ) -> Membership:
-    """The sources of the endpoint list, connected to the dispatcher."""
+    """Builds the sources of the endpoint list and connects them to the dispatcher."""
     sources: AdditionalSources | None = None
     if options.additional_sources is not None:
         sources = options.additional_sources(registry)
@@ -124,11 +128,11 @@
     pool: ConnectionPool,
     budget: DescriptorBudget,
 ) -> tuple[ConnectionManager, ResourceShares]:
-    """The client side, and what divides its budgets among processes."""
+    """Builds the client side, and the object that divides its budgets among the processes of the node."""
     body_bytes = config.memory // BODY_MEMORY_DIVISOR
     shared = options.inherited_listener is not None
-    reader = RequestParser(config.settings, config.classes, config.tenants)
-    manager = ConnectionManager(dispatcher, reader, budget, request_body_bytes(body_bytes, 1, shared=shared))
+    parser = RequestParser(config.settings, config.classes, config.tenants)
+    manager = ConnectionManager(dispatcher, parser, budget, request_body_bytes(body_bytes, 1, shared=shared))
     shares = ResourceShares(budget, pool, manager, body_bytes, listener_is_shared=shared)
     shares.divide(1)
     return manager, shares
@@ -141,7 +145,7 @@
     client_connections: ConnectionManager,
     membership: Membership,
 ) -> AdminOperations:
-    """The operators' calls."""
+    """Builds the handlers of the operators' calls."""
     store = HandoverStore(options.state_folder, config.name)
     operations = AdminOperations(store, registry, client_connections, membership.has_current_list)
     if membership.additional_sources is not None:
--- a/harecross/node/config.py
+++ b/harecross/node/config.py
@@ -1,4 +1,4 @@
-"""The configuration file: read at the start, and again on SIGHUP."""
+"""The node's configuration file, which is read at the start and again on SIGHUP."""
 
 from __future__ import annotations
 
@@ -20,12 +20,21 @@
 
 
 class ConfigError(Exception):
-    """A configuration that the node cannot use; the text names the file or the key."""
+    """The node cannot use its configuration. The message names the file or the key."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """The node's configuration. `raw` is the JSON object it was read from."""
+    """The node's configuration.
+
+    Attributes:
+        sockets: The maximum number of descriptors.
+        memory: The memory limit in bytes.
+        connect_timeout: The timeout of a connection to a server, in microseconds.
+        idle_time: The time in microseconds after which an idle connection to a server is closed.
+        known: The endpoint list that is used until discovery sends its own; None if there is none.
+        raw: The JSON object that the configuration was read from.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -33,9 +42,9 @@
     discovery: tuple[str, int]
     seed: int
     sockets: int
-    memory: int  # bytes
-    connect_timeout: int  # microseconds
-    idle_time: int  # microseconds
+    memory: int
+    connect_timeout: int
+    idle_time: int
     columns: Sequence[str]
     classes: Sequence[str]
     tenants: Sequence[str]
@@ -46,41 +55,41 @@
     raw: dict[str, Any]
 
 
-def address_in(raw: dict[str, Any], key: str) -> tuple[str, int]:
-    """The address under a key. ConfigError if there is none."""
+def parse_address_key(raw: dict[str, Any], key: str) -> tuple[str, int]:
+    """Returns the address under a key. Raises ConfigError if it is missing or malformed."""
     value = raw.get(key)
     if not isinstance(value, str):
         raise ConfigError(f"{key} is not set")
     try:
         return parse_address(value)
     except ValueError:
-        raise ConfigError(f"{key}: {value!r} is not an address") from None
+        raise ConfigError(f"{key}: {value!r} is not an address of the form HOST:PORT") from None
 
 
 def config_from(raw: Any) -> Config:
-    """The configuration in a parsed JSON value. ConfigError if it cannot be used."""
+    """Returns the configuration in a parsed JSON value. Raises ConfigError if it cannot be used."""
     if not isinstance(raw, dict):
-        raise ConfigError("not an object")
+        raise ConfigError("the configuration is not a JSON object")
     try:
         settings = parse_settings(raw.get("settings"))
-        environment = SettingsReader(raw.get("settings"))
-        policy_limits = environment.object("policy_limits")
-        report = environment.object("report", {})
+        settings_reader = SettingsReader(raw.get("settings"))
+        policy_limits = settings_reader.object("policy_limits")
+        report = settings_reader.object("report", {})
         return Config(
             name=str(raw.get("name") or "node"),
-            listen=address_in(raw, "listen"),
-            admin=address_in(raw, "admin") if raw.get("admin") else None,
-            discovery=address_in(raw, "discovery"),
+            listen=parse_address_key(raw, "listen"),
+            admin=parse_address_key(raw, "admin") if raw.get("admin") else None,
+            discovery=parse_address_key(raw, "discovery"),
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=SettingsReader(raw).object("limits", {}).integer("sockets", DEFAULT_MAX_SOCKETS),
             memory=SettingsReader(raw).object("limits", {}).integer("memory_mb", DEFAULT_MEMORY_MB) << 20,
             connect_timeout=policy_limits.integer("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
             idle_time=policy_limits.integer("conn_idle", DEFAULT_IDLE_TIMEOUT_US),
             columns=report.strings("columns") if report.string("how", "off") != "off" else [],
-            classes=[c.string("name") for c in environment.objects("classes")],
-            tenants=[t.string("name") for t in environment.objects("tenants", [])],
-            zones=environment.strings("dcs"),
-            kinds=environment.strings("kinds"),
+            classes=[c.string("name") for c in settings_reader.objects("classes")],
+            tenants=[t.string("name") for t in settings_reader.objects("tenants", [])],
+            zones=settings_reader.strings("dcs"),
+            kinds=settings_reader.strings("kinds"),
             settings=settings,
             known=raw.get("known"),
             raw=raw,
@@ -89,11 +98,11 @@
         raise ConfigError(str(error)) from None
 
 
-def read_config(*, again: bool = False) -> Config:
-    """The configuration in the file that LB_CONFIG names. ConfigError if it cannot be used.
+def read_config(*, reload: bool = False) -> Config:
+    """Reads the file that LB_CONFIG names. Raises ConfigError if it cannot be used.
 
-    At the start the variables for addresses override the file. When it is read `again` only the file counts, because
-    it may name a new discovery that the variable would override.
+    At the start, the environment variables for addresses override the file. On a reload only the file counts,
+    because it may name a new discovery, which the variable would override.
     """
     path = os.environ.get("LB_CONFIG")
     if not path:
@@ -105,7 +114,7 @@
         raise ConfigError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
-    if isinstance(raw, dict) and not again:
+    if isinstance(raw, dict) and not reload:
         for key, variable in ADDRESS_VARIABLES.items():
             raw[key] = os.environ.get(variable) or raw.get(key)
     try:
@@ -115,7 +124,7 @@
 
 
 def bind_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket bound to the address, not listening yet. OSError if the address cannot be bound."""
+    """Returns a socket that is bound to the address and not listening yet. Raises OSError if it cannot be bound."""
     sock = socket.socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -127,7 +136,10 @@
 
 
 def inherited_listener() -> socket.socket | None:
-    """The clients' listening socket, if LB_INHERITED_FD names one of the parent. ConfigError if it is none."""
+    """Returns the clients' listening socket that the parent process passed as LB_INHERITED_FD, or None if it is unset.
+
+    Raises ConfigError if the descriptor is not a listening socket.
+    """
     text = os.environ.get("LB_INHERITED_FD")
     if not text:
         return None
@@ -136,5 +148,5 @@
     except (ValueError, OSError) as error:
         raise ConfigError(f"LB_INHERITED_FD: {text!r} is not an open socket: {error}") from None
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        raise ConfigError(f"LB_INHERITED_FD: {text!r} is a socket that does not listen")
+        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not a listening socket")
     return sock
--- a/harecross/node/graceful_shutdown.py
+++ b/harecross/node/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of a node: it serves until others have taken over, and answers all that it received."""
+"""The graceful shutdown of a node: it serves until other nodes have taken over, and answers every received request."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from harecross.platform.clock import monotonic_us
 from harecross.platform.log import log_line
 
-FLUSH_TIMEOUT_S = 0.3  # for answers that are still being written
+FLUSH_TIMEOUT_S = 0.3  # the longest wait for answers that are still being written
 POLL_INTERVAL_S = 0.01
 
 
 class GracefulShutdown:
-    """One shutdown, by the times of a `ShutdownSchedule`.
+    """One shutdown, timed by a `ShutdownSchedule`.
 
-    A node that closed its connections at once would serve nobody until its restart, and where the neighbouring node
-    restarts at the same time its clients would have no node at all.
+    If a node closed its connections at once, it would serve nobody until its restart. If the neighbouring node
+    restarted at the same time, the clients would have no node at all.
     """
 
     def __init__(self, config: Config, options: NodeOptions, parts: NodeParts) -> None:
@@ -34,7 +34,7 @@
         self.began_at = self.loop.time()
 
     async def run(self) -> None:
-        """Returns once everything that was received has its answer and all parts but the admin server are closed."""
+        """Returns once every received request is answered and all parts but the admin server are closed."""
         schedule = self.start()
         if self.options.inherited_listener is not None and self.parts.other_processes():
             await self.leave_listener_to_other_process(schedule)
@@ -46,13 +46,13 @@
         await self.flush_answers()
 
     def start(self) -> ShutdownSchedule:
-        """Plans the shutdown and tells the dispatcher by when late requests must be answered."""
+        """Computes the schedule and sets the dispatcher's deadline for requests that arrive late in the shutdown."""
         longest_deadline_us = max(c.deadline for c in self.config.settings.classes)
         dispatcher = self.parts.dispatcher
         schedule = shutdown_schedule(longest_deadline_us / 1e6, dispatcher.typical_response_time_s())
         log_line(
-            f"stopping: no more is taken after {schedule.close_listener_s:.1f} s, "
-            f"what came late is over after {schedule.deadline_s:.1f} s"
+            f"shutting down: the listener closes after {schedule.close_listener_s:.1f} s, "
+            f"requests that arrive late are answered within {schedule.deadline_s:.1f} s"
         )
         now = monotonic_us()
         self.began_at = self.loop.time()
@@ -63,8 +63,8 @@
         return schedule
 
     async def leave_listener_to_other_process(self, schedule: ShutdownSchedule) -> None:
-        """Accepts nothing more: another process has the same listening socket."""
-        log_line("another process serves on")
+        """Stops accepting connections at once, because another process accepts them on the same listening socket."""
+        log_line("another process keeps serving on this listening socket")
         connections = self.parts.client_connections
         await connections.close_listener_at_once()
         while connections.open and self.loop.time() < self.began_at + schedule.close_listener_s:
@@ -72,7 +72,7 @@
         connections.close_idle()
 
     async def drain_listener(self, schedule: ShutdownSchedule) -> None:
-        """Fails health checks, drains the connections, and closes the listener once no more connections come."""
+        """Fails health checks, drains the connections, and closes the listener once no more connections arrive."""
         connections = self.parts.client_connections
         connections.health_check_failing = True
         await asyncio.sleep(schedule.drain_connections_s)
@@ -84,7 +84,7 @@
         )
 
     async def wait_for_open_requests(self) -> None:
-        """Returns once every request that was received has its answer."""
+        """Returns once every received request is answered."""
         if self.parts.client_connections.open:
             await asyncio.sleep(LAST_REQUESTS_S)
         while self.parts.client_connections.has_open_requests():
@@ -98,7 +98,7 @@
             await self.options.embedded_service.stop()
 
     async def flush_answers(self) -> None:
-        """Waits a moment until clients have taken their last answers."""
+        """Waits for at most `FLUSH_TIMEOUT_S` until clients have read their last answers."""
         end = self.loop.time() + FLUSH_TIMEOUT_S
         while self.parts.client_connections.open and self.loop.time() < end:
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/harecross/node/handover_store.py
+++ b/harecross/node/handover_store.py
@@ -1,7 +1,7 @@
-"""What one process of a node leaves to the next: maintenance state, learned state, and a lock for each live process.
+"""Files that the processes of one node share: maintenance state, learned state, and a lock for each live process.
 
-A file is replaced as a whole by a rename, under a lock, so that a kill at any moment leaves the old state or the new
-one. The locks are the kernel's: a killed process holds none.
+The maintenance file is replaced as a whole by a rename, under a lock, so that a kill at any moment leaves either the
+old state or the new one. The kernel releases the locks of a killed process.
 """
 
 from __future__ import annotations
@@ -19,18 +19,21 @@
 from harecross.platform.durable_file import replace_file
 from harecross.platform.log import log_line
 
-LEARNED_STATE_MAX_AGE_S = 5.0
+LEARNED_STATE_MAX_AGE_S = 5.0  # an older snapshot is not imported
 
 
 class HandoverStore:
-    """The files of one node name in `folder`. Without a folder the maintenance state is in memory alone."""
+    """The files of the node `name` in `folder`. Without a folder the maintenance state is kept only in memory.
+
+    Attributes:
+        file_version: The inode and the modification time of the maintenance file when it was last read.
+        process_lock: The descriptor of this process's lock file; None while it is not locked.
+    """
 
     def __init__(self, folder: str | None, name: str) -> None:
         self.name = name
         self.maintenance = MaintenanceState()
-        self.file_version: tuple[int, int] | None = (
-            None  # inode and modification time of the file as last read
-        )
+        self.file_version: tuple[int, int] | None = None
         stem = f"harecross-{re.sub(r'[^A-Za-z0-9._-]', '_', name)}"
         self.process_lock_prefix = f"{stem}.life-"
         self.maintenance_path = Path(folder) / f"{stem}.held" if folder else None
@@ -38,12 +41,12 @@
         self.process_lock_path = (
             Path(folder) / f"{self.process_lock_prefix}{secrets.token_hex(6)}" if folder else None
         )
-        self.process_lock: int | None = None  # the descriptor of the locked file
+        self.process_lock: int | None = None
 
     # ---- maintenance state ----------------------------------------------------------------------------
 
     def refresh(self) -> bool:
-        """Reads the file if another process has replaced it; returns whether the state has changed."""
+        """Reads the maintenance file if another process has replaced it. Returns whether the state has changed."""
         if self.maintenance_path is None:
             return False
         try:
@@ -55,19 +58,21 @@
         except FileNotFoundError:
             return False
         except (OSError, ValueError) as error:
-            log_line(f"{self.maintenance_path}: cannot be read, what was held stays: {error}")
+            log_line(
+                f"{self.maintenance_path}: cannot be read, keeping the current maintenance state: {error}"
+            )
             return False
         self.file_version = version
         changed, self.maintenance = maintenance != self.maintenance, maintenance
         return changed
 
     def update(self, change: Callable[[MaintenanceState], MaintenanceState]) -> None:
-        """Changes the state; it is on disk when this returns. OSError if it cannot be written."""
+        """Changes the maintenance state, which is on disk when this returns. Raises OSError if it cannot be written."""
         if self.maintenance_path is None:
             self.maintenance = change(self.maintenance)
             return
         with exclusive_lock(self.maintenance_path.with_suffix(".lock")):
-            # Another process may have changed the file: its change must not be undone.
+            # Another process may have changed the file since the last refresh, and its change must be kept.
             self.refresh()
             maintenance = change(self.maintenance)
             replace_file(
@@ -78,7 +83,7 @@
     # ---- learned state --------------------------------------------------------------------------------
 
     def write_learned_state(self, snapshot: bytes) -> None:
-        """Leaves a snapshot to the process that takes over. A failure is ignored: the next snapshot follows soon."""
+        """Writes a snapshot for the process that takes over. Errors are ignored, as the next snapshot follows soon."""
         if self.learned_state_path is not None:
             new = self.learned_state_path.with_suffix(".learning")
             with suppress(OSError):
@@ -86,9 +91,9 @@
                 os.replace(new, self.learned_state_path)
 
     def read_learned_state(self) -> bytes | None:
-        """A snapshot that another live process has written a moment ago; None if there is none.
+        """Returns the snapshot of another live process, or None if there is none younger than the maximum age.
 
-        The other process is alive, so the machine has not restarted and both processes have one monotonic clock.
+        Since the other process is alive, the machine has not restarted, so both processes share one monotonic clock.
         """
         if self.learned_state_path is None or not self.other_processes():
             return None
@@ -102,24 +107,25 @@
     # ---- processes ------------------------------------------------------------------------------------
 
     def acquire_process_lock(self) -> None:
-        """Registers this process for as long as it lives. OSError if the file cannot be made."""
+        """Registers this process as long as it lives. Raises OSError if the lock file cannot be created."""
         if self.process_lock_path is None or self.process_lock is not None:
             return
-        # Locked before it has its name, because a file without a lock is taken for a dead process's and removed.
+        # The file is locked before it gets its final name, because other processes remove an unlocked file as that
+        # of a dead process.
         new = self.process_lock_path.with_name(f".{self.process_lock_path.name}")
         self.process_lock = os.open(new, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         fcntl.flock(self.process_lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         os.rename(new, self.process_lock_path)
 
     def release_process_lock(self) -> None:
-        """Removes this process from those that serve."""
+        """Removes this process from the processes that serve as this node."""
         if self.process_lock is not None and self.process_lock_path is not None:
             self.process_lock_path.unlink(missing_ok=True)
             os.close(self.process_lock)
             self.process_lock = None
 
     def other_processes(self) -> int:
-        """How many other processes serve under this node's name."""
+        """Returns how many other processes serve under this node's name."""
         own = self.process_lock_path
         if own is None:
             return 0
@@ -130,7 +136,7 @@
 
 
 def is_locked(path: Path) -> bool:
-    """Whether a live process holds the lock on the file. The file of a dead process is removed."""
+    """Returns whether a live process holds the lock on the file. Removes the file of a dead process."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except OSError:
@@ -148,7 +154,7 @@
 
 @contextmanager
 def exclusive_lock(path: Path) -> Iterator[None]:
-    """Holds an exclusive lock on the file, which is created if it does not exist."""
+    """Holds an exclusive lock on the file during the context. Creates the file if it does not exist."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX)
--- a/harecross/node/learned_state.py
+++ b/harecross/node/learned_state.py
@@ -1,7 +1,7 @@
-"""Hands a balancer's measurements on to the process that takes over, as JSON. Free of I/O.
+"""Exports a balancer's measurements as JSON, and imports them in the process that takes over. Does no I/O.
 
-Stored keys: `usual` is the baseline in-flight, `cut` holds the numbers of ejected zones. No times are stored,
-since each process has a clock of its own; servers go by discovery's ids.
+The stored key `usual` is the baseline of the requests in flight, and `cut` is the list of the ejected zones' numbers.
+No times are stored, since each process has its own clock. Servers are identified by discovery's ids.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from harecross.policy.traffic_stats import MAX_SLOWNESS, MIN_SLOWNESS
 
 MAX_RTT_US = 1e9
-MAX_RATE = 1e6  # requests a second
+MAX_RATE = 1e6  # requests per second
 MAX_ZONE = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class ServerMeasurements:
-    """What is stored of one server."""
+    """The stored measurements of one server."""
 
     slowness: float
     failure_rate: float
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What is stored of one balancer; lists are by request class."""
+    """The stored measurements of one balancer. Lists of floats have one value per request class."""
 
     limit: float
     baseline_in_flight: float
@@ -45,7 +45,10 @@
 
 
 def export_learned_state(balancer: Balancer, numbers: Mapping[str, int]) -> bytes | None:
-    """The text to hand on; None before the first minRTT window is over. `numbers` are the servers' by id."""
+    """Returns the balancer's measurements as JSON, or None before the first minRTT window has ended.
+
+    `numbers` maps the ids of the servers to their numbers in the balancer.
+    """
     controller = balancer.controller
     if controller.min_rtt_windows == 0:
         return None
@@ -69,11 +72,14 @@
 
 
 def import_learned_state(balancer: Balancer, numbers: Mapping[str, int], text: bytes, now: int) -> None:
-    """Begins where another process stands. ValueError, and nothing changed, if the text cannot be read."""
+    """Sets the balancer to the measurements of another process.
+
+    Raises ValueError and changes nothing if the text is not a valid export.
+    """
     try:
         state = _parse(balancer, json.loads(text))
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"not what a process hands on: {error!r}") from None
+        raise ValueError(f"not an export of learned state: {error!r}") from None
     controller = balancer.controller
     controller.end_min_rtt_window(now)
     controller.limit, controller.baseline_in_flight = state.limit, state.baseline_in_flight
@@ -86,16 +92,16 @@
 
 
 def _parse(balancer: Balancer, stored: Any) -> LearnedState:
-    """The stored values, within the bounds of this balancer. ValueError for others."""
+    """Returns the stored values, limited to the bounds of this balancer. Raises ValueError for malformed values."""
     controller, classes = balancer.controller, len(balancer.settings.classes)
     by_class = {}
     for key in ("min_rtt", "target", "mean_rtt", "deviation"):
         by_class[key] = [_bounded(value, 0, MAX_RTT_US) for value in stored[key]]
         if len(by_class[key]) != classes:
-            raise ValueError(f"{key} holds {len(by_class[key])} classes in place of {classes}")
+            raise ValueError(f"{key} has values of {len(by_class[key])} request classes, expected {classes}")
     for key in ("mean_rtt", "target"):
         if min(by_class[key]) <= 0:
-            raise ValueError(f"{key} holds a round-trip of {min(by_class[key])}")
+            raise ValueError(f"{key} has the value {min(by_class[key])}, expected values above 0")
     limit = _bounded(stored["limit"], controller.floor, controller.max_limit)
     return LearnedState(
         limit=limit,
@@ -113,16 +119,16 @@
 
 
 def _bounded(value: Any, least: float, most: float) -> float:
-    """The number, within bounds. ValueError for anything else."""
+    """Returns the number, limited to the bounds. Raises ValueError for anything but a finite number."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not isfinite(value):
-        raise ValueError(f"{value!r} is not a number")
+        raise ValueError(f"{value!r} is not a finite number")
     return min(max(float(value), least), most)
 
 
 def _restore_servers(
     balancer: Balancer, numbers: Mapping[str, int], servers: Mapping[str, ServerMeasurements], now: int
 ) -> None:
-    """Takes over the measurements of the members among the servers."""
+    """Imports the measurements of those servers that are subset members."""
     for name, stored in servers.items():
         server = balancer.subset.servers.get(numbers.get(name, 0))
         if server is None or not server.in_subset:
@@ -134,7 +140,7 @@
 
 
 def _restore_ejected_zones(balancer: Balancer, zones: list[int], now: int) -> None:
-    """All but the last zone with members that may be picked."""
+    """Ejects the zones again, except for the last one with eligible members."""
     for number in zones:
         zone = balancer.subset.zones.get(number)
         if zone is None or zone.ejected:
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -1,4 +1,4 @@
-"""The endpoint list of one node: the platform's watch, and additional sources where there are any."""
+"""The sources of a node's endpoint list: the platform's watch, and additional sources if any are configured."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Membership:
-    """Starts and stops the sources of the endpoint list, and knows whether the list is current."""
+    """Starts and stops the sources of the endpoint list, and tracks whether the list is current."""
 
     def __init__(
         self,
@@ -28,58 +28,62 @@
         discovery.on_current_list = self.list_received
 
     def watches_platform(self) -> bool:
-        """Whether the platform's watch is a source."""
+        """Returns whether the platform's watch is a source."""
         return self.additional_sources is None or self.additional_sources.includes_watch
 
     def has_current_list(self) -> bool:
-        """Whether any source has sent its list to this process."""
+        """Returns whether any source has sent its list to this process."""
         return self.discovery.list_received or self.additional_list_is_current()
 
     def additional_list_is_current(self) -> bool:
-        """Whether the list of the additional sources can be relied on."""
+        """Returns whether the list of the additional sources is current."""
         return self.additional_sources is not None and self.additional_sources.list_is_current
 
     def list_received(self) -> None:
-        """Notes that the present list was received by this process, and not kept from an earlier one."""
+        """Records that the current list was received by this process, and not stored by an earlier one."""
         if not self.first_list_received.is_set():
             self.readiness.list_confirmed()
             self.first_list_received.set()
 
-    def start(self, known_list: Any) -> None:
-        """Starts the additional sources; `start_watch` follows. `known_list` is the configuration's, or None."""
-        if known_list is not None:
-            self.use_known_list(known_list)
+    def start(self, configured_list: Any) -> None:
+        """Starts the additional sources; the caller then calls `start_watch`.
+
+        `configured_list` is the endpoint list of the configuration, or None.
+        """
+        if configured_list is not None:
+            self.use_configured_list(configured_list)
         if self.additional_sources is not None:
             self.additional_sources.start()
 
-    def use_known_list(self, known_list: Any) -> None:
-        """Uses the list of the configuration until a source sends its own."""
+    def use_configured_list(self, configured_list: Any) -> None:
+        """Uses the endpoint list of the configuration until a source sends its own."""
         try:
-            self.discovery.use_configured_list(known_list)
+            self.discovery.use_configured_list(configured_list)
             self.readiness.configured_list_loaded()
         except ValueError as error:
-            log_line(f"known: {error}")
+            log_line(f"endpoint list of the configuration (known) not used: {error}")
 
     def start_watch(self, other_processes: int) -> None:
-        """Opens the watch where endpoints are pushed, and sets how long a start waits for the first list."""
+        """Opens the watch if discovery pushes endpoints, and sets how long the start waits for the first list."""
         if not self.discovery.terms.polled:
             self.subscribe(True)
         if not self.watches_platform():
-            self.list_received()  # the lists kept of the additional sources are used from the start
+            # The stored lists of the additional sources are used from the start.
+            self.list_received()
         elif other_processes:
             self.readiness.wait_until = monotonic() + max_start_wait_s(
                 self.discovery.terms, replaces_process=True
             )
 
     def subscribe(self, on: bool) -> None:
-        """Opens or closes the platform's watch (`EndpointSubscription`)."""
+        """Opens or closes the platform's watch (implements `EndpointSubscription`)."""
         if not on:
             self.discovery.unsubscribe()
         elif self.watches_platform():
             self.discovery.subscribe()
 
     def poll_endpoints(self) -> None:
-        """Queries the sources once (`EndpointSubscription`)."""
+        """Queries the sources once (implements `EndpointSubscription`)."""
         if self.additional_sources is None or self.additional_sources.includes_watch:
             self.discovery.poll()
         else:
@@ -91,13 +95,13 @@
         if self.additional_sources is not None:
             await self.additional_sources.stop()
 
-    def figures(self) -> dict[str, float]:
-        """The report line's figures on the age of the list."""
+    def report_fields(self) -> dict[str, float]:
+        """Returns the fields of the report line that describe the age of the endpoint list."""
         if not self.watches_platform():
             return {}
         now = monotonic()
-        figures = self.discovery.schedule.report_fields(now)
+        report_fields = self.discovery.schedule.report_fields(now)
         freshness = self.readiness.freshness(now, self.discovery.schedule)
         if freshness in (Freshness.NONE, Freshness.CONFIGURED, Freshness.STALE):
-            figures[f"list_{freshness.value}"] = 1.0
-        return figures
+            report_fields[f"list_{freshness.value}"] = 1.0
+        return report_fields
--- a/harecross/node/node.py
+++ b/harecross/node/node.py
@@ -16,16 +16,20 @@
 from harecross.node.sweeper import Sweeper
 from harecross.platform.log import log_line
 
-# For the first list, so that requests that come during the start are not answered by an older list.
+# Time that the start waits for the first endpoint list, so that the first requests are not routed by an older list.
 FIRST_LIST_TIMEOUT_S = 0.5
 GC_THRESHOLDS = (20_000, 20, 20)
 
 
 class Node:
-    """One running load balancer."""
+    """One running load balancer.
+
+    Attributes:
+        address: The address of the clients' listener, once it is bound.
+    """
 
     def __init__(self, config: Config, options: NodeOptions | None = None) -> None:
-        """Builds the parts. ConfigError for a configuration that cannot be used."""
+        """Builds the parts. Raises ConfigError if the configuration cannot be used."""
         self.config = config
         self.options = options = options or NodeOptions()
         self.loop = asyncio.get_running_loop()
@@ -39,12 +43,12 @@
         self.client_connections = parts.client_connections
         self.admin_operations = parts.admin_operations
         self.sweeper = Sweeper(parts, options.report_interval_s)
-        self.address: tuple[str, int] = ("", 0)  # the listener's, once it is bound
+        self.address: tuple[str, int] = ("", 0)
         self.started = asyncio.Event()
         self.stop_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Serves until a signal, then shuts down gracefully. ConfigError if the node cannot start."""
+        """Serves until a signal, then shuts down gracefully. Raises ConfigError if the node cannot start."""
         self.handle_signals()
         self.dispatcher.start()
         await self.start_services()
@@ -56,15 +60,15 @@
         await self.shut_down()
 
     def handle_signals(self) -> None:
-        """Installed before anything else, because a signal without a handler ends the process."""
+        """Installs the signal handlers. `run` calls it first, because a signal without a handler ends the process."""
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop_requested.set)
 
     def reload(self) -> None:
-        """Reads the configuration again, unless the node is shutting down."""
+        """Reloads the configuration, unless the node is shutting down."""
         if self.stop_requested.is_set():
-            log_line("configuration not read again: stopping")
+            log_line("configuration not reloaded: the node is shutting down")
         else:
             reload_configuration(self.config, self.membership)
 
@@ -79,12 +83,15 @@
             await self.start_admin_server(self.admin_operations, self.config.admin)
 
     async def start_admin_server(self, operations: AdminOperations, address: tuple[str, int]) -> None:
-        """Runs before the first list, so that this process never uses a server in maintenance."""
+        """Applies the stored maintenance state and opens the admin server.
+
+        This happens before the first endpoint list arrives, so that this process never uses a server in maintenance.
+        """
         try:
             operations.store.acquire_process_lock()
         except OSError as error:
             log_line(
-                f"{operations.store.process_lock_path}: what is told at the door will not outlive the process: "
+                f"{operations.store.process_lock_path}: maintenance changes will not outlive this process: "
                 f"{error.strerror}"
             )
         operations.store.refresh()
@@ -96,35 +103,35 @@
             raise ConfigError("admin {}:{}: {}".format(*address, error.strerror)) from None
 
     def start_membership(self) -> None:
-        """Starts the sources of the endpoint list, with the learned state of the process that serves already."""
+        """Starts the sources of the endpoint list, and imports the learned state of a process that already serves."""
         self.membership.start(self.config.known)
         if self.admin_operations is not None:
             self.admin_operations.load_learned_state()
         self.membership.start_watch(self.parts.other_processes())
 
     def listen(self) -> None:
-        """Opens the clients' listener; connections wait in its backlog until `serve`."""
+        """Opens the clients' listener. Connections wait in its backlog until `serve` is called."""
         listener = self.options.inherited_listener or self.bind()
         self.client_connections.listen(listener, self.options.listen_backlog)
         self.address = listener.getsockname()
 
     def bind(self) -> socket.socket:
-        """A socket bound to the clients' address."""
+        """Returns a socket that is bound to the clients' address. Raises ConfigError if it cannot be bound."""
         try:
             return bind_socket(self.config.listen)
         except OSError as error:
             raise ConfigError("listen {}:{}: {}".format(*self.config.listen, error.strerror)) from None
 
     async def wait_for_first_list(self) -> None:
-        """Returns with the first list, a request to stop, or after a short time."""
+        """Returns on the first endpoint list, on a request to stop, or after `FIRST_LIST_TIMEOUT_S`."""
         events = (self.membership.first_list_received, self.stop_requested)
-        is_connected = [self.loop.create_task(event.wait()) for event in events]
-        await asyncio.wait(is_connected, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-        for task in is_connected:
+        tasks = [self.loop.create_task(event.wait()) for event in events]
+        await asyncio.wait(tasks, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
             task.cancel()
 
     def serve(self) -> None:
-        """Accepts connections from now on."""
+        """Starts to accept connections, and tunes garbage collection for the steady state."""
         self.client_connections.start_accepting()
         self.sweeper.start()
         gc.collect()
@@ -136,7 +143,7 @@
         self.started.set()
 
     async def shut_down(self) -> None:
-        """Shuts down gracefully; the admin server answers until the end."""
+        """Shuts down gracefully. The admin server answers until the end."""
         await GracefulShutdown(self.config, self.options, self.parts).run()
         if self.admin_operations is not None:
             self.admin_operations.close()
--- a/harecross/node/operators_file.py
+++ b/harecross/node/operators_file.py
@@ -1,4 +1,7 @@
-"""The operators' file as a node uses it. Its reader, and what it enables, are imported only where they are needed."""
+"""Converts the operators' file into options of a node.
+
+The reader of the file, and the features that the file enables, are imported only if they are needed.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 def options_from_operators_file() -> NodeOptions:
-    """The options in the file that HARECROSS_CONFIG names; the default options where it names none."""
+    """Returns the options in the file that HARECROSS_CONFIG names, or the default options if it is unset."""
     path = os.environ.get("HARECROSS_CONFIG")
     if not path:
         return NodeOptions()
@@ -30,7 +33,7 @@
 
 
 def read_operators_file(path: str) -> OperatorsFile:
-    """Reads the file. ConfigError if it cannot be used."""
+    """Reads and checks the file. Raises ConfigError if it cannot be used."""
     from harecross.operators import OperatorsFile, OperatorsFileError, read_toml
     from harecross.sources.config import check
 
@@ -45,7 +48,7 @@
 
 
 def embedded_xds_service(path: str, table: XdsTable) -> EmbeddedService:
-    """The xDS service of `[xds]`, not started yet."""
+    """Returns the xDS service of the table `[xds]`, not started yet. Raises ConfigError if it cannot be used."""
     try:
         from harecross.xds.config import listen_address
         from harecross.xds.embedded import EmbeddedControlService
@@ -59,14 +62,14 @@
 
 
 class AdditionalSourcesFactory:
-    """Makes the sources of `[sources]` for a node's endpoint registry."""
+    """Creates the sources of the table `[sources]` for a node's endpoint registry."""
 
     def __init__(self, path: str, table: SourcesTable) -> None:
         self.path = path
         self.table = table
 
     def __call__(self, registry: EndpointRegistry) -> AdditionalSources:
-        """ConfigError for sources that cannot be used."""
+        """Creates the sources. Raises ConfigError if they cannot be used."""
         from harecross.sources.manager import SourceManager
 
         try:
--- a/harecross/node/options.py
+++ b/harecross/node/options.py
@@ -1,4 +1,4 @@
-"""What a node is started with beside its configuration file."""
+"""Options with which a node is started, besides its configuration file."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     """A service that runs in the node's process and reads its endpoint registry."""
 
     async def start(self, dispatcher: RequestDispatcher, registry: EndpointRegistry) -> None:
-        """Starts serving. OSError if the service cannot listen."""
+        """Starts serving. Raises OSError if the service cannot listen."""
 
     async def stop(self) -> None:
         """Stops serving."""
 
 
 class AdditionalSources(EndpointListConsumer, Protocol):
-    """Sources of membership beside the platform's watch, which may be one of them (`sources.manager.SourceManager`)."""
+    """Endpoint sources besides the platform's watch, which may be one of them (`sources.manager.SourceManager`)."""
 
     @property
     def includes_watch(self) -> bool:
@@ -33,32 +33,38 @@
 
     @property
     def list_is_current(self) -> bool:
-        """Whether the list that the sources make up can be relied on."""
+        """Whether the list that is merged from the sources is current."""
 
     def start(self) -> None:
-        """Starts to query the sources."""
+        """Starts querying the sources."""
 
     def republish(self) -> None:
-        """Publishes the whole list once more; called when a poll is asked for and there is no watch."""
+        """Publishes the full list once more. Called if a poll is requested and there is no watch."""
 
     def on_names_changed(self, callback: Callable[[], None]) -> None:
-        """`callback` is called before endpoints with new names are published."""
+        """Registers a callback that is called before endpoints with new names are published."""
 
     def explain(self, box: str) -> dict[str, Any]:
-        """What each source states of one endpoint, or of all for an empty name."""
+        """Returns what each source states about the endpoint `box`, or about all endpoints if it is empty."""
 
     async def stop(self) -> None:
-        """Stops to query the sources."""
+        """Stops querying the sources."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """Settings of the operators' file, and what the parent process passes on."""
+    """Settings of the operators' file, and resources that the parent process passes on.
+
+    Attributes:
+        attempt_log: The path of the attempt log, or "-" for standard error. No attempt log is written if it is empty.
+        inherited_listener: A listening socket that other processes may share; None if the node binds its own.
+        state_folder: A folder that outlives the process. Without it the maintenance state is kept only in memory.
+    """
 
     report_interval_s: float = DEFAULT_REPORT_INTERVAL_S
     listen_backlog: int = DEFAULT_LISTEN_BACKLOG
-    attempt_log: str = ""  # a file, or "-" for standard error; empty for no attempt log
+    attempt_log: str = ""
     embedded_service: EmbeddedService | None = None
     additional_sources: Callable[[EndpointRegistry], AdditionalSources] | None = None
-    inherited_listener: socket.socket | None = None  # a listening socket that other processes may share
-    state_folder: str | None = None  # outlives the process; None keeps maintenance state in memory alone
+    inherited_listener: socket.socket | None = None
+    state_folder: str | None = None
--- a/harecross/node/reload.py
+++ b/harecross/node/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration on SIGHUP."""
+"""Reloads the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
 from harecross.node.options import AdditionalSources
 from harecross.platform.log import log_line
 
-# Keys that take effect at once, or that a running node does not use.
+# Keys whose changes are not logged as pending: they take effect at once, or a running node does not use them.
 RELOADABLE_KEYS = ("discovery", "known", "seed")
 
 
 def reload_configuration(running: Config, membership: Membership) -> None:
     """Reads the configuration again and logs the result.
 
-    Only `discovery`, and `[sources]` of the operators' file, can change while the node runs; a file that cannot be
-    used changes nothing.
+    Only `discovery`, and the table `[sources]` of the operators' file, can change while the node runs. A file that
+    cannot be used changes nothing.
     """
     try:
-        config = read_config(again=True)
+        config = read_config(reload=True)
     except ConfigError as error:
         log_line(f"configuration not changed: {error}")
         return
-    moves = membership.discovery.migrate(config.discovery)
-    text = "configuration read again: " + ("moving to another discovery" if moves else "discovery as before")
+    migrates = membership.discovery.migrate(config.discovery)
+    text = "configuration reloaded: " + (
+        "migrating to another discovery" if migrates else "discovery unchanged"
+    )
     pending = changed_keys(running, config)
     if pending:
-        text += f"; {', '.join(sorted(pending))} will count from the next start"
+        text += f"; changes to {', '.join(sorted(pending))} take effect at the next start"
     if membership.additional_sources is not None:
         text += reload_sources(membership, membership.additional_sources)
     log_line(text)
 
 
 def changed_keys(running: Config, config: Config) -> list[str]:
-    """The keys whose new value takes effect only at the next start."""
+    """Returns the changed keys whose new value takes effect only at the next start."""
     return [
         key
         for key, value in config.raw.items()
@@ -45,7 +47,7 @@
 
 
 def reload_sources(membership: Membership, additional_sources: AdditionalSources) -> str:
-    """Reads `[sources]` of the operators' file again; returns the result for the log."""
+    """Reads the table `[sources]` of the operators' file again. Returns the result as text for the log line."""
     from harecross.sources.manager import SourceManager
 
     assert isinstance(additional_sources, SourceManager)
--- a/harecross/node/resource_shares.py
+++ b/harecross/node/resource_shares.py
@@ -1,4 +1,4 @@
-"""How the processes of one node share its descriptors and its memory for request bodies."""
+"""Divides a node's descriptors and its memory for bodies among the processes of the node."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def request_body_bytes(total: int, processes: int, *, shared: bool) -> int:
-    """How many bytes of request bodies one process may buffer.
+    """Returns how many bytes of request bodies one process may buffer.
 
-    `total` is the node's whole budget. Where another process may start (`shared`) a quarter is kept for it, because
-    buffered bytes cannot be given back when it starts.
+    `total` is the budget of the whole node. If another process may start (`shared`), a quarter is reserved for it,
+    because bytes that are already buffered cannot be released when it starts.
     """
     if processes > 1:
         return total // 4
@@ -30,7 +30,7 @@
         *,
         listener_is_shared: bool,
     ) -> None:
-        """`body_bytes` is the budget for bodies of requests and responses; the other budgets are the whole node's."""
+        """`body_bytes` is the budget for bodies of requests and responses. All budgets are those of the whole node."""
         self.descriptor_budget = descriptor_budget
         self.total_descriptors = descriptor_budget.total
         self.pool = pool
@@ -39,7 +39,7 @@
         self.listener_is_shared = listener_is_shared
 
     def divide(self, processes: int) -> None:
-        """Takes this process's share, by how many processes serve as this node."""
+        """Limits this process to its share of the budgets. `processes` is how many processes serve as this node."""
         self.descriptor_budget.total = self.total_descriptors // processes
         self.client_connections.max_buffered_body_bytes = request_body_bytes(
             self.body_bytes, processes, shared=self.listener_is_shared
--- a/harecross/node/sweeper.py
+++ b/harecross/node/sweeper.py
@@ -1,4 +1,4 @@
-"""The periodic work of a node: timeouts, sharing with other processes, and the report line."""
+"""The periodic work of a node: timeouts, sharing of resources and state with other processes, and the report line."""
 
 from __future__ import annotations
 
@@ -12,14 +12,18 @@
 
 
 class Sweeper:
-    """Calls `sweep` at a fixed interval and measures how late the event loop does it."""
+    """Calls `sweep` at a fixed interval and measures the event loop's lag.
+
+    Attributes:
+        event_loop_lag_s: The longest lag since the last report, in seconds.
+    """
 
     def __init__(self, parts: NodeParts, report_interval_s: float) -> None:
         self.loop = asyncio.get_running_loop()
         self.parts = parts
         self.report_interval_s = report_interval_s
         self.reported_at = self.loop.time()
-        self.event_loop_lag_s = 0.0  # the longest since the last report
+        self.event_loop_lag_s = 0.0
 
     def start(self) -> None:
         """Schedules the next sweep; each sweep schedules the one after it."""
@@ -27,13 +31,13 @@
         self.loop.call_at(due, self.sweep_at, due)
 
     def sweep_at(self, due: float) -> None:
-        """Runs the sweep that was due at that time of the loop."""
+        """Runs the sweep that was due at the event loop's time `due`, and schedules the next one."""
         self.event_loop_lag_s = max(self.event_loop_lag_s, self.loop.time() - due)
         self.sweep()
         self.start()
 
     def sweep(self) -> None:
-        """Ends what has taken too long, and reports when the interval is over."""
+        """Closes connections that timed out, and writes the report line if its interval has elapsed."""
         parts = self.parts
         if parts.admin_operations is not None:
             parts.divide_resources()
@@ -47,12 +51,12 @@
             self.reported_at = now
             self.report()
             if self.event_loop_lag_s > LOGGED_EVENT_LOOP_LAG_S:
-                log_line(f"the event loop was {self.event_loop_lag_s * 1000:.0f} ms late")
+                log_line(f"event loop lag reached {self.event_loop_lag_s * 1000:.0f} ms")
             self.event_loop_lag_s = 0.0
 
     def report(self) -> None:
         """Writes the report line."""
         connections = self.parts.client_connections
         self.parts.dispatcher.report(
-            connections.bad_requests, connections.refused_connections, self.parts.membership.figures()
+            connections.bad_requests, connections.refused_connections, self.parts.membership.report_fields()
         )
--- a/harecross/operators.py
+++ b/harecross/operators.py
@@ -1,6 +1,6 @@
-"""The operators' file (TOML): strict reading, and one line of text for what cannot be used.
+"""Strict parsing of the operators' file (TOML), with one-line error messages.
 
-Imported only where such a file is named: the start of a node needs neither this module nor msgspec.
+This module is imported only if such a file is configured: a node without one needs neither this module nor msgspec.
 """
 
 from __future__ import annotations
@@ -17,24 +17,29 @@
 
 
 class OperatorsFileError(Exception):
-    """A TOML file that cannot be used; the text names the file, the key and what is allowed."""
+    """A TOML file is missing or invalid. The message names the file, the key and the allowed values."""
 
 
 class LogTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[log]`: the report line and the attempt log."""
+    """The table `[log]`: settings of the report line and of the attempt log.
+
+    Attributes:
+        report_every_s: The interval between two report lines, in seconds.
+        attempts: The path of the attempt log, or "-" for standard error. No attempt log is written if it is empty.
+    """
 
     report_every_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 10.0
-    attempts: str = ""  # a file for the attempt log, or "-" for standard error
+    attempts: str = ""
 
 
 class ListenTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[listen]`: the listener for clients."""
+    """The table `[listen]`: settings of the listener for clients."""
 
     backlog: Annotated[int, msgspec.Meta(ge=1, le=65535)] = 1024
 
 
 class XdsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[xds]`: an xDS service embedded in the node."""
+    """The table `[xds]`: settings of an xDS service that is embedded in the node."""
 
     listen: str = ""
     cluster: str = "servers"
@@ -42,7 +47,7 @@
 
 
 class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file. Every key is optional."""
+    """The content of the operators' file. Every key is optional."""
 
     log: LogTable = LogTable()
     listen: ListenTable = ListenTable()
@@ -51,7 +56,10 @@
 
 
 def read_toml(path: str | Path, file_type: type[T]) -> T:
-    """The file as a `file_type`. OperatorsFileError if it is missing, not TOML, or has a key or value not allowed."""
+    """Reads a TOML file into a `file_type`.
+
+    Raises OperatorsFileError if the file is missing, is not TOML, or has an unknown key or an invalid value.
+    """
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -67,7 +75,10 @@
 
 
 def allowed_keys(raw: object, file_type: object) -> str:
-    """The keys that are allowed beside the first unknown key in `raw`, as a text; empty without an unknown key."""
+    """Returns the keys that are allowed in the table of the first unknown key in `raw`, as text for an error message.
+
+    Returns an empty string if there is no unknown key.
+    """
     if isinstance(raw, list):
         item_type = next((arg for arg in get_args(file_type) if arg is not Ellipsis), None)
         return next((text for value in raw if (text := allowed_keys(value, item_type))), "")
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -173,7 +173,7 @@
             async with site.node() as new:
                 assert new.dispatcher.balancer.controller.measuring_min_rtt
         err = capfd.readouterr().err
-        assert "is taken over" in err
-        assert "not taken over" in err
+        assert "learned state imported" in err
+        assert "learned state not imported" in err
 
     run_with_site(test, tmp_path)
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -169,12 +169,12 @@
         # The new one has versions of its own, and its list is asked for whole.
         new.full_list = line(7, entry("t", origins[1].address), reset=True)
         process.send_signal(signal.SIGHUP)
-        await said("moving")
+        await said("migrating to another discovery")
         await said("moved")
         path, second = await new.watches.get()
         assert path.endswith(b"after=7")
         process.send_signal(signal.SIGHUP)  # once more changes nothing
-        await said("as before")
+        await said("discovery unchanged")
         # The old one is heard out for what leaves; what it lists in service is no longer used.
         ScriptedDiscovery.push(first, line(42, entry("s", origins[0].address)))
         ScriptedDiscovery.push(first, line(43, entry("s", origins[0].address), reset=True))
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -151,7 +151,7 @@
             new = start_process(site, tmp_path, 2, fd)
             await says(new, b"listening on")
             old.send_signal(signal.SIGTERM)
-            await says(old, b"another process serves on")
+            await says(old, b"another process keeps serving")
             for _ in range(5):
                 other = await site.client()
                 other.send()
