--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -6,10 +6,10 @@
 
 import pytest
 from node_support import (
-    Arrived,
     Client,
-    World,
-    with_node,
+    NodeEnvironment,
+    ReceivedRequest,
+    run_with_node,
 )
 
 from harecross.interface import Outcome
@@ -22,13 +22,13 @@
 def test_some_malformed_responses_do_not_count_as_overload():
     """Guards against one malformed response in eight halving the concurrency limit of a healthy node."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         controller = world.node.dispatcher.balancer.controller
         controller.end_min_rtt_window(monotonic_us())
         client = await world.client()
         for i in range(64):
             client.send("/pay/1")
-            received = await world.origins[0].arrived.get()
+            received = await world.upstreams[0].received.get()
             if i % 8 == 7:
                 received.writer.write(b"\x00\x01 noise\r\n\r\n")
             else:
@@ -37,19 +37,19 @@
         assert controller.lost_fraction == 0
         assert max(controller.samples)[0] < 1
 
-    with_node(test)
+    run_with_node(test)
 
 
-async def next_arrival(world: World) -> tuple[int, Arrived]:
+async def next_arrival(world: NodeEnvironment) -> tuple[int, ReceivedRequest]:
     """Returns the index of the server that receives the next request, and the request."""
     while True:
-        for number, origin in enumerate(world.origins):
-            if not origin.arrived.empty():
-                return number, origin.arrived.get_nowait()
+        for number, origin in enumerate(world.upstreams):
+            if not origin.received.empty():
+                return number, origin.received.get_nowait()
         await asyncio.sleep(0)
 
 
-async def learn_short_round_trips(world: World, client: Client) -> None:
+async def learn_short_round_trips(world: NodeEnvironment, client: Client) -> None:
     """Sends enough requests that are answered immediately for the node to expect short round-trips."""
     for _ in range(200):
         client.send()
@@ -61,7 +61,7 @@
 def test_a_silent_connection_uses_a_part_of_the_timeout_and_leaves_time_for_a_retry(data):
     """The per-try timeout ends the attempt long before the request's deadline."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         unsafe, client = await world.client(), await world.client()
         await learn_short_round_trips(world, client)
         unsafe.send("/pay/1")
@@ -77,16 +77,16 @@
         second, received = await retried
         assert second != first
         assert b"/read/1" in received.head
-        await lost.gone.wait()
+        await lost.disconnected.wait()
         received.answer()
         assert (await answer)[0] == 200
         assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
         # A non-idempotent request keeps its full timeout.
-        assert not kept.gone.is_set()
+        assert not kept.disconnected.is_set()
         kept.answer()
         assert (await unsafe.answer())[0] == 200
 
-    with_node(test, servers=2)
+    run_with_node(test, servers=2)
 
 
 def set_round_trips(node: Balancer, mean: float, deviation: float, late: float) -> None:
@@ -108,26 +108,26 @@
 
     monkeypatch.setattr(Balancer, "per_try_timeout", per_try_timeout)
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         client = await world.client()
         set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.2)
         client.send()
         _, received = await next_arrival(world)
         await waited.wait()  # three times the longest per-try timeout while few attempts are late
-        assert not received.gone.is_set()
+        assert not received.disconnected.is_set()
         received.answer()
         assert (await client.answer())[0] == 200
         assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 0
-        assert all(origin.arrived.empty() for origin in world.origins)
+        assert all(origin.received.empty() for origin in world.upstreams)
 
-    with_node(test, servers=2)
+    run_with_node(test, servers=2)
 
 
 def test_an_attempt_times_out_once_a_later_one_is_answered(monkeypatch):
     """The response to the later attempt ends the earlier one long before its own per-try timeout."""
     monkeypatch.setattr(balancer, "LOST_DEVIATIONS", 10**6)
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         clients = [await world.client() for _ in "ab"]
         set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.0)
         clients[0].send()
@@ -141,17 +141,17 @@
                 break
             assert (await clients[1].answer())[0] == 200
         assert (await clients[0].answer())[0] == 200
-        await lost.gone.wait()
+        await lost.disconnected.wait()
         assert world.node.dispatcher.loop.time() - sent < 20  # its own per-try timeout would come after 25 s
         assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
 
-    with_node(test)
+    run_with_node(test)
 
 
 def test_early_per_try_timeouts_do_not_eject_a_zone():
     """Attempts whose responses are not due yet must not count against their zone."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         first = await world.client()
         await learn_short_round_trips(world, first)
         # The other classes get the same short round-trips.
@@ -171,7 +171,7 @@
         assert stats["rq_per_try_timeout"] == 1
         assert stats["zones_cut"] == 0
 
-    with_node(test, servers=2, zones="ht")
+    run_with_node(test, servers=2, zones="ht")
 
 
 def test_lost_attempts_do_not_count_as_overload(monkeypatch):
@@ -187,15 +187,15 @@
         )[1],
     )
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         clients = [await world.client() for _ in "ab"]
         # First without any response, then with a response to a later attempt.
         for i, later_response in enumerate((False, True)):
             clients[0].send("/pay/1", left="1500m")
-            await world.origins[0].arrived.get()
+            await world.upstreams[0].received.get()
             if later_response:
                 clients[1].send("/pay/2")
-                (await world.origins[0].arrived.get()).answer()
+                (await world.upstreams[0].received.get()).answer()
                 assert (await clients[1].answer())[0] == 200
             assert (await clients[0].answer())[0] == 502
             while world.node.dispatcher.requests:
@@ -204,19 +204,19 @@
             assert len(latencies) == 1 + i
         assert world.node.dispatcher.balancer.stats()["rq_overtaken"] == 1
 
-    with_node(test)
+    run_with_node(test)
 
 
 def test_resets_do_not_count_as_overload():
     """A server that closes an idle connection may reset an attempt without being overloaded."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         controller = world.node.dispatcher.balancer.controller
         controller.end_min_rtt_window(monotonic_us())
         client = await world.client()
         for failure in ("reset", "error"):
             client.send("/pay/1")
-            received = await world.origins[0].arrived.get()
+            received = await world.upstreams[0].received.get()
             if failure == "reset":
                 received.writer.transport.abort()
             else:
@@ -225,13 +225,13 @@
             assert (controller.lost_fraction > 0) == (failure == "error")
         assert world.node.dispatcher.statistics.outcomes[Outcome.RESET] == 1
 
-    with_node(test)
+    run_with_node(test)
 
 
 def test_an_overloaded_server_of_the_local_zone_is_no_longer_preferred():
     """Guards against the only server of the zone getting nearly all requests while the others are idle."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         balancer = world.node.dispatcher.balancer
         balancer.on_window_end = lambda now: None  # the cross-zone fraction stays at 0
         balancer.zone_preference.fraction = 0.0
@@ -256,18 +256,18 @@
             assert number == 0
             assert (await clients[0].answer())[0] == 200
 
-    with_node(test, servers=4, zones="httt", settings={"deductions": {"cross_zone": 0.04}})
+    run_with_node(test, servers=4, zones="httt", settings={"deductions": {"cross_zone": 0.04}})
 
 
 def test_a_node_that_starts_under_full_traffic_serves_all_requests():
     """No request is shed in the first seconds after the start."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         clients = [await world.client() for _ in range(16)]
         for i, client in enumerate(clients):
             client.send(X_Request_ID=f"r{i}")
-        for origin in world.origins:
+        for origin in world.upstreams:
             origin.answer_all()
         assert {(await client.answer())[0] for client in clients} == {200}
 
-    with_node(test, servers=4)
+    run_with_node(test, servers=4)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,7 +1,7 @@
 """Zones: the cross-zone fraction, and zones that are ejected."""
 
 import pytest
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     Endpoint,
@@ -18,9 +18,9 @@
         now = local = 0
         for i in range(400):
             now += 20_000
-            server = ask(node, recorder, now, i)[2]
+            server = send_request(node, recorder, now, i)[2]
             local += server % 2
-            end(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
+            end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
         return local / 400
 
     assert local_fraction(0.04) > 0.7
@@ -34,10 +34,10 @@
     now, remote = 0, 0
     for i in range(2000):
         now += 10_000
-        server = ask(node, recorder, now, i, 2)[2]
+        server = send_request(node, recorder, now, i, 2)[2]
         remote += i >= 1000 and server % 2 == 0
         overloaded = i >= 500 and server % 2 == 1
-        end(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
+        end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
     assert node.zone_preference.fraction > 0.5
     assert remote > 300
 
@@ -51,9 +51,9 @@
     now = remote = 0
     for i in range(600):
         now += 20_000
-        server = ask(node, recorder, now, i)[2]
+        server = send_request(node, recorder, now, i)[2]
         remote += server != 1
-        end(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
+        end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 250_000)
     assert remote / 600 >= least * 5 / 6 - 0.05
     assert node.zone_preference.fraction >= least
 
@@ -81,14 +81,14 @@
     sent_to = []
     for i in range(start, start + count):
         now = i * 100_000
-        action = ask(node, recorder, now, i)
+        action = send_request(node, recorder, now, i)
         while action[0] == "send":
             zone = node.subset.servers[action[2]].zone
             sent_to.append(zone)
             outcome = Outcome.OK if zone == alive else Outcome.CONNECT_FAILED
             attempt = node.requests[i].attempts - 1
             (action, *_) = [
-                *end(node, recorder, now + 50_000, i, attempt, action[2], outcome, 50_000),
+                *end_attempt(node, recorder, now + 50_000, i, attempt, action[2], outcome, 50_000),
                 ("none",),
             ]
     return sent_to
@@ -133,18 +133,18 @@
     now = 0
     for i in range(60):
         now += 100_000
-        action = ask(node, recorder, now, i, request_class=2)  # this class is not retried
+        action = send_request(node, recorder, now, i, request_class=2)  # this class is not retried
         if action[0] == "send" and node.subset.servers[action[2]].zone == 1:
             stuck += 1
             if stuck > 4:
-                end(node, recorder, now, i, 0, action[2], Outcome.TIMEOUT, 3 * SEC)
+                end_attempt(node, recorder, now, i, 0, action[2], Outcome.TIMEOUT, 3 * SEC)
         elif action[0] == "send":
-            end(node, recorder, now, i, 0, action[2], Outcome.OK, 50_000)
+            end_attempt(node, recorder, now, i, 0, action[2], Outcome.OK, 50_000)
     assert [zone.id for zone in node.outliers.ejected_zones] == [1]
     assert stuck > 4
     assert node.controller.in_flight == 0
     for i, r in list(node.requests.items()):  # late responses readmit the zone, and the count stays correct
-        end(node, recorder, now, i, 0, r.server.id, Outcome.OK, 50_000)
+        end_attempt(node, recorder, now, i, 0, r.server.id, Outcome.OK, 50_000)
     assert node.outliers.ejected_zones == []
     assert node.controller.in_flight == 0
 
@@ -174,9 +174,9 @@
     node, recorder, (_, first) = with_only_its_own_zone()
     for i in range(1000, 1400):
         now = i * 100_000
-        action = ask(node, recorder, now, i)
+        action = send_request(node, recorder, now, i)
         if action[0] == "send":
-            end(node, recorder, now + 50_000, i, 0, action[2], Outcome.OK, 50_000)
+            end_attempt(node, recorder, now + 50_000, i, 0, action[2], Outcome.OK, 50_000)
     assert node.outliers.ejected_zones == []
     assert set(node.subset.members) == first
     assert not node.subset.substitutes
