--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -1,4 +1,4 @@
-"""Scripted servers, a scripted discovery and a caller, all on loopback and on ports the system picks."""
+"""Scripted servers, scripted discoveries, a client and a node, all on loopback and on ports that the system picks."""
 
 from __future__ import annotations
 
@@ -54,46 +54,58 @@
     "report": {"columns": ["load_share", "err_ps"], "how": "inline"},
     "rules": {"cold": 5_000_000, "start_capacity": 0.4, "fall_multiple": 3.0, "tip_after": 1_000_000},
 }
-STARTED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # a watch begins
+# The start of the response to a watch.
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEAD = b" HTTP/1.1\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
-WAIT = 30  # seconds after which a test has failed; nothing is timed more closely
+# A test fails after this time. No test depends on a tighter bound.
+TEST_TIMEOUT_S = 30
 
 
 def run(test: Awaitable[None]) -> None:
+    """Runs a test's coroutine on uvloop, with a timeout."""
+
     async def limited() -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test
 
     uvloop.run(limited())
 
 
-async def held_calls() -> tuple[str, asyncio.Queue[asyncio.StreamWriter]]:
-    """A discovery that answers nothing by itself: its address, and its calls as they come."""
-    came: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
+async def unanswered_discovery() -> tuple[str, asyncio.Queue[asyncio.StreamWriter]]:
+    """Starts a discovery that never answers by itself. Returns its address, and a queue of the calls that arrive."""
+    calls: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        came.put_nowait(writer)
+        calls.put_nowait(writer)
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    return "{}:{}".format(*server.sockets[0].getsockname()), came
+    return "{}:{}".format(*server.sockets[0].getsockname()), calls
 
 
-async def until(true: Callable[[], object]) -> None:
-    """Waits for something to become true."""
-    while not true():
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Waits until the condition is true."""
+    while not condition():
         await asyncio.sleep(0.005)
 
 
-class Arrived:
-    """A request at a server."""
+class ReceivedRequest:
+    """A request that a server has received.
+
+    Attributes:
+        connection_number: The number of the connection on which it arrived, counted by the server.
+        received_at_us: The time at which it arrived, by the monotonic clock.
+        disconnected: Set once the node has closed the connection.
+    """
 
-    def __init__(self, head: bytes, body: bytes, writer: asyncio.StreamWriter, link: int) -> None:
+    def __init__(
+        self, head: bytes, body: bytes, writer: asyncio.StreamWriter, connection_number: int
+    ) -> None:
         self.head, self.body, self.writer = head, body, writer
-        self.link = link  # the number of the connection it came on
-        self.came = monotonic_us()
-        self.gone = asyncio.Event()  # the node has closed the connection
+        self.connection_number = connection_number
+        self.received_at_us = monotonic_us()
+        self.disconnected = asyncio.Event()
 
     def answer(self, status: int = 200, body: bytes = b"ok", extra: bytes = b"") -> None:
         self.writer.write(answer(status, body, extra))
@@ -102,71 +114,84 @@
         return header(self.head, name)
 
 
-class Origin:
-    """A server: what arrives stands in `arrived` until the test answers it."""
+class ScriptedServer:
+    """A server whose requests wait in `received` until the test answers them.
+
+    Attributes:
+        received: The requests, in the order in which they arrived.
+        connection_count: How many connections the node has opened.
+        closed: The numbers of the connections that the node has closed.
+    """
 
     def __init__(self) -> None:
-        self.arrived: asyncio.Queue[Arrived] = asyncio.Queue()
-        self.links = 0
-        self.closed: asyncio.Queue[int] = asyncio.Queue()  # connections that the node closed
+        self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.connection_count = 0
+        self.closed: asyncio.Queue[int] = asyncio.Queue()
 
-    async def start(self) -> Origin:
+    async def start(self) -> ScriptedServer:
         self.server, self.address = await listen(self.serve)
         return self
 
     def answer_all(self) -> None:
-        """Answers what has arrived and what will."""
+        """Answers every request with 200, both those that wait already and those that arrive later."""
 
         async def answer() -> None:
             while True:
-                (await self.arrived.get()).answer()
+                (await self.received.get()).answer()
 
-        self.answering = asyncio.create_task(answer())
+        self.answer_task = asyncio.create_task(answer())
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        link = self.links
-        self.links += 1
-        item = None
+        number = self.connection_count
+        self.connection_count += 1
+        request = None
         try:
             while True:
                 head, body = await read_message(reader)
-                item = Arrived(head, body, writer, link)
-                self.arrived.put_nowait(item)
+                request = ReceivedRequest(head, body, writer, number)
+                self.received.put_nowait(request)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.closed.put_nowait(link)
-            if item is not None:
-                item.gone.set()
+            self.closed.put_nowait(number)
+            if request is not None:
+                request.disconnected.set()
             writer.close()
 
 
-async def first(*origins: Origin):
-    """What arrives first at any of them."""
-    waits = [asyncio.ensure_future(o.arrived.get()) for o in origins]
-    done, rest = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for task in rest:
+async def first_received(*servers: ScriptedServer):
+    """Returns the request that arrives first at any of the servers."""
+    waits = [asyncio.ensure_future(server.received.get()) for server in servers]
+    done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for task in pending:
         task.cancel()
     return done.pop().result()
 
 
-class Catalog:
-    """Discovery: watches stand in `watches`, each with the path it asked for; `whole` answers other calls."""
+class ScriptedDiscovery:
+    """A discovery with push.
 
-    whole = b""
-    first = b"1\r\n\n\r\n"  # what a watch begins with: nothing has changed since the version it asks after
+    Attributes:
+        watches: The open watches, each with the path that was requested.
+        full_list: The answer to calls that are not watches.
+        first_update: The first line of each watch.
+    """
+
+    full_list = b""
+    # This line says that nothing has changed since the version that the client asks for.
+    first_update = b"1\r\n\n\r\n"
 
     def __init__(self) -> None:
         self.watches: asyncio.Queue[tuple[bytes, asyncio.StreamWriter]] = asyncio.Queue()
 
-    async def start(self) -> Catalog:
+    async def start(self) -> ScriptedDiscovery:
         self.server, self.address = await listen(self.serve)
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head, _ = await read_message(reader)
         if b"watch=1" not in head:
-            writer.write(answer(200, self.whole))
+            writer.write(answer(200, self.full_list))
             return
-        writer.write(STARTED + self.first)
+        writer.write(WATCH_RESPONSE_HEAD + self.first_update)
         self.watches.put_nowait((head.split(b" ")[1], writer))
 
     @staticmethod
@@ -174,19 +199,26 @@
         writer.write(chunk(line))
 
 
-__all__ = ["entry", "line", "update"]  # of the stand-ins, for the tests
+# Functions of the stand-ins that the tests import from here.
+__all__ = ["entry", "line", "update"]
+
 
+class SerialDiscovery:
+    """A discovery that answers one call at a time, each after a delay.
 
-class Desk:
-    """A discovery that is asked: one call at a time, each takes its time; a list of servers of which some leave."""
+    Attributes:
+        entries: The entry of each server, by its id.
+        draining: The servers that are draining.
+        answered: How many calls were answered.
+    """
 
-    def __init__(self, takes: float) -> None:
-        self.takes = takes
+    def __init__(self, response_delay_s: float) -> None:
+        self.response_delay_s = response_delay_s
         self.entries: dict[str, dict] = {}
         self.generation = 41
-        self.left: set[str] = set()
+        self.draining: set[str] = set()
         self.watches: list[asyncio.StreamWriter] = []
-        self.line = asyncio.Lock()
+        self.call_lock = asyncio.Lock()
         self.answered = 0
 
     async def start(self) -> str:
@@ -195,34 +227,34 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        async with self.line:
-            await asyncio.sleep(self.takes)
+        async with self.call_lock:
+            await asyncio.sleep(self.response_delay_s)
             self.answered += 1
-        writer.write(STARTED + chunk(json.dumps(self.whole()).encode()))
+        writer.write(WATCH_RESPONSE_HEAD + chunk(json.dumps(self.full_list()).encode()))
         self.watches.append(writer)
 
-    def whole(self) -> dict:
+    def full_list(self) -> dict:
         return update(self.generation, *self.entries.values(), reset=True)
 
     def drain(self, name: str) -> None:
         self.generation += 1
-        self.left.add(name)
+        self.draining.add(name)
         self.entries[name] = {**self.entries[name], "lifecycle": "terminating"}
         for writer in self.watches:
             writer.write(chunk(line(self.generation, self.entries[name])))
 
 
-def asked(nodes: int, number: int) -> dict:
-    """The settings of one of so many nodes that ask for their lists."""
+def polling_settings(nodes: int, number: int) -> dict:
+    """Returns the settings of node `number` of a fleet of `nodes` that poll discovery for their lists."""
     rules = {**SETTINGS["rules"], "ask_within": 10_000_000}
     return {"discovery": "ask", "group_size": nodes, "self_index": number, "rules": rules}
 
 
-ids = count(1)
+request_ids = count(1)
 
 
 class Client:
-    """A client on one connection."""
+    """A client with one connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -236,7 +268,7 @@
     def send(
         self, path: str = "/read/1", left: str = "25000m", body: bytes = b"", key: str = "", **more: str
     ):
-        headers = {"Host": "backend.local", "X-Request-ID": f"r{next(ids)}", "X-Timeout": left}
+        headers = {"Host": "backend.local", "X-Request-ID": f"r{next(request_ids)}", "X-Timeout": left}
         headers.update({name.replace("_", "-"): value for name, value in more.items()})
         if key:
             headers["Idempotency-Key"] = key
@@ -251,20 +283,23 @@
         return int(head.split(b" ")[1]), head, body
 
 
-class World:
-    """A node with some servers and a discovery."""
+class NodeEnvironment:
+    """A running node with its servers and its discovery. `task` runs the node."""
 
-    def __init__(self, node: Node, origins: list[Origin], catalog: Catalog, task: asyncio.Task) -> None:
-        self.node, self.origins, self.catalog, self.task = node, origins, catalog, task
+    def __init__(
+        self, node: Node, upstreams: list[ScriptedServer], discovery: ScriptedDiscovery, task: asyncio.Task
+    ) -> None:
+        self.node, self.upstreams, self.discovery_server, self.task = node, upstreams, discovery, task
 
     def client(self) -> Awaitable[Client]:
         return Client.open(self.node.address)
 
     async def watch(self) -> asyncio.StreamWriter:
-        return (await self.catalog.watches.get())[1]
+        return (await self.discovery_server.watches.get())[1]
 
 
-def config_of(discovery: str, settings: dict | None = None, **more) -> dict:
+def config_dict(discovery: str, settings: dict | None = None, **more) -> dict:
+    """Returns a node's configuration. `settings` override those of `SETTINGS`, `more` are further top-level keys."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -276,9 +311,9 @@
 
 
 @asynccontextmanager
-async def node_at(discovery: str, **more) -> AsyncIterator[Node]:
-    """A node that watches a discovery of the test's own."""
-    node = Node(config_from(config_of(discovery)), NodeOptions(**more))
+async def started_node(discovery: str, **more) -> AsyncIterator[Node]:
+    """Runs a node that uses the discovery at this address. `more` are options of the node."""
+    node = Node(config_from(config_dict(discovery)), NodeOptions(**more))
     task = asyncio.create_task(node.run())
     await node.started.wait()
     try:
@@ -289,29 +324,35 @@
             await node.options.embedded_service.stop()
 
 
-def with_node(
-    test: Callable[[World], Awaitable[None]],
+def run_with_node(
+    test: Callable[[NodeEnvironment], Awaitable[None]],
     servers: int = 1,
     known: list[dict] | None = None,
     settings: dict | None = None,
     zones: str = "",
     **limits,
 ) -> None:
-    """Runs a test against a node that knows so many servers; `zones` names theirs by first letters."""
+    """Runs a test against a node with `servers` servers in its configured list.
+
+    `known` replaces the entries of that list. `zones` has one letter for the zone of each server: "h" for "here", "t"
+    for "there". `limits` are the keys of the configuration's `limits`.
+    """
 
     async def body() -> None:
-        origins = [await Origin().start() for _ in range(servers)]
-        catalog = await Catalog().start()
-        entries = known or [entry(f"s{i}", o.address) for i, o in enumerate(origins)]
+        upstreams = [await ScriptedServer().start() for _ in range(servers)]
+        discovery = await ScriptedDiscovery().start()
+        entries = known or [entry(f"s{i}", o.address) for i, o in enumerate(upstreams)]
         for item, zone in zip(entries, zones, strict=False):
             item["zone"] = {"h": "here", "t": "there"}[zone]
         known_list = update(41, *entries, reset=True)
-        config = config_of(catalog.address, settings, limits={"sockets": 1024, **limits}, known=known_list)
+        config = config_dict(
+            discovery.address, settings, limits={"sockets": 1024, **limits}, known=known_list
+        )
         node = Node(config_from(config))
         task = asyncio.create_task(node.run())
         await node.started.wait()
         try:
-            await test(World(node, origins, catalog, task))
+            await test(NodeEnvironment(node, upstreams, discovery, task))
         finally:
             task.cancel()
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from random import Random
 
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     Endpoint,
@@ -21,10 +21,10 @@
         now += 10_000
         if i == 200:
             node.endpoint_update(now, EndpointUpdateKind.CHANGES, [Endpoint(2, ready_at=now)])
-            recorder.take()
-        action = ask(node, recorder, now, i)
+            recorder.take_calls()
+        action = send_request(node, recorder, now, i)
         warming_up += i >= 200 and action[2] == 2
-        end(node, recorder, now, i, 0, action[2], Outcome.OK, 250_000)
+        end_attempt(node, recorder, now, i, 0, action[2], Outcome.OK, 250_000)
     # For two seconds it may get up to 0.4 + 0.6 x 0.5 of the 25 to 33 requests per second of a warm member.
     assert 5 <= warming_up <= 40
 
@@ -42,7 +42,7 @@
 def test_if_the_servers_picked_are_warming_up_another_member_gets_the_request():
     entries = [Endpoint(i + 1, ready_at=SEC) for i in range(20)] + [Endpoint(21)]
     node, recorder = balancer(entries)
-    assert {ask(node, recorder, SEC + 1000 * i, i)[2] for i in range(20)} == {21}
+    assert {send_request(node, recorder, SEC + 1000 * i, i)[2] for i in range(20)} == {21}
 
 
 def rolling_replacement(seed: int, late: bool) -> tuple[float, float]:
@@ -66,9 +66,9 @@
             )
         for due, request, server in [o for o in in_flight if o[0] <= now]:
             in_flight.remove((due, request, server))
-            end(node, recorder, now, request, 0, server, Outcome.OK, (1_900_000 if late else 100_000))
+            end_attempt(node, recorder, now, request, 0, server, Outcome.OK, (1_900_000 if late else 100_000))
         number = now // (s // 20) + 1
-        action = ask(node, recorder, now, number, request_class=2)
+        action = send_request(node, recorder, now, number, request_class=2)
         if now >= 15 * s:
             requested += 1
             shed += action[0] == "shed"
@@ -118,10 +118,10 @@
     sent: dict[int, list[int]] = {i: [] for i in range(1, 5)}
     for i in range(400):
         now = 10 * SEC + i * SEC // 100
-        kind, request, *rest = ask(node, recorder, now, i)
+        kind, request, *rest = send_request(node, recorder, now, i)
         if kind == "send":
             sent[rest[0]].append(now)
-            end(node, recorder, now + 1000, request, 0, rest[0], Outcome.OK, 1000)
+            end_attempt(node, recorder, now + 1000, request, 0, rest[0], Outcome.OK, 1000)
     # An even part is 25 requests per second. For one second a server can bear three times the even part, scaled
     # by the fraction of its capacity that it has.
     for at in sent.values():
