--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""From several sources to one list: the cache file, address files, priorities, and many virtual days of failures."""
+"""Tests how several sources become one list: cache file, address files, priorities, and simulated failures."""
 
 import os
 from collections import Counter
@@ -31,11 +31,11 @@
 # ---- the cache file -----------------------------------------------------------------------------------------
 
 
-def test_a_cache_file_is_read_as_it_was_written():
+def test_a_cache_file_is_read_back_unchanged():
     assert cache_file.decode(cache_file.encode(SETS)) == SETS
 
 
-def test_a_cache_file_cut_or_changed_at_any_byte_is_refused_whole():
+def test_a_cache_file_that_is_truncated_or_changed_at_any_byte_is_rejected():
     data = cache_file.encode(SETS)
     for at in range(len(data)):
         for bad in (data[:at], data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]):
@@ -44,55 +44,55 @@
 
 
 def test_a_kill_at_any_step_of_writing_leaves_the_old_file_or_the_new_one(tmp_path, monkeypatch):
-    """The writer dies before its n-th call to the system, whatever that is, a write of half the bytes among them."""
+    """The writer is killed before its n-th system call, for each n. Writes are partial: at most 37 bytes each."""
     path = str(tmp_path / "cache")
     new = {"_a._tcp.example.org": SETS["_b._tcp.example.org"]}
     real = {name: getattr(os, name) for name in ("open", "write", "fsync", "close", "replace")}
-    ends = Counter()
-    for dies_at in range(40):
+    outcomes = Counter()
+    for killed_at in range(40):
         write_cache_file(path, SETS)
         calls = 0
 
-        def step(name, dies_at=dies_at):
-            def dying(*args, **more):
+        def step(name, killed_at=killed_at):
+            def killed(*args, **kwargs):
                 nonlocal calls
                 calls += 1
                 if name == "write":
                     args = (args[0], args[1][:37])
-                if calls > dies_at:
+                if calls > killed_at:
                     raise KeyboardInterrupt
-                return real[name](*args, **more)
+                return real[name](*args, **kwargs)
 
-            return dying
+            return killed
 
         for name in real:
             monkeypatch.setattr(os, name, step(name))
         try:
             write_cache_file(path, new)
-            ends["done"] += 1
+            outcomes["done"] += 1
         except KeyboardInterrupt:
             pass
         monkeypatch.undo()
         found = read_cache_file(path)
-        assert found in (SETS, new), dies_at
-        ends["new" if found == new else "old"] += 1
-    assert ends["old"] > 5 and ends["new"] > 5 and ends["done"], ends
+        assert found in (SETS, new), killed_at
+        outcomes["new" if found == new else "old"] += 1
+    assert outcomes["old"] > 5 and outcomes["new"] > 5 and outcomes["done"], outcomes
 
 
-def test_a_clock_set_back_makes_no_cached_set_young():
+def test_the_age_of_a_cached_set_is_not_negative_if_the_clock_is_set_back():
     cached = SETS["_a._tcp.example.org"]
     assert cached.age(1040.0) == (40.0, 10.0)
     assert cached.age(0.0) == (0.0, 0.0)
 
 
-def test_a_restored_set_is_stale_and_refreshed_at_once():
+def test_a_restored_set_is_stale_and_due_for_a_refresh_at_once():
     name = CachedName(CacheLimits(), Random(1), 0.0)
     name.restore(0.0, SETS["_a._tcp.example.org"].answer, 0.0, -0.001)
     assert name.view(0.0).status == CacheStatus.STALE
     assert name.due(0.0)
 
 
-# ---- files of addresses -------------------------------------------------------------------------------------
+# ---- address files ------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -108,12 +108,12 @@
         ("10.0.0.1:80 zone=\n", "zone="),
     ],
 )
-def test_a_bad_line_makes_the_whole_file_bad_and_is_named(text, problem):
+def test_an_invalid_line_makes_the_whole_file_invalid_and_is_named(text, problem):
     with pytest.raises(AddressFileError, match=problem):
         parse(text)
 
 
-def test_a_file_states_weight_priority_zone_name_and_drain():
+def test_a_line_can_set_weight_priority_zone_name_and_drain():
     one, two = parse(
         "# boxes\n10.0.0.1:80 weight=2.5 priority=1 name=b-1 zone=x # fast\n\n[::1]:81 drain\n", "z", 3
     )
@@ -126,7 +126,7 @@
 # ---- weights and priorities ---------------------------------------------------------------------------------
 
 
-def test_weights_compare_within_a_priority_and_priorities_within_a_name():
+def test_weights_are_relative_to_their_priority_and_priorities_to_their_name():
     statements = srv_statements(
         [
             SrvEndpoint(20, "a.", "10.0.0.1", 80, 30),
@@ -144,7 +144,7 @@
 
 
 class RecordingConsumer:
-    """A consumer that records who is in service; tests set what it says of health and maintenance."""
+    """A consumer that records the endpoints in service; tests set the unhealthy endpoints and the maintenance."""
 
     def __init__(self) -> None:
         self.in_service: dict[str, dict] = {}
@@ -154,11 +154,11 @@
     def apply(self, update, *, cached=False, full=False) -> None:
         if full or cached or update.get("reset"):
             self.in_service = {}
-        for line in update["instances"]:
-            if line["lifecycle"] == "in_service":
-                self.in_service[line["instanceId"]] = line
+        for entry in update["instances"]:
+            if entry["lifecycle"] == "in_service":
+                self.in_service[entry["instanceId"]] = entry
             else:
-                self.in_service.pop(line["instanceId"], None)
+                self.in_service.pop(entry["instanceId"], None)
 
     def unhealthy(self) -> set[str]:
         return self.unhealthy_addresses
@@ -171,7 +171,7 @@
 
 
 def watch_list(*numbers: str, draining: str = "", started: int = 0) -> dict:
-    lines = [
+    entries = [
         {
             "instanceId": f"id-{n}",
             "hostPort": f"10.0.0.{n}:80",
@@ -180,14 +180,14 @@
         }
         for n in numbers
     ]
-    return {"generation": 1, "reset": True, "instances": lines}
+    return {"generation": 1, "reset": True, "instances": entries}
 
 
 def endpoints(*numbers: str, priority: int = 0) -> tuple[SrvEndpoint, ...]:
     return tuple(SrvEndpoint(priority, f"box{n}.", f"10.0.0.{n}", 80, 1) for n in numbers)
 
 
-FIRST, SPARE = {f"10.0.0.{i}:80" for i in range(1, 5)}, {"10.0.0.5:80", "10.0.0.6:80"}
+FIRST, SECOND = {f"10.0.0.{i}:80" for i in range(1, 5)}, {"10.0.0.5:80", "10.0.0.6:80"}
 
 
 @pytest.fixture
@@ -206,22 +206,24 @@
 
 def test_the_next_priority_is_used_while_the_first_is_short_of_healthy_endpoints(two_priorities):
     consumer, publisher = two_priorities
-    for count, expected in ((2, FIRST), (3, FIRST | SPARE), (2, FIRST | SPARE), (1, FIRST)):
+    for count, expected in ((2, FIRST), (3, FIRST | SECOND), (2, FIRST | SECOND), (1, FIRST)):
         consumer.unhealthy_addresses = set(sorted(FIRST)[:count])
         publisher.publish_changes(1, 1)
-        assert set(consumer.in_service) == expected, "in under a half, out at seven tenths"
+        assert set(consumer.in_service) == expected, (
+            "the second priority is used below 0.5 healthy and until 0.7"
+        )
 
 
 def test_the_next_priority_is_used_while_the_first_is_in_maintenance(two_priorities):
     consumer, publisher = two_priorities
     consumer.maintenance_names = sorted(FIRST)[:3]
     publisher.publish_changes(2, 2)
-    assert set(consumer.in_service) >= SPARE
+    assert set(consumer.in_service) >= SECOND
 
 
 @pytest.fixture
 def endpoint_in_two_names():
-    """A consumer and its publisher; two SRV names list 10.0.0.1, with weights of their own."""
+    """A consumer and its publisher; two SRV names list 10.0.0.1 with different weights."""
     consumer = RecordingConsumer()
     publisher = MembershipPublisher(consumer, watch_rank=None)
     for name, rank in (("srv:a", 2), ("srv:b", 1)):
@@ -236,21 +238,21 @@
     return consumer, publisher
 
 
-def test_an_endpoint_in_two_names_has_the_weight_of_the_one_that_ranks_higher(endpoint_in_two_names):
+def test_an_endpoint_in_two_names_has_the_weight_from_the_name_with_the_better_rank(endpoint_in_two_names):
     consumer, publisher = endpoint_in_two_names
     assert consumer.in_service["10.0.0.1:80"]["weight"] == 0.5
-    publisher.reconciler.add_source("srv:a", 0)  # a reload gives it the better rank
+    publisher.reconciler.add_source("srv:a", 0)  # as after a reload with a better rank for this name
     publisher.publish_changes(1, 1)
     assert consumer.in_service["10.0.0.1:80"]["weight"] == 1.5
 
 
-def test_an_endpoint_in_two_names_is_one_and_is_found_by_both(endpoint_in_two_names):
+def test_an_endpoint_in_two_names_is_published_once_and_found_by_both_names(endpoint_in_two_names):
     consumer, publisher = endpoint_in_two_names
     assert len(consumer.in_service) == 3
     assert publisher.resolve("x:80") == publisher.resolve("z:80") == "10.0.0.1:80"
 
 
-def test_a_resolver_dead_for_an_hour_is_asked_seldom_and_takes_nothing_out():
+def test_a_resolver_that_fails_for_an_hour_is_queried_rarely_and_removes_no_endpoint():
     name, now, queries = CachedName(CacheLimits(), Random(4), 0.0), 0.0, 0
     name.receive_answer(0.0, SrvAnswer(endpoints("1", "2"), 5.0))
     consumer = RecordingConsumer()
@@ -266,28 +268,30 @@
             publisher.set_confidence("srv:x", Confidence.STALE)
         publisher.publish_changes(now, now)
         assert len(consumer.in_service) == 2
-    assert 100 < queries < 300, "each half minute, drawn"
+    assert 100 < queries < 300, "expected a query after 15 to 30 s, chosen at random"
     name.receive_answer(now, SrvAnswer(endpoints("2", "3"), 5.0))
     publisher.update_source(now, "srv:x", srv_statements(name.view(now).endpoints))
     publisher.publish_changes(now, now)
     assert set(consumer.in_service) == {"10.0.0.2:80", "10.0.0.3:80"}
 
 
-def test_a_start_takes_nothing_out_before_every_source_has_spoken_or_had_its_time():
+def test_a_start_removes_no_remembered_endpoint_before_all_sources_have_a_list_or_the_wait_ends():
     consumer = RecordingConsumer()
     publisher = MembershipPublisher(consumer, wait_until=3.0)
     publisher.reconciler.add_source("srv:x", 1)
     publisher.remember([{"hostPort": "10.0.0.9:80", "lifecycle": "in_service"}])
     publisher.update_watch(0, 0, watch_list("1"), cached=False, full=True)
     publisher.publish_changes(0, 0)
-    assert set(consumer.in_service) == {"10.0.0.1:80", "10.0.0.9:80"}, "what was known before the start stays"
+    assert set(consumer.in_service) == {"10.0.0.1:80", "10.0.0.9:80"}, (
+        "an endpoint from before the start was removed"
+    )
     publisher.publish_changes(3.0, 3.0)
     assert set(consumer.in_service) == {"10.0.0.1:80"}
 
 
 @pytest.fixture
 def ten_endpoints_of_one_name():
-    """A consumer and its publisher; the watch lists two endpoints, an SRV name one of them and ten of a target."""
+    """A consumer and its publisher; the watch lists two endpoints, an SRV name one of them and ten of one target."""
     consumer = RecordingConsumer()
     publisher = MembershipPublisher(consumer)
     publisher.reconciler.add_source("srv:x", 1)
@@ -298,16 +302,18 @@
     return consumer, publisher
 
 
-def test_a_name_leads_to_its_endpoint_unless_it_stands_for_several(ten_endpoints_of_one_name):
+def test_a_name_resolves_to_its_endpoint_unless_several_endpoints_have_it(ten_endpoints_of_one_name):
     _, publisher = ten_endpoints_of_one_name
     assert publisher.resolve("id-1") == publisher.resolve("box1:80") == "10.0.0.1:80"
-    assert publisher.resolve("many:80") == "many:80", "an operator names one of the ten by its address"
+    assert publisher.resolve("many:80") == "many:80", (
+        "the name of ten endpoints must not resolve to one of them"
+    )
 
 
 def test_an_endpoint_has_its_address_as_its_id(ten_endpoints_of_one_name):
     consumer, _ = ten_endpoints_of_one_name
     assert len(consumer.in_service) == 12
-    assert all(key == line["hostPort"] for key, line in consumer.in_service.items())
+    assert all(key == entry["hostPort"] for key, entry in consumer.in_service.items())
 
 
 def started_at_ms(consumer: RecordingConsumer, *numbers: str) -> list[int]:
@@ -323,7 +329,7 @@
     publisher.update_watch(0, 1000, watch_list("1"), cached=False, full=True)
     publisher.update_source(0, "srv:x", srv_statements(endpoints("2")))
     publisher.publish_changes(0, 1000)
-    assert started_at_ms(consumer, "1", "2") == [0, 0], "there before us"
+    assert started_at_ms(consumer, "1", "2") == [0, 0], "endpoints in the first lists have no start time"
     publisher.update_source(50, "srv:x", srv_statements(endpoints("2", "3")))
     other = watch_list("1")
     other["instances"][0]["instanceId"] = "id-new"
@@ -332,17 +338,17 @@
     return consumer, publisher
 
 
-def test_an_endpoint_that_comes_later_has_just_started(later_endpoints):
+def test_an_endpoint_that_is_added_later_has_just_started(later_endpoints):
     consumer, _ = later_endpoints
     assert started_at_ms(consumer, "3") == [1_050_000]
 
 
-def test_another_server_at_an_address_has_just_started(later_endpoints):
+def test_a_server_that_replaces_another_at_an_address_has_just_started(later_endpoints):
     consumer, _ = later_endpoints
     assert started_at_ms(consumer, "1") == [1_050_000]
 
 
-def test_a_clock_set_back_changes_no_start(later_endpoints):
+def test_a_start_time_does_not_change_if_the_clock_is_set_back(later_endpoints):
     consumer, publisher = later_endpoints
     publisher.publish_changes(90, 5)
     more = [*endpoints("2", "3"), SrvEndpoint(0, "c.", "10.0.0.3", 81, 1)]
@@ -355,23 +361,23 @@
 
 
 def test_reconciling_only_what_has_changed_gives_the_same_endpoints():
-    """Beside a reconciler that looks at every endpoint at each step."""
+    """Compares with a reconciler that checks every endpoint at each step."""
     for seed in range(150):
         rng = Random(seed)
-        quick, thorough = (
+        incremental, full = (
             MembershipReconciler(MergeLimits(grace_s=20)),
             MembershipReconciler(MergeLimits(grace_s=20)),
         )
         names = ["a", "b", "c"]
-        for reconciler in (quick, thorough):
+        for reconciler in (incremental, full):
             for rank, name in enumerate(names):
                 reconciler.add_source(name, rank % 2)
         for step in range(60):
             now, draw, name = step * 7.0, rng.random(), rng.choice(names)
-            some = [str(n) for n in range(9) if rng.random() < 0.7]
-            for reconciler in (quick, thorough):
+            listed = [str(n) for n in range(9) if rng.random() < 0.7]
+            for reconciler in (incremental, full):
                 if draw < 0.6:
-                    statements = srv_statements(endpoints(*some))
+                    statements = srv_statements(endpoints(*listed))
                     reconciler.update_source(now, name, statements if draw < 0.5 else statements[:3])
                 elif draw < 0.8:
                     reconciler.set_confidence(name, Confidence.STALE if draw < 0.75 else Confidence.LOST)
@@ -380,19 +386,19 @@
                 else:
                     reconciler.remove_source(name)
                     reconciler.add_source(name, int(draw * 100) % 3)
-            thorough.dirty.update(f"10.0.0.{n}:80" for n in range(9))
-            quick.reconcile(now)
-            thorough.reconcile(now)
+            full.dirty.update(f"10.0.0.{n}:80" for n in range(9))
+            incremental.reconcile(now)
+            full.reconcile(now)
             found, expected = (
                 {a: (e.verdict, e.in_service, e.statement, e.names) for a, e in r.endpoints.items()}
-                for r in (quick, thorough)
+                for r in (incremental, full)
             )
             assert found == expected, (seed, step)
 
 
 @pytest.fixture
 def reconciler_of_many_removed():
-    """One source, which lists another endpoint at each of 3000 steps."""
+    """A reconciler with one source, which lists a different endpoint at each of 3000 steps."""
     reconciler = MembershipReconciler(MergeLimits(grace_s=1))
     reconciler.add_source("a", 0)
     for step in range(3000):
@@ -401,12 +407,12 @@
     return reconciler
 
 
-def test_a_tombstone_says_why_an_endpoint_was_removed(reconciler_of_many_removed):
+def test_a_tombstone_holds_the_reason_why_an_endpoint_was_removed(reconciler_of_many_removed):
     verdict = reconciler_of_many_removed.tombstones["10.0.0.2998:80"].verdict
     assert str(verdict.line).startswith("11 ")
 
 
-def test_what_is_remembered_of_removed_endpoints_is_bounded(reconciler_of_many_removed):
+def test_the_state_of_removed_endpoints_is_bounded(reconciler_of_many_removed):
     reconciler = reconciler_of_many_removed
     assert len(reconciler.tombstones) <= 1000
     assert len(reconciler.sources_by_address) < 20
@@ -416,11 +422,11 @@
     assert len(reconciler.sources["a"].drop_times) < 20
 
 
-# ---- many days of failures ----------------------------------------------------------------------------------
+# ---- simulated failures -------------------------------------------------------------------------------------
 
 
 def publish_view(publisher: MembershipPublisher, now: float, source: str, view: CacheView) -> None:
-    """As a DNS source does."""
+    """Passes the view of an SRV name to the publisher, as a DNS source does."""
     if view.status in (CacheStatus.FRESH, CacheStatus.EMPTY):
         publisher.update_source(now, source, srv_statements(view.endpoints))
     elif view.status in (CacheStatus.STALE, CacheStatus.UNCONFIRMED_EMPTY):
@@ -429,11 +435,12 @@
         publisher.set_confidence(source, Confidence.LOST)
 
 
-def test_two_thousand_days_of_sources_and_servers_failing_together():
-    """A watch and two SRV names on a virtual clock; DNS dies, lists half, flaps and answers nothing; the watch too.
+def test_endpoints_stay_correct_while_sources_fail_in_two_thousand_simulated_runs():
+    """Simulates a watch and one or two SRV names, which fail, list half of the endpoints, flap and list none.
 
-    After every step: no drained endpoint is in service; with every source failing nothing goes; a true endpoint that
-    the best fresh source lists is in service; and none goes in and out with a source that flaps.
+    After every step, no draining endpoint is in service; while all sources fail, no endpoint is removed; and an
+    existing endpoint that the best fresh source lists is in service. No endpoint goes in and out of service as often
+    as a flapping source changes its list.
     """
     seen: Counter[str] = Counter()
     for day in range(2000):
@@ -444,10 +451,10 @@
         dns_names = {f"srv:{i}": CachedName(limits, rng, 0.0) for i in range(rng.choice([1, 2]))}
         for i, source in enumerate(dns_names):
             publisher.reconciler.add_source(source, 1 + i)
-        true, count, drained = [str(i) for i in range(8)], 8, set()
+        actual, count, drained = [str(i) for i in range(8)], 8, set()
         states = dict.fromkeys([WATCH, *dns_names], "good")
         published: dict[str, tuple] = {}
-        swings: Counter[str] = Counter()
+        state_changes: Counter[str] = Counter()
         now = 0.0
         for step in range(40):
             now += rng.uniform(1, 45)
@@ -455,29 +462,31 @@
                 if rng.random() < 0.12:
                     states[source] = rng.choice(["good", "good", "dead", "half", "flap", "empty"])
             if rng.random() < 0.1 and states[WATCH] == "good":
-                true[rng.randrange(len(true))] = str(count)
+                actual[rng.randrange(len(actual))] = str(count)
                 count += 1
             if rng.random() < 0.1:
-                drained ^= {rng.choice(true)}
-            drained &= set(true)
+                drained ^= {rng.choice(actual)}
+            drained &= set(actual)
             before = set(consumer.in_service)
             failing = step > 0 and all(state in ("dead", "empty") for state in states.values())
             for source, state in states.items():
                 seen[state] += 1
-                some = {"half": true[:4], "flap": true[: 4 if step % 2 else 8], "empty": []}.get(state, true)
+                listed = {"half": actual[:4], "flap": actual[: 4 if step % 2 else 8], "empty": []}.get(
+                    state, actual
+                )
                 if source == WATCH:
                     if state in ("dead", "empty"):
                         publisher.set_confidence(WATCH, Confidence.STALE)
                     else:
-                        update = watch_list(*some, draining=" ".join(drained))
+                        update = watch_list(*listed, draining=" ".join(drained))
                         publisher.update_watch(now, now, update, cached=False, full=True)
                     continue
                 name = dns_names[source]
                 if state == "dead":
                     name.receive_failure(now, "SERVFAIL")
                 else:
-                    empty = "" if some else "NXDOMAIN"
-                    name.receive_answer(now, SrvAnswer(endpoints(*some), 20.0, empty=empty))
+                    empty = "" if listed else "NXDOMAIN"
+                    name.receive_answer(now, SrvAnswer(endpoints(*listed), 20.0, empty=empty))
                 view = name.view(now)
                 key = (view.status, name.answered_at)
                 if published.get(source) != key:
@@ -485,19 +494,23 @@
                     publish_view(publisher, now, source, view)
             publisher.publish_changes(now, now)
             after = set(consumer.in_service)
-            where = {f"10.0.0.{n}:80" for n in true}
-            out = {f"10.0.0.{n}:80" for n in drained}
+            present = {f"10.0.0.{n}:80" for n in actual}
+            drained_addresses = {f"10.0.0.{n}:80" for n in drained}
             if states[WATCH] not in ("dead", "empty"):
-                assert not after & {f"10.0.0.{n}:80" for n in drained if n in true[:4]}, (day, step)
+                assert not after & {f"10.0.0.{n}:80" for n in drained if n in actual[:4]}, (day, step)
             if states[WATCH] == "good":
-                assert after >= where - out, (day, step, "the source that ranks first is right")
+                assert after >= present - drained_addresses, (
+                    day,
+                    step,
+                    "an endpoint that the watch lists is missing",
+                )
             believed_empty = any(name.view(now).status == CacheStatus.EMPTY for name in dns_names.values())
             if failing and not believed_empty:
                 seen["failing"] += 1
-                assert after >= before, (day, step, "failures alone took something out")
+                assert after >= before, (day, step, "failures alone removed an endpoint")
             if failing and before:
                 assert after or believed_empty, (day, step, "failures alone emptied the list")
-            for address in (before ^ after) & where - out:
-                swings[address] += 1
-        assert max(swings.values(), default=0) <= 14, (day, swings)
+            for address in (before ^ after) & present - drained_addresses:
+                state_changes[address] += 1
+        assert max(state_changes.values(), default=0) <= 14, (day, state_changes)
     assert min(seen[k] for k in ("good", "dead", "half", "flap", "empty", "failing")) > 500, seen
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Several sources: the merge rule against its table in the docs, and the reconciler through days of failing sources."""
+"""Tests the merge rule against its table in the docs, and the reconciler with sources that fail in many ways."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 TABLE = Path(__file__).parent.parent / "docs" / "design-sources.md"
 DROPS = {"new no", "flap no", "no", "mass no"}
 
-# The conditions of the table, in its own words.
+# The conditions in the table, by their text.
 CONDITIONS = {
     "": lambda e: True,
     "no drop": lambda e: not any(w in DROPS for _, w in e),
@@ -43,16 +43,16 @@
     return rows
 
 
-def by_the_table(rows, evidence) -> tuple[str, str]:
-    for number, some, and_, decision in rows:
-        applies = not some or any(w == some or (some == "drop" and w in DROPS) for _, w in evidence)
-        if applies and CONDITIONS[and_](evidence):
+def decide_by_table(rows, evidence) -> tuple[str, str]:
+    for number, status, condition, decision in rows:
+        applies = not status or any(w == status or (status == "drop" and w in DROPS) for _, w in evidence)
+        if applies and CONDITIONS[condition](evidence):
             return decision, number
-    raise AssertionError("no line of the table holds")
+    raise AssertionError("no line of the table applies")
 
 
 def combinations() -> Iterator[list[Evidence]]:
-    """What one, two or three sources may say of an endpoint, with every order of their ranks."""
+    """Yields every combination of statuses in one, two or three sources, with every order of their ranks."""
     for count in (1, 2, 3):
         for statuses in product(ListingStatus, repeat=count):
             for ranks in combinations_with_replacement(range(count), count):
@@ -64,7 +64,7 @@
     for evidence in combinations():
         verdict = decide(evidence)
         stated = [(item.rank, str(item.status)) for item in evidence]
-        assert by_the_table(rows, stated) == (str(verdict.decision), verdict.line.split(" ")[0]), evidence
+        assert decide_by_table(rows, stated) == (str(verdict.decision), verdict.line.split(" ")[0]), evidence
         lines[verdict.line] += 1
     assert set(lines) == set(RuleLine)
 
@@ -106,7 +106,7 @@
 
 
 def watch_and_srv_with(*addresses: str) -> MembershipReconciler:
-    """Both sources list these at time 0."""
+    """Returns a reconciler whose two sources both list these addresses at time 0."""
     reconciler = watch_and_srv()
     for name in ("watch", "srv"):
         reconciler.update_source(0, name, statements(*addresses))
@@ -117,21 +117,22 @@
 
 
 @pytest.mark.parametrize("first", ["watch", "srv"])
-def test_a_release_out_of_step_by_half_a_minute_takes_nothing_out_and_in_again(first):
+def test_sources_that_differ_by_30_s_during_a_release_remove_no_endpoint_that_is_still_listed(first):
     reconciler, second = watch_and_srv_with(*ALL), "srv" if first == "watch" else "watch"
     lists, seen = {first: list(ALL), second: list(ALL)}, []
-    for i in range(3):  # each old endpoint goes, and a new one comes, in one source 30 s before the other
+    # At each step, one endpoint is replaced by a new one, in one source 30 s before the other.
+    for i in range(3):
         for at, name in ((100 * i, first), (100 * i + 30, second)):
             lists[name] = [a for a in lists[name] if a != ALL[i]] + [f"10.1.0.{i}:80"]
             reconciler.update_source(at, name, statements(*lists[name]))
             seen.append(in_service(reconciler, at))
             assert len(seen[-1]) >= 10
             assert f"10.1.0.{i}:80" in seen[-1]
-        assert ALL[i] not in seen[-1], "gone once both have dropped it"
+        assert ALL[i] not in seen[-1], "still in service after both sources dropped it"
 
 
 @pytest.mark.parametrize("partial", ["watch", "srv"])
-def test_a_source_that_lists_half_is_not_believed_while_the_other_lists_all(partial):
+def test_a_source_that_lists_half_removes_nothing_while_the_other_lists_all(partial):
     reconciler = watch_and_srv_with(*ALL)
     reconciler.update_source(10, partial, statements(*ALL[:5]))
     for now in (10, 60, 100, 4000):
@@ -140,7 +141,7 @@
 
 
 @pytest.mark.parametrize("partial", ["watch", "srv"])
-def test_a_source_that_lists_half_is_believed_once_it_is_the_only_one(partial):
+def test_a_source_that_lists_half_counts_once_it_is_the_only_one(partial):
     reconciler = watch_and_srv_with(*ALL)
     reconciler.update_source(10, partial, statements(*ALL[:5]))
     for now in (10, 60, 100, 4000):
@@ -151,7 +152,7 @@
 
 
 @pytest.mark.parametrize(("dropping", "stays"), [("watch", False), ("srv", True)])
-def test_one_dropped_endpoint_goes_by_rank_once_the_time_to_disagree_is_over(dropping, stays):
+def test_the_better_rank_decides_on_a_dropped_endpoint_once_the_grace_period_is_over(dropping, stays):
     reconciler = watch_and_srv_with(*ALL)
     reconciler.update_source(10, dropping, statements(*ALL[1:]))
     assert ALL[0] in in_service(reconciler, 69)
@@ -160,7 +161,7 @@
     assert {item.status for item in evidence.values()} == {ListingStatus.LISTED, ListingStatus.DROPPED}
 
 
-def test_a_drain_from_any_source_holds_until_that_source_takes_it_back():
+def test_a_drain_by_any_source_lasts_until_that_source_ends_it():
     reconciler = watch_and_srv()
     reconciler.update_source(0, "watch", statements(*ALL))
     reconciler.update_source(0, "srv", statements(*ALL, draining=ALL[0]))
@@ -173,7 +174,7 @@
     assert ALL[0] in in_service(reconciler, 6)
 
 
-def test_maintenance_by_name_stands_above_every_source():
+def test_maintenance_by_name_overrides_every_source():
     reconciler = watch_and_srv_with(*ALL)
     assert ALL[0] in in_service(reconciler, 6)
     reconciler.set_maintenance({f"n-{ALL[0]}"})
@@ -182,7 +183,7 @@
     assert ALL[0] in in_service(reconciler, 8)
 
 
-def test_an_endpoint_remembers_its_last_five_changes():
+def test_an_endpoint_keeps_its_last_five_changes():
     reconciler = watch_and_srv_with(*ALL)
     for now in range(1, 21):
         drained = ALL[0] if now % 2 else ""
@@ -192,16 +193,16 @@
     assert [change.at for change in changes] == [16, 17, 18, 19, 20]
 
 
-def test_an_added_source_takes_nothing_out():
+def test_an_added_source_removes_no_endpoint():
     reconciler = watch_and_srv()
     reconciler.update_source(0, "watch", statements(*ALL[:6]))
     reconciler.update_source(0, "srv", statements(*ALL[4:]))
-    assert in_service(reconciler, 0) == set(ALL), "each speaks of endpoints of its own"
+    assert in_service(reconciler, 0) == set(ALL), "an endpoint that only one source lists is missing"
     reconciler.add_source("file", 2)
     assert in_service(reconciler, 1) == set(ALL)
 
 
-def test_a_removed_source_takes_out_only_what_no_other_lists():
+def test_removing_a_source_removes_only_endpoints_that_no_other_source_lists():
     reconciler = watch_and_srv()
     reconciler.update_source(0, "watch", statements(*ALL[:6]))
     reconciler.update_source(0, "srv", statements(*ALL[4:]))
@@ -212,17 +213,20 @@
 
 def test_of_several_statements_at_an_address_the_lowest_priority_and_largest_weight_count():
     reconciler = watch_and_srv()
-    alike = [
+    same_address = [
         Statement(ALL[0], "a", weight=2.0),
         Statement(ALL[0], "b", weight=5.0),
         Statement(ALL[0], "c", priority=1, weight=9),
     ]
-    reconciler.update_source(3, "srv", alike)
+    reconciler.update_source(3, "srv", same_address)
     assert reconciler.sources["srv"].listed[ALL[0]].name == "b"
 
 
-def test_through_seeded_days_failures_never_empty_the_list_and_drained_endpoints_get_nothing():
-    """Three sources fail, list a part, lag and flap; the true set changes slowly. Checked after every step."""
+def test_failing_sources_remove_no_endpoint_and_draining_endpoints_are_out_of_service():
+    """Simulates up to three sources, which fail, list a part, lag and flap while the actual set changes slowly.
+
+    The conditions are checked after every step of each run.
+    """
     seen: Counter[str] = Counter()
     for seed in range(250):
         rng = Random(seed)
@@ -230,11 +234,11 @@
         names = ["watch", "srv", "file"][: rng.choice([1, 2, 3])]
         for rank, name in enumerate(names):
             reconciler.add_source(name, rank)
-        true, drained, count = [f"b{i}:1" for i in range(12)], set(), 12
+        actual, drained, count = [f"b{i}:1" for i in range(12)], set(), 12
         states = dict.fromkeys(names, "good")
-        lagging: dict[str, list[str]] = {name: list(true) for name in names}
+        lagging: dict[str, list[str]] = {name: list(actual) for name in names}
         for name in names:
-            reconciler.update_source(0, name, statements(*true))
+            reconciler.update_source(0, name, statements(*actual))
         before = in_service(reconciler, 0)
         for step in range(1, 120):
             now = step * 10.0
@@ -242,11 +246,11 @@
                 if rng.random() < 0.05:
                     states[name] = rng.choice(["good", "good", "stale", "lost", "half", "flap", "lag"])
             if rng.random() < 0.1:
-                true[rng.randrange(len(true))] = f"b{count}:1"
+                actual[rng.randrange(len(actual))] = f"b{count}:1"
                 count += 1
             if rng.random() < 0.1:
-                drained ^= {rng.choice(true)}
-            drained &= set(true)
+                drained ^= {rng.choice(actual)}
+            drained &= set(actual)
             for name in names:
                 state = states[name]
                 seen[state] += 1
@@ -254,7 +258,7 @@
                     reconciler.set_confidence(name, Confidence.STALE if state == "stale" else Confidence.LOST)
                     continue
                 if state != "lag":
-                    lagging[name] = list(true)
+                    lagging[name] = list(actual)
                 half = state == "half" or (state == "flap" and step % 2)
                 listed = lagging[name][:6] if half else lagging[name]
                 reconciler.update_source(now, name, statements(*listed, draining=" ".join(drained)))
@@ -263,13 +267,17 @@
             for address in after:
                 assert not any(address in s.draining and s.confidence != Confidence.LOST for s in sources)
             if not any(source.confidence == Confidence.FRESH for source in sources):
-                # Only what a drain that has lost its source held out may come in.
-                assert before <= after, (seed, step, "failures alone took something out")
+                # An endpoint may be added, when the source that drained it is lost.
+                assert before <= after, (seed, step, "failures alone removed an endpoint")
             good = [name for name in names if states[name] == "good"]
             if good and len(names) > 1 and min(reconciler.sources[name].rank for name in good) == 0:
-                missing = {a for a in true if a not in drained} - after
+                missing = {a for a in actual if a not in drained} - after
                 hidden = {a for source in sources for a in source.draining}
-                assert not missing - hidden, (seed, step, "the source that ranks first lists them")
+                assert not missing - hidden, (
+                    seed,
+                    step,
+                    "an endpoint that the source with the best rank lists is missing",
+                )
             before = after
     assert min(seen.values()) > 500, seen
 
@@ -278,7 +286,7 @@
 
 
 def health(*counts: tuple[int, int]) -> dict[int, Health]:
-    """By priority, from 0: how many endpoints are healthy, and of how many."""
+    """Returns the health by priority, from pairs of the numbers of healthy endpoints and all endpoints."""
     return {priority: Health(*count) for priority, count in enumerate(counts)}
 
 
@@ -286,10 +294,10 @@
     assert PriorityOverflow().in_use(health((10, 10), (5, 5))) == [0]
 
 
-def test_the_next_priority_is_used_below_one_share_until_another():
+def test_the_next_priority_is_used_below_the_enter_share_and_until_the_leave_share():
     overflow = PriorityOverflow()
     assert overflow.in_use(health((4, 10), (5, 5), (1, 1))) == [0, 1]
-    for healthy in (5, 6, 5, 6):  # between the bounds nothing changes
+    for healthy in (5, 6, 5, 6):  # between the two shares, nothing changes
         assert overflow.in_use(health((healthy, 10), (5, 5))) == [0, 1]
     assert overflow.in_use(health((7, 10), (5, 5))) == [0]
     assert overflow.in_use(health((5, 10), (5, 5))) == [0]
@@ -299,6 +307,6 @@
     assert PriorityOverflow().in_use(health((0, 0), (0, 3), (1, 1))) == [0, 1, 2]
 
 
-def test_an_overflow_without_hysteresis_is_refused():
+def test_an_overflow_without_hysteresis_is_rejected():
     with pytest.raises(ValueError):
         PriorityOverflow(0.7, 0.7)
--- a/tests/test_sources_node.py
+++ b/tests/test_sources_node.py
@@ -1,4 +1,7 @@
-"""A real node, and the control service, fed by DNS that lies, dies and disagrees with the watch: counted at servers."""
+"""Runs a real node and the control service with sources that fail, answer wrongly and disagree with each other.
+
+The servers count the requests that reach them.
+"""
 
 from __future__ import annotations
 
@@ -30,14 +33,14 @@
 NAME, ZONE = "_readings._tcp.site3.example.org", "site3.example.org."
 
 
-class Box:
-    """A server that answers at once and keeps what it has run, by request id and by time."""
+class RecordingServer:
+    """A server that responds at once and records the time, path and id of each request."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.ran: list[tuple[float, bytes, bytes]] = []
+        self.requests: list[tuple[float, bytes, bytes]] = []
 
-    async def start(self) -> Box:
+    async def start(self) -> RecordingServer:
         self.server, self.address = await listen(self.serve)
         return self
 
@@ -46,7 +49,7 @@
             while True:
                 head, _ = await read_message(reader)
                 now, path = asyncio.get_running_loop().time(), head.split(b" ")[1]
-                self.ran.append((now, path, header(head, b"X-Request-ID")))
+                self.requests.append((now, path, header(head, b"X-Request-ID")))
                 writer.write(answer(200, self.name.encode()))
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.close()
@@ -57,32 +60,32 @@
 
 
 class Site:
-    """DNS, a watch, boxes and one node."""
+    """A DNS server, a discovery server, servers and one node."""
 
     def __init__(self) -> None:
-        self.boxes: list[Box] = []
+        self.servers: list[RecordingServer] = []
         self.node: Node | None = None
 
-    async def start(self, boxes: int) -> None:
+    async def start(self, server_count: int) -> None:
         self.dns = await DnsServer().start()
         self.discovery_server = await StandinDiscovery().start()
-        self.boxes = [await Box(f"box{i}").start() for i in range(boxes)]
-        for i in range(boxes):
+        self.servers = [await RecordingServer(f"box{i}").start() for i in range(server_count)]
+        for i in range(server_count):
             self.dns.set_records(f"box{i}.{ZONE}", "A", "127.0.0.1", ttl=1)
 
-    def srv(
-        self, *which: int, ttl: int = 1, weights: dict[int, int] | None = None, second: tuple = ()
+    def set_srv_records(
+        self, *first: int, ttl: int = 1, weights: dict[int, int] | None = None, second: tuple = ()
     ) -> None:
-        """What DNS says: these boxes, those of `second` with the next priority."""
+        """Sets the SRV records: the servers `first` with the first priority, and `second` with the next one."""
         rows = [
-            f"{20 if i in second else 10} {(weights or {}).get(i, 1)} {self.boxes[i].port} box{i}.{ZONE}"
-            for i in (*which, *second)
+            f"{20 if i in second else 10} {(weights or {}).get(i, 1)} {self.servers[i].port} box{i}.{ZONE}"
+            for i in (*first, *second)
         ]
         self.dns.set_records(f"{NAME}.", "SRV", *rows, ttl=ttl)
 
-    def line(self, *which: int, draining: tuple[int, ...] = ()) -> list[dict]:
-        states = {i: "terminating" if i in draining else "in_service" for i in which}
-        return [entry(f"s-{i}", self.boxes[i].address, states[i]) for i in which]
+    def watch_entries(self, *indices: int, draining: tuple[int, ...] = ()) -> list[dict]:
+        states = {i: "terminating" if i in draining else "in_service" for i in indices}
+        return [entry(f"s-{i}", self.servers[i].address, states[i]) for i in indices]
 
     async def serve(self, table: SourcesTable, **more) -> Node:
         check(table)
@@ -97,18 +100,18 @@
             self.task.result()
         return self.node
 
-    def up(self) -> set[str]:
-        """Indices of boxes in service, as the node's module has them."""
+    def in_service(self) -> set[int]:
+        """Returns the indices of the servers that are in service in the node's endpoint registry."""
         numbers = {number: name for name, number in self.node.registry.numbers.items()}
-        where = {numbers[n] for n in self.node.registry.listed if n in numbers}
-        return {i for i, b in enumerate(self.boxes) if b.address in where}
+        addresses = {numbers[n] for n in self.node.registry.listed if n in numbers}
+        return {i for i, server in enumerate(self.servers) if server.address in addresses}
 
     async def admin_call(self, call: str, body: str = "") -> tuple[int, str]:
         reader, writer = await asyncio.open_connection(*self.node.admin_operations.server.address)
         writer.write(f"{call} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-        whole = (await reader.read()).decode()
+        response = (await reader.read()).decode()
         writer.close()
-        return int(whole.split()[1]), whole.partition("\r\n\r\n")[2].strip()
+        return int(response.split()[1]), response.partition("\r\n\r\n")[2].strip()
 
     async def close(self) -> None:
         if self.node is not None:
@@ -121,9 +124,9 @@
 
 
 @asynccontextmanager
-async def running_site(boxes: int = 4):
+async def running_site(server_count: int = 4):
     site = Site()
-    await site.start(boxes)
+    await site.start(server_count)
     try:
         yield site
     finally:
@@ -143,10 +146,10 @@
 
 
 class Load:
-    """Callers that ask all the time; every answer is counted, each request's id with it."""
+    """Clients that send requests all the time and count the responses by status."""
 
     def __init__(self, site: Site, callers: int = 4) -> None:
-        self.site, self.answers, self.sent, self.stop = site, Counter(), 0, False
+        self.site, self.responses, self.sent, self.stop = site, Counter(), 0, False
         self.tasks = [asyncio.create_task(self.call(n)) for n in range(callers)]
 
     async def call(self, n: int) -> None:
@@ -156,148 +159,156 @@
             kind = ("/read/1", "/put/user-1", "/pay/1")[self.sent % 3]
             client.send(kind, key=f"k{n}-{self.sent}" if kind[1] == "p" and kind[2] == "u" else "", body=b"")
             status, _, _ = await client.answer()
-            self.answers[status] += 1
+            self.responses[status] += 1
             await asyncio.sleep(0.002)
 
     async def end(self) -> None:
         self.stop = True
         await asyncio.gather(*self.tasks)
-        assert self.answers.total() == self.sent, "each got its one answer"
-        ran = Counter(request for b in self.site.boxes for _, path, request in b.ran if path == b"/pay/1")
-        assert ran and max(ran.values()) == 1, "no unsafe effect twice"
-        every = {request for b in self.site.boxes for *_, request in b.ran}
-        assert self.answers[200] <= len(every), "an answer that no server gave"
+        assert self.responses.total() == self.sent, "a request did not get exactly one response"
+        executions = Counter(
+            request
+            for server in self.site.servers
+            for _, path, request in server.requests
+            if path == b"/pay/1"
+        )
+        assert executions and max(executions.values()) == 1, "a request that is not idempotent was sent twice"
+        request_ids = {request for server in self.site.servers for *_, request in server.requests}
+        assert self.responses[200] <= len(request_ids), "a response did not come from a server"
 
 
-def test_the_node_follows_the_rule_under_load_whatever_dns_and_the_watch_say():
-    """Truncated, expired, empty and conflicting answers, one after the other, with calls all the time."""
+def test_endpoints_in_service_follow_the_merge_rule_under_load():
+    """DNS gives truncated, empty and conflicting answers, or fails until its set is stale, under constant load."""
 
     async def test() -> None:
         async with running_site(5) as site:
-            site.srv(0, 1, 2)
+            site.set_srv_records(0, 1, 2)
             await site.serve(table(site, srv={"stale_max_s": 300.0}))
-            await wait_until(lambda: site.up() == {0, 1, 2})
+            await wait_until(lambda: site.in_service() == {0, 1, 2})
             load = Load(site)
 
-            async def steady(seconds: float, wanted: set[int]) -> None:
-                """Stays as it is, looked at all the time."""
+            async def stays(seconds: float, expected: set[int]) -> None:
+                """Checks all the time that exactly these servers are in service."""
                 end = asyncio.get_running_loop().time() + seconds
                 while asyncio.get_running_loop().time() < end:
-                    assert site.up() == wanted
+                    assert site.in_service() == expected
                     await asyncio.sleep(0.02)
 
-            # Truncated over UDP, and cut over TCP too: never a set, so what holds goes on.
+            # Responses are truncated over UDP and cut off over TCP: there is no new set, so the last one stays in use.
             site.dns.faults, site.dns.tcp_bytes_before_close = [standin.always_truncated], 30
-            await steady(0.8, {0, 1, 2})
+            await stays(0.8, {0, 1, 2})
             site.dns.faults, site.dns.tcp_bytes_before_close = [], -1
-            # NXDOMAIN in a restart of the DNS server, for less than the doubt.
+            # DNS answers NXDOMAIN for less than `doubt_s`, as during a restart of the DNS server.
             site.dns.remove_records(f"{NAME}.", "SRV")
-            await steady(0.4, {0, 1, 2})
-            # The watch begins to speak: it lists another box too, and drains one.
-            site.srv(0, 1, 2)
-            site.discovery_server.put(*site.line(0, 1, 2, 3, draining=(1,)))
-            await wait_until(lambda: site.up() == {0, 2, 3})
+            await stays(0.4, {0, 1, 2})
+            # The watch provides its first list, with one more server, and drains another.
+            site.set_srv_records(0, 1, 2)
+            site.discovery_server.put(*site.watch_entries(0, 1, 2, 3, draining=(1,)))
+            await wait_until(lambda: site.in_service() == {0, 2, 3})
             drained = asyncio.get_running_loop().time()
-            # Out of step: DNS drops box 2 while the watch, which ranks higher, still lists it.
-            site.srv(0, 1)
-            await steady(1.5, {0, 2, 3})
-            # DNS dies: its set grows stale, and nothing goes.
+            # DNS drops server 2 while the watch, which has the better rank, still lists it.
+            site.set_srv_records(0, 1)
+            await stays(1.5, {0, 2, 3})
+            # DNS fails: its set becomes stale, and no server goes out of service.
             site.dns.faults = [standin.error_reply(2)]
-            await steady(1.5, {0, 2, 3})
+            await stays(1.5, {0, 2, 3})
             code, reply = await site.admin_call("GET /sources")
             rows = {r["source"]: r for r in json.loads(reply)["sources"]}
             assert code == 200
             assert rows[f"srv:{NAME}"]["credit"] == "stale"
             assert "SERVFAIL" in rows[f"srv:{NAME}"]["why"]
-            # It comes back with a new box; the watch takes back its drain.
+            # DNS recovers and lists a new server; the watch ends its drain.
             site.dns.faults = []
-            site.srv(0, 1, 4)
-            await wait_until(lambda: 4 in site.up())
-            site.discovery_server.put(*site.line(1))
-            await wait_until(lambda: site.up() == {0, 1, 2, 3, 4})
+            site.set_srv_records(0, 1, 4)
+            await wait_until(lambda: 4 in site.in_service())
+            site.discovery_server.put(*site.watch_entries(1))
+            await wait_until(lambda: site.in_service() == {0, 1, 2, 3, 4})
             back = asyncio.get_running_loop().time()
             await load.end()
-            late = [t for t, *_ in site.boxes[1].ran if drained + 0.25 < t < back - 0.25]
-            assert not late, "new work after a drain"
-            assert load.answers[200] > 0.95 * load.sent, load.answers
+            late = [t for t, *_ in site.servers[1].requests if drained + 0.25 < t < back - 0.25]
+            assert not late, "a draining server got new requests"
+            assert load.responses[200] > 0.95 * load.sent, load.responses
 
     run(test())
 
 
-def test_weights_and_priorities_of_dns_reach_the_choice():
+def test_dns_weights_and_priorities_affect_server_selection():
     async def test() -> None:
         async with running_site(4) as site:
-            site.srv(0, 1, weights={0: 30, 1: 10}, second=(2, 3))
+            site.set_srv_records(0, 1, weights={0: 30, 1: 10}, second=(2, 3))
             await site.serve(table(site, watch=False))
-            await wait_until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.in_service() == {0, 1})
             load = Load(site)
-            await wait_until(lambda: load.answers.total() >= 900)
-            heavy, light = len(site.boxes[0].ran), len(site.boxes[1].ran)
-            # Drawn 3 to 1, tempered by load: of two that are drawn the one with less out gets the call.
+            await wait_until(lambda: load.responses.total() >= 900)
+            heavy, light = len(site.servers[0].requests), len(site.servers[1].requests)
+            # The servers are sampled with the odds 3 to 1. The load reduces this ratio: of two sampled servers, the
+            # one with fewer requests in flight gets the request.
             assert 1.6 < heavy / light < 4.0, (heavy, light)
-            assert not site.boxes[2].ran and not site.boxes[3].ran, "the second priority is spare"
+            assert not site.servers[2].requests and not site.servers[3].requests, (
+                "the second priority got requests"
+            )
             code, reply = await site.admin_call(
-                f"GET /sources?box=box2.site3.example.org:{site.boxes[2].port}"
+                f"GET /sources?box=box2.site3.example.org:{site.servers[2].port}"
             )
             assert code == 200
             assert json.loads(reply)["boxes"][0]["spare"]
-            # Operators take both of the first priority out: the second comes in.
-            assert (await site.admin_call("POST /maintenance/enter", site.boxes[0].address))[0] == 200
+            # With both servers of the first priority in maintenance, the second priority comes into use.
+            assert (await site.admin_call("POST /maintenance/enter", site.servers[0].address))[0] == 200
             assert (
                 await site.admin_call(
-                    "POST /maintenance/enter", f"box1.site3.example.org:{site.boxes[1].port}"
+                    "POST /maintenance/enter", f"box1.site3.example.org:{site.servers[1].port}"
                 )
             )[0] == 200
-            await wait_until(lambda: site.up() == {2, 3})
+            await wait_until(lambda: site.in_service() == {2, 3})
             await load.end()
 
     run(test())
 
 
-def test_what_operators_hold_out_by_any_name_stays_out_whoever_lists_it():
+def test_an_endpoint_in_maintenance_under_any_name_stays_out_of_service():
     async def test() -> None:
         async with running_site(3) as site:
-            site.srv(0, 1)
+            site.set_srv_records(0, 1)
             node = await site.serve(table(site))
-            await wait_until(lambda: site.up() == {0, 1})
-            site.discovery_server.put(*site.line(0, 1))
-            await wait_until(lambda: node.registry.resolve_name("s-0") == site.boxes[0].address)
+            await wait_until(lambda: site.in_service() == {0, 1})
+            site.discovery_server.put(*site.watch_entries(0, 1))
+            await wait_until(lambda: node.registry.resolve_name("s-0") == site.servers[0].address)
             assert (await site.admin_call("POST /maintenance/enter", "s-0"))[0] == 200
-            assert site.up() == {1}
+            assert site.in_service() == {1}
             code, reply = await site.admin_call("GET /servers?id=s-0")
             assert json.loads(reply)["servers"][0]["state"] == "out"
             assert json.loads(reply)["servers"][0]["id"] == "s-0"
-            site.srv(0, 1, 2)
-            await wait_until(lambda: site.up() == {1, 2})
-            site.discovery_server.put(*site.line(0, 1))
+            site.set_srv_records(0, 1, 2)
+            await wait_until(lambda: site.in_service() == {1, 2})
+            site.discovery_server.put(*site.watch_entries(0, 1))
             _code, reply = await site.admin_call("GET /sources?box=s-0")
             assert json.loads(reply)["boxes"][0]["held_out"]
             assert (await site.admin_call("POST /maintenance/enter", "s-9"))[0] == 404
-            assert (await site.admin_call("POST /maintenance/exit", site.boxes[0].address))[0] == 200
-            assert site.up() == {0, 1, 2}
+            assert (await site.admin_call("POST /maintenance/exit", site.servers[0].address))[0] == 200
+            assert site.in_service() == {0, 1, 2}
 
     run(test())
 
 
-def test_a_restart_with_every_dns_server_down_serves_from_what_was_kept(tmp_path):
+def test_a_restart_without_any_dns_server_uses_the_cache_file(tmp_path):
     path = str(tmp_path / "kept")
 
     async def test() -> None:
         async with running_site(2) as site:
-            site.srv(0, 1)
+            site.set_srv_records(0, 1)
             await site.serve(table(site, keep=path, watch=False))
-            await wait_until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.in_service() == {0, 1})
         assert len(read_cache_file(path)[NAME].answer.endpoints) == 2
         async with running_site(2) as site:
             sets = read_cache_file(path)
-            moved = [e.__class__(e.priority, e.target, e.address, int(site.boxes[i].port), e.weight)
+            moved = [e.__class__(e.priority, e.target, e.address, int(site.servers[i].port), e.weight)
                      for i, e in enumerate(sets[NAME].answer.endpoints)]  # fmt: skip
             cached_answer = sets[NAME].answer.__class__(tuple(moved), 1.0)
             cached = CachedSet(cached_answer, sets[NAME].answered_at, sets[NAME].expires_at)
             write_cache_file(path, {NAME: cached})
             site.dns.faults = [standin.silent]
             node = await site.serve(table(site, keep=path, watch=False))
-            await wait_until(lambda: site.up() == {0, 1})
+            await wait_until(lambda: site.in_service() == {0, 1})
             client = await Client.open(node.address)
             client.send()
             assert (await client.answer())[0] == 200
@@ -306,53 +317,53 @@
             client.writer.close()
         (tmp_path / "kept").write_bytes(b"harecross-sources 1 rubbish\n{}")
         async with running_site(2) as site:
-            site.srv(0)
+            site.set_srv_records(0)
             await site.serve(table(site, keep=path, watch=False))
-            await wait_until(lambda: site.up() == {0})
+            await wait_until(lambda: site.in_service() == {0})
 
     run(test())
 
 
-def test_a_reload_in_mid_question_adds_and_removes_sources_and_loses_no_box_another_names(tmp_path):
+def test_a_reload_during_a_dns_query_adds_and_removes_sources_and_keeps_endpoints_of_others(tmp_path):
     file = tmp_path / "boxes"
 
     async def test() -> None:
         async with running_site(3) as site:
-            site.srv(0, 1)
+            site.set_srv_records(0, 1)
             node = await site.serve(table(site, watch=False))
-            await wait_until(lambda: site.up() == {0, 1})
-            file.write_text(f"{site.boxes[1].address}\n{site.boxes[2].address} weight=2\n")
+            await wait_until(lambda: site.in_service() == {0, 1})
+            file.write_text(f"{site.servers[1].address}\n{site.servers[2].address} weight=2\n")
             site.dns.reply_delay_s = 0.3
             await wait_until(
                 lambda: any(
-                    site.cached_name.refreshing
-                    for site in node.membership.additional_sources.dns_sources.values()
+                    source.cached_name.refreshing
+                    for source in node.membership.additional_sources.dns_sources.values()
                 )
             )
             both = table(site, watch=False, file=(AddressFileConfig(str(file)),))
             node.membership.additional_sources.configure(both)
-            await wait_until(lambda: site.up() == {0, 1, 2})
+            await wait_until(lambda: site.in_service() == {0, 1, 2})
             await wait_until(
                 lambda: any(
-                    site.cached_name.refreshing
-                    for site in node.membership.additional_sources.dns_sources.values()
+                    source.cached_name.refreshing
+                    for source in node.membership.additional_sources.dns_sources.values()
                 )
             )
             node.membership.additional_sources.configure(
                 SourcesTable(file=both.file, watch=False, step_s=1.0)
             )
-            await wait_until(lambda: site.up() == {1, 2})
-            # A file that is spoilt is stale, and one that is whole again counts.
-            file.write_text(f"{site.boxes[2].address} weigth=2\n")
+            await wait_until(lambda: site.in_service() == {1, 2})
+            # An invalid file makes its last list stale; a valid file replaces that list.
+            file.write_text(f"{site.servers[2].address} weigth=2\n")
             await wait_until(lambda: node.membership.additional_sources.file_sources[f"file:{file}"].problem)
-            assert site.up() == {1, 2}
-            file.write_text(f"{site.boxes[2].address}\n")
-            await wait_until(lambda: site.up() == {2})
+            assert site.in_service() == {1, 2}
+            file.write_text(f"{site.servers[2].address}\n")
+            await wait_until(lambda: site.in_service() == {2})
 
     run(test())
 
 
-BAD = [
+INVALID_FILES = [
     ('[[sources.srv]]\nname = "a..b"\n', "sources.srv[0].name"),
     (f'[[sources.srv]]\nname = "{NAME}"\n', "no DNS server"),
     (f'[sources]\nresolvers = ["localhost:53"]\n[[sources.srv]]\nname = "{NAME}"\n', "IP-ADDRESS:PORT"),
@@ -364,8 +375,8 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("text", "why"), BAD, ids=[str(n) for n in range(len(BAD))])
-def test_a_bad_file_is_one_line_that_names_the_key_and_status_2(tmp_path, text, why):
+@pytest.mark.parametrize(("text", "problem"), INVALID_FILES, ids=[str(n) for n in range(len(INVALID_FILES))])
+def test_an_invalid_file_is_reported_in_one_line_that_names_the_key_with_status_2(tmp_path, text, problem):
     path = tmp_path / "operators.toml"
     path.write_text(text)
     done = subprocess.run(
@@ -374,16 +385,16 @@
         text=True,
         timeout=TEST_TIMEOUT_S,
     )
-    assert done.returncode == 2 and why in done.stderr and len(done.stderr.splitlines()) == 1, done.stderr
+    assert done.returncode == 2 and problem in done.stderr and len(done.stderr.splitlines()) == 1, done.stderr
     assert str(path) in done.stderr
 
 
-def test_the_node_starts_with_a_file_reloads_it_on_sighup_and_explains_itself(tmp_path):
-    """As an operator has it: the process, its file, SIGHUP, the command."""
+def test_a_node_process_reloads_its_file_on_sighup_and_explains_its_endpoints(tmp_path):
+    """Uses the node as an operator does: as a process, with its file, SIGHUP and the command line."""
 
     async def test() -> None:
         async with running_site(3) as site:
-            site.srv(0, 1)
+            site.set_srv_records(0, 1)
             path, config = tmp_path / "operators.toml", tmp_path / "config.json"
             text = f'[sources]\nresolvers = ["{site.dns.address}"]\n[[sources.srv]]\nname = "{NAME}"\nfloor_s = 0.05\n'
             path.write_text(text)
@@ -402,32 +413,32 @@
                     if text in log[-1]:
                         return log[-1].split()[-1]
 
-            door = await logged("door: listening on")
+            admin_address = await logged("door: listening on")
 
             async def explain(*words: str) -> tuple[int, str]:
                 done = await asyncio.to_thread(
                     subprocess.run,
-                    [sys.executable, "-m", "harecross", "sources", "explain", *words, "--at", door],
+                    [sys.executable, "-m", "harecross", "sources", "explain", *words, "--at", admin_address],
                     capture_output=True, text=True,
                 )  # fmt: skip
                 return done.returncode, done.stdout + done.stderr
 
-            async def boxes(count: int) -> None:
+            async def wait_for_endpoints(count: int) -> None:
                 reply: dict = {"boxes": []}
                 while len(reply["boxes"]) != count:
                     reply = json.loads((await explain("--json"))[1])
 
-            await boxes(2)
-            code, out = await explain(site.boxes[0].address)
+            await wait_for_endpoints(2)
+            code, out = await explain(site.servers[0].address)
             assert code == 0
             assert "line 2" in out
             assert f"srv:{NAME}" in out
             assert (await explain("nobody"))[0] == 1
             extra = tmp_path / "boxes"
-            extra.write_text(f"{site.boxes[2].address}\n")
+            extra.write_text(f"{site.servers[2].address}\n")
             path.write_text(text + f'[[sources.file]]\npath = "{extra}"\n')
             node.send_signal(signal.SIGHUP)
-            await boxes(3)
+            await wait_for_endpoints(3)
             path.write_text("[sources]\nwrong = 1\n")
             node.send_signal(signal.SIGHUP)
             await logged("sources not changed")
@@ -438,7 +449,7 @@
     run(test())
 
 
-def test_the_control_service_hands_out_what_dns_says_and_reloads_its_names(tmp_path):
+def test_the_control_service_publishes_the_endpoints_of_srv_names_and_reloads_the_names(tmp_path):
     grpc = pytest.importorskip("grpc")
     from harecross.standins.xds import DRAINING, XdsProxy
     from harecross.xds.config import read_control
@@ -446,21 +457,21 @@
 
     async def test() -> None:
         async with running_site(4) as site:
-            site.srv(0, 1)
-            other = "_more._tcp.site3.example.org"
+            site.set_srv_records(0, 1)
+            other_name = "_more._tcp.site3.example.org"
             site.dns.set_records(
-                f"{other}.",
+                f"{other_name}.",
                 "SRV",
-                f"0 1 {site.boxes[1].port} box1.{ZONE}",
-                f"0 1 {site.boxes[2].port} box2.{ZONE}",
+                f"0 1 {site.servers[1].port} box1.{ZONE}",
+                f"0 1 {site.servers[2].port} box2.{ZONE}",
             )
             path = tmp_path / "control.toml"
-            start = '[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.1\n[clusters.readings]\n'
+            head = '[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.1\n[clusters.readings]\n'
             probe = '[clusters.readings.probe]\nkind = "tcp"\ninterval_s = 0.2\n'
 
             def write(*names: str) -> None:
                 path.write_text(
-                    f'{start}srv = {json.dumps(names)}\nresolvers = ["{site.dns.address}"]\n{probe}'
+                    f'{head}srv = {json.dumps(names)}\nresolvers = ["{site.dns.address}"]\n{probe}'
                 )
 
             write(NAME)
@@ -470,25 +481,27 @@
             channel = grpc.aio.insecure_channel(f"127.0.0.1:{service.server.port}")
             proxy = XdsProxy(channel).start()
 
-            def has(*which: int):
+            def has(*indices: int):
                 return lambda p: (
                     {t.name for t in p.endpoints("readings") if t.health != DRAINING}
-                    == {site.boxes[i].address for i in which}
+                    == {site.servers[i].address for i in indices}
                 )
 
             await proxy.until(has(0, 1))
-            seen = []
-            proxy.on_response = lambda p, type_url, names: seen.append(len(p.endpoints("readings")))
-            write(NAME, other)
+            endpoint_counts = []
+            proxy.on_response = lambda p, type_url, names: endpoint_counts.append(
+                len(p.endpoints("readings"))
+            )
+            write(NAME, other_name)
             service.reload()
             await proxy.until(has(0, 1, 2))
-            site.srv(0, 3)  # box 1 is still named by the other one
+            site.set_srv_records(0, 3)  # the other SRV name still lists server 1
             await proxy.until(has(0, 1, 2, 3))
-            write(other)
+            write(other_name)
             service.reload()
             await proxy.until(has(1, 2))
-            assert min(seen) >= 2, "no proxy saw a gap"
-            path.write_text(f'{start}srv = "a..b"\nresolvers = ["{site.dns.address}"]\n')
+            assert min(endpoint_counts) >= 2, "the proxy got a list with too few endpoints"
+            path.write_text(f'{head}srv = "a..b"\nresolvers = ["{site.dns.address}"]\n')
             service.reload()
             await asyncio.sleep(0)
             assert set(service.publisher_loop.feeds) == {"readings"}
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: killed writers, wrong bytes, full disks, two writers."""
+"""Tests the store with killed writers, damaged files, a full store and two writers."""
 
 import json
 import os
@@ -31,7 +31,7 @@
 
 
 def fill(path: Path, count: int = 12) -> None:
-    """Three documents with their records, and a lease."""
+    """Writes three documents with their records, and a lease."""
     store = Store(str(path))
     for number in range(count):
         body = {"n": number, "text": "x" * 300}
@@ -47,7 +47,7 @@
 
 
 def test_a_writer_killed_at_any_moment_leaves_the_document_and_its_records_together(tmp_path):
-    """A process writes as fast as it can and is killed; all that it reported as written is there."""
+    """A process writes as fast as it can and is killed. All writes that it has reported are in the store."""
     path, previous = tmp_path / "store", 0
     for round_number in range(6):
         child = subprocess.Popen(
@@ -68,18 +68,22 @@
         previous = reported
 
 
-def test_a_wrong_byte_anywhere_is_named_or_changes_nothing(tmp_path):
-    """Every page has some byte of it changed in turn, and the file is cut there: never another content."""
+def test_a_damaged_byte_anywhere_raises_an_error_or_does_not_change_the_content(tmp_path):
+    """Changes a byte or truncates the file at every 61st offset.
+
+    The store either raises an error or returns the content that was written. Only a file that is damaged in its first
+    100 bytes, the header, may be opened as an empty store.
+    """
     path, copy = tmp_path / "store", tmp_path / "copy"
     fill(path)
-    sound = path.read_bytes()
+    undamaged = path.read_bytes()
     store = Store(str(path))
     expected = list(store.dump())
     store.close()
     named = unchanged = 0
-    for offset in range(0, len(sound), 61):
-        flipped = sound[:offset] + bytes([sound[offset] ^ 0x15]) + sound[offset + 1 :]
-        for damaged in (flipped, sound[:offset]):
+    for offset in range(0, len(undamaged), 61):
+        flipped = undamaged[:offset] + bytes([undamaged[offset] ^ 0x15]) + undamaged[offset + 1 :]
+        for damaged in (flipped, undamaged[:offset]):
             for old in tmp_path.glob("copy*"):
                 old.unlink()
             copy.write_bytes(damaged)
@@ -113,15 +117,15 @@
 
 
 def test_the_check_command_names_a_row_with_a_wrong_checksum(file_with_a_changed_row):
-    done = run_command("check", str(file_with_a_changed_row))
-    assert done.returncode == 1
-    assert "document shift s1" in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+    result = run_command("check", str(file_with_a_changed_row))
+    assert result.returncode == 1
+    assert "document shift s1" in result.stderr
+    assert len(result.stderr.splitlines()) == 1
 
 
 @pytest.fixture
 def full_store(tmp_path):
-    """A store of few pages, and how many documents it took before it was full."""
+    """A store of a few pages, and the number of documents that it holds when it is full."""
     store = Store(str(tmp_path / "store"), max_pages=48)
     written = 0
     with pytest.raises(FullError):
@@ -149,7 +153,7 @@
 
 @pytest.fixture
 def store_with_many_records(tmp_path, monkeypatch):
-    """A document with 120 changes, where 50 records are the limit."""
+    """A store with a document that has changed 120 times, while at most 50 records are kept."""
     monkeypatch.setattr(documents, "MAX_RECORDS", 50)
     store = Store(str(tmp_path / "store"))
     for number in range(120):
@@ -172,7 +176,7 @@
 
 @pytest.fixture
 def two_stores(tmp_path):
-    """One file, opened by two processes' worth of writers."""
+    """Two stores on the same file, as if opened by two processes."""
     path = str(tmp_path / "store")
     one, two = Store(path), Store(path)
     yield one, two
@@ -205,7 +209,7 @@
     assert two.acquire_lease("leader", "two", 40.0, 10.0).fencing_token > first.fencing_token
 
 
-def test_a_write_that_expects_another_version_is_refused(two_stores):
+def test_a_write_that_expects_another_version_is_rejected(two_stores):
     one, two = two_stores
     two.put("k", "x", {"by": "two"}, 18.0)
     with pytest.raises(StoreError, match="has changed"):
@@ -225,7 +229,7 @@
     store.close()
 
 
-def test_a_file_of_a_newer_version_is_refused(tmp_path):
+def test_a_file_with_a_newer_schema_version_is_rejected(tmp_path):
     path = tmp_path / "store"
     store = Store(str(path))
     store.database.connection.execute("PRAGMA user_version=99")
@@ -247,15 +251,15 @@
     assert len(run_command("dump", str(path)).stdout.splitlines()) == 6
 
 
-def test_the_check_command_refuses_a_file_that_does_not_exist(tmp_path):
-    done = run_command("check", str(tmp_path / "none"))
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1
+def test_the_check_command_rejects_a_file_that_does_not_exist(tmp_path):
+    result = run_command("check", str(tmp_path / "none"))
+    assert result.returncode == 2
+    assert len(result.stderr.splitlines()) == 1
 
 
-def test_the_check_command_reports_a_file_that_is_no_store(tmp_path):
+def test_the_check_command_reports_a_file_that_is_not_a_store(tmp_path):
     (tmp_path / "text").write_text("no store, but a text of some length\n" * 100)
-    done = run_command("check", str(tmp_path / "text"))
-    assert done.returncode == 1
-    assert "not a database" in done.stderr
-    assert os.linesep * 2 not in done.stderr
+    result = run_command("check", str(tmp_path / "text"))
+    assert result.returncode == 1
+    assert "not a database" in result.stderr
+    assert os.linesep * 2 not in result.stderr
