--- a/harecross/xds/remembered_lists.py
+++ b/harecross/xds/cached_lists.py
@@ -15,7 +15,7 @@
 MIN_INTERVAL_S = 1.0  # between two writes
 
 
-class RememberedLists:
+class CachedLists:
     """The file; nothing is remembered without a path."""
 
     def __init__(self, path: str) -> None:
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -14,7 +14,7 @@
 from harecross.xds.access import is_loopback
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.01, le=3600)]
-SecondsOrNone = Annotated[float, msgspec.Meta(ge=0, le=3600)]
+SecondsOrZero = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 
 
 class ControlFileTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -28,10 +28,10 @@
     plaintext: Literal["loopback", "anywhere"] = "loopback"
     interval_s: Seconds = 1.0  # least time between two releases of weights
     workers: Annotated[int, msgspec.Meta(ge=1, le=64)] = 1  # processes that serve streams; 1: this one
-    wait_s: SecondsOrNone = 5.0  # at the start, for the first whole lists
+    wait_s: SecondsOrZero = 5.0  # at the start, for the first whole lists
     remember: str = ""  # a file
     adaptive_concurrency: bool = False
-    load_reports_s: SecondsOrNone = 5.0  # 0: none are asked for
+    load_reports_s: SecondsOrZero = 5.0  # 0: none are asked for
     status: tuple[str, ...] = ("*",)  # certificate names that may ask for the status
 
 
@@ -70,12 +70,12 @@
     columns: tuple[str, ...] = ()  # of the servers' load reports, as the node's configuration names them
     cross_zone_price: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0
     calls_per_server: Annotated[float, msgspec.Meta(ge=0)] = 0.0  # in flight; 0: no limit
-    cold_s: SecondsOrNone = 0.0
+    cold_s: SecondsOrZero = 0.0
     cold_start: Annotated[float, msgspec.Meta(gt=0, le=1)] = (
         0.25  # the part of its capacity that a started server has
     )
 
-    def table(self) -> SourcesTable:
+    def sources_table(self) -> SourcesTable:
         """The cluster's sources; the watch is one of them where `discovery` is set."""
         watch = bool(self.discovery)
         if self.sources is not None:
@@ -133,7 +133,7 @@
 
     def sources(self, name: str, cluster: ClusterTable) -> None:
         """A cluster must have a source, and name its SRV names in one place."""
-        key, table = f"clusters.{name}", cluster.table()
+        key, table = f"clusters.{name}", cluster.sources_table()
         self.require(key, bool(cluster.discovery) or table.on, "discovery, srv or sources is needed")
         twice = bool(cluster.sources and (cluster.srv or cluster.resolvers))
         self.require(f"{key}.sources", not twice, "not beside srv and resolvers: name them in it")
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -64,7 +64,7 @@
                 )
         return views, max((view.limit for view in balancer_views.values()), default=0.0)
 
-    def pass_load_reports_on(self) -> None:
+    def forward_load_reports(self) -> None:
         """Passes on to the decision module what proxies have reported since the last call."""
         by_latency = tuple(self.dispatcher.settings.report_fields) == (LATENCY_COLUMN,)
         for load in self.load_reports.take():
--- a/harecross/xds/health_checks.py
+++ b/harecross/xds/health_checks.py
@@ -33,6 +33,6 @@
                 due.append(server)
         return due
 
-    def ended(self, server: int) -> None:
+    def complete(self, server: int) -> None:
         """A check has ended."""
         self.in_progress.discard(server)
--- a/harecross/xds/published.py
+++ b/harecross/xds/published.py
@@ -25,7 +25,7 @@
     zone: str = ""
     draining: bool = False
     ejected: bool = False
-    warmth: float = 1.0  # its present part of a warmed-up server's capacity, in (0, 1]
+    slow_start_factor: float = 1.0  # its present part of a warmed-up server's capacity, in (0, 1]
     cost: float = 1.0  # the expected time of one more request, relative to the other servers
 
 
--- a/harecross/xds/publisher.py
+++ b/harecross/xds/publisher.py
@@ -17,8 +17,8 @@
 HYSTERESIS = 0.15  # a weight or limit changes when it is off by more than this part
 SLOW_START_STEPS = 4  # in which the weight of a server that warms up rises
 PANIC_THRESHOLD = 0.5  # no more than this part of the servers is published as unhealthy
-MASS_ABSENCE = 0.5  # a list that loses more than this part of its servers at once, without drains...
-ABSENCE_HOLD_US = 30_000_000  # ...is not believed for so long
+MASS_REMOVAL_RATIO = 0.5  # a list that loses more than this part of its servers at once, without drains...
+MASS_REMOVAL_HOLD_US = 30_000_000  # ...is not believed for so long
 MIN_REQUEST_LIMIT = 3
 MIN_CROSS_ZONE_COST = 0.01  # from which on servers of other zones come second
 MIN_COST = 1e-9  # guards the division by a server's cost
@@ -29,7 +29,7 @@
 
     since: int
     view: ServerView  # its last one
-    ended: bool  # discovery had said by then that it has ended
+    terminated: bool  # discovery had said by then that it has ended
 
 
 @dataclass(slots=True)
@@ -47,20 +47,20 @@
         views: Sequence[ServerView],
         request_limit: int,
         cross_zone_cost: float = 0.0,
-        ended: Container[str] = (),
+        terminated: Container[str] = (),
     ) -> PublishedCluster:
-        """What to publish from now on. `ended` are servers that discovery has said to be gone."""
+        """What to publish from now on. `terminated` are servers that discovery has said to be gone."""
         change = abs(request_limit - self.request_limit)
         if not self.request_limit or not request_limit or change > HYSTERESIS * self.request_limit:
             self.request_limit = request_limit
-        endpoints = tuple(self.update_endpoints(now, views, ended))
+        endpoints = tuple(self.update_endpoints(now, views, terminated))
         return PublishedCluster(endpoints, self.request_limit, cross_zone_cost >= MIN_CROSS_ZONE_COST)
 
     def update_endpoints(
-        self, now: int, views: Sequence[ServerView], ended: Container[str] = ()
+        self, now: int, views: Sequence[ServerView], terminated: Container[str] = ()
     ) -> list[PublishedEndpoint]:
         """What to publish of each server, by name. Each server has one view."""
-        views = self._with_doubted_absences(now, views, ended)
+        views = self._with_doubted_absences(now, views, terminated)
         serving = [view for view in views if not view.draining]
         # Past the threshold ejections are ignored, or the few servers left would get the requests of all.
         panic = sum(view.ejected for view in serving) > PANIC_THRESHOLD * len(serving)
@@ -85,9 +85,9 @@
         """By cost, with hysteresis; while a server warms up, in steps that stay below its part of its capacity."""
         weight = round(BASE_WEIGHT * mean_cost / max(view.cost, MIN_COST))
         weight = min(MAX_WEIGHT, max(MIN_WEIGHT, weight))
-        if view.warmth < 1:
+        if view.slow_start_factor < 1:
             # Rounded down: all proxies together, each by these weights, must not exceed the present capacity.
-            part = floor(view.warmth * SLOW_START_STEPS) / SLOW_START_STEPS
+            part = floor(view.slow_start_factor * SLOW_START_STEPS) / SLOW_START_STEPS
             part = max(part, 1 / (2 * SLOW_START_STEPS))
             return max(1, int(min(weight, BASE_WEIGHT) * part))
         last = self.endpoints.get(view.name)
@@ -96,7 +96,7 @@
         return weight
 
     def _with_doubted_absences(
-        self, now: int, views: Sequence[ServerView], ended: Container[str]
+        self, now: int, views: Sequence[ServerView], terminated: Container[str]
     ) -> list[ServerView]:
         """The views, and those of servers whose absence is not believed yet.
 
@@ -105,17 +105,17 @@
         listed again, or that another one has its address.
         """
         present = {view.name for view in views}
-        self._doubt_mass_absence(now, present, ended)
+        self._doubt_mass_absence(now, present, terminated)
         addresses = {view.address for view in views}
         for name, absence in list(self._absences.items()):
-            news = name in present or (name in ended and not absence.ended)
-            if news or absence.view.address in addresses or now - absence.since >= ABSENCE_HOLD_US:
+            news = name in present or (name in terminated and not absence.terminated)
+            if news or absence.view.address in addresses or now - absence.since >= MASS_REMOVAL_HOLD_US:
                 del self._absences[name]
         all_views = [*views, *(absence.view for absence in self._absences.values())]
         self._views = {view.name: view for view in all_views}
         return all_views
 
-    def _doubt_mass_absence(self, now: int, present: set[str], ended: Container[str]) -> None:
+    def _doubt_mass_absence(self, now: int, present: set[str], terminated: Container[str]) -> None:
         """Records the absence of servers of which many were removed at once."""
         lost = [
             view
@@ -123,8 +123,8 @@
             if name not in present and not view.draining and name not in self._absences
         ]
         serving = sum(not view.draining for view in self._views.values())
-        if serving and len(lost) > MASS_ABSENCE * serving:
-            self._absences.update((view.name, Absence(now, view, view.name in ended)) for view in lost)
+        if serving and len(lost) > MASS_REMOVAL_RATIO * serving:
+            self._absences.update((view.name, Absence(now, view, view.name in terminated)) for view in lost)
 
 
 def priority(zone: str, proxy_zone: str, zones: Collection[str]) -> int:
@@ -140,5 +140,7 @@
     """
     if per_server <= 0:
         return 0
-    capacity = per_server * sum(view.warmth for view in views if not (view.draining or view.ejected))
+    capacity = per_server * sum(
+        view.slow_start_factor for view in views if not (view.draining or view.ejected)
+    )
     return max(MIN_REQUEST_LIMIT, ceil(capacity * 2 / max(2, proxies)))
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -13,10 +13,10 @@
 from harecross.platform.log import log_line
 from harecross.xds.access import allowed_clusters
 from harecross.xds.assembly import create_encoder, create_server, listen
+from harecross.xds.cached_lists import CachedLists
 from harecross.xds.config import ControlFile, read_control
 from harecross.xds.load_reports import LoadReports
 from harecross.xds.publisher_loop import PublisherLoop
-from harecross.xds.remembered_lists import RememberedLists
 from harecross.xds.server import ControlServer
 from harecross.xds.standalone_feed import StandaloneFeed
 from harecross.xds.worker_channel import WorkerSetup
@@ -37,7 +37,7 @@
         self.publisher_loop = PublisherLoop(
             self.server, create_encoder(self._setup), config.control.interval_s, self._on_step
         )
-        self.remembered_lists = RememberedLists(config.control.remember)
+        self.remembered_lists = CachedLists(config.control.remember)
         self._load_reports_passed_at = 0.0
         self._wait_until = 0.0  # for the first whole lists
 
@@ -92,7 +92,7 @@
         self.publisher_loop.stop()
         for feed in self.publisher_loop.feeds.values():
             if isinstance(feed, StandaloneFeed):
-                await feed.closed()
+                await feed.wait_closed()
         self.remembered_lists.save(self.publisher_loop.feeds)
         await self.server.stop()
 
@@ -116,7 +116,7 @@
         if now >= self._load_reports_passed_at + self.config.control.load_reports_s:
             self._load_reports_passed_at = now
             for feed in self.publisher_loop.feeds.values():
-                feed.pass_load_reports_on()
+                feed.forward_load_reports()
         self.remembered_lists.save_if_due(self.publisher_loop.feeds)
 
     def _enable_if_ready(self, now: float) -> None:
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -78,7 +78,7 @@
         )
         super().__init__(name, dispatcher, EndpointRegistry(dispatcher, self._pool, (), ()), on_change)
         dispatcher.start()
-        sources = table.table()
+        sources = table.sources_table()
         self.sources = SourceManager(sources, self.registry, name) if sources.on else None
         where = parse_address(table.discovery) if table.discovery else NO_DISCOVERY
         self.discovery = DiscoveryClient(self.registry, where, consumer=self.sources, seed=seed)
@@ -122,7 +122,7 @@
     def _begin_health_check(self, server: int) -> None:
         if len(self._schedule.in_progress) > MAX_HEALTH_CHECKS:
             # Servers that do not answer must not take all descriptors.
-            self._schedule.ended(server)
+            self._schedule.complete(server)
         elif self._table.probe.kind == "tcp":
             self._start_task(self._connect(server))
         else:
@@ -131,7 +131,7 @@
     def _health_check_ended(
         self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]
     ) -> None:
-        self._schedule.ended(exchange.server)
+        self._schedule.complete(exchange.server)
         if outcome != Outcome.NOT_SENT:
             self.dispatcher.health_check_ended(exchange, outcome, body, report)
 
@@ -148,7 +148,7 @@
                 writer.close()
             except (OSError, TimeoutError):
                 pass
-        self._schedule.ended(server)
+        self._schedule.complete(server)
         now = monotonic_us()
         self.dispatcher.balancer.health_checked(now, server, connected, now - began_at, ())
 
@@ -164,7 +164,7 @@
             task.cancel()
         self._pool.close_all()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Waits until the sources have ended and their cache file is written."""
         if self.sources is not None:
             await self.sources.stop()
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -246,7 +246,7 @@
 
 
 def test_a_server_that_warms_up_has_a_part_of_its_capacity():
-    assert request_limit([ServerView("s", "h:1", warmth=0.25)], 40, 2) == 10
+    assert request_limit([ServerView("s", "h:1", slow_start_factor=0.25)], 40, 2) == 10
 
 
 def test_a_proxy_may_always_have_a_few_requests_in_flight():
@@ -367,7 +367,7 @@
     for now in (0, SECOND):
         schedule.take_due(now, servers)
     assert schedule.take_due(3 * SECOND, servers) == []
-    schedule.ended(7)
+    schedule.complete(7)
     assert schedule.take_due(3 * SECOND, servers) == [7]
 
 
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -10,7 +10,7 @@
 from harecross.discovery import listed_endpoints
 from harecross.discovery.listed_endpoints import ListedEndpoints
 from harecross.xds.published import Health, PublishedEndpoint, ServerView, is_urgent
-from harecross.xds.publisher import ABSENCE_HOLD_US, ClusterPublisher
+from harecross.xds.publisher import MASS_REMOVAL_HOLD_US, ClusterPublisher
 
 
 def views(count: int = 4, **more) -> list[ServerView]:
@@ -72,8 +72,8 @@
 def test_a_list_that_suddenly_has_almost_nothing_is_not_believed_for_a_while():
     publisher = publisher_of(6)
     assert len(publisher.update_endpoints(1_000_000, views(1))) == 6
-    assert len(publisher.update_endpoints(ABSENCE_HOLD_US, views(1))) == 6
-    assert len(publisher.update_endpoints(1_000_000 + ABSENCE_HOLD_US, views(1))) == 1
+    assert len(publisher.update_endpoints(MASS_REMOVAL_HOLD_US, views(1))) == 6
+    assert len(publisher.update_endpoints(1_000_000 + MASS_REMOVAL_HOLD_US, views(1))) == 1
 
 
 def test_one_absent_server_is_believed_at_once():
@@ -89,7 +89,7 @@
 def test_doubt_of_an_absence_ends_when_discovery_says_that_the_server_has_ended():
     publisher = publisher_of(6)
     assert len(publisher.update_endpoints(1, views(1))) == 6
-    published = publisher.update_endpoints(2, views(1), ended={"s4"})
+    published = publisher.update_endpoints(2, views(1), terminated={"s4"})
     assert names(published) == {"s0", "s1", "s2", "s3", "s5"}
 
 
@@ -104,8 +104,8 @@
 def test_doubt_of_an_absence_does_not_end_by_what_was_said_of_all_at_once():
     publisher = publisher_of(6)
     ended = {f"s{i}" for i in range(1, 6)}
-    assert len(publisher.update_endpoints(1, views(1), ended=ended)) == 6
-    assert len(publisher.update_endpoints(2, views(1), ended=ended)) == 6
+    assert len(publisher.update_endpoints(1, views(1), terminated=ended)) == 6
+    assert len(publisher.update_endpoints(2, views(1), terminated=ended)) == 6
 
 
 # ---- weights ------------------------------------------------------------------------------------------------
@@ -134,7 +134,7 @@
     weights = set()
     for percent in range(40, 101):
         warmth = percent / 100
-        warming = [replace(view, warmth=warmth if view.name == "s0" else 1.0) for view in views()]
+        warming = [replace(view, slow_start_factor=warmth if view.name == "s0" else 1.0) for view in views()]
         published = publisher.update_endpoints(percent, warming)
         assert published[0].weight <= max(warmth, 0.125) * published[1].weight
         weights.add(published[0].weight)
@@ -142,7 +142,9 @@
 
 
 def test_a_cheap_server_that_warms_up_gets_no_more_than_its_part_of_the_mean():
-    warming = [replace(view, cost=0.1 if view.name == "s0" else 1.0, warmth=0.5) for view in views()]
+    warming = [
+        replace(view, cost=0.1 if view.name == "s0" else 1.0, slow_start_factor=0.5) for view in views()
+    ]
     assert ClusterPublisher().update_endpoints(0, warming)[0].weight <= 50
 
 
