--- a/harecross/xds/assembly.py
+++ b/harecross/xds/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a control server together with the services beside it, alike in the service's process and in a worker."""
+"""Creates a control server with its other gRPC services, for the service's own process or for a worker."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
     load_report_sink: SinkOfCluster,
     status_rows: StatusRows | None = None,
 ) -> ControlServer:
-    """A control server with status and load reports; `status_rows` where its own streams are not all there are."""
+    """Creates a control server that also answers status queries and receives load reports.
+
+    `status_rows` replaces the status of the server's own streams where other workers have streams too.
+    """
     server = ControlServer(setup.limits, allowed_clusters, log_line)
     rows = status_rows or status.rows_of(server)
     server.add_handler(status.status_handler(rows, lambda names: matches_any(setup.status, names)))
@@ -32,11 +35,11 @@
 
 
 def create_encoder(setup: WorkerSetup) -> ResourceEncoder:
-    """The encoder of what a service publishes."""
+    """Creates the encoder of the published resources."""
     return ResourceEncoder(adaptive_concurrency=setup.adaptive, load_reports=setup.load_reports_s > 0)
 
 
 async def listen(server: ControlServer, setup: WorkerSetup, *, shared: bool = False) -> int:
-    """Starts a control server; returns its port. OSError or ValueError if it cannot listen."""
+    """Starts a control server and returns its port. Raises OSError or ValueError if it cannot listen."""
     credentials = server_credentials(setup.tls, log_line) if setup.tls is not None else None
     return await server.start(setup.listen, credentials, shared=shared)
--- a/harecross/xds/cached_lists.py
+++ b/harecross/xds/cached_lists.py
@@ -1,4 +1,4 @@
-"""The endpoint lists that a control service keeps on disk over a restart."""
+"""Stores the endpoint lists of a control service in a file, so that they survive a restart."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from harecross.platform.log import log_line
 from harecross.xds.feed import ClusterFeed
 
-MIN_INTERVAL_S = 1.0  # between two writes
+MIN_WRITE_INTERVAL_S = 1.0  # minimum time between two periodic writes of the file
 
 
 class CachedLists:
-    """The file; nothing is remembered without a path."""
+    """The file of cached endpoint lists. With an empty path, nothing is stored."""
 
     def __init__(self, path: str) -> None:
         self._path = path
@@ -24,27 +24,30 @@
         self._written_at = 0.0
 
     def mark_changed(self) -> None:
-        """A list has changed since the last write."""
+        """Records that a list has changed since the last write."""
         self._changed = True
 
     def load(self) -> dict[str, Any]:
-        """The lists of an earlier run, by cluster; a file that cannot be read is logged and left out."""
+        """Returns the lists of an earlier run, by cluster. Logs and ignores a file that cannot be read."""
         if not self._path or not Path(self._path).exists():
             return {}
         try:
             lists = json.loads(Path(self._path).read_text())
         except (OSError, ValueError) as error:
-            log_line(f"control: {self._path}: remembered lists not read: {error}")
+            log_line(f"control: {self._path}: cached endpoint lists not read: {error}")
             return {}
         return lists if isinstance(lists, dict) else {}
 
     def save_if_due(self, feeds: Mapping[str, ClusterFeed]) -> None:
-        """Writes the lists if they have changed, at intervals."""
-        if asyncio.get_running_loop().time() >= self._written_at + MIN_INTERVAL_S:
+        """Writes the lists if they have changed and the last write is long enough ago."""
+        if asyncio.get_running_loop().time() >= self._written_at + MIN_WRITE_INTERVAL_S:
             self.save(feeds)
 
     def save(self, feeds: Mapping[str, ClusterFeed]) -> None:
-        """Writes the lists if they have changed: a new file replaces the old one, so that a kill leaves a whole one."""
+        """Writes the lists if they have changed.
+
+        A complete new file replaces the old one, so that a process that is killed leaves no partial file.
+        """
         if not self._path or not self._changed:
             return
         self._changed, self._written_at = False, asyncio.get_running_loop().time()
@@ -58,4 +61,4 @@
             temporary.write_text(json.dumps(lists))
             os.replace(temporary, self._path)
         except OSError as error:
-            log_line(f"control: {self._path}: lists not remembered: {error.strerror}")
+            log_line(f"control: {self._path}: endpoint lists not cached: {error.strerror}")
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -1,4 +1,4 @@
-"""A cluster feed: the decision module's views of one cluster's servers, for the publisher loop."""
+"""A cluster feed, which gives the publisher loop the decision module's views of one cluster's servers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ClusterFeed:
-    """Reads one decision module and one endpoint registry, a node's or its own."""
+    """Reads a decision module and an endpoint registry, which belong to a node or to the feed itself."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         registry: EndpointRegistry,
         on_change: Callable[[str], None],
     ) -> None:
-        """`on_change` is called with the feed's name when its endpoint list has changed."""
+        """Subscribes to the registry. Calls `on_change` with the feed's name when its endpoint list changes."""
         self.name = name
         self.dispatcher = dispatcher
         self.registry = registry
@@ -37,35 +37,35 @@
         registry.set_update_listener(self.endpoints_updated)
 
     def endpoints_updated(self, update: Any, full: bool, cached: bool) -> None:
-        """Takes an update that the registry has taken."""
+        """Applies an update that the registry has applied."""
         self.listed_endpoints.apply(update, full=full, cached=cached)
         self._on_change(self.name)
 
     def views(self) -> tuple[list[ServerView], float]:
-        """The views of all listed servers, and how many requests this program may have in flight at one."""
+        """Returns the views of all listed servers, and how many requests this process may send to one at once."""
         balancer_views = {
             view.server: view for view in self.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         }
         views = []
-        for name, line in self.listed_endpoints.entries.items():
-            where, zone = str(line.get(wire_format.HOST_PORT, "")), str(line.get(wire_format.ZONE, ""))
-            draining = line[wire_format.LIFECYCLE] != wire_format.IN_SERVICE
+        for name, entry in self.listed_endpoints.entries.items():
+            address, zone = str(entry.get(wire_format.HOST_PORT, "")), str(entry.get(wire_format.ZONE, ""))
+            draining = entry[wire_format.LIFECYCLE] != wire_format.IN_SERVICE
             number = self.registry.numbers.get(name, 0)
-            if not is_address(where):
-                continue  # the registry has logged it
+            if not is_address(address):
+                continue  # the registry has already logged the invalid address
             if not draining and number not in self.registry.listed:
-                continue  # another server has taken over its address, or its line could not be read
+                continue  # another server has this address now, or the registry could not read the entry
             view = balancer_views.get(number)
             if view is None or draining:
-                views.append(ServerView(name, where, zone, draining))
+                views.append(ServerView(name, address, zone, draining))
             else:
                 views.append(
-                    ServerView(name, where, zone, False, view.ejected, view.slow_start_factor, view.cost)
+                    ServerView(name, address, zone, False, view.ejected, view.slow_start_factor, view.cost)
                 )
         return views, max((view.limit for view in balancer_views.values()), default=0.0)
 
     def forward_load_reports(self) -> None:
-        """Passes on to the decision module what proxies have reported since the last call."""
+        """Forwards to the decision module what proxies have reported since the last call."""
         by_latency = tuple(self.dispatcher.settings.report_fields) == (LATENCY_COLUMN,)
         for load in self.load_reports.take():
             number = self.registry.numbers.get(load.server)
@@ -74,12 +74,12 @@
                 self.dispatcher.balancer.load_reported(monotonic_us(), number, load.good, load.bad, report)
 
     def close(self) -> None:
-        """Ends the feed."""
+        """Unsubscribes from the registry."""
         self.registry.set_update_listener(None)
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is HOST:PORT."""
+    """Returns whether a text has the form HOST:PORT."""
     try:
         parse_address(text)
     except ValueError:
--- a/harecross/xds/health_checks.py
+++ b/harecross/xds/health_checks.py
@@ -1,4 +1,4 @@
-"""Which servers are due a health check. Free of I/O. Times are microseconds."""
+"""Schedules the health checks of servers. Performs no I/O. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,16 @@
 
 @dataclass(slots=True)
 class HealthCheckSchedule:
-    """Checks each server once an interval, spread over it, and never twice at once."""
+    """Schedules one health check per server and interval, spread over the interval.
+
+    A server is not checked again while its previous check is in progress.
+
+    Attributes:
+        interval: The time between two checks of a server.
+        rng: The source of the random time of a server's first check.
+        due_at: When each server's next check is due, by the server's number.
+        in_progress: The servers that are being checked.
+    """
 
     interval: int
     rng: Random
@@ -17,7 +26,10 @@
     in_progress: set[int] = field(default_factory=set)
 
     def take_due(self, now: int, servers: Collection[int]) -> list[int]:
-        """The servers to check now; a new one is due within its first interval."""
+        """Returns the servers to check now, and marks their checks as in progress.
+
+        A server that is new in `servers` is due at a random time within one interval.
+        """
         for removed in self.due_at.keys() - set(servers):
             del self.due_at[removed]
             self.in_progress.discard(removed)
@@ -25,7 +37,8 @@
         for server in servers:
             due_at = self.due_at.get(server)
             if due_at is None:
-                # Spread, or all servers would be checked at one instant after a start, and again each interval.
+                # Without a random offset, all servers would be checked at the same instant after a start, and
+                # again in each interval.
                 self.due_at[server] = now + int(self.rng.random() * self.interval)
             elif due_at <= now and server not in self.in_progress:
                 self.due_at[server] = max(due_at + self.interval, now)
@@ -34,5 +47,5 @@
         return due
 
     def complete(self, server: int) -> None:
-        """A check has ended."""
+        """Records that the health check of a server has finished."""
         self.in_progress.discard(server)
--- a/harecross/xds/publication.py
+++ b/harecross/xds/publication.py
@@ -1,4 +1,4 @@
-"""What a control server serves now, and which changes of late were urgent."""
+"""What a control server serves now, and which assignments had an urgent change recently."""
 
 from __future__ import annotations
 
@@ -10,34 +10,44 @@
 
 from harecross.xds.cache import Snapshot
 
-RECENT_S = 2.0  # for which an urgent change goes first on new streams
+RECENT_S = 2.0  # how long an assignment with an urgent change is sent first on new streams
 
 
 class SnapshotSource(Protocol):
-    """What is published: `cache.Snapshot` for all zones alike, or `resources.PublishedSnapshots`."""
+    """Published content: a `cache.Snapshot`, the same for all zones, or `resources.PublishedSnapshots`."""
 
     def for_zone(self, zone: str) -> Snapshot:
-        """The snapshot for proxies in a zone."""
+        """Returns the snapshot for proxies in a zone."""
 
 
 class UrgentChange(NamedTuple):
-    """Assignments with an urgent change."""
+    """An urgent change of some assignments.
 
-    at: float  # monotonic seconds
+    Attributes:
+        at: When the change was published, in seconds of the monotonic clock.
+        names: The names of the changed assignments.
+    """
+
+    at: float
     names: frozenset[str]
 
 
 class Publication:
-    """The present content, and views of it for clients that may not see all."""
+    """The published content, and restricted snapshots of it for clients that may not see all clusters.
+
+    Attributes:
+        source: The content, None before the first `replace`.
+        ready: Set once there is content.
+    """
 
     def __init__(self) -> None:
         self.source: SnapshotSource | None = None
-        self.ready = asyncio.Event()  # there is content
+        self.ready = asyncio.Event()
         self._restricted: dict[tuple[Snapshot, frozenset[str]], Snapshot] = {}
         self._recent: deque[UrgentChange] = deque()
 
     def replace(self, source: SnapshotSource, urgent: Collection[str]) -> None:
-        """Takes new content; the assignments of `urgent` have an urgent change."""
+        """Replaces the content. `urgent` names the assignments that have an urgent change."""
         self.source = source
         self._restricted.clear()
         if urgent and self.ready.is_set():
@@ -45,18 +55,21 @@
         self.ready.set()
 
     def snapshot_for(self, zone: str, allowed: frozenset[str] | None) -> Snapshot:
-        """What a proxy in a zone gets that may see these clusters; None stands for all."""
+        """Returns the snapshot for a proxy in a zone.
+
+        `allowed` names the clusters that the proxy may see; None means all clusters.
+        """
         assert self.source is not None
-        whole = self.source.for_zone(zone)
+        snapshot = self.source.for_zone(zone)
         if allowed is None:
-            return whole
-        key = (whole, allowed)
+            return snapshot
+        key = (snapshot, allowed)
         if key not in self._restricted:
-            self._restricted[key] = whole.restricted_to(allowed)
+            self._restricted[key] = snapshot.restricted_to(allowed)
         return self._restricted[key]
 
     def recently_urgent(self) -> set[str]:
-        """Assignments with an urgent change of late: a proxy that reconnects gets them first."""
+        """Returns the assignments with a recent urgent change, which a proxy that reconnects gets first."""
         while self._recent and self._recent[0].at < time.monotonic() - RECENT_S:
             self._recent.popleft()
         return set().union(*(change.names for change in self._recent))
--- a/harecross/xds/published.py
+++ b/harecross/xds/published.py
@@ -1,4 +1,4 @@
-"""What is known of a cluster's servers, and what is published of them. Free of I/O."""
+"""What is known about a cluster's servers, and what is published about them. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,30 +8,35 @@
 
 
 class Health(IntEnum):
-    """`envoy.config.core.v3.HealthStatus`, by its numbers."""
+    """Values of `envoy.config.core.v3.HealthStatus`."""
 
     HEALTHY = 1
     UNHEALTHY = 2
     DRAINING = 3
-    DEGRADED = 5  # never published, see `ClusterPublisher.update_endpoints`
+    DEGRADED = 5  # never published, because gRPC clients ignore such endpoints (gRFC A27)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """The decision module's view of one server."""
+    """The decision module's view of one server.
+
+    Attributes:
+        slow_start_factor: The fraction of its full capacity that the server has now, in (0, 1].
+        cost: The expected time of one more request, relative to the other servers.
+    """
 
     name: str
     address: str
     zone: str = ""
     draining: bool = False
     ejected: bool = False
-    slow_start_factor: float = 1.0  # its present part of a warmed-up server's capacity, in (0, 1]
-    cost: float = 1.0  # the expected time of one more request, relative to the other servers
+    slow_start_factor: float = 1.0
+    cost: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedEndpoint:
-    """What proxies get of one server."""
+    """One server as it is published to proxies."""
 
     name: str
     address: str
@@ -42,14 +47,22 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class PublishedCluster:
-    """What proxies get of one cluster. Compared by identity, as encodings are cached by it; see `same_as`."""
+    """One cluster as it is published to proxies.
+
+    Instances are compared by identity, because encodings are cached by it. `same_as` compares the content.
 
-    endpoints: tuple[PublishedEndpoint, ...] | None  # None while nothing is known of them
-    request_limit: int = 0  # requests that one proxy may have in flight; 0 for no limit
-    prefer_own_zone: bool = False  # servers of a proxy's own zone come first
+    Attributes:
+        endpoints: The servers, or None while no endpoint list is known.
+        request_limit: How many requests one proxy may have in flight, 0 for no limit.
+        prefer_own_zone: Whether servers in a proxy's own zone have a higher priority.
+    """
+
+    endpoints: tuple[PublishedEndpoint, ...] | None
+    request_limit: int = 0
+    prefer_own_zone: bool = False
 
     def same_as(self, other: PublishedCluster) -> bool:
-        """Whether both have the same content."""
+        """Returns whether both have the same content."""
         return (self.endpoints, self.request_limit, self.prefer_own_zone) == (
             other.endpoints,
             other.request_limit,
@@ -58,7 +71,10 @@
 
 
 def is_urgent(before: Sequence[PublishedEndpoint], after: Sequence[PublishedEndpoint]) -> bool:
-    """Whether a change must go out at once: a drain, an ejection, a removal, a new address. Weights can wait."""
+    """Returns whether a change must be sent at once.
+
+    A drain, an ejection, a removal or a new address is urgent. A change of weights is not.
+    """
     new = {endpoint.name: endpoint for endpoint in after}
     return any(_is_urgent_change(old, new.get(old.name)) for old in before)
 
--- a/harecross/xds/publisher_loop.py
+++ b/harecross/xds/publisher_loop.py
@@ -1,4 +1,4 @@
-"""The publisher loop: from the cluster feeds to the control server, when clusters change and at intervals."""
+"""The publisher loop, which publishes the views of cluster feeds when clusters change and periodically."""
 
 from __future__ import annotations
 
@@ -15,33 +15,45 @@
 from harecross.xds.release import ReleaseSchedule
 from harecross.xds.resources import PublishedSnapshots, ResourceEncoder
 
-STEP_S = 0.1  # how often slow start, ejections by time and releases are looked at
-SWEEP_STEPS = 10  # in which every cluster is looked at once
+STEP_S = 0.1  # time between steps, which update some clusters and check which releases are due
+# Number of steps in which each cluster is updated once for changes that come with time, such as slow start and
+# the end of an ejection. A single cluster is updated in each step.
+SWEEP_STEPS = 10
 
 
 class SnapshotPublisher(Protocol):
-    """Who serves what is published: a control server, or a pool of workers."""
+    """Serves what is published: a control server or a pool of workers."""
 
     def publish(self, source: PublishedSnapshots, urgent: Collection[str] = ()) -> None:
-        """Serves this from now on; the assignments of the clusters in `urgent` go out first."""
+        """Serves `source` from now on; the assignments of the clusters in `urgent` are sent first."""
 
     def count(self) -> int:
-        """Open streams."""
+        """Returns how many streams are open."""
 
 
 @dataclass(slots=True)
 class Cluster:
-    """A cluster of the loop."""
+    """A cluster that the loop publishes.
+
+    Attributes:
+        requests_per_server: How many requests one server may have in flight, 0 for no limit. If it is None, the
+            request limit follows the decision module's own concurrency limits.
+        published: The cluster as last offered for release.
+    """
 
     feed: ClusterFeed
     cross_zone_cost: float
-    requests_per_server: float | None  # in flight; None: by the decision module's own limits
+    requests_per_server: float | None
     publisher: ClusterPublisher = field(default_factory=ClusterPublisher)
     published: PublishedCluster | None = None
 
 
 class PublisherLoop:
-    """Publishes the views of cluster feeds."""
+    """Publishes the views of cluster feeds.
+
+    Attributes:
+        enabled: Whether the loop publishes. Before, it only prepares what is to be published.
+    """
 
     def __init__(
         self,
@@ -50,8 +62,8 @@
         interval_s: float,
         on_step: Callable[[], None],
     ) -> None:
-        """`interval_s` is the least time between two releases of weights; `on_step` is called each `STEP_S`."""
-        self.enabled = False  # nothing is published before
+        """`interval_s` is the minimum time between two releases of weights; `on_step` is called every `STEP_S`."""
+        self.enabled = False
         self._server = server
         self._encoder = encoder
         self._on_step = on_step
@@ -65,11 +77,11 @@
 
     @property
     def feeds(self) -> dict[str, ClusterFeed]:
-        """The feed of each cluster."""
+        """The feeds, by the cluster's name."""
         return {name: cluster.feed for name, cluster in self._clusters.items()}
 
     def add(self, feed: ClusterFeed, cross_zone_cost: float, requests_per_server: float | None) -> None:
-        """Adds a cluster; one of that name keeps its publication's state."""
+        """Adds a cluster. If it replaces one of the same name, it takes over what was published and its state."""
         before = self._clusters.get(feed.name)
         cluster = Cluster(feed, cross_zone_cost, requests_per_server)
         if before is not None:
@@ -78,23 +90,23 @@
         self.mark_changed(feed.name)
 
     def remove(self, name: str) -> None:
-        """Removes a cluster."""
+        """Removes a cluster and closes its feed."""
         self._clusters.pop(name).feed.close()
         self._release.withdraw(name)
         self._wake.set()
 
     def mark_changed(self, name: str) -> None:
-        """A cluster has changed: it is looked at before anything else happens."""
+        """Marks a cluster as changed and wakes the loop, which updates it immediately."""
         self._changed.add(name)
         self._wake.set()
 
     def start(self) -> None:
-        """Begins to look at clusters."""
+        """Starts the loop."""
         self._next_step = asyncio.get_running_loop().time()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """Ends the loop and closes the feeds."""
+        """Stops the loop and closes the feeds."""
         if self._task is not None:
             self._task.cancel()
         for cluster in self._clusters.values():
@@ -110,7 +122,7 @@
                     self._begin_step()
                 self._publish_changes()
             except Exception:
-                log_exception("control")
+                log_exception("control: publisher loop")
             try:
                 async with asyncio.timeout(max(0.0, self._next_step - loop.time())):
                     await self._wake.wait()
@@ -118,18 +130,18 @@
                 pass
 
     def _begin_step(self) -> None:
-        """Marks those clusters whose turn in the sweep it is."""
+        """Marks the clusters that this step of the sweep updates, and calls `on_step`."""
         self._sweep_step = (self._sweep_step + 1) % SWEEP_STEPS
-        alone = len(self._clusters) == 1
+        single = len(self._clusters) == 1
         self._changed.update(
             name
             for index, name in enumerate(self._clusters)
-            if alone or index % SWEEP_STEPS == self._sweep_step
+            if single or index % SWEEP_STEPS == self._sweep_step
         )
         self._on_step()
 
     def _publish_changes(self) -> None:
-        """Looks at the clusters that have changed, and publishes what is due."""
+        """Updates the clusters that have changed, and publishes what is due."""
         changed, self._changed = self._changed, set()
         for name in changed:
             if name in self._clusters:
--- a/harecross/xds/release.py
+++ b/harecross/xds/release.py
@@ -1,6 +1,6 @@
-"""When a change goes out: what is urgent at once, the rest together at a least interval. Free of I/O.
+"""Decides when a change is published: urgent ones at once, others together at a minimum interval.
 
-Times are microseconds.
+Performs no I/O. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -13,24 +13,37 @@
 
 
 class Batch(NamedTuple):
-    """What goes out."""
+    """What is published at one time.
 
-    clusters: Mapping[str, PublishedCluster]  # all, as they are to be from now on
-    urgent: frozenset[str]  # those with an urgent change
+    Attributes:
+        clusters: All clusters with the content that is published from now on.
+        urgent: The names of the clusters that have an urgent change.
+    """
+
+    clusters: Mapping[str, PublishedCluster]
+    urgent: frozenset[str]
 
 
 @dataclass(slots=True)
 class ReleaseSchedule:
-    """What has been released of each cluster, and what waits."""
+    """Collects the changes of clusters and releases them when they are due.
+
+    Attributes:
+        interval: The minimum time between two releases of changes that are not urgent.
+        released: The content of each cluster that was last released.
+        waiting: The content of each cluster that has not been released yet, None for a removed cluster.
+        urgent: The clusters whose waiting change is urgent.
+        released_at: When changes that are not urgent were last released.
+    """
 
-    interval: int  # at least, between two releases of what can wait
+    interval: int
     released: dict[str, PublishedCluster] = field(default_factory=dict)
-    waiting: dict[str, PublishedCluster | None] = field(default_factory=dict)  # None: the cluster is removed
+    waiting: dict[str, PublishedCluster | None] = field(default_factory=dict)
     urgent: set[str] = field(default_factory=set)
-    released_at: int = 0  # the last release of what can wait
+    released_at: int = 0
 
     def offer(self, name: str, cluster: PublishedCluster) -> None:
-        """Takes a cluster's newest content; one that is as released does not wait."""
+        """Stores a cluster's latest content, unless it equals the released one."""
         before = self.released.get(name)
         if before is not None and before.same_as(cluster):
             self.waiting.pop(name, None)
@@ -39,7 +52,7 @@
         if self._is_urgent(before, cluster):
             self.urgent.add(name)
         else:
-            # An urgent change that was taken back before its release leaves nothing urgent.
+            # If an urgent change was reverted before its release, the rest is not urgent.
             self.urgent.discard(name)
         self.waiting[name] = cluster
 
@@ -50,13 +63,14 @@
         return is_urgent(before.endpoints, after.endpoints)
 
     def withdraw(self, name: str) -> None:
-        """The cluster is no longer configured."""
+        """Removes a cluster that is no longer configured. The removal is not urgent."""
         self.waiting[name] = None
 
     def take_due(self, now: int) -> Batch | None:
-        """What is due now, if anything.
+        """Returns what is due now, or None.
 
-        An urgent change takes along only its own cluster; weights, which change all the time, wait for their interval.
+        Between two intervals, only the clusters with an urgent change are released. Weights change all the time and
+        wait for the interval.
         """
         if not self.waiting:
             return None
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -1,7 +1,7 @@
-"""Builds the xDS v3 messages of one cluster from what is published of it. Needs the extra `xds`.
+"""Builds the xDS v3 messages of a cluster from its published content. Requires the extra `xds`.
 
-A cluster NAME has a Cluster, a ClusterLoadAssignment and a RouteConfiguration of that name, and an API listener of
-that name for proxyless gRPC (gRFC A27). Encodings are deterministic: equal content has equal versions.
+A cluster NAME has a Cluster, a ClusterLoadAssignment and a RouteConfiguration with that name, and an API listener
+with that name for proxyless gRPC (gRFC A27). Encodings are deterministic: equal content has equal versions.
 """
 
 from __future__ import annotations
@@ -32,20 +32,23 @@
 from harecross.xds.published import PublishedCluster, PublishedEndpoint
 from harecross.xds.publisher import priority
 
-RETRY_PERCENT = 100 * RETRY_BUDGET_RATIO  # of the requests in flight may be retries
+RETRY_PERCENT = 100 * RETRY_BUDGET_RATIO  # percentage of the requests in flight that may be retries
 API_VERSION = 2  # envoy.config.core.v3.ApiVersion.V3
 CONNECT_TIMEOUT_MS = 500
 
 
 def encode_resource(name: str, message: Message) -> Resource:
-    """A message as a resource."""
+    """Encodes a message as a resource."""
     return Resource.from_body(name, message.SerializeToString(deterministic=True))
 
 
 def cluster_resource(name: str, request_limit: int, *, load_reports: bool = False) -> Resource:
-    """The cluster, with EDS over ADS.
+    """Returns the Cluster, whose endpoints come by EDS over ADS.
 
-    `request_limit` requests may be in flight at once (circuit breaker), 0 for no limit. `load_reports` asks for LRS.
+    Args:
+        name: The cluster's name.
+        request_limit: How many requests a proxy may have in flight (a circuit breaker), 0 for no limit.
+        load_reports: Whether proxies are asked for load reports (LRS).
     """
     cluster = cluster_pb2.Cluster(name=name, type=cluster_pb2.Cluster.EDS)
     cluster.eds_cluster_config.eds_config.ads.SetInParent()
@@ -65,10 +68,11 @@
 
 
 def assignment_resource(name: str, endpoints: Sequence[PublishedEndpoint], zone: str = "") -> Resource:
-    """The endpoints: one locality for each server, its sub-zone the server's name; those of `zone` go first.
+    """Returns the ClusterLoadAssignment for proxies in `zone`, whose servers have the highest priority.
 
-    gRPC's own client follows the weights of localities but, in round robin, not those of endpoints (gRFC A27);
-    Envoy follows both. An endpoint that is to get nothing new stays listed, so that a proxy knows why.
+    Each server is a locality of its own, with the server's name as its sub-zone: gRPC's own client follows the
+    weights of localities but, with round robin, not those of endpoints (gRFC A27). Envoy follows both. An endpoint
+    that must not get new requests stays listed with its health status, so that a proxy knows the reason.
     """
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
     zones = {endpoint.zone for endpoint in endpoints}
@@ -93,7 +97,7 @@
 
 
 def route_resource(name: str) -> Resource:
-    """Routes that lead all requests to the cluster."""
+    """Returns a RouteConfiguration that routes all requests to the cluster."""
     routes = route_pb2.RouteConfiguration(name=name)
     host = routes.virtual_hosts.add(name=name, domains=["*"])
     route = host.routes.add()
@@ -103,7 +107,7 @@
 
 
 def listener_resource(name: str, *, adaptive_concurrency: bool = False) -> Resource:
-    """An API listener; the adaptive concurrency filter is one that gRPC may leave out."""
+    """Returns an API listener. Its adaptive concurrency filter is optional, so that gRPC clients may ignore it."""
     manager = http_connection_manager_pb2.HttpConnectionManager()
     manager.rds.route_config_name = name
     manager.rds.config_source.ads.SetInParent()
@@ -121,7 +125,7 @@
 
 
 def gradient_settings() -> adaptive_concurrency_pb2.AdaptiveConcurrency:
-    """The filter with the decision module's own parameters."""
+    """Returns the adaptive concurrency filter with the decision module's own parameters."""
     settings = adaptive_concurrency_pb2.AdaptiveConcurrency()
     controller = settings.gradient_controller_config
     controller.sample_aggregate_percentile.value = 100 * SAMPLE_PERCENTILE
@@ -136,25 +140,30 @@
 
 @dataclass(slots=True)
 class EncodedCluster:
-    """The encodings of one cluster's content."""
+    """The encodings of one cluster's content.
+
+    Attributes:
+        assignments: The assignment for each zone of proxies; that of "" prefers no zone.
+    """
 
     content: PublishedCluster
     cluster: Resource
-    assignments: dict[str, Resource]  # by the proxies' zone; "" for those that no zone is preferred for
+    assignments: dict[str, Resource]
 
 
 class ResourceEncoder:
-    """Encodes clusters, each once while its content stays the same object."""
+    """Encodes clusters. Each is encoded once, for as long as its content is the same object."""
 
     def __init__(self, *, adaptive_concurrency: bool = False, load_reports: bool = False) -> None:
         self._adaptive_concurrency = adaptive_concurrency
         self._load_reports = load_reports
-        self._constant: dict[str, tuple[Resource, Resource]] = {}  # listener and route, by cluster
+        # The listener and the route of each cluster, which do not depend on its content.
+        self._constant: dict[str, tuple[Resource, Resource]] = {}
         self._encoded: dict[str, EncodedCluster] = {}
 
     def snapshot(self, clusters: Mapping[str, PublishedCluster], zone: str = "") -> Snapshot:
-        """All resources of all clusters, as proxies in `zone` get them."""
-        self._forget_others(clusters)
+        """Returns all resources of all clusters, as proxies in `zone` get them."""
+        self._drop_others(clusters)
         types: dict[str, dict[str, Resource]] = {CDS: {}, EDS: {}, LDS: {}, RDS: {}}
         for name, content in clusters.items():
             encoded = self._encode(name, content)
@@ -165,7 +174,7 @@
         withheld = frozenset(name for name, content in clusters.items() if content.endpoints is None)
         return Snapshot(types, withheld)
 
-    def _forget_others(self, clusters: Mapping[str, PublishedCluster]) -> None:
+    def _drop_others(self, clusters: Mapping[str, PublishedCluster]) -> None:
         for name in self._encoded.keys() - clusters.keys():
             del self._encoded[name]
             self._constant.pop(name, None)
@@ -194,7 +203,7 @@
 
 
 class PublishedSnapshots:
-    """What is published now, as proxies of each zone get it. Built when the first proxy of a zone asks."""
+    """Published content with a snapshot for each zone, which is built when the first proxy of the zone needs it."""
 
     def __init__(self, encoder: ResourceEncoder, clusters: Mapping[str, PublishedCluster]) -> None:
         self.clusters = clusters
@@ -208,7 +217,7 @@
         }
 
     def for_zone(self, zone: str) -> Snapshot:
-        """The snapshot for proxies in a zone."""
+        """Returns the snapshot for proxies in a zone."""
         zone = zone if zone in self._zones else ""
         if zone not in self._snapshots:
             self._snapshots[zone] = self._encoder.snapshot(self.clusters, zone)
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -1,4 +1,4 @@
-"""A feed of the stand-alone control service: with a decision module, a watch and health checks of its own."""
+"""A feed of the stand-alone control service, with its own decision module, sources and health checks."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 from harecross.xds.feed import LATENCY_COLUMN, ClusterFeed
 from harecross.xds.health_checks import HealthCheckSchedule
 
-NO_DISCOVERY = ("127.0.0.1", 0)  # the watch of a cluster without discovery, which is never begun
-MAX_HEALTH_CHECKS = 1024  # of one cluster, in progress at once
-HEALTH_CHECK_STEP_S = 0.1  # between two looks at which health checks are due
+# Placeholder address for a cluster without discovery, whose discovery client never subscribes.
+NO_DISCOVERY = ("127.0.0.1", 0)
+MAX_HEALTH_CHECKS = 1024  # maximum number of health checks of one cluster in progress at once
+HEALTH_CHECK_STEP_S = 0.1  # time between two checks of which health checks are due
 DESCRIPTORS = 8 * MAX_HEALTH_CHECKS
-IDLE_TIMEOUT_US = 15_000_000  # of a connection for health checks
-ALL_SERVERS = 1 << 30  # the subset of one program that judges every server
+IDLE_TIMEOUT_US = 15_000_000  # how long an idle connection for health checks stays open
+ALL_SERVERS = 1 << 30  # subset size that exceeds any cluster, because the service judges every server
 
 
 def decision_settings(table: ClusterTable) -> Settings:
-    """The settings of a cluster's decision module, which sends no requests."""
+    """Returns the settings of a cluster's decision module, which handles no requests."""
     columns = tuple(REPORT_FIELD_NAMES.get(column, column) for column in table.columns)
     request_class = ClassSettings(
         Idempotency.IDEMPOTENT, latency_objective=1_000_000, deadline=2_000_000, priority_weight=1.0
@@ -48,12 +49,15 @@
 
 
 class StandaloneDispatcher(RequestDispatcher):
-    """A dispatcher without clients: it checks servers' health, and reports at once when a server's state changes."""
+    """A dispatcher without clients, which records health checks and load reports.
+
+    It reports immediately when a server's state changes.
+    """
 
     def __init__(
         self, settings: Settings, seed: int, pool: ConnectionPool, name: str, on_change: Callable[[], None]
     ) -> None:
-        """`name` begins its log lines; `on_change` is called when the decision module logs a change."""
+        """`name` prefixes log lines; `on_change` is called when the decision module logs a change."""
         self._name = name
         self._on_change = on_change
         super().__init__(settings, seed, pool)
@@ -65,10 +69,10 @@
 
 
 class StandaloneFeed(ClusterFeed):
-    """A feed with sources of its own."""
+    """A feed with its own decision module, endpoint registry, sources and health checks."""
 
     def __init__(self, name: str, table: ClusterTable, seed: int, on_change: Callable[[str], None]) -> None:
-        """ValueError for a file of addresses that cannot be used."""
+        """Creates the feed without starting it. Raises ValueError if a file of addresses cannot be used."""
         self._table = table
         self._pool = ConnectionPool(
             int(table.probe.timeout_s * 1e6), IDLE_TIMEOUT_US, table.columns, DescriptorBudget(DESCRIPTORS)
@@ -80,21 +84,24 @@
         dispatcher.start()
         sources = table.sources_table()
         self.sources = SourceManager(sources, self.registry, name) if sources.on else None
-        where = parse_address(table.discovery) if table.discovery else NO_DISCOVERY
-        self.discovery = DiscoveryClient(self.registry, where, consumer=self.sources, seed=seed)
+        address = parse_address(table.discovery) if table.discovery else NO_DISCOVERY
+        self.discovery = DiscoveryClient(self.registry, address, consumer=self.sources, seed=seed)
         self._schedule = HealthCheckSchedule(int(table.probe.interval_s * 1e6), Random(f"{seed}/{name}"))
         self._tasks: set[asyncio.Task[None]] = set()
         self._closing: asyncio.Task[None] | None = None
 
-    def start(self, remembered: Any = None) -> None:
-        """Begins with a remembered list, which counts as old, and watches discovery and the other sources."""
-        if remembered is not None:
+    def start(self, cached_list: Any = None) -> None:
+        """Starts to watch discovery and the other sources, and to check servers.
+
+        Until a source provides a list, the servers are those of `cached_list`, which counts as old.
+        """
+        if cached_list is not None:
             try:
                 if self.sources is not None:
-                    self.sources.membership.remember(remembered[wire_format.INSTANCES])
-                self.registry.apply(remembered, cached=True)
+                    self.sources.membership.remember(cached_list[wire_format.INSTANCES])
+                self.registry.apply(cached_list, cached=True)
             except (ValueError, KeyError, TypeError) as error:
-                log_line(f"{self.name}: remembered list: {error}")
+                log_line(f"{self.name}: cached endpoint list not used: {error}")
         self.discovery.generation = None
         if self._table.discovery:
             self.discovery.subscribe()
@@ -114,21 +121,21 @@
             await asyncio.sleep(HEALTH_CHECK_STEP_S)
             try:
                 for server in self._schedule.take_due(monotonic_us(), self.registry.listed.keys()):
-                    self._begin_health_check(server)
+                    self._start_health_check(server)
                 self._pool.sweep()
             except Exception:
-                log_exception(f"{self.name}: probes")
+                log_exception(f"{self.name}: health checks")
 
-    def _begin_health_check(self, server: int) -> None:
+    def _start_health_check(self, server: int) -> None:
         if len(self._schedule.in_progress) > MAX_HEALTH_CHECKS:
-            # Servers that do not answer must not take all descriptors.
+            # Skips this check, so that servers that do not respond cannot use up all descriptors.
             self._schedule.complete(server)
         elif self._table.probe.kind == "tcp":
             self._start_task(self._connect(server))
         else:
-            self._pool.send(self._pool.make_health_check(server, self._health_check_ended))
+            self._pool.send(self._pool.make_health_check(server, self._on_health_check_ended))
 
-    def _health_check_ended(
+    def _on_health_check_ended(
         self, exchange: Exchange, outcome: Outcome, body: bytes, report: Sequence[float]
     ) -> None:
         self._schedule.complete(exchange.server)
@@ -136,9 +143,9 @@
             self.dispatcher.health_check_ended(exchange, outcome, body, report)
 
     async def _connect(self, server: int) -> None:
-        """A health check that only connects."""
+        """Performs a health check that only opens a connection."""
         process = self._pool.processes.get(server)
-        began_at = monotonic_us()
+        started_at = monotonic_us()
         connected = False
         if process is not None:
             try:
@@ -150,12 +157,12 @@
                 pass
         self._schedule.complete(server)
         now = monotonic_us()
-        self.dispatcher.balancer.health_checked(now, server, connected, now - began_at, ())
+        self.dispatcher.balancer.health_checked(now, server, connected, now - started_at, ())
 
-    # ---- end ----------------------------------------------------------------------------------------------
+    # ---- stop ---------------------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """Ends the feed and what it watches."""
+        """Closes the feed, its sources and its connections. `wait_closed` waits for the sources."""
         super().close()
         self.discovery.unsubscribe()
         if self.sources is not None:
@@ -165,6 +172,6 @@
         self._pool.close_all()
 
     async def wait_closed(self) -> None:
-        """Waits until the sources have ended and their cache file is written."""
+        """Waits until the sources have stopped and their cache file is written."""
         if self.sources is not None:
             await self.sources.stop()
--- a/harecross/xds/worker.py
+++ b/harecross/xds/worker.py
@@ -1,4 +1,4 @@
-"""A worker: one process that serves a part of the streams of a control service. Started by `worker_pool` alone."""
+"""A worker process, which serves some of the streams of a control service. Only `worker_pool` starts it."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
     WorkerSetup,
 )
 
-COUNT_INTERVAL_S = 0.25  # between two reports of how many streams there are
-STATUS_TIMEOUT_S = 5.0  # for the other workers' rows
+COUNT_INTERVAL_S = 0.25  # time between two reports of the stream count to the service
+STATUS_TIMEOUT_S = 5.0  # how long a status query waits for the rows of all workers
 
 
-class ForwardedLoadReports:
-    """Sends a cluster's load reports on to the service, which combines them."""
+class LoadReportForwarder:
+    """Forwards a cluster's load reports to the service, which combines them."""
 
     def __init__(self, channel: WorkerChannel, cluster: str) -> None:
         self._channel = channel
         self._cluster = cluster
 
     def add(self, reporter: str, server: str, good: int, bad: int, in_progress: int, seconds: float) -> None:
-        """Sends one report's figures of one server."""
+        """Forwards one report's figures for one server."""
         if good or bad or in_progress:
             self._channel.send(
                 LoadReportMessage(self._cluster, reporter, server, good, bad, in_progress, seconds)
@@ -49,7 +49,7 @@
 
 
 class Worker:
-    """Serves what the service publishes; ends with the service."""
+    """Serves what the service publishes, until the service closes the channel or exits."""
 
     def __init__(self, channel: WorkerChannel, setup: WorkerSetup) -> None:
         self._channel = channel
@@ -66,11 +66,11 @@
     def _allowed_clusters(self, names: tuple[str, ...]) -> frozenset[str] | None:
         return allowed_clusters(self._rules, names)
 
-    def _load_report_sink(self, cluster: str) -> ForwardedLoadReports | None:
-        return ForwardedLoadReports(self._channel, cluster) if cluster in self._clusters else None
+    def _load_report_sink(self, cluster: str) -> LoadReportForwarder | None:
+        return LoadReportForwarder(self._channel, cluster) if cluster in self._clusters else None
 
     async def _all_status_rows(self) -> list[dict[str, Any]]:
-        """Every worker's rows, which the service collects."""
+        """Returns the status rows of all workers, which the service collects."""
         number = next(self._query_numbers)
         self._queries[number] = asyncio.get_running_loop().create_future()
         self._channel.send(StatusQuery(number))
@@ -81,7 +81,7 @@
             del self._queries[number]
 
     async def run(self) -> None:
-        """Serves until the service ends, or ends the worker."""
+        """Serves until the service closes the channel or exits."""
         try:
             port = await listen(self._server, self._setup, shared=True)
         except (OSError, ValueError) as error:
@@ -98,7 +98,7 @@
         try:
             self._handle(message)
         except Exception:
-            log_exception("worker")
+            log_exception("xds: worker")
 
     def _handle(self, message: Message) -> None:
         if isinstance(message, PublishMessage):
@@ -128,9 +128,10 @@
 
 
 async def serve(sock: socket.socket) -> None:
-    """Runs a worker on its end of the channel."""
+    """Runs a worker on its end of the socket pair."""
     for number in (signal.SIGINT, signal.SIGHUP, signal.SIGTERM):
-        # The terminal sends these to all processes; the service decides, and ends its workers by the channel.
+        # A terminal sends these signals to all processes of the group. Workers ignore them, because the service
+        # decides what to do and stops its workers by closing their channels.
         asyncio.get_running_loop().add_signal_handler(number, lambda: None)
     channel = WorkerChannel(*await asyncio.open_connection(sock=sock))
     setup = await channel.receive()
@@ -139,11 +140,11 @@
 
 
 def main() -> None:
-    """Runs a worker; its argument is the descriptor of the channel."""
+    """Runs a worker. The command's argument is the descriptor of the worker's end of the socket pair."""
     import uvloop
 
     uvloop.run(serve(socket.socket(fileno=int(sys.argv[1]))))
-    os._exit(0)  # grpcio's own threads may delay an ordinary exit
+    os._exit(0)  # a normal exit may be delayed by the threads of grpcio
 
 
 if __name__ == "__main__":
--- a/harecross/xds/worker_channel.py
+++ b/harecross/xds/worker_channel.py
@@ -1,4 +1,4 @@
-"""The channel between the service and a worker: length-prefixed msgpack messages over a socket pair."""
+"""The channel between the service and a worker, with length-prefixed msgpack messages over a socket pair."""
 
 from __future__ import annotations
 
@@ -14,19 +14,26 @@
 
 
 class WorkerSetup(msgspec.Struct, frozen=True, tag="setup"):
-    """The first message to a worker: what it serves, and how."""
+    """The first message to a worker, with its settings.
+
+    Attributes:
+        clients: The clusters that clients may see, by a pattern of the certificate name.
+        status: Patterns of the certificate names that may query the status.
+        adaptive: Whether listeners contain the adaptive concurrency filter.
+        load_reports_s: The interval at which proxies send load reports, 0 for no load reports.
+    """
 
     listen: str
     tls: TlsTable | None
     limits: Limits
-    clients: dict[str, tuple[str, ...]]  # which clusters clients may see
-    status: tuple[str, ...]  # certificate names that may ask for the status
-    adaptive: bool  # concurrency
+    clients: dict[str, tuple[str, ...]]
+    status: tuple[str, ...]
+    adaptive: bool
     load_reports_s: float
 
 
 class PublishMessage(msgspec.Struct, frozen=True, tag="publish"):
-    """What has changed of what is published."""
+    """The changes of what is published since the previous message; the first one contains all clusters."""
 
     changed: dict[str, PublishedCluster]
     removed: tuple[str, ...]
@@ -34,40 +41,43 @@
 
 
 class AccessMessage(msgspec.Struct, frozen=True, tag="clients"):
-    """Other rules on which clusters clients may see."""
+    """New rules for which clusters clients may see."""
 
     rules: dict[str, tuple[str, ...]]
 
 
 class StatusQuery(msgspec.Struct, frozen=True, tag="ask"):
-    """Asks for the status of all streams, or of one worker's; answered by `StatusAnswer` of the same number."""
+    """A query for stream status, answered by a `StatusAnswer` with the same number.
+
+    A worker asks the service for the streams of all workers; the service asks each worker for its own streams.
+    """
 
     number: int
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, tag="rows"):
-    """Rows of the status."""
+    """The status rows that answer a `StatusQuery`."""
 
     number: int
     rows: list[dict[str, Any]]
 
 
 class Listening(msgspec.Struct, frozen=True, tag="listening"):
-    """A worker listens, or cannot."""
+    """A worker's first message: the port that it listens on, or why it cannot listen."""
 
     port: int
     error: str = ""
 
 
 class StreamCount(msgspec.Struct, frozen=True, tag="streams"):
-    """How many streams a worker has, and how many bytes it has sent."""
+    """How many streams a worker has open, and how many bytes of responses it has sent."""
 
     streams: int
     bytes_sent: int
 
 
 class LoadReportMessage(msgspec.Struct, frozen=True, tag="report"):
-    """One line of a proxy's load report, see `load_reports.LoadReports.add`."""
+    """One server's figures in a proxy's load report; see `load_reports.LoadReports.add`."""
 
     cluster: str
     reporter: str
@@ -94,7 +104,7 @@
 
 
 def frame(message: Message) -> bytes:
-    """A message with its length before it."""
+    """Encodes a message, with its length as a prefix."""
     body = encode(message)
     return LENGTH.pack(len(body)) + body
 
@@ -107,24 +117,24 @@
         self._writer = writer
 
     def send(self, message: Message) -> None:
-        """Sends a message; does nothing once the channel closes."""
+        """Sends a message. Does nothing if the channel is closing."""
         self.send_frame(frame(message))
 
     def send_frame(self, framed: bytes) -> None:
-        """Sends a message that is framed already."""
+        """Sends a message that `frame` has encoded. Does nothing if the channel is closing."""
         if not self._writer.transport.is_closing():
             self._writer.write(framed)
 
     async def flush(self) -> None:
-        """Waits until what was sent is on its way."""
+        """Waits until the send buffer has drained."""
         await self._writer.drain()
 
     def close(self) -> None:
-        """Closes this end, which ends the other."""
+        """Closes this end; the other end then receives EOF."""
         self._writer.close()
 
     async def receive(self) -> Message:
-        """The next message. EOFError once the other end is closed."""
+        """Returns the next message. Raises EOFError once the other end is closed."""
         try:
             (length,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
             return decode(await self._reader.readexactly(length))
@@ -132,7 +142,7 @@
             raise EOFError from None
 
     async def receive_all(self, handle: Callable[[Message], None]) -> None:
-        """Hands over messages until the other end is closed."""
+        """Calls `handle` with each message until the other end is closed."""
         while True:
             try:
                 handle(await self.receive())
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -1,7 +1,7 @@
-"""Several processes for one service: each worker serves the streams that the kernel gives it (SO_REUSEPORT).
+"""Several worker processes for one service, among which the kernel distributes connections (SO_REUSEPORT).
 
-One process of grpcio sends some four thousand responses a second. The service keeps discovery, health checks and
-decisions to itself, and sends its workers only what has changed.
+One process with grpcio sends about 4000 responses per second. Discovery, health checks and decisions stay in the
+service's process, which sends its workers only what has changed.
 """
 
 from __future__ import annotations
@@ -34,15 +34,17 @@
     frame,
 )
 
-FIRST_BACKOFF_S = 0.2  # before a worker that has ended is started again...
-MAX_BACKOFF_S = 5.0  # ...doubling up to so many while it ends at once
-START_TIMEOUT_S = 20.0  # until a worker listens
-EXIT_TIMEOUT_S = 2.0  # from the end of a worker's channel to its own
-STOP_TIMEOUT_S = 5.0  # of each worker, when the service stops
+# The delay before a worker that has exited is restarted doubles with each restart, up to the maximum. It is reset
+# to the first value if the worker ran for longer than the maximum.
+FIRST_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+START_TIMEOUT_S = 20.0  # how long a new worker may take until it listens
+EXIT_TIMEOUT_S = 2.0  # how long a worker may take to exit after its channel has closed
+STOP_TIMEOUT_S = 5.0  # how long each worker may take to exit when the service stops
 
 
 class WorkerHandle:
-    """One worker, as the service has it."""
+    """The service's handle of one worker."""
 
     def __init__(self) -> None:
         self.channel: WorkerChannel | None = None
@@ -50,23 +52,30 @@
         self.count = StreamCount(0, 0)
 
     def close_channel(self) -> None:
-        """Closes the channel, which ends the worker."""
+        """Closes the channel, which makes the worker exit."""
         if self.channel is not None:
             self.channel.close()
 
 
 @dataclass(slots=True)
 class PendingQuery:
-    """A worker's query for the status, while other workers answer it."""
-
-    asker: WorkerHandle
-    number: int  # the asker's own
-    missing: set[int]  # workers that have not answered
+    """A worker's status query that has not been answered by all workers.
+
+    Attributes:
+        requester: The worker that sent the query.
+        number: The number that the requester gave the query.
+        missing: The indices of the workers that have not answered.
+        rows: The rows received so far.
+    """
+
+    requester: WorkerHandle
+    number: int
+    missing: set[int]
     rows: list[dict[str, Any]] = field(default_factory=list)
 
 
 class WorkerPool:
-    """Stands where a control server would: `publish`, `count`, `stop`."""
+    """A pool of workers with the same `publish`, `count` and `stop` as a control server."""
 
     def __init__(
         self,
@@ -80,24 +89,25 @@
         self._setup = setup
         self._load_report_sink = load_report_sink
         self._log = log
-        self._published: Mapping[str, PublishedCluster] | None = None  # None before the first `publish`
+        self._published: Mapping[str, PublishedCluster] | None = None  # None until the first `publish`
         self._tasks: set[asyncio.Task[None]] = set()
         self._queries: dict[int, PendingQuery] = {}
         self._last_query = 0
         self._stopping = False
 
     def count(self) -> int:
-        """Streams of all workers, as of a quarter of a second ago at most."""
+        """Returns how many streams the workers have open, as last reported, at most a quarter of a second ago."""
         return sum(worker.count.streams for worker in self.workers)
 
     # ---- workers ------------------------------------------------------------------------------------------
 
     async def start(self) -> int:
-        """Starts all workers; returns the port. OSError if they cannot listen."""
+        """Starts all workers and returns the port. Raises OSError if they cannot listen."""
         host, port = parse_address(self._setup.listen)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         with socket.socket(family) as probe:
-            # Without SO_REUSEPORT this fails for another program's port, which workers would share unnoticed.
+            # Without SO_REUSEPORT, this fails if another program uses the port. The workers, which set the option,
+            # could share the port with that program without an error.
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind((host.strip("[]"), port))
             self.port = probe.getsockname()[1]
@@ -112,7 +122,7 @@
         return self.port
 
     async def _start_worker(self, worker: WorkerHandle) -> None:
-        """Starts a worker and sends it all that is published. OSError if it does not listen."""
+        """Starts a worker and sends it all published clusters. Raises OSError if it does not listen."""
         ours, theirs = socket.socketpair()
         with theirs:
             number = theirs.fileno()
@@ -127,37 +137,38 @@
             end = await self._wait_for_exit(worker)
             raise OSError(f"{self._setup.listen}: a worker did not start: it {end}") from None
         if not isinstance(answer, Listening):
-            raise OSError("a worker answered out of turn")
+            raise OSError("the first message of a worker is not Listening")
         if answer.error:
             raise OSError(answer.error)
         if self._published is not None:
             channel.send(PublishMessage(dict(self._published), (), ()))
 
     async def _supervise(self, worker: WorkerHandle) -> None:
-        """Reads from a worker; one that ends is started again, and its proxies reconnect to any of them."""
+        """Receives from a worker and restarts it when it exits. Its proxies reconnect to any worker."""
         backoff_s = FIRST_BACKOFF_S
         loop = asyncio.get_running_loop()
         while True:
             started_at = loop.time()
             if worker.channel is not None:
                 await worker.channel.receive_all(lambda message: self._receive(worker, message))
-            self._lost(worker)
+            self._disconnect(worker)
             if self._stopping:
                 return
-            lasted = loop.time() - started_at > MAX_BACKOFF_S
-            backoff_s = FIRST_BACKOFF_S if lasted else min(2 * backoff_s, MAX_BACKOFF_S)
+            was_stable = loop.time() - started_at > MAX_BACKOFF_S
+            backoff_s = FIRST_BACKOFF_S if was_stable else min(2 * backoff_s, MAX_BACKOFF_S)
             end = await self._wait_for_exit(worker)
-            self._log(f"xds: a worker {end}; another one in {backoff_s:g} s")
+            self._log(f"xds: a worker {end}; restarting it in {backoff_s:g} s")
             await asyncio.sleep(backoff_s)
             try:
                 await self._start_worker(worker)
             except OSError as error:
-                # One that listens after all must not stay: it has nothing to publish, and would keep its proxies.
-                self._log(f"xds: worker: {error}")
-                self._lost(worker)
+                # The worker may still listen later. It must not stay, because it would accept proxies although it
+                # has nothing to publish.
+                self._log(f"xds: a worker was not restarted: {error}")
+                self._disconnect(worker)
 
     async def _wait_for_exit(self, worker: WorkerHandle) -> str:
-        """How the worker ended, in words; one that lives on without its channel is killed."""
+        """Waits for a worker without a channel to exit, and describes how it did. Kills it after a timeout."""
         if worker.process is None:
             return "did not start"
         try:
@@ -166,10 +177,10 @@
         except TimeoutError:
             worker.process.kill()
             await worker.process.wait()
-            return "had lost its link and was killed"
+            return "lost its channel and was killed"
 
-    def _lost(self, worker: WorkerHandle) -> None:
-        """A worker's channel has ended."""
+    def _disconnect(self, worker: WorkerHandle) -> None:
+        """Closes a worker's channel. Status queries no longer wait for the worker."""
         worker.close_channel()
         worker.channel = None
         worker.count = StreamCount(0, 0)
@@ -178,7 +189,7 @@
             self._answer_if_complete(number)
 
     async def stop(self) -> None:
-        """Closes the channels: workers end their streams and themselves."""
+        """Closes the channels, upon which workers end their streams and exit, and waits for the workers."""
         self._stopping = True
         for worker in self.workers:
             worker.close_channel()
@@ -200,7 +211,7 @@
     # ---- to workers ---------------------------------------------------------------------------------------
 
     def publish(self, source: PublishedSnapshots, urgent: Collection[str] = ()) -> None:
-        """Sends every worker what differs from the last time; encoded once."""
+        """Sends each worker what has changed since the previous call, encoded once for all workers."""
         before, now = self._published or {}, source.clusters
         changed = {name: cluster for name, cluster in now.items() if before.get(name) is not cluster}
         removed = tuple(name for name in before if name not in now)
@@ -208,7 +219,7 @@
         self._send_to_all(PublishMessage(changed, removed, tuple(urgent)))
 
     def set_access(self, rules: dict[str, tuple[str, ...]]) -> None:
-        """Takes other rules on which clusters clients may see."""
+        """Replaces the rules for which clusters clients may see."""
         self._setup = msgspec.structs.replace(self._setup, clients=rules)
         self._send_to_all(AccessMessage(rules))
 
@@ -240,16 +251,16 @@
                 report.reporter, report.server, report.good, report.bad, report.in_progress, report.seconds
             )
 
-    def _query_all(self, asker: WorkerHandle, number: int) -> None:
+    def _query_all(self, requester: WorkerHandle, number: int) -> None:
         self._last_query += 1
         connected = {i for i, worker in enumerate(self.workers) if worker.channel is not None}
-        self._queries[self._last_query] = PendingQuery(asker, number, connected)
+        self._queries[self._last_query] = PendingQuery(requester, number, connected)
         self._send_to_all(StatusQuery(self._last_query))
 
     def _answer_if_complete(self, number: int) -> None:
-        """Sends a worker the rows that it asked for, once all are there."""
+        """Sends a requester the rows of all workers, once all have answered."""
         query = self._queries[number]
         if not query.missing:
             del self._queries[number]
-            if query.asker.channel is not None:
-                query.asker.channel.send(StatusAnswer(query.number, query.rows))
+            if query.requester.channel is not None:
+                query.requester.channel.send(StatusAnswer(query.number, query.rows))
