--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -1,11 +1,11 @@
-"""The control service under many streams: drains while weights churn, a return of all proxies, CPU, bytes, memory.
+"""Measures the control service with many streams: drains while weights change, reconnects, CPU, bytes and memory.
 
     python benchmarks/xds_fanout.py --streams 100,1000
 
-The service runs in a process of its own, the proxies (harecross/standins/xds.py) in some others, all on one machine;
-the clock is the machine's monotonic one. Every proxy follows `--each` clusters, the first of them the one that drains.
-Beside it, in the same run, a bare grpcio asyncio server sends the same bytes to as many streams: the ratio is what our
-own work adds. One line of JSON for each figure.
+The service runs in its own process and the proxies (harecross/standins/xds.py) in several others, all on one machine,
+so that times are comparable by the machine's monotonic clock. Each proxy subscribes to `--each` clusters, including c0,
+in which servers drain. In the same run, a bare grpcio asyncio server sends the same bytes to as many streams; the ratio
+of the two results is the cost of the control service's own work. Prints one line of JSON for each result.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-os.environ.setdefault("GRPC_VERBOSITY", "ERROR")  # a line for each stream that ends, otherwise
+os.environ.setdefault("GRPC_VERBOSITY", "ERROR")  # otherwise gRPC logs a line for each stream that ends
 
 import grpc
 from envoy.service.discovery.v3 import discovery_pb2
@@ -36,11 +36,12 @@
 from harecross.xds.worker_channel import WorkerSetup
 from harecross.xds.worker_pool import WorkerPool
 
-CALLERS = 5  # processes of proxies
-DRAINS = 10
+PROXY_PROCESSES = 5
+DRAINS = 10  # number of drains in each measurement
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
+    """Returns quantiles of times in seconds, in milliseconds."""
     values = sorted(values)
     return {
         "median_ms": round(1000 * values[len(values) // 2], 1),
@@ -49,8 +50,8 @@
     }
 
 
-def used(pids: list[int]) -> dict[str, float]:
-    """CPU and resident memory of some processes together."""
+def resource_usage(pids: list[int]) -> dict[str, float]:
+    """Returns the CPU time and the resident memory of several processes together."""
     cpu = rss = 0.0
     for pid in pids:
         with open(f"/proc/{pid}/stat") as f:
@@ -63,27 +64,27 @@
 # ---- the service's process ------------------------------------------------------------------------------
 
 
-class Board:
-    """What is told of all clusters, changed endpoint by endpoint."""
+class ClusterContents:
+    """The published content of all clusters, which is changed endpoint by endpoint."""
 
     def __init__(self, clusters: int, endpoints: int, seed: int) -> None:
         self.rng = random.Random(seed)
-        each = endpoints // clusters
+        per_cluster = endpoints // clusters
         self.lists = {
             f"c{c}": [
                 PublishedEndpoint(
-                    f"c{c}-{i}", f"127.0.0.1:{1 + (c * each + i) % 65000}", "z", Health.HEALTHY, 100
+                    f"c{c}-{i}", f"127.0.0.1:{1 + (c * per_cluster + i) % 65000}", "z", Health.HEALTHY, 100
                 )
-                for i in range(each)
+                for i in range(per_cluster)
             ]
             for c in range(clusters)
         }
 
-    def told(self, name: str) -> PublishedCluster:
+    def content(self, name: str) -> PublishedCluster:
         return PublishedCluster(tuple(self.lists[name]))
 
-    def weigh(self) -> str:
-        """Changes one endpoint's weight; its cluster."""
+    def change_weight(self) -> str:
+        """Changes the weight of a random endpoint and returns the name of its cluster."""
         name = self.rng.choice(list(self.lists))
         i = self.rng.randrange(len(self.lists[name]))
         e = self.lists[name][i]
@@ -92,32 +93,34 @@
         )
         return name
 
-    def weigh_all(self, name: str) -> None:
+    def change_all_weights(self, name: str) -> None:
         self.lists[name] = [
             PublishedEndpoint(e.name, e.address, e.zone, e.health, self.rng.randrange(50, 200))
             for e in self.lists[name]
         ]
 
-    def mark(self, name: str, i: int, health: Health) -> str:
+    def set_health(self, name: str, i: int, health: Health) -> str:
+        """Sets the health of a cluster's endpoint and returns the name of the endpoint."""
         e = self.lists[name][i]
         self.lists[name][i] = PublishedEndpoint(e.name, e.address, e.zone, health, e.weight)
         return e.name
 
 
-def service(
+def run_service(
     pipe: Connection, clusters: int, endpoints: int, churn: float, interval: float, workers: int
 ) -> None:
+    """Runs the control service and executes the commands that arrive on the pipe."""
     import uvloop
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
-        board = Board(clusters, endpoints, 1)
+        contents = ClusterContents(clusters, endpoints, 1)
         control: ControlServer | WorkerPool
         if workers > 1:
             setup = WorkerSetup("127.0.0.1:0", None, Limits(), {}, ("*",), False, 0.0)
             control = WorkerPool(workers, setup, lambda name: None, print)
             port = await control.start()
-            pids = [os.getpid(), *(m.process.pid for m in control.workers if m.process is not None)]
+            pids = [os.getpid(), *(w.process.pid for w in control.workers if w.process is not None)]
         else:
             control = ControlServer()
             port = await control.start("127.0.0.1:0")
@@ -125,60 +128,62 @@
         release, encoder = ReleaseSchedule(int(interval * 1e6)), ResourceEncoder()
         changes = 0
 
-        def out() -> None:
-            due = release.take_due(time.monotonic_ns() // 1000)
-            if due is not None:
-                control.publish(PublishedSnapshots(encoder, due.clusters), due.urgent)
+        def publish_due() -> None:
+            batch = release.take_due(time.monotonic_ns() // 1000)
+            if batch is not None:
+                control.publish(PublishedSnapshots(encoder, batch.clusters), batch.urgent)
 
-        for name in board.lists:
-            release.offer(name, board.told(name))
-        out()
+        for name in contents.lists:
+            release.offer(name, contents.content(name))
+        publish_due()
 
-        async def churning() -> None:
+        async def change_weights() -> None:
             nonlocal changes
-            began = loop.time()
+            started_at = loop.time()
             done = 0
             while True:
                 await asyncio.sleep(0.01)
-                due = int((loop.time() - began) * churn)
-                for name in {board.weigh() for _ in range(due - done)}:
-                    release.offer(name, board.told(name))
+                due = int((loop.time() - started_at) * churn)
+                for name in {contents.change_weight() for _ in range(due - done)}:
+                    release.offer(name, contents.content(name))
                 changes += due - done
                 done = due
-                out()
+                publish_due()
 
         task: asyncio.Task[None] | None = None
         pipe.send(port)
         while True:
-            what, *args = await loop.run_in_executor(None, pipe.recv)
-            if what == "churn":
-                task = asyncio.create_task(churning())
+            command, *args = await loop.run_in_executor(None, pipe.recv)
+            if command == "churn":
+                task = asyncio.create_task(change_weights())
                 pipe.send(None)
-            elif what == "calm":
+            elif command == "calm":
                 if task is not None:
                     task.cancel()
                 pipe.send(None)
-            elif what == "all":
-                # Every assignment is another one: a full resend on standing streams.
-                for name in board.lists:
-                    board.weigh_all(name)
-                    release.offer(name, board.told(name))
+            elif command == "all":
+                # Changes all assignments, which makes the service resend them on open streams.
+                for name in contents.lists:
+                    contents.change_all_weights(name)
+                    release.offer(name, contents.content(name))
                 release.released_at = 0
-                out()
+                publish_due()
                 pipe.send(None)
-            elif what == "mark":
-                told = time.monotonic()
-                name = board.mark("c0", args[0], args[1])
-                release.offer("c0", board.told("c0"))
-                out()
-                pipe.send((told, name))
-            elif what == "used":
-                await asyncio.sleep(0.3)  # workers tell what they have sent every quarter of a second
-                sent = sum(m.count.bytes_sent for m in control.workers) if workers > 1 else control.bytes_sent
-                pipe.send({**used(pids), "bytes": sent, "changes": changes, "streams": control.count()})
-            elif what == "frames":
-                held = PublishedSnapshots(encoder, release.released).for_zone("").get(EDS)
-                pipe.send(b"".join(sotw_frame(EDS, held[n]) for n in args[0]))
+            elif command == "mark":
+                changed_at = time.monotonic()
+                name = contents.set_health("c0", args[0], args[1])
+                release.offer("c0", contents.content("c0"))
+                publish_due()
+                pipe.send((changed_at, name))
+            elif command == "used":
+                await asyncio.sleep(0.3)  # workers report their sent bytes every quarter of a second
+                sent = sum(w.count.bytes_sent for w in control.workers) if workers > 1 else control.bytes_sent
+                pipe.send(
+                    {**resource_usage(pids), "bytes": sent, "changes": changes, "streams": control.count()}
+                )
+            elif command == "frames":
+                assignments = PublishedSnapshots(encoder, release.released).for_zone("").get(EDS)
+                pipe.send(b"".join(sotw_frame(EDS, assignments[name]) for name in args[0]))
             else:
                 await control.stop()
                 return
@@ -186,38 +191,39 @@
     uvloop.run(body())
 
 
-# ---- a bare server: the same bytes, nothing else --------------------------------------------------------
+# ---- the bare server ------------------------------------------------------------------------------------
 
 
-def bare(pipe: Connection) -> None:
+def run_bare_server(pipe: Connection) -> None:
+    """Runs a server that sends prepared bytes to all streams, and executes the commands on the pipe."""
     import uvloop
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
         waiting: set[asyncio.Event] = set()
-        text = b""
+        message = b""
 
-        async def run(requests: Any, context: Any) -> None:
+        async def serve_stream(requests: Any, context: Any) -> None:
             event = asyncio.Event()
             waiting.add(event)
 
-            async def read() -> None:
+            async def discard_requests() -> None:
                 async for _ in requests:
                     pass
 
-            task = asyncio.create_task(read())
+            task = asyncio.create_task(discard_requests())
             try:
                 while True:
                     await event.wait()
                     event.clear()
-                    await context.write(text)
+                    await context.write(message)
             finally:
                 task.cancel()
                 waiting.discard(event)
 
         server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         handler = grpc.stream_stream_rpc_method_handler(
-            run, request_deserializer=discovery_pb2.DiscoveryRequest.FromString
+            serve_stream, request_deserializer=discovery_pb2.DiscoveryRequest.FromString
         )
         service = "envoy.service.discovery.v3.AggregatedDiscoveryService"
         server.add_generic_rpc_handlers(
@@ -227,15 +233,15 @@
         await server.start()
         pipe.send(port)
         while True:
-            what, *args = await loop.run_in_executor(None, pipe.recv)
-            if what == "send":
-                text = args[0]
-                told = time.monotonic()
+            command, *args = await loop.run_in_executor(None, pipe.recv)
+            if command == "send":
+                message = args[0]
+                sent_at = time.monotonic()
                 for event in waiting:
                     event.set()
-                pipe.send(told)
-            elif what == "used":
-                pipe.send({**used([os.getpid()]), "streams": len(waiting)})
+                pipe.send(sent_at)
+            elif command == "used":
+                pipe.send({**resource_usage([os.getpid()]), "streams": len(waiting)})
             else:
                 await server.stop(0)
                 return
@@ -246,9 +252,10 @@
 # ---- the proxies' processes -----------------------------------------------------------------------------
 
 
-def callers(
+def run_proxies(
     pipe: Connection, port: int, count: int, each: int, clusters: int, delta: bool, seed: int
 ) -> None:
+    """Runs `count` proxies, which subscribe to `each` clusters, and executes the commands on the pipe."""
     import uvloop
 
     async def body() -> None:
@@ -261,185 +268,201 @@
         proxies = []
         for channel in channels:
             names = ["c0", *(f"c{c}" for c in rng.sample(range(1, clusters), each - 1))]
-            p = XdsProxy(channel, names, delta, types=(ASSIGNMENT,))
-            p.tracked_clusters = {"c0"}
-            proxies.append(p.start())
+            proxy = XdsProxy(channel, names, delta, types=(ASSIGNMENT,))
+            proxy.tracked_clusters = {"c0"}
+            proxies.append(proxy.start())
 
-        async def held() -> None:
-            for p in proxies:
-                await p.until(lambda x: len(x.accepted[ASSIGNMENT]) >= each, 300)
+        async def wait_for_assignments() -> None:
+            for proxy in proxies:
+                await proxy.until(lambda proxy: len(proxy.accepted[ASSIGNMENT]) >= each, 300)
 
         while True:
-            what, *args = await loop.run_in_executor(None, pipe.recv)
-            if what == "ready":
-                await held()
+            command, *args = await loop.run_in_executor(None, pipe.recv)
+            if command == "ready":
+                await wait_for_assignments()
                 pipe.send(None)
-            elif what == "times":
-                name, told = args
-                # Read afterwards: to take an assignment apart for each proxy would be what is measured.
+            elif command == "times":
+                name, changed_at = args
+                # The times are read afterwards. To decode each assignment of each proxy meanwhile would take so much
+                # CPU time that it would dominate the result.
                 times: list[float | None] = [None]
                 while None in times:
                     await asyncio.sleep(0.6)
-                    times = [p.first_seen_at("c0", name, DRAINING, told) for p in proxies]
-                pipe.send([t - told for t in times if t is not None])
-                for p in proxies:
-                    p.arrivals.clear()
-            elif what == "back":
-                # All streams end at once; those of a state-of-the-world proxy lose what they held.
-                began = time.monotonic()
-                for p in proxies:
-                    p.keeps_state = args[0]
-                    p.accepted[ASSIGNMENT].clear()
+                    times = [proxy.first_seen_at("c0", name, DRAINING, changed_at) for proxy in proxies]
+                pipe.send([t - changed_at for t in times if t is not None])
+                for proxy in proxies:
+                    proxy.arrivals.clear()
+            elif command == "back":
+                # Ends all streams at once. Unless the proxies keep their state, they lose what they have received.
+                started_at = time.monotonic()
+                for proxy in proxies:
+                    proxy.keeps_state = args[0]
+                    proxy.accepted[ASSIGNMENT].clear()
                     if not args[0]:
-                        p.versions[ASSIGNMENT].clear()
-                        p.version.clear()
-                    p.cancel_stream()
-                ends = []
-                for p in proxies:
+                        proxy.versions[ASSIGNMENT].clear()
+                        proxy.version.clear()
+                    proxy.cancel_stream()
+                durations = []
+                for proxy in proxies:
                     if not args[0]:
-                        await p.until(lambda x: len(x.accepted[ASSIGNMENT]) >= each, 300)
-                    ends.append(time.monotonic() - began)
-                pipe.send(ends)
-            elif what == "bare":
-                began = args[0]
-                for p in proxies:
-                    await p.until(lambda x: bool(x.responses), 60)
-                pipe.send([p.received_at - began for p in proxies])
-                for p in proxies:
-                    p.responses.clear()
+                        await proxy.until(lambda proxy: len(proxy.accepted[ASSIGNMENT]) >= each, 300)
+                    durations.append(time.monotonic() - started_at)
+                pipe.send(durations)
+            elif command == "bare":
+                sent_at = args[0]
+                for proxy in proxies:
+                    await proxy.until(lambda proxy: bool(proxy.responses), 60)
+                pipe.send([proxy.received_at - sent_at for proxy in proxies])
+                for proxy in proxies:
+                    proxy.responses.clear()
             else:
-                for p in proxies:
-                    await p.stop()
+                for proxy in proxies:
+                    await proxy.stop()
                 return
 
     uvloop.run(body())
 
 
-def child(work: Any, *args: Any) -> tuple[Any, Connection]:
+def start_process(target: Any, *args: Any) -> tuple[Any, Connection]:
+    """Starts a process that runs `target` with one end of a pipe; returns the process and the other end."""
     ours, theirs = multiprocessing.Pipe()
-    p = multiprocessing.get_context("spawn").Process(target=work, args=(theirs, *args), daemon=True)
-    p.start()
-    return p, ours
+    process = multiprocessing.get_context("spawn").Process(target=target, args=(theirs, *args), daemon=True)
+    process.start()
+    return process, ours
 
 
 def ask(pipe: Connection, *message: Any) -> Any:
+    """Sends a command to a process and returns its answer."""
     pipe.send(message)
     return pipe.recv()
 
 
-def all_of(pipes: list[Connection], *message: Any) -> list[Any]:
-    for p in pipes:
-        p.send(message)
-    return [p.recv() for p in pipes]
+def ask_all(pipes: list[Connection], *message: Any) -> list[Any]:
+    """Sends a command to several processes and returns their answers."""
+    for pipe in pipes:
+        pipe.send(message)
+    return [pipe.recv() for pipe in pipes]
+
 
+def measure(streams: int, options: argparse.Namespace, delta: bool) -> None:
+    """Measures the service with `streams` proxies, then the bare server with as many."""
 
-def measure(streams: int, a: argparse.Namespace, delta: bool) -> None:
-    def say(what: str, **figures: Any) -> None:
+    def print_result(what: str, **figures: Any) -> None:
         variant = "delta" if delta else "sotw"
         print(
             json.dumps(
-                {"what": what, "streams": streams, "variant": variant, "workers": a.workers, **figures}
+                {"what": what, "streams": streams, "variant": variant, "workers": options.workers, **figures}
             ),
             flush=True,
         )
 
-    process, control = child(service, a.clusters, a.endpoints, a.churn, a.interval, a.workers)
+    process, control = start_process(
+        run_service, options.clusters, options.endpoints, options.churn, options.interval, options.workers
+    )
     port = control.recv()
     empty = ask(control, "used")
-    made = [child(callers, port, streams // CALLERS, a.each, a.clusters, delta, i) for i in range(CALLERS)]
-    pipes = [p for _, p in made]
-    began = time.monotonic()
-    all_of(pipes, "ready")
-    say(
+    proxy_processes = [
+        start_process(run_proxies, port, streams // PROXY_PROCESSES, options.each, options.clusters, delta, i)
+        for i in range(PROXY_PROCESSES)
+    ]
+    pipes = [pipe for _, pipe in proxy_processes]
+    started_at = time.monotonic()
+    ask_all(pipes, "ready")
+    print_result(
         "first lists",
-        seconds=round(time.monotonic() - began, 2),
+        seconds=round(time.monotonic() - started_at, 2),
         rss_mb_empty=empty["rss_mb"],
         **ask(control, "used"),
     )
 
-    def drains(label: str) -> None:
+    def measure_drains(label: str) -> None:
         times: list[float] = []
         worst: list[float] = []
         for i in range(DRAINS):
-            told, name = ask(control, "mark", i, Health.DRAINING)
-            got = [t for part in all_of(pipes, "times", name, told) for t in part]
-            times += got
-            worst.append(max(got))
+            changed_at, name = ask(control, "mark", i, Health.DRAINING)
+            part_times = [t for part in ask_all(pipes, "times", name, changed_at) for t in part]
+            times += part_times
+            worst.append(max(part_times))
             ask(control, "mark", i, Health.HEALTHY)
             time.sleep(0.3)
-        say(label, **quantiles(times), last_client=quantiles(worst), drains=DRAINS)
+        print_result(label, **quantiles(times), last_client=quantiles(worst), drains=DRAINS)
 
-    drains("drain, calm")
+    measure_drains("drain, calm")
     before = ask(control, "used")
     ask(control, "churn")
-    time.sleep(a.seconds)
+    time.sleep(options.seconds)
     after = ask(control, "used")
     changes = max(1, after["changes"] - before["changes"])
-    say(
-        "churn", changes_a_second=a.churn, released_every_s=a.interval,
+    print_result(
+        "churn", changes_a_second=options.churn, released_every_s=options.interval,
         cpu_ms_per_change=round(1000 * (after["cpu_s"] - before["cpu_s"]) / changes, 2),
-        cpu_share=round((after["cpu_s"] - before["cpu_s"]) / a.seconds, 2),
+        cpu_share=round((after["cpu_s"] - before["cpu_s"]) / options.seconds, 2),
         kb_per_change=round((after["bytes"] - before["bytes"]) / changes / 1000, 1), rss_mb=after["rss_mb"],
     )  # fmt: skip
-    drains("drain, under churn")
+    measure_drains("drain, under churn")
     ask(control, "calm")
-    time.sleep(2 * a.interval)
+    time.sleep(2 * options.interval)
     before = ask(control, "used")
-    ends = [t for part in all_of(pipes, "back", False) for t in part]
+    durations = [t for part in ask_all(pipes, "back", False) for t in part]
     after = ask(control, "used")
     sent = after["bytes"] - before["bytes"]
     cpu = round(after["cpu_s"] - before["cpu_s"], 2)
-    say("all return with nothing", last_s=round(max(ends), 2), mb=round(sent / 1e6, 1), cpu_s=cpu)
+    print_result(
+        "all return with nothing", last_s=round(max(durations), 2), mb=round(sent / 1e6, 1), cpu_s=cpu
+    )
     late = []
     for i in range(5):
         ask(control, "all")
         time.sleep(0.05)
-        told, name = ask(control, "mark", 30 + i, Health.DRAINING)
-        late += [t for part in all_of(pipes, "times", name, told) for t in part]
+        changed_at, name = ask(control, "mark", 30 + i, Health.DRAINING)
+        late += [t for part in ask_all(pipes, "times", name, changed_at) for t in part]
         time.sleep(1.0)
-    say("drain, 50 ms into a full resend on standing streams", **quantiles(late), drains=5)
-    # A drain in the middle of a return: the service is told as soon as the first streams are back.
-    for p in pipes:
-        p.send(("back", False))
+    print_result("drain, 50 ms into a full resend on standing streams", **quantiles(late), drains=5)
+    # Drains a server while the proxies reconnect, as soon as the first streams are open again.
+    for pipe in pipes:
+        pipe.send(("back", False))
     time.sleep(0.15)
-    told, name = ask(control, "mark", 50, Health.DRAINING)
-    for p in pipes:
-        p.recv()
-    got = [t for part in all_of(pipes, "times", name, told) for t in part]
-    say("drain, 150 ms into a return of all", **quantiles(got))
-    text = ask(control, "frames", ["c0"])
-    for p in pipes:
-        p.send(("end",))
+    changed_at, name = ask(control, "mark", 50, Health.DRAINING)
+    for pipe in pipes:
+        pipe.recv()
+    part_times = [t for part in ask_all(pipes, "times", name, changed_at) for t in part]
+    print_result("drain, 150 ms into a return of all", **quantiles(part_times))
+    frames = ask(control, "frames", ["c0"])
+    for pipe in pipes:
+        pipe.send(("end",))
     control.send(("end",))
     process.join(10)
-    for p, _ in made:
-        p.join(10)
+    for proxy_process, _ in proxy_processes:
+        proxy_process.join(10)
 
-    process, control = child(bare)
+    process, control = start_process(run_bare_server)
     port = control.recv()
-    made = [child(callers, port, streams // CALLERS, a.each, a.clusters, False, i) for i in range(CALLERS)]
-    pipes = [p for _, p in made]
-    while ask(control, "used")["streams"] < streams // CALLERS * CALLERS:
+    proxy_processes = [
+        start_process(run_proxies, port, streams // PROXY_PROCESSES, options.each, options.clusters, False, i)
+        for i in range(PROXY_PROCESSES)
+    ]
+    pipes = [pipe for _, pipe in proxy_processes]
+    while ask(control, "used")["streams"] < streams // PROXY_PROCESSES * PROXY_PROCESSES:
         time.sleep(0.05)
     time.sleep(0.5)
     message = discovery_pb2.DiscoveryResponse(version_info="0" * 16, nonce="1", type_url=ASSIGNMENT)
     worst, times = [], []
     before = ask(control, "used")
     for _ in range(DRAINS):
-        began = ask(control, "send", message.SerializeToString() + text)
-        got = [t for part in all_of(pipes, "bare", began) for t in part]
-        times += got
-        worst.append(max(got))
+        sent_at = ask(control, "send", message.SerializeToString() + frames)
+        part_times = [t for part in ask_all(pipes, "bare", sent_at) for t in part]
+        times += part_times
+        worst.append(max(part_times))
         time.sleep(0.3)
     after = ask(control, "used")
-    say(
-        "a bare grpcio server, the same bytes", **quantiles(times), last_client=quantiles(worst), bytes=len(text),
+    print_result(
+        "a bare grpcio server, the same bytes", **quantiles(times), last_client=quantiles(worst), bytes=len(frames),
         cpu_ms_per_send=round(1000 * (after["cpu_s"] - before["cpu_s"]) / DRAINS / streams, 3), rss_mb=after["rss_mb"],
     )  # fmt: skip
-    for p in [*pipes, control]:
-        p.send(("end",))
-    for p, _ in [*made, (process, None)]:
-        p.join(10)
+    for pipe in [*pipes, control]:
+        pipe.send(("end",))
+    for child, _ in [*proxy_processes, (process, None)]:
+        child.join(10)
 
 
 def main() -> None:
@@ -455,13 +478,13 @@
     parser.add_argument("--seconds", type=float, default=10.0, help="of churn that are measured")
     parser.add_argument("--workers", type=int, default=1, help="processes of the service")
     parser.add_argument("--variants", default="sotw,delta")
-    a = parser.parse_args()
+    options = parser.parse_args()
     with open("/proc/meminfo") as f:
         memory = int(f.readline().split()[1]) / 1e6
-    print(json.dumps({"cores": os.cpu_count(), "memory_gb": round(memory, 1), **vars(a)}), flush=True)
-    for count in a.streams.split(","):
-        for variant in a.variants.split(","):
-            measure(int(count), a, variant == "delta")
+    print(json.dumps({"cores": os.cpu_count(), "memory_gb": round(memory, 1), **vars(options)}), flush=True)
+    for count in options.streams.split(","):
+        for variant in options.variants.split(","):
+            measure(int(count), options, variant == "delta")
 
 
 if __name__ == "__main__":
--- a/tests/test_control_workers.py
+++ b/tests/test_control_workers.py
@@ -30,7 +30,7 @@
 
 
 class WorkerSite:
-    """A service with two workers, and sixteen proxies that have both its clusters."""
+    """A service with two workers, and sixteen proxies that have received both clusters."""
 
     def __init__(self, site: ControlSite, proxies: list[XdsProxy]) -> None:
         self.site = site
@@ -43,7 +43,7 @@
         return f"127.0.0.1:{self.pool.port}"
 
     async def until(self, reached) -> None:
-        """Until every proxy has what is expected."""
+        """Waits until every proxy has reached the expected state."""
         for proxy in self.proxies:
             await proxy.until(reached)
 
@@ -81,7 +81,7 @@
     async def body() -> None:
         async with worker_site(tmp_path) as workers:
             counts = [worker.count.streams for worker in workers.pool.workers]
-            assert sum(counts) == 16 and all(counts), "one worker has them all"
+            assert sum(counts) == 16 and all(counts), "one worker has all streams"
 
     run(body())
 
@@ -112,10 +112,10 @@
 def test_a_worker_that_is_killed_while_the_list_changes_is_replaced_and_no_proxy_sees_a_gap(tmp_path):
     async def body() -> None:
         async with worker_site(tmp_path) as workers:
-            pool, seen = workers.pool, []
+            pool, server_counts = workers.pool, []
 
             def on_response(proxy: XdsProxy, type_url: str, names: list[str]) -> None:
-                seen.append(len(health(proxy)) if "orders" in proxy.accepted[CLUSTER] else -1)
+                server_counts.append(len(health(proxy)) if "orders" in proxy.accepted[CLUSTER] else -1)
 
             for proxy in workers.proxies:
                 proxy.on_response = on_response
@@ -125,12 +125,12 @@
             await workers.until(lambda proxy: health(proxy)["orders1"] == DRAINING)
             while pool.workers[0].process is killed or pool.count() < 16:
                 await asyncio.sleep(0.02)
-            assert set(seen) == {3}
+            assert set(server_counts) == {3}
 
     run(body())
 
 
-def test_a_cluster_that_leaves_the_file_leaves_the_streams_of_all_workers(tmp_path):
+def test_a_cluster_removed_from_the_file_is_removed_from_the_streams_of_all_workers(tmp_path):
     async def body() -> None:
         async with worker_site(tmp_path) as workers:
             workers.site.path.write_text(text_of({"orders": workers.orders}, control=WORKER_OPTIONS))
@@ -140,7 +140,7 @@
     run(body())
 
 
-def test_workers_end_with_a_service_that_is_killed(tmp_path):
+def test_workers_exit_after_their_service_is_killed(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
             await site.cluster("orders")
@@ -148,7 +148,7 @@
             service, port = await process(site.path)
             service.kill()
             await asyncio.to_thread(service.wait)
-            # The port is free once the last of them has gone.
+            # The port is free once the last worker has exited.
             while True:
                 try:
                     (await asyncio.start_server(lambda r, w: None, "127.0.0.1", port)).close()
@@ -159,7 +159,7 @@
     run(body())
 
 
-def test_a_port_in_use_is_not_shared_without_a_word(tmp_path):
+def test_a_port_in_use_is_reported_and_not_shared(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
             await site.cluster("orders")
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -1,4 +1,4 @@
-"""The control service's own decisions, free of I/O, and the module's view."""
+"""The control service's decisions, which perform no I/O, and the decision module's snapshots of servers."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 class IgnoredActions:
-    """Actions that do nothing: a decision module that only judges servers sends no requests."""
+    """Actions that do nothing, because a decision module that only judges servers sends no requests."""
 
     def __getattr__(self, name):
         return lambda *args: None
 
 
-def balancer_of(servers: int, now: int = 0, **more) -> Balancer:
-    """A decision module without requests, with so many servers listed."""
+def balancer_of(servers: int, now: int = 0, **overrides) -> Balancer:
+    """Returns a decision module without requests, with servers 1 to `servers` listed."""
     settings = Settings(
         classes=(ClassSettings(Idempotency.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),), subset_max=1 << 30,
-        report_fields=("latency_ms",), **more,
+        report_fields=("latency_ms",), **overrides,
     )  # fmt: skip
     balancer = Balancer(settings, 1, IgnoredActions())
     balancer.start(0)
@@ -49,10 +49,10 @@
     return [snapshot.server for snapshot in balancer.endpoint_snapshots(now) if snapshot.ejected]
 
 
-# ---- the decision module's view -----------------------------------------------------------------------------
+# ---- the decision module's snapshots ------------------------------------------------------------------------
 
 
-def test_the_view_covers_every_server_and_changes_nothing():
+def test_the_snapshots_cover_every_server_and_change_nothing():
     balancer = balancer_of(200)
     before = balancer.stats()
     snapshots = balancer.endpoint_snapshots(0)
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def balancer_with_server_1_ejected():
-    """Five servers; the first one's health checks failed three times."""
+    """Returns a decision module with five servers, of which server 1 has failed three health checks."""
     balancer = balancer_of(5)
     for second in range(3):
         for server in (2, 3, 4, 5):
@@ -91,7 +91,7 @@
     assert ejected(balancer) == []
 
 
-def test_no_more_than_a_third_is_ejected_whatever_is_reported():
+def test_at_most_a_third_of_the_servers_is_ejected_whatever_is_reported():
     balancer = balancer_of(9)
     for second in range(5):
         for server in range(1, 10):
@@ -100,7 +100,7 @@
     assert 1 <= len(ejected(balancer)) <= 3
 
 
-def test_a_slow_server_costs_more():
+def test_a_slow_server_has_a_higher_cost():
     balancer = balancer_of(3, now=SECOND)
     for step in range(20):
         for server, latency_ms in ((1, 10), (2, 10), (3, 40)):
@@ -109,7 +109,7 @@
     assert snapshots[3].cost > 2 * snapshots[1].cost
 
 
-def test_a_server_that_has_just_started_shows_how_far_it_has_warmed_up():
+def test_the_snapshot_of_a_server_that_has_just_started_contains_its_slow_start_factor():
     balancer = balancer_of(3, SECOND, slow_start_duration=10 * SECOND, slow_start_min_capacity=0.2)
     balancer.endpoint_update(SECOND, EndpointUpdateKind.CHANGES, [Endpoint(4, ready_at=SECOND)])
     factors = [
@@ -121,7 +121,7 @@
     assert set(factors[2].values()) == {1.0}
 
 
-def test_a_report_that_cannot_be_changes_nothing():
+def test_an_invalid_report_changes_nothing():
     balancer = balancer_of(3)
     balancer.load_reported(0, 99, 5, 5, ())
     balancer.load_reported(0, 1, 0, 0, ())
@@ -146,7 +146,7 @@
 
 @pytest.fixture
 def released_abc():
-    """A schedule that has released the clusters a, b and c after 5 seconds."""
+    """Returns a schedule that released the clusters a, b and c at 5 seconds."""
     schedule = ReleaseSchedule(SECOND)
     for name in "abc":
         schedule.offer(name, cluster(100, 100))
@@ -165,7 +165,7 @@
     assert batch.clusters["a"].endpoints[0].weight == 59
 
 
-def test_a_drain_goes_at_once_with_its_own_cluster_alone(released_abc):
+def test_a_drain_is_released_at_once_and_only_for_its_own_cluster(released_abc):
     released_abc.offer("a", cluster(59, 100))
     released_abc.offer("b", cluster(100, 59))
     assert released_abc.take_due(5 * SECOND + 59) is None
@@ -180,7 +180,7 @@
     assert batch.clusters["a"].endpoints[0].weight == 59
 
 
-def test_a_change_that_is_taken_back_before_its_release_does_not_go_out():
+def test_a_change_that_is_reverted_before_its_release_is_not_released():
     schedule = ReleaseSchedule(SECOND)
     schedule.offer("a", cluster(100, 100))
     schedule.take_due(SECOND)
@@ -207,7 +207,10 @@
 
 
 def releases_in_ten_seconds(cost_of_s9) -> int:
-    """Ten servers with a little noise, looked at ten times a second; the tenth one's cost is given by the step."""
+    """Returns how many releases there are in 10 seconds for ten servers whose costs are slightly noisy.
+
+    The servers are updated ten times per second. `cost_of_s9` returns the tenth server's cost at a step.
+    """
     publisher, schedule, count = ClusterPublisher(), ReleaseSchedule(SECOND), 0
     rng = Random(1)
     for step in range(100):
@@ -219,18 +222,18 @@
     return count
 
 
-def test_a_server_whose_cost_flaps_reaches_proxies_once_a_second_at_most():
+def test_a_cost_that_alternates_is_released_at_most_once_per_second():
     assert 2 <= releases_in_ten_seconds(lambda step: 2.0 if step % 2 else 1.0) <= 11
 
 
-def test_noise_within_the_hysteresis_reaches_no_proxy():
+def test_noise_within_the_hysteresis_is_not_released():
     assert releases_in_ten_seconds(lambda step: 1.0) == 1
 
 
 # ---- limits and priorities ----------------------------------------------------------------------------------
 
 
-def test_the_request_limit_is_twice_a_proxys_part_of_the_capacity():
+def test_the_request_limit_is_twice_a_proxys_share_of_the_capacity():
     views = [ServerView(f"s{i}", "h:1") for i in range(10)]
     assert request_limit(views, 10, 1) == 100
     assert request_limit(views, 10, 10) == 20
@@ -245,7 +248,7 @@
     assert request_limit(views, 10, 10) == 10
 
 
-def test_a_server_that_warms_up_has_a_part_of_its_capacity():
+def test_a_server_in_slow_start_has_a_fraction_of_its_capacity():
     assert request_limit([ServerView("s", "h:1", slow_start_factor=0.25)], 40, 2) == 10
 
 
@@ -253,47 +256,47 @@
     assert request_limit([], 10, 1000) == 3
 
 
-def test_a_zone_goes_first_only_for_proxies_that_are_in_it():
+def test_a_zone_has_priority_only_for_proxies_that_are_in_it():
     zones = {"a", "b"}
     assert [priority(zone, "a", zones) for zone in ("a", "b")] == [0, 1]
     assert [priority(zone, "c", zones) for zone in ("a", "b")] == [0, 0]
 
 
-# ---- lists --------------------------------------------------------------------------------------------------
+# ---- endpoint lists -----------------------------------------------------------------------------------------
 
 
-def line(name: str, state: str = "in_service", port: int = 1) -> dict:
+def listed(name: str, state: str = "in_service", port: int = 1) -> dict:
     return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state}
 
 
 @pytest.fixture
 def listed_a_and_b():
     endpoints = ListedEndpoints()
-    endpoints.apply({"instances": [line("a"), line("b")]}, full=True, cached=False)
+    endpoints.apply({"instances": [listed("a"), listed("b")]}, full=True, cached=False)
     return endpoints
 
 
 def test_a_list_keeps_a_server_that_drains(listed_a_and_b):
-    drain = {"instanceId": "a", "lifecycle": "terminating"}
-    listed_a_and_b.apply({"instances": [drain]}, full=False, cached=False)
+    draining = {"instanceId": "a", "lifecycle": "terminating"}
+    listed_a_and_b.apply({"instances": [draining]}, full=False, cached=False)
     assert listed_a_and_b.entries["a"]["hostPort"] == "127.0.0.1:1"
     assert listed_a_and_b.entries["a"]["lifecycle"] == "terminating"
 
 
-def test_a_list_drops_a_server_that_has_ended_and_lines_that_cannot_be_read(listed_a_and_b):
-    ended = {"instanceId": "a", "lifecycle": "terminated"}
-    listed_a_and_b.apply({"instances": [ended, None, {}, {"instanceId": 3}]}, full=False, cached=False)
+def test_a_list_drops_a_terminated_server_and_ignores_invalid_entries(listed_a_and_b):
+    terminated = {"instanceId": "a", "lifecycle": "terminated"}
+    listed_a_and_b.apply({"instances": [terminated, None, {}, {"instanceId": 3}]}, full=False, cached=False)
     assert set(listed_a_and_b.entries) == {"b"}
 
 
 def test_a_full_list_replaces_the_one_before(listed_a_and_b):
-    listed_a_and_b.apply({"instances": [line("c")]}, full=True, cached=False)
+    listed_a_and_b.apply({"instances": [listed("c")]}, full=True, cached=False)
     assert set(listed_a_and_b.entries) == {"c"}
 
 
-def test_a_remembered_list_is_known_but_counts_as_old():
+def test_a_cached_list_is_publishable_but_counts_as_old():
     endpoints = ListedEndpoints()
-    endpoints.apply({"instances": [line("a")]}, full=True, cached=False)
+    endpoints.apply({"instances": [listed("a")]}, full=True, cached=False)
     restarted = ListedEndpoints()
     restarted.apply(endpoints.snapshot(), full=True, cached=True)
     assert restarted.is_publishable()
@@ -301,7 +304,7 @@
     assert restarted.entries == endpoints.entries
 
 
-def test_an_empty_remembered_list_is_not_known():
+def test_an_empty_cached_list_is_not_publishable():
     endpoints = ListedEndpoints()
     endpoints.apply({"instances": []}, full=True, cached=True)
     assert not endpoints.is_publishable()
@@ -311,7 +314,10 @@
 
 
 def reports(*failing: bool) -> LoadReports:
-    """Reports of one server by as many proxies; for a failing one all of its 1000 requests failed."""
+    """Returns the load reports of several proxies on one server, one proxy for each argument.
+
+    A proxy for which the argument is true reports 1000 failed requests, another one 100 successful requests.
+    """
     collected = LoadReports()
     for number, fails in enumerate(failing):
         good, bad = (0, 1000) if fails else (100, 0)
@@ -319,7 +325,7 @@
     return collected
 
 
-def test_one_proxy_whose_way_to_a_server_is_broken_makes_no_failures():
+def test_failures_that_only_one_proxy_reports_do_not_count():
     (load,) = reports(True, False, False, False, False).take()
     assert load.bad == 0
     assert load.good == 1400
@@ -336,7 +342,7 @@
     assert collected.take() == []
 
 
-def test_figures_that_cannot_be_are_bounded():
+def test_impossible_figures_are_bounded():
     collected = LoadReports()
     collected.add("p", "s", 1 << 60, -5, 1 << 60, 1e30)
     (load,) = collected.take()
@@ -347,7 +353,7 @@
 
 def test_latency_is_the_requests_in_progress_over_their_rate():
     collected = LoadReports()
-    collected.add("p", "s", 100, 0, 5, 2.0)  # 50 a second, 5 in progress: 100 ms each
+    collected.add("p", "s", 100, 0, 5, 2.0)  # 50 requests per second with 5 in progress take 100 ms each
     assert abs(collected.take()[0].latency_ms - 100) < 1
 
 
