--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -42,7 +42,7 @@
         self._on_change(self.name)
 
     def views(self) -> tuple[list[ServerView], float]:
-        """Returns the views of all listed servers, and how many requests this process may send to one at once."""
+        """Returns the views of all listed servers, and the highest concurrency limit that one of them has."""
         balancer_views = {
             view.server: view for view in self.dispatcher.balancer.endpoint_snapshots(monotonic_us())
         }
