--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -183,7 +183,7 @@
     def connectivity_changed(self, *, connected: bool) -> None:
         """Called when the watch has received data or its connection has ended.
 
-        A stale watch becomes fresh again when it is connected.
+        After the first full list, a stale watch becomes fresh again as soon as it is connected.
         """
         if not connected or not self.table.watch:
             return
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -102,7 +102,7 @@
             seconds of the monotonic clock, and the start time derived from that, as Unix time in milliseconds.
         full_list_published: Whether a full list has been published, which requires at least one fresh source.
         wait_until: The time, in seconds of the monotonic clock, until which the first full list waits for sources
-            that have not provided a list yet.
+            that have not provided a list yet. Until the first full list, no remembered endpoint is removed.
         remembered: Entries that were published before a restart, by address. They are in use until the first full
             list is published.
     """
