--- a/harecross/dns/cli.py
+++ b/harecross/dns/cli.py
@@ -85,8 +85,8 @@
         "name": name,
         "ttl_s": answer.ttl,
         "endpoints": [{key: getattr(endpoint, key) for key in keys} for endpoint in answer.endpoints],
-        "empty": answer.empty,
-        "unknown": list(answer.unknown),
+        "empty": answer.empty_reason,
+        "unknown": list(answer.unresolved_targets),
         "notes": list(answer.notes),
         "messages": queries_sent,
     }
@@ -110,5 +110,5 @@
     out.print(endpoints)
     for note in answer.notes:
         print(note, file=sys.stderr)
-    if answer.empty:
-        print(f"harecross: {name}: {answer.empty}", file=sys.stderr)
+    if answer.empty_reason:
+        print(f"harecross: {name}: {answer.empty_reason}", file=sys.stderr)
--- a/harecross/dns/lifetime.py
+++ b/harecross/dns/lifetime.py
@@ -77,7 +77,7 @@
     def receive_answer(self, now: float, answer: SrvAnswer) -> None:
         """The result of a refresh, with endpoints or without."""
         self.refreshing = False
-        if not answer.unknown and not answer.endpoints:
+        if not answer.unresolved_targets and not answer.endpoints:
             self.failures = 0
             self._receive_empty(now, answer)
             return
@@ -96,9 +96,9 @@
         usable = (
             self.answer is not None and self.answer.endpoints and now < self.expires_at + limits.max_stale
         )
-        if usable and not self._confirm_empty(now, ttl, answer.empty):
+        if usable and not self._confirm_empty(now, ttl, answer.empty_reason):
             return
-        self._store(now, answer, ttl, answer.empty)
+        self._store(now, answer, ttl, answer.empty_reason)
 
     def _confirm_empty(self, now: float, ttl: float, reason: str) -> bool:
         """Whether an empty answer has been repeated for long enough: a DNS server that has just been restarted
@@ -124,13 +124,13 @@
         """The answer with the earlier addresses of targets whose lookup failed, so that one failed lookup of an
         address removes no server.
         """
-        if not answer.unknown:
+        if not answer.unresolved_targets:
             return answer
         earlier = self.answer.endpoints if self.answer is not None else ()
-        retained = [endpoint for endpoint in earlier if endpoint.target in answer.unknown]
+        retained = [endpoint for endpoint in earlier if endpoint.target in answer.unresolved_targets]
         endpoints = tuple(sorted({*answer.endpoints, *retained}))
         ttl = min(answer.ttl, self.limits.min_ttl * 2)
-        return SrvAnswer(endpoints, ttl, answer.empty, answer.unknown, answer.notes)
+        return SrvAnswer(endpoints, ttl, answer.empty_reason, answer.unresolved_targets, answer.notes)
 
     def receive_failure(self, now: float, problem: str) -> None:
         """A refresh that brought no answer; it is repeated with a backoff."""
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -32,8 +32,8 @@
 
     endpoints: tuple[SrvEndpoint, ...]
     ttl: float  # seconds
-    empty: str = ""  # why there are no endpoints
-    unknown: tuple[str, ...] = ()  # targets whose address could not be looked up
+    empty_reason: str = ""  # why there are no endpoints
+    unresolved_targets: tuple[str, ...] = ()  # targets whose address could not be looked up
     notes: tuple[str, ...] = ()  # for operators
 
 
@@ -231,9 +231,9 @@
             raise ValueError(self.failure or "not over")
         records = [srv_data(record) for record in self._srv.records]
         if not records:
-            return SrvAnswer((), self._srv.ttl, empty=self._srv.reason)
+            return SrvAnswer((), self._srv.ttl, empty_reason=self._srv.reason)
         if all(record.target == NO_SERVICE for record in records):
-            return SrvAnswer((), self._srv.ttl, empty="no service (target .)")
+            return SrvAnswer((), self._srv.ttl, empty_reason="no service (target .)")
         collected = Collected(self._srv.ttl, notes=list(dict.fromkeys(self._notes)))
         for record in records:
             self._collect(record, collected)
--- a/harecross/soak/discoveries.py
+++ b/harecross/soak/discoveries.py
@@ -11,7 +11,7 @@
 from harecross.soak.plan import DiscoveryPlan
 from harecross.soak.records import EndpointChange, Lifecycle, NotificationRecord, Records
 from harecross.standins.discovery import chunk, entry, update
-from harecross.standins.http import answer, read_message, write_open
+from harecross.standins.http import answer, read_message, write_or_raise
 
 POLL_INTERVAL_S = 0.01  # between two looks at the records
 HEARTBEAT_INTERVAL_S = 1.8  # without a change; the protocol has 2
@@ -263,7 +263,7 @@
         for start in range(0, len(data), piece_bytes):
             if start:
                 await asyncio.sleep(PIECE_INTERVAL_S)
-            write_open(writer, data[start : start + piece_bytes])
+            write_or_raise(writer, data[start : start + piece_bytes])
         await writer.drain()
 
     # ---- faults -------------------------------------------------------------------------------------------
--- a/harecross/soak/proxy.py
+++ b/harecross/soak/proxy.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from harecross.soak.plan import LinkFault, LinkFaultKind
-from harecross.standins.http import write_open
+from harecross.standins.http import write_or_raise
 
 MAX_READ_BYTES = 1 << 16
 PIECE_BYTES = 5  # of an answer that arrives in pieces
@@ -47,7 +47,7 @@
                 if self.request_began is None:
                     self.request_began = time.monotonic()
                 await self._proxy.wait_for_link(LinkFaultKind.REQUESTS_HELD)
-                write_open(writer, data)
+                write_or_raise(writer, data)
         except ConnectionError:
             pass
         # The node has closed, which ends the server's work; nodes never close their sending side alone.
@@ -59,7 +59,7 @@
             while data := await reader.read(MAX_READ_BYTES):
                 await self._proxy.wait_for_link(LinkFaultKind.ANSWERS_HELD)
                 if self._proxy.draw_fault(LinkFaultKind.RESET):
-                    write_open(writer, data[:RESET_AFTER_BYTES])
+                    write_or_raise(writer, data[:RESET_AFTER_BYTES])
                     writer.transport.abort()
                     return
                 if self._proxy.draw_fault(LinkFaultKind.HALF_CLOSE):
@@ -73,10 +73,10 @@
     async def _write_answer(self, data: bytes, writer: asyncio.StreamWriter) -> None:
         """Writes an answer, in pieces if that fault is drawn."""
         if not self._proxy.draw_fault(LinkFaultKind.PIECES):
-            write_open(writer, data)
+            write_or_raise(writer, data)
             return
         for start in range(0, len(data), PIECE_BYTES):
-            write_open(writer, data[start : start + PIECE_BYTES])
+            write_or_raise(writer, data[start : start + PIECE_BYTES])
             await asyncio.sleep(PIECE_INTERVAL_S)
 
 
--- a/harecross/standins/http.py
+++ b/harecross/standins/http.py
@@ -11,7 +11,7 @@
     return head, await read_body(reader, head)
 
 
-def write_open(writer: asyncio.StreamWriter, data: bytes) -> None:
+def write_or_raise(writer: asyncio.StreamWriter, data: bytes) -> None:
     """Writes to a connection. ConnectionError where it has ended already, which a plain write does not always tell."""
     if writer.is_closing():
         raise ConnectionError("the connection has ended")
--- a/harecross/standins/xds.py
+++ b/harecross/standins/xds.py
@@ -97,7 +97,7 @@
         self.versions: dict[str, dict[str, str]] = {type_url: {} for type_url in types}  # delta
         self.version: dict[str, str] = {}  # state of the world
         self.nonce: dict[str, str] = {}
-        self.wanted: set[str] = set(names or ())
+        self.subscribed: set[str] = set(names or ())
         self.rejection_reason = accept_all
         self.may_read = asyncio.Event()
         self.may_read.set()
@@ -172,7 +172,7 @@
         self.streams += 1
         self.changed.set()
         for type_url in self.types:
-            if type_url in (CLUSTER, LISTENER) or self.wanted:
+            if type_url in (CLUSTER, LISTENER) or self.subscribed:
                 await self._send_request(type_url)
         while True:
             await self.may_read.wait()
@@ -188,7 +188,7 @@
             await self._receive(response)
 
     def _subscribed_names(self, type_url: str) -> list[str]:
-        return [] if type_url in (CLUSTER, LISTENER) else sorted(self.wanted)
+        return [] if type_url in (CLUSTER, LISTENER) else sorted(self.subscribed)
 
     async def _send_request(self, type_url: str, error: str = "") -> None:
         """A first request, an ACK, a NACK or another subscription (state of the world)."""
@@ -214,8 +214,8 @@
 
     async def subscribe(self, names: set[str]) -> None:
         """Other assignments from now on."""
-        added, dropped = names - self.wanted, self.wanted - names
-        self.wanted = set(names)
+        added, dropped = names - self.subscribed, self.subscribed - names
+        self.subscribed = set(names)
         for name in dropped:
             self.accepted[ASSIGNMENT].pop(name, None)
             self.versions[ASSIGNMENT].pop(name, None)
@@ -259,7 +259,7 @@
                 self.arrivals += [(self.received_at, name, found[name]) for name in tracked]
         if self.acknowledges:
             await self._send_request(type_url, error)
-        if type_url == CLUSTER and self.names is None and set(self.accepted[CLUSTER]) != self.wanted:
+        if type_url == CLUSTER and self.names is None and set(self.accepted[CLUSTER]) != self.subscribed:
             await self.subscribe(set(self.accepted[CLUSTER]))
         self.on_response(self, type_url, list(found))
         self.changed.set()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -145,7 +145,7 @@
             await site.serve(control="wait_s = 0.2")
             again = XdsProxy(site.channel, delta=delta)
             again.accepted, again.versions = held
-            again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
+            again.version, again.subscribed = dict(proxy.version), set(proxy.subscribed)
             again.start()
             await again.until(lambda proxy: proxy.streams >= 1)
             while not any(ASSIGNMENT in s.stream.types for s in site.service.server.proxies):
--- a/tests/test_dns_srv.py
+++ b/tests/test_dns_srv.py
@@ -65,7 +65,7 @@
     assert any("which RFC 2782 forbids" in n for n in found.notes)
     server.remove_records(f"b.{ZONE}", "A")
     server.set_records(f"b.{ZONE}", "CNAME", f"a.{ZONE}")
-    assert resolve_directly(server).empty == "no target has an address"
+    assert resolve_directly(server).empty_reason == "no target has an address"
     # The name itself may be an alias, of another zone too; there its own additional records are believed.
     server = site("a")
     server.set_records("_r._tcp.alias.example.org.", "CNAME", NAME)
@@ -86,7 +86,7 @@
     server = DnsServer()
     if records:
         server.set_records(NAME, "SRV", *records)
-    assert resolve_directly(server).empty == empty
+    assert resolve_directly(server).empty_reason == empty
     assert not resolve_directly(server).endpoints
 
 
@@ -98,8 +98,8 @@
     whole = name.view(0.0).endpoints
     found = resolve_directly(server, fail=frozenset({f"b.{ZONE}"}))
     assert len(found.endpoints) == 1
-    assert found.unknown == (f"b.{ZONE}",)
-    assert not found.empty
+    assert found.unresolved_targets == (f"b.{ZONE}",)
+    assert not found.empty_reason
     name.receive_answer(1.0, found)
     assert name.view(1.0).endpoints == whole
     assert name.view(1.0).remaining_s <= 2
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -474,7 +474,7 @@
                     name.receive_failure(now, "SERVFAIL")
                 else:
                     empty = "" if some else "NXDOMAIN"
-                    name.receive_answer(now, SrvAnswer(endpoints(*some), 20.0, empty=empty))
+                    name.receive_answer(now, SrvAnswer(endpoints(*some), 20.0, empty_reason=empty))
                 view = name.view(now)
                 key = (view.status, name.answered_at)
                 if published.get(source) != key:
