--- a/harecross/dns/__init__.py
+++ b/harecross/dns/__init__.py
@@ -1,4 +1,5 @@
-"""A small resolver for SRV names: lookups, cached sets and their answers as state machines free of I/O, and sockets.
+"""A stub resolver for SRV names.
 
-Needs the extra `dns`; a node without SRV names imports none of it.
+Lookups, SRV resolutions and cached names are state machines without I/O; `client` and `connections` hold the sockets.
+The package needs the extra `dns`; a node without SRV names imports none of it.
 """
--- a/harecross/dns/cli.py
+++ b/harecross/dns/cli.py
@@ -1,4 +1,7 @@
-"""`harecross dns`: what DNS servers answer for a name. Status 0 for a set, 1 for none, 2 for wrong use."""
+"""The command `harecross dns query`, which resolves an SRV name.
+
+The exit status is 0 if the name has endpoints, 1 if it has none or the lookup fails, 2 for a usage error.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
     ],
     as_json: Annotated[bool, typer.Option("--json", help="To standard output.")] = False,
 ) -> None:
-    """What a name holds: priority, weight, address and port of each endpoint, and how long it lives."""
+    """Prints the endpoints of an SRV name, with priority, weight, address and port, and their TTL."""
     check_resolvers(resolver)
     answer, queries_sent = resolve(name, resolver)
     if as_json:
@@ -41,7 +44,7 @@
 
 
 def check_resolvers(resolvers: list[str]) -> None:
-    """Ends the command for a DNS server that is not given by its address."""
+    """Exits with an error if a DNS server is not given by its IP address."""
     from harecross.dns.servers import server_address
 
     for server in resolvers:
@@ -52,7 +55,7 @@
 
 
 def resolve(name: str, resolvers: list[str]) -> tuple[SrvAnswer, int]:
-    """What a name has, and how many messages were sent for it; ends the command where there is no answer."""
+    """Returns the answer and the number of queries sent; exits with an error if there is no answer."""
     import asyncio
     from random import SystemRandom
 
@@ -79,7 +82,7 @@
 
 
 def print_json(name: str, answer: SrvAnswer, queries_sent: int) -> None:
-    """Prints an answer for programs."""
+    """Prints an answer as JSON."""
     keys = ("priority", "weight", "target", "address", "port")
     document = {
         "name": name,
@@ -94,7 +97,7 @@
 
 
 def print_table(name: str, answer: SrvAnswer, queries_sent: int) -> None:
-    """Prints an answer for people."""
+    """Prints an answer as a table."""
     from harecross.console import out, table
 
     title = f"{name}: {len(answer.endpoints)} endpoints for {answer.ttl:g} s, {queries_sent} messages"
--- a/harecross/dns/client.py
+++ b/harecross/dns/client.py
@@ -1,4 +1,8 @@
-"""The resolver's sockets: one UDP socket for each attempt, one connection for each server. Decisions are `lookup`'s."""
+"""The DNS client: sends queries over UDP, TCP and TLS.
+
+Each attempt over UDP has a socket of its own; each server has one connection, which all lookups share. Which query is
+sent, and when, is decided in `lookup`.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +19,31 @@
 from harecross.dns.srv import Resolution, SrvAnswer
 from harecross.settings import parse_address
 
-MAX_LOOKUPS_PER_NAME = 32  # at once, for one name's addresses
-MAX_LOOKUPS = 16  # at once, of one client, each with a socket: descriptors are for client connections
+MAX_LOOKUPS_PER_NAME = 32  # concurrent lookups that one resolution of an SRV name starts
+# Concurrent lookups of one client. Each needs a socket, and the file descriptors are needed for the node's clients.
+MAX_LOOKUPS = 16
 
 
 class LookupFailedError(Exception):
-    """There is no answer; the text holds each server's reason."""
+    """No server gave a usable answer; the message holds the reason for each server."""
 
 
 class DnsClient:
-    """Queries DNS servers. One lookup at a time is in progress for a question; all who ask share its answer."""
+    """Queries DNS servers. Concurrent callers with the same question share one lookup."""
 
     def __init__(
         self, servers: Sequence[str], rng: Random, tls: ssl.SSLContext | None = None, tls_name: str = ""
     ) -> None:
-        """`servers` are HOST:PORT, by IP address, with `tls://` before it for DNS over TLS. `tls_name` is the name that
-        their certificate must have in place of their address. ValueError without any server.
+        """Creates a client; it must be called within a running event loop.
+
+        Args:
+            servers: Addresses as HOST:PORT, where HOST is an IP address, prefixed with `tls://` for DNS over TLS.
+            rng: Source of message ids and of the order in which servers are tried.
+            tls: Context for DNS over TLS; None means the system's default trust store.
+            tls_name: Name that the servers' certificates must have; empty means the server's address.
+
+        Raises:
+            ValueError: `servers` is empty.
         """
         self.loop = asyncio.get_running_loop()
         self.queries_sent = 0
@@ -41,7 +54,12 @@
         self._lookup_slots = asyncio.Semaphore(MAX_LOOKUPS)
 
     async def resolve(self, name: str) -> SrvAnswer:
-        """What an SRV name has. LookupFailedError where the name itself has no answer; ValueError for no name."""
+        """Returns the endpoints of an SRV name.
+
+        Raises:
+            LookupFailedError: The lookup of the SRV records failed.
+            ValueError: `name` is not a domain name.
+        """
         resolution = Resolution(normalize_name(name))
         slots = asyncio.Semaphore(MAX_LOOKUPS_PER_NAME)
 
@@ -59,7 +77,10 @@
         return resolution.result()
 
     async def query(self, question: Question) -> Reply:
-        """The answer. LookupFailedError where there is none; a caller that is cancelled stops no other."""
+        """Returns the reply to a question. Raises LookupFailedError if there is none.
+
+        Cancelling one caller does not cancel the lookup that others share.
+        """
         task = self._lookups.get(question)
         if task is None:
             task = self._lookups[question] = asyncio.create_task(self._look_up(question))
@@ -77,7 +98,7 @@
     async def send(
         self, query: OutgoingQuery, callbacks: AttemptCallbacks, sockets: list[asyncio.DatagramTransport]
     ) -> None:
-        """Sends one message, and reports by `callbacks` what comes of it. A new socket is added to `sockets`."""
+        """Sends one query and reports its result through `callbacks`. A new UDP socket is added to `sockets`."""
         try:
             if query.transport == "udp":
                 await self._send_datagram(query, callbacks, sockets)
@@ -85,7 +106,7 @@
                 connection = await self._connections.get(self.loop, query.server)
                 connection.send(query.data, callbacks)
         except OSError as error:
-            callbacks.failed(f"cannot be reached: {error.strerror or error}")
+            callbacks.failed(f"cannot send the query: {error.strerror or error}")
 
     async def _send_datagram(
         self, query: OutgoingQuery, callbacks: AttemptCallbacks, sockets: list[asyncio.DatagramTransport]
@@ -98,7 +119,7 @@
         transport.sendto(query.data)
 
     async def close(self) -> None:
-        """Ends the lookups in progress, and the connections."""
+        """Cancels the lookups in progress and closes the connections."""
         lookups = list(self._lookups.values())
         for task in lookups:
             task.cancel()
@@ -107,7 +128,7 @@
 
 
 class LookupRun:
-    """One lookup at work: its messages, its timer and its sockets."""
+    """Runs one lookup: sends its queries, waits for its timeouts and owns its sockets."""
 
     def __init__(self, client: DnsClient, lookup: Lookup) -> None:
         self._client = client
@@ -118,7 +139,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def run(self) -> None:
-        """Runs the lookup to its end."""
+        """Runs the lookup until it has a reply or has failed."""
         try:
             self._send(self._lookup.start(self._now()))
             while not self._lookup.done:
--- a/harecross/dns/connections.py
+++ b/harecross/dns/connections.py
@@ -1,4 +1,4 @@
-"""Sockets for DNS messages: a UDP socket of one attempt, and connections that all lookups at a server share."""
+"""Transports for DNS messages: a UDP socket for each attempt, and a connection for each server over TCP or TLS."""
 
 from __future__ import annotations
 
@@ -11,59 +11,64 @@
 from harecross.dns.servers import TLS
 from harecross.settings import parse_address
 
-IDLE_TIMEOUT_S = 5.0  # after which a connection without a query is closed (RFC 7766, 6.2.3)
+IDLE_TIMEOUT_S = 5.0  # a connection without outstanding queries is closed after this time (RFC 7766, 6.2.3)
 
 
 class AttemptCallbacks(NamedTuple):
-    """What comes of one message."""
+    """Called with the results of one query.
+
+    Attributes:
+        received: Called with each message that arrives for the query.
+        failed: Called with the reason if the query cannot be sent or its transport fails.
+    """
 
     received: Callable[[bytes], None]
-    failed: Callable[[str], None]  # with the reason
+    failed: Callable[[str], None]
 
 
 class UdpProtocol(asyncio.DatagramProtocol):
-    """The socket of one attempt. It is connected: what comes from another address never arrives."""
+    """The UDP socket of one attempt. It is connected, so the kernel drops datagrams from other addresses."""
 
     def __init__(self, callbacks: AttemptCallbacks) -> None:
         self._callbacks = callbacks
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Reports a message."""
+        """Reports a message that arrived."""
         self._callbacks.received(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Reports that the network refused the message."""
-        self._callbacks.failed(f"cannot be reached: {exc}")
+        """Reports a network error for the query, such as an ICMP port unreachable."""
+        self._callbacks.failed(f"network error: {exc}")
 
 
 class StreamConnection(asyncio.Protocol):
-    """A connection to one server, shared by all lookups; queries on it do not wait for each other."""
+    """A TCP or TLS connection to one server, shared by all lookups. Queries on it are pipelined."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.closed = False
         self._loop = loop
         self._decoder = FrameDecoder()
         self._transport: asyncio.Transport | None = None
-        self._waiting: dict[int, list[AttemptCallbacks]] = {}  # by message id
+        self._outstanding: dict[int, list[AttemptCallbacks]] = {}  # by message id
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport of the new connection."""
         self._transport = cast(asyncio.Transport, transport)
 
     def send(self, message: bytes, callbacks: AttemptCallbacks) -> None:
-        """Sends a query, and reports what comes of it."""
+        """Sends a query and reports its result through `callbacks`."""
         assert self._transport is not None
         self._cancel_idle_timer()
-        self._waiting.setdefault(message_id(message), []).append(callbacks)
+        self._outstanding.setdefault(message_id(message), []).append(callbacks)
         self._transport.write(frame(message))
 
     def data_received(self, data: bytes) -> None:
-        """Reports the messages that are complete, and closes the connection once it is idle."""
+        """Reports the messages that are complete, and starts the idle timer if no query is outstanding."""
         for message in self._decoder.feed(data):
-            for callbacks in self._waiting.pop(message_id(message), ()):
+            for callbacks in self._outstanding.pop(message_id(message), ()):
                 callbacks.received(message)
-        if not self._waiting and not self.closed:
+        if not self._outstanding and not self.closed:
             self._cancel_idle_timer()
             self._idle_timer = self._loop.call_later(IDLE_TIMEOUT_S, self.close)
 
@@ -74,13 +79,13 @@
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports the failure of all queries that wait for an answer."""
+        """Reports the failure of all outstanding queries."""
         self.closed = True
         self._cancel_idle_timer()
-        waiting, self._waiting = self._waiting, {}
-        for group in waiting.values():
+        outstanding, self._outstanding = self._outstanding, {}
+        for group in outstanding.values():
             for callbacks in group:
-                callbacks.failed("the connection was cut")
+                callbacks.failed("connection closed before the reply")
 
     def _cancel_idle_timer(self) -> None:
         if self._idle_timer is not None:
@@ -88,21 +93,21 @@
 
 
 def message_id(message: bytes) -> int:
-    """The id of a DNS message, its first two bytes."""
+    """Returns the id of a DNS message, which is its first two bytes."""
     return int.from_bytes(message[:2], "big")
 
 
 class ConnectionCache:
-    """The connections to all servers, opened when they are needed."""
+    """The TCP and TLS connections to all servers, opened on demand."""
 
     def __init__(self, tls: ssl.SSLContext | None, tls_name: str) -> None:
-        """`tls_name` is the name that the servers' certificate must have in place of their address."""
+        """`tls_name` is the name that the servers' certificates must have; empty means the server's address."""
         self._tls = tls
         self._tls_name = tls_name
         self._tasks: dict[str, asyncio.Task[StreamConnection]] = {}
 
     async def get(self, loop: asyncio.AbstractEventLoop, server: str) -> StreamConnection:
-        """The connection to a server, a new one where there is none. OSError where none comes up."""
+        """Returns the open connection to a server, or opens one. Raises OSError if it cannot be opened."""
         task = self._tasks.get(server)
         if task is None or (task.done() and not is_usable(task)):
             task = self._tasks[server] = asyncio.create_task(self._connect(loop, server))
@@ -123,7 +128,7 @@
         return connection
 
     async def close(self) -> None:
-        """Closes all connections, those included that are coming up."""
+        """Closes all connections, including those still being established."""
         tasks = list(self._tasks.values())
         for task in tasks:
             if task.done() and not task.cancelled() and task.exception() is None:
@@ -133,5 +138,5 @@
 
 
 def is_usable(task: asyncio.Task[StreamConnection]) -> bool:
-    """Whether a task that is done has brought a connection that is still open."""
+    """Returns whether a finished connection task succeeded and its connection is still open."""
     return not task.cancelled() and task.exception() is None and not task.result().closed
--- a/harecross/dns/frames.py
+++ b/harecross/dns/frames.py
@@ -1,4 +1,4 @@
-"""DNS over a byte stream: two bytes of length before each message (RFC 7766, 8). Free of I/O."""
+"""Framing of DNS messages on a byte stream: each message has a two-byte length prefix (RFC 7766, 8). No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 
 
 def frame(message: bytes) -> bytes:
-    """A message with its length before it. ValueError for one that is too long."""
+    """Returns a message with its length prefix. Raises ValueError if it is too long."""
     if len(message) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"{len(message)} bytes are more than a message may have")
+        raise ValueError(
+            f"DNS message of {len(message)} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
+        )
     return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
 
 class FrameDecoder:
-    """Cuts a stream into messages, in whatever parts it arrives."""
+    """Splits a byte stream, received in chunks of any size, into messages."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are complete now."""
+        """Adds received bytes and returns the messages that are now complete."""
         self.buffer += data
         messages, start = [], 0
         while len(self.buffer) - start >= LENGTH_BYTES:
--- a/harecross/dns/lookup.py
+++ b/harecross/dns/lookup.py
@@ -1,7 +1,7 @@
-"""One question, from the first attempt to an answer or a failure. Free of I/O.
+"""The lookup of one question, from the first attempt to a reply or a failure. No I/O.
 
-The caller sends each `OutgoingQuery`, over UDP from a socket of its own (a new random port, RFC 5452), and reports what
-comes back. One attempt is waited for at a time; answers to earlier ones still count.
+The caller sends each `OutgoingQuery`, over UDP from a new socket with a random port (RFC 5452), and reports its result.
+Only the newest attempt has a timeout, but a reply to an earlier attempt is accepted as well.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 MAX_ATTEMPTS_PER_SERVER = 3
 LOOKUP_TIMEOUT_S = 6.0
-TCP_TIMEOUT_FACTOR = 2  # a connection takes a round-trip to come up
+TCP_TIMEOUT_FACTOR = 2  # opening a TCP connection takes an additional round-trip
 RCODE_NAMES = {1: "FORMERR", 2: "SERVFAIL", 4: "NOTIMP", 5: "REFUSED", 16: "BADVERS"}
 
 Transport = Literal["udp", "tcp"]
@@ -34,9 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingQuery:
-    """A message to send."""
+    """A query to send.
 
-    attempt: int  # by this number the result is reported
+    Attributes:
+        attempt: Number of the attempt, with which the caller reports the result.
+        transport: How to send the query; "tcp" includes TLS.
+        server: Address of the DNS server, as in `NameServer.address`.
+        data: The query in wire format.
+    """
+
+    attempt: int
     transport: Transport
     server: str
     data: bytes
@@ -44,7 +51,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One message that was sent."""
+    """One query that was sent."""
 
     server: NameServer
     transport: Transport
@@ -54,28 +61,37 @@
 
 
 class Lookup:
-    """`reply` or `failure` is set once it has ended. Its methods return what is to be sent now, if anything."""
+    """The lookup of one question. Its methods return the queries to send now, if any.
+
+    Attributes:
+        question: The question to look up.
+        reply: The reply, once the lookup has succeeded.
+        failure: The reason for each failed attempt, once the lookup has failed; empty until then.
+        due: Time at which to call `check_timeout`.
+    """
 
     def __init__(self, question: Question, servers: NameServers, rng: Random, now: float) -> None:
         self.question = question
         self.reply: Reply | None = None
-        self.failure = ""  # why there is no answer: each server's reason
-        self.due = now  # when to call `check_timeout`
+        self.failure = ""
+        self.due = now
         self._rng = rng
         self._reasons: list[str] = []
         self._attempts: dict[int, Attempt] = {}
         self._attempts_by_server: dict[str, int] = {}
-        self._current_attempt = 0  # the number of the one that is waited for
+        self._current_attempt = 0  # number of the newest attempt, the only one with a timeout
         self._ends_at = now + LOOKUP_TIMEOUT_S
-        self._remaining = [server for _ in range(MAX_ATTEMPTS_PER_SERVER) for server in servers.in_order(now)]
+        self._remaining = [
+            server for _ in range(MAX_ATTEMPTS_PER_SERVER) for server in servers.by_preference(now)
+        ]
 
     @property
     def done(self) -> bool:
-        """Whether it has ended."""
+        """Whether the lookup has succeeded or failed."""
         return self.reply is not None or bool(self.failure)
 
     def start(self, now: float) -> list[OutgoingQuery]:
-        """Begins with the first server."""
+        """Starts the lookup with the first server."""
         return self._query_next(now)
 
     def _query_next(self, now: float) -> list[OutgoingQuery]:
@@ -100,27 +116,27 @@
     # ---- results ------------------------------------------------------------------------------------------
 
     def check_timeout(self, now: float) -> list[OutgoingQuery]:
-        """Gives up the current attempt once `due` has come."""
+        """Fails the current attempt if `due` has been reached."""
         if self.done or now < self.due:
             return []
         return self._fail(now, self._current_attempt, "no answer in time")
 
     def transport_failed(self, now: float, attempt: int, reason: str) -> list[OutgoingQuery]:
-        """An attempt cannot be answered any more: the network refused it, or its connection was cut."""
+        """Fails an attempt that can no longer be answered because of a network error or a closed connection."""
         return [] if self.done else self._fail(now, attempt, reason)
 
     def _fail(self, now: float, number: int, reason: str) -> list[OutgoingQuery]:
-        """An attempt has failed; the next one follows where it was the current one."""
+        """Records the failure of an attempt, and starts the next attempt if it was the current one."""
         server = self._attempts[number].server
         server.record_failure(now)
         self._reasons.append(f"{server.address}: {reason}")
         return self._query_next(now) if number == self._current_attempt else []
 
     def receive(self, now: float, number: int, data: bytes) -> list[OutgoingQuery]:
-        """Takes a whole message that came for an attempt, from the address it was sent to.
+        """Processes a complete message that arrived for an attempt, from the address to which the query was sent.
 
-        One whose id or question differs may be forged: it is ignored, and the true one still waited for (RFC 5452, 9).
-        On a connection no other can follow, and the attempt has failed.
+        Over UDP, a message with another id or question may be forged: it is ignored, and the lookup continues to wait
+        for the genuine reply (RFC 5452, 9). Over a connection no genuine reply can follow, so the attempt fails.
         """
         attempt = self._attempts.get(number)
         if attempt is None or self.done:
@@ -130,35 +146,38 @@
             self._check_reply(reply, attempt)
         except MessageError as error:
             return [] if attempt.transport == "udp" else self._fail(now, number, str(error))
-        return self._take_reply(now, number, attempt, reply)
+        return self._process_reply(now, number, attempt, reply)
 
     def _check_reply(self, reply: Reply, attempt: Attempt) -> None:
-        """MessageError for a reply to another query."""
+        """Raises MessageError if a reply does not belong to the attempt's query."""
         if reply.id != attempt.message_id:
-            raise MessageError("another id")
-        # A server that cannot read the query may leave its question out.
-        unread = reply.question is None and reply.rcode == FORMERR
-        if reply.question != self.question and not unread:
-            raise MessageError("another question")
+            raise MessageError("the reply's id does not match the query's")
+        # A server that cannot parse the query may omit the question from its FORMERR reply.
+        unparsed = reply.question is None and reply.rcode == FORMERR
+        if reply.question != self.question and not unparsed:
+            raise MessageError("the reply's question does not match the query's")
 
-    def _take_reply(self, now: float, number: int, attempt: Attempt, reply: Reply) -> list[OutgoingQuery]:
+    def _process_reply(self, now: float, number: int, attempt: Attempt, reply: Reply) -> list[OutgoingQuery]:
         server = attempt.server
         if attempt.edns and reply.rcode in (FORMERR, NOTIMP, BADVERS):
-            # RFC 6891, 7: it does not know the OPT record. Queried again at once without one.
+            # The server does not support EDNS (RFC 6891, 7), so the query is repeated at once without the OPT record.
             server.without_edns_until = now + EDNS_RETRY_S
             return [self._query(now, server, attempt.transport)]
         if reply.truncated:
-            return self._take_truncated(now, number, attempt)
+            return self._process_truncated(now, number, attempt)
         if reply.rcode not in (NOERROR, NXDOMAIN):
             return self._fail(now, number, RCODE_NAMES.get(reply.rcode, f"rcode {reply.rcode}"))
         if is_referral(reply):
-            return self._fail(now, number, "lame: it refers to others")
+            return self._fail(now, number, "referral instead of an answer (lame server)")
         server.record_answer(now - attempt.sent_at)
         self.reply = reply
         return []
 
-    def _take_truncated(self, now: float, number: int, attempt: Attempt) -> list[OutgoingQuery]:
-        """RFC 7766, 5: a part of a set is not used. Over TCP there is no reason to cut one."""
+    def _process_truncated(self, now: float, number: int, attempt: Attempt) -> list[OutgoingQuery]:
+        """Repeats the query over TCP, because a partial record set must not be used (RFC 7766, 5).
+
+        A truncated reply over TCP is a failure, because no transport carries a larger message.
+        """
         if attempt.transport == "tcp":
             return self._fail(now, number, "truncated over TCP")
         attempt.server.record_answer(now - attempt.sent_at)
@@ -166,7 +185,10 @@
 
 
 def is_referral(reply: Reply) -> bool:
-    """Whether a server that should know, or ask for us, refers to other servers in place of an answer."""
+    """Returns whether a reply refers to other servers instead of answering.
+
+    A server that is authoritative for the name, or a recursive resolver, never sends a referral.
+    """
     authority = {record.record_type for record in reply.authority}
     return (
         reply.rcode == NOERROR
--- a/harecross/dns/message.py
+++ b/harecross/dns/message.py
@@ -1,4 +1,4 @@
-"""DNS messages on the wire, by dnspython, as plain values. RFC 1035, 2181, 2782, 6891."""
+"""Encoding and decoding of DNS messages with dnspython (RFC 1035, 2181, 2782, 6891)."""
 
 from __future__ import annotations
 
@@ -15,22 +15,29 @@
 import dns.rdatatype
 import dns.rrset
 
-UDP_SIZE = 1232  # RFC 6891 as deployed since 2020: no fragment on any usual path
-MAX_TTL = (1 << 31) - 1  # a larger one has its highest bit set and counts as 0 (RFC 2181, 8)
+# The UDP payload size advertised with EDNS (RFC 6891). Since 2020 this is the usual value: it avoids IP fragmentation
+# on all common paths.
+UDP_PAYLOAD_BYTES = 1232
+MAX_TTL = (1 << 31) - 1  # a TTL above this has its highest bit set and counts as 0 (RFC 2181, 8)
 RECORD_TYPES = ("SRV", "A", "AAAA", "CNAME", "SOA", "NS")
 NOERROR, FORMERR, SERVFAIL, NXDOMAIN, NOTIMP, REFUSED, BADVERS = 0, 1, 2, 3, 4, 5, 16
 
 
 class MessageError(Exception):
-    """Bytes that are no answer; the text says why."""
+    """The bytes are not the expected DNS reply; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What is queried."""
+    """The question of a query.
 
-    name: str  # absolute, in lower case, with its last dot
-    record_type: str  # SRV, A or AAAA
+    Attributes:
+        name: Absolute domain name in lower case, with the trailing dot.
+        record_type: SRV, A or AAAA.
+    """
+
+    name: str
+    record_type: str
 
     def __str__(self) -> str:
         return f"{self.name} {self.record_type}"
@@ -38,21 +45,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record of class IN.
-
-    `data` is (priority, weight, port, target) of an SRV record, (address,) of A and AAAA, (minimum,) of a SOA, else
-    (name,). Names are as in a `Question`.
+    """A resource record of class IN. Names have the form that they have in a `Question`.
+
+    Attributes:
+        name: Owner name of the record.
+        record_type: One of RECORD_TYPES.
+        ttl: Time to live in seconds.
+        data: (priority, weight, port, target) for SRV, (address,) for A and AAAA, (minimum,) for SOA, and (name,) for
+            the other types.
     """
 
     name: str
     record_type: str
-    ttl: int  # seconds
+    ttl: int
     data: tuple[int | str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer that could be read."""
+    """A decoded DNS reply."""
 
     id: int
     question: Question | None
@@ -65,33 +76,37 @@
 
 
 def normalize_name(name: str) -> str:
-    """A name as a `Question` has it. ValueError for one that cannot be."""
+    """Returns a domain name in the form of `Question.name`. Raises ValueError if it is invalid."""
     try:
         text = dns.name.from_text(name.strip()).canonicalize().to_text()
     except (dns.exception.DNSException, UnicodeError) as error:
-        raise ValueError(f"{name!r} is no domain name: {error}") from None
+        raise ValueError(f"{name!r} is not a valid domain name: {error}") from None
     if text == "." or " " in name.strip():
-        raise ValueError(f"{name!r} is no domain name")
+        raise ValueError(f"{name!r} is not a valid domain name: expected labels without spaces, not the root")
     return text
 
 
 def encode_query(question: Question, message_id: int, *, edns: bool) -> bytes:
-    """The query, with recursion desired."""
+    """Returns a query in wire format, with the RD flag (recursion desired) set."""
     query = dns.message.make_query(question.name, question.record_type, use_edns=False)
     if edns:
-        query.use_edns(0, payload=UDP_SIZE)
+        query.use_edns(0, payload=UDP_PAYLOAD_BYTES)
     query.id = message_id
     return query.to_wire()
 
 
 def decode_reply(data: bytes) -> Reply:
-    """The answer in `data`. MessageError for anything else; records of types not used here are left out."""
+    """Decodes a reply; records of other types than RECORD_TYPES are left out.
+
+    Raises:
+        MessageError: `data` is not a DNS message, or is a query.
+    """
     try:
         message = dns.message.from_wire(data, one_rr_per_rrset=True, raise_on_truncation=False)
     except (dns.exception.DNSException, ValueError, IndexError, KeyError, struct.error) as error:
-        raise MessageError(f"no DNS message: {type(error).__name__}") from None
+        raise MessageError(f"malformed DNS message: {type(error).__name__}") from None
     if not message.flags & dns.flags.QR:
-        raise MessageError("a query, no answer")
+        raise MessageError("expected a reply, received a query")
     return Reply(
         id=message.id,
         question=_question(message),
@@ -116,7 +131,7 @@
 
 
 def _records(section: list[dns.rrset.RRset]) -> tuple[Record, ...]:
-    """The records of a section that are used here."""
+    """Returns the records of a section whose type is in RECORD_TYPES and whose class is IN."""
     records = []
     for rrset in section:
         record_type = dns.rdatatype.to_text(rrset.rdtype)
@@ -129,7 +144,7 @@
 
 
 def _data(record_type: str, item: object) -> tuple[int | str, ...]:
-    """A record's data."""
+    """Returns a record's data in the form of `Record.data`."""
     get = item.__getattribute__
     if record_type == "SRV":
         return get("priority"), get("weight"), get("port"), _name(get("target"))
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -1,4 +1,4 @@
-"""From an SRV name to endpoints: which questions it takes, and what their answers make. RFC 2782. Free of I/O."""
+"""The resolution of an SRV name to endpoints (RFC 2782): which questions to look up, and the result. No I/O."""
 
 from __future__ import annotations
 
@@ -8,33 +8,44 @@
 
 from harecross.dns.message import NXDOMAIN, Question, Record, Reply
 
-MAX_ALIASES = 8  # followed from one name
-MAX_TARGETS = 10_000  # of one name
+MAX_ALIASES = 8  # number of CNAME records that are followed from one name
+MAX_TARGETS = 10_000  # number of targets of one SRV name that are used
 ADDRESS_TYPES = ("A", "AAAA")
-DEFAULT_NEGATIVE_TTL_S = 60.0  # of a negative answer without a SOA
-NO_SERVICE = "."  # the target of a name that offers no service
+DEFAULT_NEGATIVE_TTL_S = 60.0  # TTL of a negative answer without a SOA record
+NO_SERVICE = "."  # SRV target that means that the service is not available at this domain (RFC 2782)
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class SrvEndpoint:
-    """One address of one SRV record."""
+    """One address of the target of one SRV record.
+
+    `weight` is the weight in the SRV record, 0 to 65535.
+    """
 
     priority: int
     target: str
     address: str
     port: int
-    weight: int  # the record's own, 0 to 65535
+    weight: int
 
 
 @dataclass(frozen=True, slots=True)
 class SrvAnswer:
-    """What a name has."""
+    """The result of resolving an SRV name.
+
+    Attributes:
+        endpoints: The endpoints, sorted.
+        ttl: Smallest TTL of the records used, in seconds.
+        empty_reason: Why the name has no endpoints; empty if it has some, or if some targets are unresolved.
+        unresolved_targets: Targets whose address lookup failed.
+        notes: Remarks for operators.
+    """
 
     endpoints: tuple[SrvEndpoint, ...]
-    ttl: float  # seconds
-    empty_reason: str = ""  # why there are no endpoints
-    unresolved_targets: tuple[str, ...] = ()  # targets whose address could not be looked up
-    notes: tuple[str, ...] = ()  # for operators
+    ttl: float
+    empty_reason: str = ""
+    unresolved_targets: tuple[str, ...] = ()
+    notes: tuple[str, ...] = ()
 
 
 class SrvData(NamedTuple):
@@ -47,28 +58,37 @@
 
 
 def srv_data(record: Record) -> SrvData:
-    """An SRV record's data."""
+    """Returns the data of an SRV record."""
     priority, weight, port, target = record.data
     return SrvData(int(priority), int(weight), int(port), str(target))
 
 
 class TargetAddresses(NamedTuple):
-    """What is known of a target's addresses."""
+    """The addresses of a target.
+
+    Attributes:
+        addresses: The IP addresses.
+        ttl: Smallest TTL of the address records, in seconds.
+        failure: Why no address is known; empty if one is known, or if no lookup failed.
+    """
 
     addresses: list[str]
-    ttl: float  # the least
-    failure: str = ""  # why none is known, where a lookup has failed
+    ttl: float
+    failure: str = ""
 
 
 class AddressQuery(NamedTuple):
-    """A lookup of a target's addresses."""
+    """The lookup of a target's addresses of one type."""
 
     target: str
     record_type: str
 
 
 def zone_of(name: str) -> str:
-    """The part of an SRV name below its underscored labels: the zone on which its server is believed."""
+    """Returns an SRV name without its leading labels that start with an underscore.
+
+    Address records in the additional section are accepted only for names within this zone.
+    """
     labels = name.split(".")
     while len(labels) > 2 and labels[0].startswith("_"):
         labels.pop(0)
@@ -76,18 +96,25 @@
 
 
 def is_within(name: str, zone: str) -> bool:
-    """Whether a name lies in a zone (its bailiwick)."""
+    """Returns whether a name is in a zone (in its bailiwick)."""
     return name == zone or name.endswith("." + zone)
 
 
 def negative_ttl(reply: Reply) -> float:
-    """How long an answer without records holds (RFC 2308, 5)."""
+    """Returns the TTL of a negative answer in seconds (RFC 2308, 5)."""
     ttls = [min(r.ttl, int(r.data[0])) for r in reply.authority if r.record_type == "SOA"]
     return float(min(ttls)) if ttls else DEFAULT_NEGATIVE_TTL_S
 
 
 class AliasChain:
-    """One name with its aliases, queried for one type. Ends with `records`, or with the reason that there are none."""
+    """The lookup of one name and record type through a chain of CNAME records.
+
+    Attributes:
+        names: The name, followed by the aliases' targets in the order in which they were followed.
+        records: The records of the last name; empty until the chain is done, or if there are none.
+        ttl: Smallest TTL of all records used, in seconds.
+        reason: Why there are no records; empty until the chain is done, or if there are records.
+    """
 
     def __init__(self, name: str, record_type: str) -> None:
         self.names = [name]
@@ -98,16 +125,16 @@
 
     @property
     def question(self) -> Question:
-        """What to query next."""
+        """The next question to look up."""
         return Question(self.names[-1], self._record_type)
 
     @property
     def done(self) -> bool:
-        """Whether it has ended."""
+        """Whether the records, or the reason for having none, are known."""
         return bool(self.records or self.reason)
 
     def receive(self, reply: Reply) -> None:
-        """Follows the aliases in an answer as far as they go."""
+        """Processes a reply and follows the CNAME records in it."""
         while True:
             name = self.names[-1]
             records = [record for record in reply.answers if record.name == name]
@@ -117,13 +144,13 @@
                 return
             alias = next((record for record in records if record.record_type == "CNAME"), None)
             if alias is None:
-                self._end_of_answer(reply)
+                self._finish_reply(reply)
                 return
             if not self._follow(alias):
                 return
 
-    def _end_of_answer(self, reply: Reply) -> None:
-        """Ends the chain, or leaves the last name to a query of its own where the answer ends at an alias."""
+    def _finish_reply(self, reply: Reply) -> None:
+        """Ends the chain without records, unless the reply ends at an alias, whose target then needs its own query."""
         queried = reply.question.name if reply.question is not None else ""
         at_alias = len(self.names) > 1 and bool(reply.answers) and queried != self.names[-1]
         if reply.rcode == NXDOMAIN or not at_alias:
@@ -131,7 +158,7 @@
             self.ttl = min(self.ttl, negative_ttl(reply))
 
     def _follow(self, alias: Record) -> bool:
-        """Follows an alias; False, with a reason, where that leads nowhere."""
+        """Follows an alias. Returns False, and sets the reason, for a loop or too many aliases."""
         target = str(alias.data[0])
         self.ttl = min(self.ttl, alias.ttl)
         if target in self.names or len(self.names) > MAX_ALIASES:
@@ -143,24 +170,31 @@
 
 
 @dataclass(slots=True)
-class Collected:
-    """The endpoints of a name while its records are gone through."""
+class CollectedEndpoints:
+    """The intermediate result while the endpoints of the SRV records are collected."""
 
     ttl: float
     endpoints: set[SrvEndpoint] = field(default_factory=set)
-    unknown: list[str] = field(default_factory=list)
+    unresolved_targets: list[str] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
 
 
 class Resolution:
-    """One SRV name on its way to endpoints. Query what `questions` returns, until it is `done`."""
+    """The resolution of one SRV name.
+
+    The caller looks up what `questions` returns and reports the results, until the resolution is `done`.
+
+    Attributes:
+        failure: Why the lookup of the SRV records failed; empty if it has not failed.
+    """
 
     def __init__(self, name: str) -> None:
-        self.failure = ""  # why the name itself has no answer
+        self.failure = ""
         self._srv = AliasChain(name, "SRV")
         self._chains: dict[AddressQuery, AliasChain] = {}
         self._failures: dict[AddressQuery, str] = {}
-        self._given: dict[str, list[Record]] = {}  # addresses that came with the SRV records, by target
+        # Address records from the additional section of the SRV reply, by target.
+        self._additional_addresses: dict[str, list[Record]] = {}
         self._notes: list[str] = []
 
     def _open_chains(self) -> list[AliasChain]:
@@ -168,18 +202,18 @@
         return [chain for chain in (self._srv, *chains) if not chain.done]
 
     def questions(self) -> list[Question]:
-        """What to query now; the same again until it is answered."""
+        """Returns the questions that have no result yet."""
         if self.failure:
             return []
         return list(dict.fromkeys(chain.question for chain in self._open_chains()))
 
     @property
     def done(self) -> bool:
-        """Whether nothing is left to query."""
+        """Whether no lookup is left to do."""
         return bool(self.failure) or not self._open_chains()
 
     def receive_failure(self, question: Question, reason: str) -> None:
-        """A lookup has failed."""
+        """Records that the lookup of a question has failed."""
         if self._srv.question == question and not self._srv.done:
             self.failure = reason
             return
@@ -188,28 +222,30 @@
                 self._failures[query] = reason
 
     def receive_reply(self, question: Question, reply: Reply) -> None:
-        """A lookup has an answer."""
+        """Processes the reply to a question."""
         for chain in self._open_chains():
             if chain.question == question:
                 chain.receive(reply)
                 if chain is self._srv and chain.done:
-                    self._begin_targets(reply.additional)
+                    self._start_address_lookups(reply.additional)
 
-    def _begin_targets(self, additional: Iterable[Record]) -> None:
-        """The SRV records are there: takes addresses that came with them, and queries the others."""
+    def _start_address_lookups(self, additional: Iterable[Record]) -> None:
+        """Takes the targets' addresses from the additional section, and starts lookups for the other targets."""
         targets = dict.fromkeys(srv_data(record).target for record in self._srv.records)
         if len(targets) > MAX_TARGETS:
-            self._notes.append(f"{len(targets)} targets, of which {MAX_TARGETS} are used")
-        self._take_additional(additional, targets)
+            self._notes.append(f"{len(targets)} targets, of which only the first {MAX_TARGETS} are used")
+        self._accept_additional(additional, targets)
         for target in [target for target in targets if target != NO_SERVICE][:MAX_TARGETS]:
-            if target not in self._given:
+            if target not in self._additional_addresses:
                 for record_type in ADDRESS_TYPES:
                     query = AddressQuery(target, record_type)
                     self._chains[query] = AliasChain(target, record_type)
 
-    def _take_additional(self, additional: Iterable[Record], targets: Iterable[str]) -> None:
-        """Takes the targets' addresses within the zone of the name: a server may add an address of a name that it has
-        no say in (RFC 2181, 5.4.1).
+    def _accept_additional(self, additional: Iterable[Record], targets: Iterable[str]) -> None:
+        """Accepts address records of targets within the zone of the SRV name.
+
+        Others are ignored, because a server may add addresses of names for which it is not authoritative (RFC 2181,
+        5.4.1).
         """
         zone = zone_of(self._srv.names[-1])
         names = set(targets)
@@ -217,46 +253,46 @@
             if record.record_type not in ADDRESS_TYPES or record.name not in names:
                 continue
             if is_within(record.name, zone):
-                self._given.setdefault(record.name, []).append(record)
+                self._additional_addresses.setdefault(record.name, []).append(record)
             else:
-                self._notes.append(
-                    f"{record.name}: the address beside the answer is not believed: outside {zone}"
-                )
+                self._notes.append(f"{record.name}: ignored the additional address record: outside {zone}")
 
     # ---- the result -----------------------------------------------------------------------------------------
 
     def result(self) -> SrvAnswer:
-        """What the name has. ValueError before it is done, and where the name itself has no answer."""
+        """Returns the result. Raises ValueError if the resolution is not done or has failed."""
         if not self.done or self.failure:
-            raise ValueError(self.failure or "not over")
+            raise ValueError(self.failure or "the resolution is not done yet")
         records = [srv_data(record) for record in self._srv.records]
         if not records:
             return SrvAnswer((), self._srv.ttl, empty_reason=self._srv.reason)
         if all(record.target == NO_SERVICE for record in records):
             return SrvAnswer((), self._srv.ttl, empty_reason="no service (target .)")
-        collected = Collected(self._srv.ttl, notes=list(dict.fromkeys(self._notes)))
+        collected = CollectedEndpoints(self._srv.ttl, notes=list(dict.fromkeys(self._notes)))
         for record in records:
             self._collect(record, collected)
-        empty = "" if collected.endpoints or collected.unknown else "no target has an address"
+        empty_reason = (
+            "" if collected.endpoints or collected.unresolved_targets else "no target has an address"
+        )
         return SrvAnswer(
             tuple(sorted(collected.endpoints)),
             collected.ttl,
-            empty,
-            tuple(dict.fromkeys(collected.unknown)),
+            empty_reason,
+            tuple(dict.fromkeys(collected.unresolved_targets)),
             tuple(dict.fromkeys(collected.notes)),
         )
 
-    def _collect(self, record: SrvData, collected: Collected) -> None:
-        """Adds one record's endpoints."""
+    def _collect(self, record: SrvData, collected: CollectedEndpoints) -> None:
+        """Adds the endpoints of one SRV record."""
         target = record.target
         if target == NO_SERVICE or record.port == 0:
-            collected.notes.append(f"a record with target {target} and port {record.port} is passed over")
+            collected.notes.append(f"skipped the SRV record with target {target} and port {record.port}")
             return
         found = self._addresses(target)
         collected.ttl = min(collected.ttl, found.ttl)
         if found.failure:
-            collected.unknown.append(target)
-            collected.notes.append(f"{target}: no address: {found.failure}")
+            collected.unresolved_targets.append(target)
+            collected.notes.append(f"{target}: address lookup failed: {found.failure}")
         elif not found.addresses:
             collected.notes.append(f"{target}: has no address")
         chain = self._chains.get(AddressQuery(target, "A"))
@@ -269,10 +305,10 @@
         )
 
     def _addresses(self, target: str) -> TargetAddresses:
-        if target in self._given:
-            given = self._given[target]
-            ttl = float(min(record.ttl for record in given))
-            return TargetAddresses([str(record.data[0]) for record in given], ttl)
+        if target in self._additional_addresses:
+            records = self._additional_addresses[target]
+            ttl = float(min(record.ttl for record in records))
+            return TargetAddresses([str(record.data[0]) for record in records], ttl)
         addresses: list[str] = []
         ttl, failure = float("inf"), ""
         for record_type in ADDRESS_TYPES:
--- a/tests/test_dns_lookup.py
+++ b/tests/test_dns_lookup.py
@@ -136,10 +136,10 @@
     servers = NameServers(["a:1", "b:1"], rng)
     first = servers.all[0]
     first.record_failure(0.0)
-    assert Counter(servers.in_order(1.0)[0].address for _ in range(200))["b:1"] > 180
+    assert Counter(servers.by_preference(1.0)[0].address for _ in range(200))["b:1"] > 180
     for _ in range(9):
         first.record_failure(0.0)
     assert first.penalty_until == 60.0
     for _ in range(30):
         servers.all[1].record_answer(1.0)
-    assert Counter(servers.in_order(61.0)[0].address for _ in range(200))["a:1"] > 180
+    assert Counter(servers.by_preference(61.0)[0].address for _ in range(200))["a:1"] > 180
--- a/tests/test_dns_srv.py
+++ b/tests/test_dns_srv.py
@@ -49,7 +49,7 @@
     found = resolve_directly(server)
     assert server.queries["www.elsewhere.example.", "A", "tcp"] == 1
     assert found.ttl == 3
-    assert any("not believed: outside site3.example.org." in n for n in found.notes)
+    assert any("ignored the additional address record: outside site3.example.org." in n for n in found.notes)
 
 
 def test_aliases_are_followed_and_noted_and_loops_end():
