--- a/harecross/standins/__init__.py
+++ b/harecross/standins/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for what surrounds a node: discovery, servers and clients, for tests, `demo` and `replay`.
+"""Stand-ins for the systems around a node: discovery, servers, DNS and xDS clients, for tests, `demo` and `replay`.
 
-No front is imported here, so that a fault in the node cannot hide behind the same fault in its stand-in.
+The stand-ins import none of the node's own code, so that a fault in the node cannot be hidden by the same fault in a
+stand-in.
 """
--- a/harecross/standins/cluster.py
+++ b/harecross/standins/cluster.py
@@ -1,4 +1,4 @@
-"""Real node processes with a stand-in discovery and servers, started and ended together."""
+"""A cluster of real node processes with a stand-in discovery and stand-in servers, started and stopped together."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 NODE_START_TIMEOUT_S = 20.0
 HEALTH_CHECK_INTERVAL_S = 0.02
-MAX_LOG_LINES = 500  # of a node
-MAX_LINE_BYTES = 1 << 22  # of the world
-PR_SET_PDEATHSIG = 1  # prctl(2): the signal that a process gets when its parent dies
+MAX_LOG_LINES = 500  # log lines kept for each node
+MAX_LINE_BYTES = 1 << 22  # longest reply line of the world process
+PR_SET_PDEATHSIG = 1  # prctl(2) option: sets the signal that a process receives when its parent dies
 LIBC = ctypes.CDLL(None, use_errno=True) if sys.platform == "linux" else None
 
 
 class ClusterError(RuntimeError):
-    """A part of the cluster did not start or did not carry out a command."""
+    """A process of the cluster did not start, or a command failed."""
 
 
 def die_with_parent() -> None:
-    """In a child process before it starts (`preexec_fn`): it is killed when its parent dies."""
+    """Makes the kernel kill this process when its parent dies; used as `preexec_fn` of child processes."""
     if LIBC is not None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    os.setpgid(0, 0)  # Ctrl-C reaches the parent alone
+    os.setpgid(0, 0)  # in a process group of its own, the child does not receive Ctrl-C
 
 
 def node_settings(classes: list[dict[str, Any]], instances: int, **changes: Any) -> dict[str, Any]:
-    """The settings of a node's configuration, for so many nodes of one tier."""
+    """Returns the settings in a node's configuration, for a tier of `instances` nodes."""
     return {
         "classes": classes,
         "dcs": ["here"],
@@ -59,32 +59,46 @@
 
 
 class NodeProcess:
-    """One real node. `stats` are the figures of its latest report line."""
+    """A real node process.
+
+    Attributes:
+        name: Name of the node.
+        path: Path of the node's configuration file.
+        config: The node's configuration.
+        process: The process; None before it is started.
+        address: Host and port at which the node listens.
+        stats: The values of the node's latest report line.
+        log_lines: The latest log lines, without report lines.
+    """
 
     def __init__(
         self, name: str, folder: Path, config: dict[str, Any], environment: dict[str, str] | None = None
     ) -> None:
-        """`environment` is added to that of this process."""
+        """`environment` is added to the environment of this process."""
         self.name = name
-        self.path = folder / f"{name}.json"  # of its configuration
+        self.path = folder / f"{name}.json"
         self.config = config
         self.process: asyncio.subprocess.Process | None = None
         self.address: tuple[str, int] = ("127.0.0.1", 0)
         self.stats: dict[str, float] = {}
-        self.log_lines: list[str] = []  # the latest, without its reports
+        self.log_lines: list[str] = []
         self._environment = environment or {}
         self._listening = asyncio.Event()
         self._log_reader: asyncio.Task[None] | None = None
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self, operators: Path | None) -> None:
-        """Starts the process, and waits until it is healthy. ClusterError with its last log lines if it ends first.
+        """Starts the process and waits until its health check succeeds.
 
-        `operators` is the operators' configuration file.
+        Args:
+            operators: Path of the operators' configuration file.
+
+        Raises:
+            ClusterError: The process exited or did not become healthy in time; the message holds its last log lines.
         """
         self.path.write_text(json.dumps(self.config))
         self.process = await asyncio.create_subprocess_exec(
@@ -97,7 +111,7 @@
             preexec_fn=die_with_parent,
         )
         self._log_reader = asyncio.create_task(self._read_log())
-        if await self._starts(self.process):
+        if await self._becomes_healthy(self.process):
             return
         if not self.alive:
             await self._log_reader
@@ -110,15 +124,15 @@
             environment["HARECROSS_CONFIG"] = str(operators)
         return environment
 
-    async def _starts(self, process: asyncio.subprocess.Process) -> bool:
-        """Waits until the process is healthy, ends, or the timeout has passed. Whether it is healthy."""
+    async def _becomes_healthy(self, process: asyncio.subprocess.Process) -> bool:
+        """Waits until the process is healthy, exits, or the timeout ends; returns whether it is healthy."""
         healthy = asyncio.create_task(self._wait_healthy())
-        ended = asyncio.create_task(process.wait())
+        exited = asyncio.create_task(process.wait())
         await asyncio.wait(
-            [healthy, ended], timeout=NODE_START_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+            [healthy, exited], timeout=NODE_START_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
         )
         started = healthy.done()
-        for task in (healthy, ended):
+        for task in (healthy, exited):
             task.cancel()
         return started
 
@@ -155,12 +169,12 @@
         return b" 200 " in head.split(b"\r\n", 1)[0] + b" "
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to the process if it runs."""
+        """Sends a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def end(self) -> None:
-        """Kills the process, and reads its log to the end."""
+        """Kills the process and reads its log to the end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
@@ -169,7 +183,7 @@
 
 
 class Cluster:
-    """A world in a process of its own and real nodes; an async context manager that leaves no process behind."""
+    """A world process (discovery and servers) and real nodes, as an async context manager that ends all processes."""
 
     def __init__(
         self,
@@ -180,7 +194,16 @@
         prefix: str = "",
         **settings: Any,
     ) -> None:
-        """`servers` are the world's `add` commands; `prefix` stands before the nodes' names."""
+        """Prepares the cluster without starting it.
+
+        Args:
+            servers: Arguments of the world's `add` command, one item for each server.
+            nodes: Number of nodes.
+            classes: The request classes in the nodes' settings.
+            seed: Seed of the servers' faults and of the nodes.
+            prefix: Prefix of the nodes' names.
+            settings: Further settings of the nodes, which replace the defaults of `node_settings`.
+        """
         self.servers = servers
         self.nodes: list[NodeProcess] = []
         self.world: asyncio.subprocess.Process | None = None
@@ -230,7 +253,7 @@
         await asyncio.gather(*(node.start(operators) for node in self.nodes))
 
     def _node_config(self, number: int, world: dict[str, Any]) -> dict[str, Any]:
-        """The configuration of a node; `world` is the answer to `list`."""
+        """Returns the configuration of a node; `world` is the reply to the `list` command."""
         return {
             "name": f"{self._prefix}n{number}",
             "listen": "127.0.0.1:0",
@@ -242,10 +265,10 @@
         }
 
     async def command(self, **command: Any) -> dict[str, Any]:
-        """Has the world carry out a command, and returns its answer; ClusterError if it cannot."""
+        """Sends a command to the world process and returns the reply. Raises ClusterError if the command fails."""
         world = self.world
         if world is None or world.stdin is None or world.stdout is None:
-            raise ClusterError("the stand-in servers have not been started")
+            raise ClusterError("the process of the stand-in servers has not been started")
         async with self._command_lock:
             try:
                 world.stdin.write(json.dumps(command).encode() + b"\n")
@@ -253,14 +276,14 @@
             except ConnectionError:
                 line = b""
         if not line:
-            raise ClusterError("the stand-in servers have ended")
-        answer: dict[str, Any] = json.loads(line)
-        if not answer["ok"]:
-            raise ClusterError(answer["error"])
-        return answer
+            raise ClusterError("the process of the stand-in servers has exited")
+        reply: dict[str, Any] = json.loads(line)
+        if not reply["ok"]:
+            raise ClusterError(reply["error"])
+        return reply
 
     async def close(self) -> None:
-        """Ends every process; safe to call twice."""
+        """Kills all processes; may be called more than once."""
         await asyncio.gather(*(node.end() for node in self.nodes))
         if self.world is not None:
             if self.world.returncode is None:
--- a/harecross/standins/dns.py
+++ b/harecross/standins/dns.py
@@ -1,4 +1,4 @@
-"""A scripted DNS server over UDP, TCP and TLS on loopback, with faults. RFC 1035, 7766, 7858."""
+"""A scripted DNS server over UDP, TCP and TLS on loopback, with faults (RFC 1035, 7766, 7858)."""
 
 from __future__ import annotations
 
@@ -17,55 +17,75 @@
 import dns.rrset
 
 MAX_MESSAGE_BYTES = 65_535
-MAX_UDP_BYTES = 512  # without EDNS
-MIN_RECORD_BYTES = 30  # of an SRV record
+MAX_UDP_BYTES = 512  # largest reply over UDP to a query without EDNS
+MIN_RECORD_BYTES = 30  # smallest size of an encoded SRV record
 MAX_ALIASES = 20
-CUT_NEVER = -1
+NEVER_CLOSE = -1
 
 
 class Exchange(NamedTuple):
-    """One query and the reply that the records make. A fault may change the reply."""
+    """A query and the reply built from the server's records. A fault may modify the reply.
+
+    `transport` is "udp" or "tcp".
+    """
 
     server: DnsServer
     query: dns.message.Message
     reply: dns.message.Message
-    transport: str  # udp or tcp
+    transport: str
 
 
-# Returns the messages to send, none for no answer, or None to leave the reply to the next fault.
+# A fault returns the messages to send (an empty list to send no reply), or None to pass the exchange to the next fault.
 Fault = Callable[[Exchange], list[bytes] | None]
 
 
 class RecordSet(NamedTuple):
-    """The records of one name and type."""
+    """The records of one name and type.
+
+    Attributes:
+        ttl: Time to live in seconds.
+        data: The data of each record, in zone file format.
+    """
 
-    ttl: int  # seconds
-    data: list[str]  # in the form of zone files
+    ttl: int
+    data: list[str]
 
 
 class DnsServer:
-    """A DNS server. Its `faults` are tried in order on each reply."""
+    """A DNS server.
+
+    Attributes:
+        records: Record sets by name and type.
+        faults: Applied to each exchange, in order, until one of them returns messages.
+        reply_delay_s: Delay of each reply.
+        tcp_bytes_before_close: Number of bytes of a reply over TCP after which the connection is closed; NEVER_CLOSE
+            means that replies are sent completely.
+        sends_additional: Whether replies with SRV records hold the targets' addresses in the additional section.
+        negative_ttl: TTL of negative answers in seconds.
+        queries: Number of received queries, by name, type and transport.
+        connections: Number of accepted TCP and TLS connections.
+        address: HOST:PORT at which the server listens over UDP and TCP.
+        tls_address: tls://HOST:PORT at which the server listens over TLS; empty without TLS.
+    """
 
     tcp_listener: asyncio.Server
     udp_transport: asyncio.DatagramTransport
 
     def __init__(self) -> None:
-        self.records: dict[tuple[str, str], RecordSet] = {}  # by name and type
+        self.records: dict[tuple[str, str], RecordSet] = {}
         self.faults: list[Fault] = []
         self.reply_delay_s = 0.0
-        self.tcp_bytes_before_close = (
-            CUT_NEVER  # bytes of a reply over TCP after which the connection is closed
-        )
-        self.sends_additional = True  # whether the addresses of SRV targets come along
-        self.negative_ttl = 2  # seconds
-        self.queries: Counter[tuple[str, str, str]] = Counter()  # by name, type and transport
+        self.tcp_bytes_before_close = NEVER_CLOSE
+        self.sends_additional = True
+        self.negative_ttl = 2
+        self.queries: Counter[tuple[str, str, str]] = Counter()
         self.connections = 0
         self.address = ""
         self.tls_address = ""
         self.tls_listener: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", tls: ssl.SSLContext | None = None) -> DnsServer:
-        """Listens on one port over UDP and TCP; with `tls` on another port too, at `tls_address` (RFC 7858)."""
+        """Listens on one port over UDP and TCP, and with `tls` on another port over TLS (RFC 7858)."""
         if tls is not None:
             self.tls_listener = await asyncio.start_server(self._serve_connection, host, 0, ssl=tls)
             self.tls_address = f"tls://{host}:{self.tls_listener.sockets[0].getsockname()[1]}"
@@ -74,7 +94,7 @@
         return self
 
     async def _listen(self, host: str) -> int:
-        """Listens on a port that is free over both transports, and returns it."""
+        """Listens on a port that is free for both UDP and TCP, and returns the port."""
         loop = asyncio.get_running_loop()
         while True:
             self.tcp_listener = await asyncio.start_server(self._serve_connection, host, 0)
@@ -84,7 +104,7 @@
                     lambda: UdpProtocol(self), local_addr=(host, port)
                 )
             except OSError:
-                self.tcp_listener.close()  # the port is in use over UDP
+                self.tcp_listener.close()  # the port is already in use for UDP
             else:
                 return port
 
@@ -106,7 +126,7 @@
     # ---- replies ------------------------------------------------------------------------------------------
 
     def answer(self, query: dns.message.Message, transport: str) -> list[bytes]:
-        """The messages to send for a query; none where a fault sends none."""
+        """Returns the messages to send in reply to a query; an empty list if a fault suppresses the reply."""
         question = query.question[0]
         name, record_type = question.name.canonicalize().to_text(), dns.rdatatype.to_text(question.rdtype)
         self.queries[name, record_type, transport] += 1
@@ -122,7 +142,7 @@
         return [to_wire(reply, MAX_MESSAGE_BYTES if transport == "tcp" else udp_bytes)]
 
     def _fill_reply(self, reply: dns.message.Message, name: str, record_type: str) -> None:
-        """Adds the aliases and records of a name, or a negative answer."""
+        """Adds to the reply the aliases and records of a name, or a negative answer."""
         for _ in range(MAX_ALIASES):
             rrset = self._rrset(name, record_type)
             alias = self._rrset(name, "CNAME")
@@ -166,7 +186,7 @@
         writer.close()
 
     async def _serve_query(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Answers one query; False where the connection is to be closed."""
+        """Answers one query; returns False if the connection must be closed."""
         (size,) = struct.unpack("!H", await reader.readexactly(2))
         messages = self.answer(dns.message.from_wire(await reader.readexactly(size)), "tcp")
         await asyncio.sleep(self.reply_delay_s)
@@ -187,11 +207,11 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Stores the transport of the open socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Answers a query, after the server's delay."""
+        """Answers a query after the server's reply delay."""
         assert self._transport is not None
         loop = asyncio.get_running_loop()
         for message in self._server.answer(dns.message.from_wire(data), "udp"):
@@ -199,7 +219,10 @@
 
 
 def to_wire(reply: dns.message.Message, max_bytes: int = MAX_MESSAGE_BYTES) -> bytes:
-    """The message; where it is larger than `max_bytes`, without additional records, and then truncated."""
+    """Returns the reply in wire format.
+
+    If it is larger than `max_bytes`, the additional records are omitted; if that is not enough, it is truncated.
+    """
     try:
         return reply.to_wire(max_size=max_bytes)
     except dns.exception.TooBig:
@@ -211,7 +234,7 @@
 
 
 def truncated_to_wire(reply: dns.message.Message, max_bytes: int) -> bytes:
-    """The message with TC set, and with as many of the answer's first records as fit, as many servers send it."""
+    """Returns the reply with the TC flag set and as many answer records as fit, as many real servers do."""
     truncated = dns.message.Message(reply.id)
     truncated.flags, truncated.question = reply.flags | dns.flags.TC, reply.question
     count = min(len(reply.answer[0]) - 1, max_bytes // MIN_RECORD_BYTES) if reply.answer else 0
@@ -226,7 +249,7 @@
 
 
 def first_records(rrset: dns.rrset.RRset, count: int) -> dns.rrset.RRset:
-    """The first records of a set."""
+    """Returns the first `count` records of a record set."""
     return dns.rrset.from_rdata_list(rrset.name, rrset.ttl, list(rrset)[:count])
 
 
@@ -234,12 +257,12 @@
 
 
 def silent(exchange: Exchange) -> list[bytes]:
-    """Sends no answer."""
+    """Sends no reply."""
     return []
 
 
 def error_reply(rcode: int) -> Fault:
-    """A fault: every answer is this error."""
+    """Returns a fault that answers every query with this error code."""
 
     def fault(exchange: Exchange) -> list[bytes]:
         error = dns.message.make_response(exchange.query)
@@ -250,7 +273,7 @@
 
 
 def no_edns(exchange: Exchange) -> list[bytes] | None:
-    """Does not know the OPT record: FORMERR without a question."""
+    """Does not support EDNS: answers a query that has an OPT record with FORMERR, without the question."""
     if exchange.query.edns < 0:
         return None
     error = dns.message.Message(exchange.query.id)
@@ -260,7 +283,7 @@
 
 
 def forged(exchange: Exchange) -> list[bytes] | None:
-    """Over UDP, sends an answer with another id before the true one."""
+    """Over UDP, sends a forged reply with another id before the genuine one."""
     if exchange.transport != "udp":
         return None
     data = to_wire(exchange.reply)
@@ -268,14 +291,14 @@
 
 
 def lame(exchange: Exchange) -> list[bytes]:
-    """Refers to other servers in place of an answer."""
+    """Sends a referral to other servers instead of an answer, like a lame server."""
     referral = dns.message.make_response(exchange.query)
     referral.authority.append(dns.rrset.from_text("example.org.", 60, "IN", "NS", "ns.other.example."))
     return [to_wire(referral)]
 
 
 def always_truncated(exchange: Exchange) -> list[bytes] | None:
-    """Over UDP, sends one record of each set, with TC set."""
+    """Over UDP, sends one record of each record set, with the TC flag set."""
     if exchange.transport != "udp":
         return None
     reply = exchange.reply
@@ -285,7 +308,7 @@
 
 
 def compression_loop(exchange: Exchange) -> list[bytes]:
-    """Sends a compressed name that points to itself."""
+    """Sends a name whose compression pointer points to itself."""
     header = struct.pack("!HHHHHH", exchange.query.id, 0x8580, 1, 1, 0, 0)
     pointer = b"\xc0\x0c"
     question = pointer + struct.pack("!HH", 33, 1)
--- a/harecross/standins/model.py
+++ b/harecross/standins/model.py
@@ -1,7 +1,7 @@
-"""A model of one server without I/O: slots, a queue, slow start, slowdown, draining, idempotency keys.
+"""A model of one server without I/O: slots, a queue, slow start, slowdown, draining and idempotency keys.
 
-`servers.py` runs it on sockets; a simulation passes its own `now_us`. Times are microseconds of one clock; work is
-microseconds on one slot at speed 1.
+`servers.py` runs the model with sockets; a simulation passes its own `now_us`. Times are in microseconds of one clock.
+Work is the time in microseconds that a request takes on one slot at speed 1.
 """
 
 from __future__ import annotations
@@ -14,32 +14,50 @@
 
 @dataclass(slots=True)
 class ServerCapacity:
-    """What a server can do. ValueError for values that cannot be."""
+    """The capacity of a server.
 
-    slots: int = 8  # requests that it processes at once
-    queue: int = 64  # requests that may wait for a slot
-    speed: float = 1.0  # work is divided by it
-    slow_start_speed: float = 1.0  # at its start, as a fraction of its speed; rises evenly to 1
-    slow_start_us: int = 0  # until it has its full speed
+    Attributes:
+        slots: Number of requests that are processed at once.
+        queue: Number of requests that may wait for a slot.
+        speed: Speed of one slot; the processing time is the work divided by the speed.
+        slow_start_speed: Speed at the start of the process, as a fraction of `speed`; it rises linearly to 1.
+        slow_start_us: Time after the start at which the full speed is reached.
+
+    Raises:
+        ValueError: A value is out of range.
+    """
+
+    slots: int = 8
+    queue: int = 64
+    speed: float = 1.0
+    slow_start_speed: float = 1.0
+    slow_start_us: int = 0
 
     def __post_init__(self) -> None:
         if self.slots < 1 or self.queue < 0 or self.speed <= 0 or not 0 < self.slow_start_speed <= 1:
             raise ValueError(
-                f"{self}: a server has a slot or more, a positive speed and a slow-start speed in (0, 1]"
+                f"{self}: expected slots >= 1, queue >= 0, speed > 0 and 0 < slow_start_speed <= 1"
             )
 
 
 @dataclass(slots=True)
 class KeyCache:
-    """The idempotency keys that the servers of one cell remember, with the time at which each took effect."""
+    """The idempotency keys that the servers of one cell share for deduplication.
+
+    Attributes:
+        window_us: Length of the deduplication window.
+        keys: The time at which each key took effect, oldest first.
+        effects: Number of keys that took effect.
+        repeats: Number of times that a key was repeated within its window.
+    """
 
     window_us: int = 5_000_000
     keys: dict[bytes, int] = field(default_factory=dict)
-    effects: int = 0  # keys that took effect
-    repeats: int = 0  # how often a key came again within the window
+    effects: int = 0
+    repeats: int = 0
 
     def add(self, now_us: int, key: bytes) -> bool:
-        """Adds a key; False if it took effect within the window before."""
+        """Adds a key; returns False if the key has already taken effect within the deduplication window."""
         for old_key, added_us in list(self.keys.items()):
             if added_us + self.window_us > now_us:
                 break
@@ -58,14 +76,26 @@
 
 
 class StartedRequest(NamedTuple):
-    """A request that has got a slot."""
+    """A request that has been given a slot, and the time at which it will be complete."""
 
     request: Hashable
     ends_us: int
 
 
 class ServerModel:
-    """The slots and the queue of one server process."""
+    """The slots and the queue of one server process.
+
+    Attributes:
+        capacity: The server's capacity.
+        started_us: Start of the process.
+        slowdown: Factor by which the processing time is longer than normal.
+        running: The time at which each running request will be complete.
+        waiting: The queued requests and their work.
+        draining: If set, requests that find no free slot are rejected instead of queued.
+        rejected: Number of rejected requests.
+        completed: Number of completed requests.
+        worked_us: Total processing time of all slots, including that of the running requests.
+    """
 
     __slots__ = (
         "capacity",
@@ -82,16 +112,16 @@
     def __init__(self, capacity: ServerCapacity, started_us: int) -> None:
         self.capacity = capacity
         self.started_us = started_us
-        self.slowdown = 1.0  # work takes so many times longer
-        self.running: dict[Hashable, int] = {}  # by request: when it ends
-        self.waiting: deque[tuple[Hashable, int]] = deque()  # requests and their work
+        self.slowdown = 1.0
+        self.running: dict[Hashable, int] = {}
+        self.waiting: deque[tuple[Hashable, int]] = deque()
         self.draining = False
         self.rejected = 0
         self.completed = 0
-        self.worked_us = 0  # of all slots
+        self.worked_us = 0
 
     def speed(self, now_us: int) -> float:
-        """The present speed of one slot."""
+        """Returns the current speed of one slot."""
         capacity = self.capacity
         fraction = 1.0
         if capacity.slow_start_us > 0 and now_us < self.started_us + capacity.slow_start_us:
@@ -100,9 +130,16 @@
         return capacity.speed * fraction / self.slowdown
 
     def add(self, now_us: int, request: Hashable, work_us: int) -> int | None:
-        """When the request will be complete; 0 if it waits for a slot, None if it is rejected."""
+        """Starts, queues or rejects a request.
+
+        Returns:
+            The time at which the request will be complete, 0 if it waits for a slot, or None if it is rejected.
+
+        Raises:
+            ValueError: The request is already running.
+        """
         if request in self.running:
-            raise ValueError(f"{request!r} is running already")
+            raise ValueError(f"request {request!r} is already running")
         if len(self.running) < self.capacity.slots:
             return self._start(now_us, request, work_us)
         if self.draining or len(self.waiting) >= self.capacity.queue:
@@ -118,7 +155,7 @@
         return now_us + duration_us
 
     def complete(self, now_us: int, request: Hashable) -> StartedRequest | None:
-        """Ends a request, and returns the one that gets its slot."""
+        """Completes a request, and returns the queued request that is given its slot, if any."""
         del self.running[request]
         self.completed += 1
         if not self.waiting:
@@ -127,7 +164,7 @@
         return StartedRequest(next_request, self._start(now_us, next_request, work_us))
 
     def cancel(self, request: Hashable) -> bool:
-        """Drops a request that waits; a running one goes on. Whether it was dropped."""
+        """Removes a request from the queue; a running one continues. Returns whether it was removed."""
         for item in self.waiting:
             if item[0] == request:
                 self.waiting.remove(item)
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -1,4 +1,7 @@
-"""Stand-in servers on loopback sockets: the model's work in real time, load reports, health checks, faults."""
+"""Stand-in servers on loopback sockets, with load reports, health checks and faults.
+
+They process requests in real time, according to the model in `model.py`.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +16,28 @@
 
 MAX_HEAD_BYTES = 1 << 16
 LOAD_REPORT_INTERVAL_US = 200_000
-REPEAT_WORK_US = 1  # the work for a key that took effect before
+REPEAT_WORK_US = 1  # work of a request whose idempotency key has already taken effect
 REJECTED = answer(503, extra=b"X-Not-Processed: 1\r\n")
 
 
 def clock() -> int:
-    """Monotonic microseconds."""
+    """Returns the monotonic time in microseconds."""
     return monotonic_ns() // 1000
 
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong with answers, as fractions of them."""
+    """The fractions of requests for which the response is faulty.
+
+    Attributes:
+        errors: Fraction with status 500.
+        truncated: Fraction for which the connection is closed in the middle of the response.
+        silent: Fraction for which no response is sent while the connection stays open.
+    """
 
-    errors: float = 0.0  # status 500
-    truncated: float = 0.0  # the connection ends within the answer
-    silent: float = 0.0  # no answer, the connection stays open
+    errors: float = 0.0
+    truncated: float = 0.0
+    silent: float = 0.0
 
 
 class ReceivedRequest:
@@ -40,7 +49,7 @@
         self.connection = connection
         self.id = request_id
         self.key = key
-        self.takes_effect = True  # False for the repeat of a key
+        self.takes_effect = True  # False if the idempotency key has already taken effect
 
 
 class NodeConnection(asyncio.Protocol):
@@ -55,18 +64,18 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Adds the open connection to the server."""
         self._transport = cast(asyncio.Transport, transport)
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The node has closed the connection."""
+        """Removes the closed connection from the server, and cancels its request."""
         self._server.connections.discard(self)
         if self.request is not None:
             self._server.cancel(self.request)
 
     def data_received(self, data: bytes) -> None:
-        """Passes on the requests that are complete."""
+        """Passes each complete request to the server, once the previous one has been answered."""
         self.buffer += data
         while self.request is None:
             end = self.buffer.find(b"\r\n\r\n")
@@ -82,12 +91,12 @@
             self._server.receive(self, head)
 
     def write(self, data: bytes) -> None:
-        """Sends bytes unless the connection has ended."""
+        """Sends bytes unless the connection is closed."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def close(self) -> None:
-        """Closes the connection once all is sent."""
+        """Closes the connection after all buffered data is sent."""
         if self._transport is not None:
             self._transport.close()
 
@@ -98,7 +107,7 @@
 
 
 class LoadReport:
-    """The figures of `X-Server-Load`, renewed at an interval."""
+    """The value of the header `X-Server-Load`, updated at most once per LOAD_REPORT_INTERVAL_US."""
 
     def __init__(self, model: ServerModel) -> None:
         self._model = model
@@ -108,7 +117,7 @@
         self._worked_us = 0
 
     def text(self) -> bytes:
-        """The header's value."""
+        """Returns the value of the header."""
         now_us = clock()
         if now_us - self._updated_us >= LOAD_REPORT_INTERVAL_US or not self._text:
             self._update(now_us)
@@ -124,7 +133,16 @@
 
 
 class StandinServer:
-    """One server. A request's work in microseconds comes in `X-Cost`, or is `work_us`."""
+    """A server. A request's work in microseconds is given by its header `X-Cost`, or else by `work_us`.
+
+    Attributes:
+        name: Name of the server.
+        model: The model of the server's slots and queue.
+        faults: The fractions of faulty responses.
+        connections: The open connections.
+        address: HOST:PORT at which the server listens.
+        unresponsive: If set, connections stay open but no request is answered.
+    """
 
     def __init__(
         self,
@@ -140,19 +158,25 @@
         self.faults = faults or Faults()
         self.connections: set[NodeConnection] = set()
         self.address = ""
-        self.unresponsive = False  # connections stay open and nothing is answered
+        self.unresponsive = False
         self._key_cache = key_cache or KeyCache()
         self._work_us = work_us
         self._rng = Random(f"{seed}/{name}")
         self._listener: asyncio.Server | None = None
         self._load_report = LoadReport(self.model)
         self._received = 0
-        self._processed = 0  # without the repeats of keys
-        self._drain_us = 0  # when discovery was notified that this server drains or is gone
-        self._late_requests_us: list[int] = []  # microseconds after that of each request that still came
+        self._processed = (
+            0  # completed requests, without those whose idempotency key had already taken effect
+        )
+        self._drain_us = (
+            0  # time at which discovery was notified that this server drains or is removed; 0 before
+        )
+        self._late_requests_us: list[
+            int
+        ] = []  # for each request received after `_drain_us`, the time since then
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> StandinServer:
-        """Listens; port 0 is any free one."""
+        """Starts listening; port 0 means any free port."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(lambda: NodeConnection(self), host, port)
         self.address = f"{host}:{self._listener.sockets[0].getsockname()[1]}"
@@ -160,21 +184,21 @@
         return self
 
     def drain(self) -> None:
-        """Discovery is notified now that the server gets nothing new."""
+        """Starts draining. Called when discovery is notified that the server must not receive new requests."""
         self._drain_us = clock()
         self.model.draining = True
 
     def stop(self) -> None:
-        """The process dies: connections end, new ones are refused."""
+        """Stops listening and aborts all connections, as if the process had died."""
         if self._listener is not None:
             self._listener.close()
         for connection in list(self.connections):
             connection.abort()
 
-    # ---- a request ----------------------------------------------------------------------------------------
+    # ---- requests -----------------------------------------------------------------------------------------
 
     def receive(self, connection: NodeConnection, head: bytes) -> None:
-        """Begins a request, or answers a health check."""
+        """Starts processing a request, or answers a health check or a call for the load report."""
         _, path, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
         if self.unresponsive:
             return
@@ -213,12 +237,12 @@
         self._processed += request.takes_effect
         connection = request.connection
         if connection.request is not request or self.unresponsive:
-            return  # the node has given up
+            return  # the node has closed the connection, or the server no longer answers
         connection.request = None
         self._answer(connection, request)
 
     def _answer(self, connection: NodeConnection, request: ReceivedRequest) -> None:
-        """Sends the answer, or what a fault leaves of it."""
+        """Sends the response, modified or suppressed if a fault is drawn."""
         faults = self.faults
         draw = self._rng.random()
         if draw < faults.silent:
@@ -238,18 +262,18 @@
             connection.data_received(b"")
 
     def cancel(self, request: ReceivedRequest) -> None:
-        """The node has closed the connection: a request that waits is dropped, a running one goes on."""
+        """Called when the node has closed the connection: a queued request is removed, a running one continues."""
         request.connection.request = None
         if self.model.cancel(request):
             self._undo(request)
 
     def _undo(self, request: ReceivedRequest) -> None:
-        """The request was not processed: its key may take effect again."""
+        """Makes the idempotency key of a request that was not processed usable again."""
         if request.key and request.takes_effect:
             self._key_cache.undo(request.key)
 
     def stats(self) -> dict[str, Any]:
-        """The figures that the world prints."""
+        """Returns the server's statistics for the world's `stats` command."""
         model = self.model
         return {
             "arrived": self._received,
--- a/harecross/standins/world.py
+++ b/harecross/standins/world.py
@@ -1,7 +1,8 @@
-"""`python -m harecross.standins.world`: a discovery and servers in a process of their own, commanded by lines.
+"""`python -m harecross.standins.world`: a process with a stand-in discovery and stand-in servers.
 
-Each line on standard input is a JSON object with `do`; each answer is one on standard output. The process ends with
-its standard input, so that it does not outlive its parent.
+Each line on standard input is a command, a JSON object with the key `do`; for each command, one line with a JSON object
+is written to standard output. The process exits at the end of its standard input, so that it does not outlive its
+parent.
 
     {"do": "add", "name": "s1", "shape": {...}, "zone": "here", "cell": 0, "kind": "m1", "cold": false}
     {"do": "slow", "name": "s1", "factor": 4.0}
@@ -27,8 +28,8 @@
 
 Command = dict[str, Any]
 MAX_LINE_BYTES = 1 << 22
-REMOVED_SERVER_STOP_S = 5.0  # a removed server finishes its requests for so long
-# From the keys of a command's `shape` to the fields of a ServerCapacity.
+REMOVED_SERVER_STOP_S = 5.0  # a removed server is stopped after this time, so that it can finish its requests
+# Maps the keys of a command's `shape` to the fields of ServerCapacity.
 CAPACITY_FIELDS = {
     "slots": "slots", "queue": "queue", "speed": "speed", "cold_share": "slow_start_speed",
     "cold_time": "slow_start_us",
@@ -37,7 +38,10 @@
 
 
 def capacity_from(shape: dict[str, Any], *, cold: bool) -> ServerCapacity:
-    """A command's `shape`, without slow start unless `cold`. KeyError for an unknown key."""
+    """Returns the capacity that a command's `shape` describes, without slow start unless `cold`.
+
+    Raises KeyError for an unknown key.
+    """
     capacity = ServerCapacity(**{CAPACITY_FIELDS[key]: value for key, value in shape.items()})
     if not cold:
         capacity.slow_start_us = 0
@@ -45,13 +49,13 @@
 
 
 class World:
-    """A discovery and its servers."""
+    """A stand-in discovery and the stand-in servers that it lists."""
 
     def __init__(self, seed: int = 0) -> None:
         self._discovery = StandinDiscovery()
         self._servers: dict[str, StandinServer] = {}
         self._removed: dict[str, StandinServer] = {}
-        self._attributes: dict[str, dict[str, Any]] = {}  # by server: keys of its entry in the endpoint list
+        self._attributes: dict[str, dict[str, Any]] = {}  # by server: further keys of its endpoint list entry
         self._key_caches: dict[int, KeyCache] = {}  # by cell
         self._seed = seed
 
@@ -61,7 +65,7 @@
         return self
 
     async def run(self, command: Command) -> dict[str, Any]:
-        """Carries out one command. KeyError, TypeError or ValueError for one that cannot be."""
+        """Runs one command and returns the reply. Raises KeyError, TypeError or ValueError if it is invalid."""
         action = command["do"]
         if action == "list":
             return {"ok": True, "discovery": self._discovery.address, "known": self._discovery.full_list()}
@@ -76,7 +80,7 @@
         elif action == "silent":
             self._discovery.silent = bool(command["on"])
         else:
-            raise ValueError(f"no order {action!r}")
+            raise ValueError(f"unknown command {action!r}")
         return {"ok": True}
 
     def _stats(self) -> dict[str, Any]:
@@ -89,7 +93,7 @@
     async def _add_server(self, command: Command) -> None:
         name, cold = command["name"], command.get("cold", False)
         if name in self._servers:
-            raise ValueError(f"there is a server named {name!r} already")
+            raise ValueError(f"a server named {name!r} already exists")
         cell = int(command.get("cell", 0))
         capacity = capacity_from(command.get("shape", {}), cold=cold)
         key_cache = self._key_caches.setdefault(cell, KeyCache())
@@ -110,7 +114,7 @@
         if action == "slow":
             factor = float(command["factor"])
             if factor <= 0:
-                raise ValueError(f"factor {factor} is not above 0")
+                raise ValueError(f"slow: factor must be greater than 0, got {factor}")
             server.model.slowdown = factor
         elif action == "hang":
             server.unresponsive = True
@@ -121,9 +125,10 @@
             self._withdraw_server(action, server)
 
     def _withdraw_server(self, action: str, server: StandinServer) -> None:
-        """Drains a server, or removes it from the list."""
+        """Drains a server or removes it from the endpoint list."""
         name = server.name
-        server.drain()  # before the list is sent: the time of notification begins here
+        # Before the list is sent, because requests received after this moment count as late.
+        server.drain()
         state = "terminating" if action == "drain" else "terminated"
         self._discovery.put(entry(name, server.address, state, **self._attributes[name]))
         if action != "drain":
@@ -135,22 +140,22 @@
 
 
 async def main() -> None:
-    """Carries out the commands of standard input until it ends."""
+    """Runs the commands from standard input until its end."""
     world = await World(int(os.environ.get("HARECROSS_SEED", "0"))).start()
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
-            answer = await world.run(json.loads(line))
+            reply = await world.run(json.loads(line))
         except (KeyError, TypeError, ValueError, OSError) as error:
-            answer = {"ok": False, "error": str(error)}
-        sys.stdout.write(json.dumps(answer) + "\n")
+            reply = {"ok": False, "error": str(error)}
+        sys.stdout.write(json.dumps(reply) + "\n")
         sys.stdout.flush()
 
 
 if __name__ == "__main__":
-    # Ctrl-C goes to the whole process group; this process ends when its parent closes the pipe.
+    # Ctrl-C reaches the whole process group; this process exits only when its parent closes the pipe.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     import uvloop
 
--- a/harecross/standins/xds.py
+++ b/harecross/standins/xds.py
@@ -1,7 +1,8 @@
-"""A stand-in xDS client and proxy, state of the world and delta, with scripted faults. Needs the extra `xds`.
+"""A stand-in for an xDS proxy, with the state-of-the-world and delta variants and scripted faults.
 
-Written from the published protocol (Envoy's xDS REST and gRPC protocol page): it ACKs or NACKs the resources that it
-is sent, reconnects with the versions that it has, and picks endpoints as Envoy does: by priority, health and weight.
+It is written from the published protocol (Envoy's page "xDS REST and gRPC protocol"): it ACKs or NACKs the resources
+that it receives, reconnects with the versions that it has, and picks endpoints as Envoy does, by priority, health and
+weight. The module needs the extra `xds`.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One endpoint of an assignment."""
+    """One endpoint of a cluster load assignment; `health` is Envoy's health status."""
 
     name: str
     port: int
@@ -38,7 +39,7 @@
 
 
 def targets(body: bytes) -> list[Target]:
-    """The endpoints of one assignment."""
+    """Returns the endpoints of an encoded cluster load assignment."""
     assignment = endpoint_pb2.ClusterLoadAssignment.FromString(body)
     return [
         Target(
@@ -51,7 +52,10 @@
 
 
 def pick(rng: Random, endpoints: list[Target]) -> Target | None:
-    """One request's endpoint: of the lowest priority with a healthy one, by weight; a degraded one if none is."""
+    """Picks the endpoint of a request by weight, among the healthy ones of the first priority that has any.
+
+    If no endpoint is healthy, picks among the degraded ones in the same way. Returns None if there are none either.
+    """
     for usable_health in (HEALTHY, (DEGRADED,)):
         usable = [target for target in endpoints if target.health in usable_health]
         if usable:
@@ -62,20 +66,49 @@
 
 
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.01, 0.5
-WRITE_FAILED = "Internal error from Core"  # grpc.aio's own text for a write that could not be carried out
+WRITE_FAILED = "Internal error from Core"  # the error details that grpc.aio itself sets for a failed write
 
 
 def accept_all(_type_url: str, _names: list[str]) -> str:
-    """Accepts a response: there is no reason to reject it."""
+    """Accepts every response, by returning an empty rejection reason."""
     return ""
 
 
 class XdsProxy:
-    """One proxy, over one stream at a time. `rejection_reason`, `may_read` and `acknowledges` are its faults."""
-
-    rejection_reason: Callable[
-        [str, list[str]], str
-    ]  # by type and names; not empty: the response is rejected
+    """An xDS proxy with one stream at a time. `rejection_reason`, `may_read` and `acknowledges` control its faults.
+
+    Attributes:
+        channel: The gRPC channel.
+        names: Names of the assignments to subscribe to; None means those of all clusters.
+        delta: Whether the delta variant is used.
+        node: Id of the xDS node.
+        zone: Zone of the xDS node's locality.
+        types: Type URLs of the resources.
+        path: gRPC method.
+        accepted: The accepted resources, by type and name.
+        versions: Versions of the accepted resources, by type and name (delta only).
+        version: Version of the last accepted response, by type (state of the world only).
+        nonce: Nonce of the last response, by type.
+        subscribed: Names of the subscribed assignments.
+        rejection_reason: Called with the type and the names of a response; it is rejected if the result is not empty.
+        may_read: While this event is not set, the proxy reads no responses.
+        acknowledges: Whether responses are answered with an ACK or a NACK.
+        keeps_state: Whether resources are kept across reconnects, and their versions sent.
+        changed: Set when a stream starts or fails, or a response has been processed.
+        arrivals: Accepted assignments: monotonic time of arrival, name and encoded resource.
+        tracked_clusters: Clusters whose assignments are added to `arrivals`; None means all.
+        responses: All responses: type, names of the resources, names of the removed resources.
+        received_count: Number of resources received since the last connect.
+        received_at: Monotonic time of the newest response.
+        streams: Number of streams started.
+        stopping: Set by `stop`.
+        error: The error with which the last stream ended, if any.
+        call: The current stream.
+        task: The task that runs the streams.
+        on_response: Called after each response with the proxy, the type and the names of the resources.
+    """
+
+    rejection_reason: Callable[[str, list[str]], str]
 
     def __init__(
         self,
@@ -88,27 +121,27 @@
         types: tuple[str, ...] = (CLUSTER, ASSIGNMENT),
     ) -> None:
         self.channel = channel
-        self.names = names  # of assignments; None: those of all clusters
+        self.names = names
         self.delta = delta
         self.node, self.zone = node, zone
         self.types = types
         self.path = path or ADS + ("DeltaAggregatedResources" if delta else "StreamAggregatedResources")
         self.accepted: dict[str, dict[str, bytes]] = {type_url: {} for type_url in types}
-        self.versions: dict[str, dict[str, str]] = {type_url: {} for type_url in types}  # delta
-        self.version: dict[str, str] = {}  # state of the world
+        self.versions: dict[str, dict[str, str]] = {type_url: {} for type_url in types}
+        self.version: dict[str, str] = {}
         self.nonce: dict[str, str] = {}
         self.subscribed: set[str] = set(names or ())
         self.rejection_reason = accept_all
         self.may_read = asyncio.Event()
         self.may_read.set()
         self.acknowledges = True
-        self.keeps_state = True  # it keeps its resources in a reconnect, and sends their versions
+        self.keeps_state = True
         self.changed = asyncio.Event()
-        self.arrivals: list[tuple[float, str, bytes]] = []  # assignments with their monotonic times, unread
-        self.tracked_clusters: set[str] | None = None  # whose assignments are in `arrivals`; None: all
-        self.responses: list[tuple[str, list[str], list[str]]] = []  # type, names, removed
-        self.received_count = 0  # received since the last connect
-        self.received_at = 0.0  # when the newest response came, monotonic
+        self.arrivals: list[tuple[float, str, bytes]] = []
+        self.tracked_clusters: set[str] | None = None
+        self.responses: list[tuple[str, list[str], list[str]]] = []
+        self.received_count = 0
+        self.received_at = 0.0
         self.streams = 0
         self.stopping = False
         self.error: grpc.aio.AioRpcError | None = None
@@ -117,19 +150,19 @@
         self.on_response: Callable[[XdsProxy, str, list[str]], None] = lambda proxy, type_url, names: None
 
     def start(self) -> XdsProxy:
-        """Connects, and reconnects until `stop`."""
+        """Starts connecting; the proxy reconnects until `stop` is called."""
         self.task = asyncio.create_task(self._run())
         return self
 
     async def stop(self) -> None:
-        """Ends the stream for good."""
+        """Ends the stream and does not reconnect."""
         self.stopping = True
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
     async def _run(self) -> None:
-        """Streams, one after the other, until `stop`."""
+        """Runs one stream after the other, with backoff, until cancelled by `stop`."""
         backoff_s = INITIAL_BACKOFF_S
         while True:
             self.error = None
@@ -137,21 +170,22 @@
                 await self._run_stream()
                 backoff_s = INITIAL_BACKOFF_S
             except grpc.aio.AioRpcError as error:
-                # Where a write meets the server's end of the stream, grpc has this in the place of its status.
-                own_write = error.code() is grpc.StatusCode.INTERNAL and error.details() == WRITE_FAILED
-                if not own_write:
+                # If a write fails because the server has just ended the stream, grpc.aio raises this error instead of
+                # the server's status.
+                write_failed = error.code() is grpc.StatusCode.INTERNAL and error.details() == WRITE_FAILED
+                if not write_failed:
                     self.error = error
                     self.changed.set()
             await asyncio.sleep(backoff_s)
             backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     def cancel_stream(self) -> None:
-        """Ends the stream now; the proxy reconnects by itself."""
+        """Cancels the current stream; the proxy then reconnects."""
         if self.call is not None:
             self.call.cancel()
 
     async def _run_stream(self) -> None:
-        """One stream, until it ends."""
+        """Opens a stream and processes its responses until it ends."""
         request_type, response_type = discovery_pb2.DiscoveryRequest, discovery_pb2.DiscoveryResponse
         if self.delta:
             request_type = discovery_pb2.DeltaDiscoveryRequest
@@ -179,7 +213,7 @@
             try:
                 response = await self.call.read()
             except asyncio.CancelledError:
-                if not self.stopping:  # `cancel_stream`
+                if not self.stopping:  # cancelled by `cancel_stream`
                     return
                 raise
             if response is grpc.aio.EOF:
@@ -191,7 +225,10 @@
         return [] if type_url in (CLUSTER, LISTENER) else sorted(self.subscribed)
 
     async def _send_request(self, type_url: str, error: str = "") -> None:
-        """A first request, an ACK, a NACK or another subscription (state of the world)."""
+        """Sends a request: the first of the stream, an ACK, a NACK (with `error`) or a changed subscription.
+
+        With the delta variant, changed subscriptions are sent by `subscribe`.
+        """
         names = self._subscribed_names(type_url)
         if self.delta:
             request = discovery_pb2.DeltaDiscoveryRequest(
@@ -213,7 +250,7 @@
         await self.call.write(request)
 
     async def subscribe(self, names: set[str]) -> None:
-        """Other assignments from now on."""
+        """Replaces the set of subscribed assignments."""
         added, dropped = names - self.subscribed, self.subscribed - names
         self.subscribed = set(names)
         for name in dropped:
@@ -230,7 +267,7 @@
             )  # fmt: skip
 
     async def _receive(self, response: Any) -> None:
-        """Takes a response: stores its resources, or rejects it, and answers."""
+        """Processes a response: stores its resources or rejects them, and sends an ACK or a NACK."""
         type_url = response.type_url
         if self.delta:
             found = {item.name: item.resource.value for item in response.resources}
@@ -265,7 +302,10 @@
         self.changed.set()
 
     def first_seen_at(self, cluster: str, server: str, health: int, since: float = 0.0) -> float | None:
-        """When the proxy first got that health of a server, after `since`, in monotonic seconds."""
+        """Returns the monotonic time, not before `since`, at which a server was first received with this health.
+
+        Returns None if that has not happened.
+        """
         for at, name, body in self.arrivals:
             if at < since or name != cluster:
                 continue
@@ -274,11 +314,11 @@
         return None
 
     def endpoints(self, cluster: str) -> list[Target]:
-        """The endpoints of a cluster."""
+        """Returns the accepted endpoints of a cluster."""
         return targets(self.accepted[ASSIGNMENT].get(cluster, b""))
 
     async def until(self, condition: Callable[[XdsProxy], bool], seconds: float = 20.0) -> None:
-        """Waits until the condition holds. TimeoutError after so many seconds."""
+        """Waits until the condition holds. Raises TimeoutError after `seconds`."""
         async with asyncio.timeout(seconds):
             while not condition(self):
                 self.changed.clear()
@@ -286,8 +326,8 @@
 
 
 def name_of(body: bytes) -> str:
-    """The name of a resource: field 1 of all four types, a short string."""
-    assert body[0] == 0x0A, "the first field is the name"
+    """Returns the name of an encoded resource, which is field 1 (a short string) in all four types."""
+    assert body[0] == 0x0A, "the first field is not the name"
     size, at = body[1], 2
     if size & 0x80:
         size, at = (size & 0x7F) | body[2] << 7, 3
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: tests that use them rely on what is checked here."""
+"""The stand-ins' own behaviour, on which the tests that use them rely."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SECOND_US = 1_000_000
 
 
-def test_requests_fill_the_slots_then_the_queue_and_are_rejected_then():
+def test_requests_fill_the_slots_and_then_the_queue_and_are_then_rejected():
     model = ServerModel(ServerCapacity(slots=1, queue=1), 0)
     assert model.add(0, "a", 100) == 100
     assert model.add(0, "b", 100) == 0
@@ -28,7 +28,7 @@
     assert model.worked_us == 200
 
 
-def test_a_waiting_request_can_be_cancelled_and_a_running_one_cannot():
+def test_a_queued_request_can_be_cancelled_but_a_running_one_cannot():
     model = ServerModel(ServerCapacity(slots=1), 0)
     model.add(0, "a", 100)
     model.add(0, "b", 100)
@@ -37,7 +37,7 @@
     assert model.complete(100, "a") is None
 
 
-def test_the_speed_rises_evenly_in_slow_start():
+def test_the_speed_rises_linearly_during_slow_start():
     capacity = ServerCapacity(slow_start_speed=0.4, slow_start_us=10 * SECOND_US)
     model = ServerModel(capacity, 5 * SECOND_US)
     assert model.speed(5 * SECOND_US) == pytest.approx(0.4)
@@ -60,7 +60,7 @@
     assert model.complete(100, "a") == ("b", 200)
 
 
-def test_a_key_takes_effect_once_in_its_window():
+def test_a_key_takes_effect_once_in_its_deduplication_window():
     cache = KeyCache(window_us=100)
     assert cache.add(0, b"k")
     assert not cache.add(99, b"k")
@@ -68,13 +68,13 @@
     assert (cache.effects, cache.repeats) == (2, 1)
 
 
-@pytest.mark.parametrize("wrong", [{"slots": 0}, {"queue": -1}, {"speed": 0}, {"slow_start_speed": 0}])
-def test_a_capacity_that_cannot_be_is_rejected(wrong):
-    with pytest.raises(ValueError, match="slot or more"):
-        ServerCapacity(**wrong)
+@pytest.mark.parametrize("invalid", [{"slots": 0}, {"queue": -1}, {"speed": 0}, {"slow_start_speed": 0}])
+def test_an_invalid_capacity_is_rejected(invalid):
+    with pytest.raises(ValueError, match="expected slots >= 1"):
+        ServerCapacity(**invalid)
 
 
-def test_wrong_commands_are_rejected_and_change_nothing():
+def test_invalid_commands_are_rejected_and_change_nothing():
     async def test() -> None:
         world = await World().start()
         await world.run({"do": "add", "name": "s"})
@@ -92,7 +92,7 @@
     run(test())
 
 
-def test_a_world_ends_with_its_parent():
+def test_a_world_process_ends_when_its_standard_input_is_closed():
     child = subprocess.Popen(
         [sys.executable, "-m", "harecross.standins.world"],
         stdin=subprocess.PIPE,
@@ -105,14 +105,14 @@
     child.stdin.flush()
     assert json.loads(child.stdout.readline()) == {"ok": True}
     assert json.loads(child.stdout.readline())["known"]["instances"][0]["instanceId"] == "s"
-    assert json.loads(child.stdout.readline())["ok"] is False  # and it goes on
+    assert json.loads(child.stdout.readline())["ok"] is False
     child.stdin.close()
     assert child.wait(timeout=30) == 0
 
 
-def test_a_node_that_does_not_start_is_an_error_and_no_process_is_left():
+def test_a_node_that_does_not_start_raises_an_error_and_leaves_no_process():
     async def body() -> None:
-        cluster = Cluster([{"name": "s"}], 1, [])  # no classes: no settings of a node
+        cluster = Cluster([{"name": "s"}], 1, [])  # a node's settings are invalid without request classes
         with pytest.raises(ClusterError, match="n0 did not start: .*classes"):
             await cluster.__aenter__()
         assert not cluster.nodes[0].alive
