--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -1,10 +1,10 @@
-"""Random bytes and corrupted answers for all parsers of foreign data, for so many seconds.
+"""Fuzzes all parsers of DNS data and of source files with random and corrupted input.
 
     python benchmarks/fuzz_dns.py [--seconds 60] [--seed 1]
 
-DNS messages (random bytes, and answers with bytes changed, removed, repeated), frames of a stream, whole resolutions of
-an SRV name, address files, cache files. Anything but a value or the parser's own error is printed with its seed, and
-the status is 1.
+The input is: DNS messages (random bytes, and replies with bytes changed, removed, repeated or inserted), the framing of
+a byte stream, complete resolutions of an SRV name, address files and cache files. If a parser raises anything but its
+own error, the error and the seed are printed and the exit status is 1.
 """
 
 from __future__ import annotations
@@ -30,13 +30,11 @@
 
 NAME = "_a._tcp.example.org."
 TARGETS = ["t.example.org.", "u.example.org.", "v.other.example.", ".", NAME, "x" * 60 + ".example.org."]
-
-
 RECORD_TYPES = ["SRV", "A", "AAAA", "CNAME", "SOA", "NS", "TXT"]
 
 
 def random_answer(rng: Random, question: Question) -> bytes:
-    """An answer with any records that a zone may have."""
+    """Returns an encoded reply with random records of the types that a zone may hold."""
     query = dns.message.make_query(question.name, question.record_type)
     reply = dns.message.make_response(query)
     for section in (reply.answer, reply.additional, reply.authority):
@@ -50,7 +48,7 @@
 
 
 def random_record_data(rng: Random, record_type: str) -> str:
-    """The data of a record, in the form of zone files."""
+    """Returns the data of a record in zone file format."""
     numbers = f"{rng.randrange(65536)} {rng.randrange(65536)} {rng.randrange(65536)}"
     return {
         "SRV": f"{numbers} {rng.choice(TARGETS)}", "A": f"10.0.0.{rng.randrange(256)}",
@@ -60,7 +58,7 @@
 
 
 def corrupted(rng: Random, data: bytes) -> bytes:
-    """The bytes with some of them changed, removed, repeated or inserted."""
+    """Returns the bytes with some of them changed, removed, repeated or inserted."""
     result = bytearray(data)
     for _ in range(rng.randrange(4)):
         at = rng.randrange(len(result) + 1)
@@ -77,7 +75,7 @@
 
 
 def read_message(rng: Random) -> None:
-    """A message: a corrupted answer, or random bytes."""
+    """Decodes a corrupted reply, or random bytes."""
     if rng.random() < 0.9:
         decode_reply(corrupted(rng, random_answer(rng, Question(NAME, "SRV"))))
     else:
@@ -85,7 +83,7 @@
 
 
 def read_stream(rng: Random) -> None:
-    """Messages on a stream that arrives in random parts."""
+    """Decodes the messages of a stream that arrives in chunks of random size."""
     messages = [rng.randbytes(rng.randrange(300)) for _ in range(rng.randrange(5))]
     stream, decoder, decoded = b"".join(frame(message) for message in messages), FrameDecoder(), []
     while stream:
@@ -96,7 +94,7 @@
 
 
 def read_name(rng: Random) -> None:
-    """A resolution ends, and its result can be used."""
+    """Resolves a name with corrupted replies, and checks that the resolution ends with a usable result."""
     resolution = Resolution(NAME)
     for _ in range(200):
         questions = resolution.questions()
@@ -108,20 +106,20 @@
                 resolution.receive_reply(question, reply)
             except MessageError as error:
                 resolution.receive_failure(question, str(error))
-    assert resolution.done, "a resolution without end"
+    assert resolution.done, "the resolution does not end"
     if not resolution.failure:
         statements = srv_statements(resolution.result().endpoints)
         assert all(0 < statement.weight <= 20 for statement in statements)
 
 
-def read_file(rng: Random) -> None:
-    """An address file."""
+def read_address_file(rng: Random) -> None:
+    """Parses a corrupted address file."""
     text = "10.0.0.1:80 weight=2 priority=1 zone=x name=b # c\n[::1]:81 drain\n" * rng.randrange(3)
     address_file.parse(corrupted(rng, text.encode()).decode(errors="replace"))
 
 
-def read_kept(rng: Random) -> None:
-    """A cache file, with a checksum that holds: the file is parsed only then."""
+def read_cache_file(rng: Random) -> None:
+    """Decodes a corrupted cache file with a valid checksum, without which the file would not be parsed."""
     answer = SrvAnswer((SrvEndpoint(0, "t.", "10.0.0.1", 80, 5),), 30.0)
     encoded = cache_file.encode({NAME: cache_file.CachedSet(answer, 1.0, 2.0)})
     body = corrupted(rng, encoded.partition(b"\n")[2])
@@ -132,14 +130,14 @@
 
 
 def main() -> int:
-    """Reads until the time is over; 1 at the first unexpected error."""
+    """Runs the parsers until the time is over; returns 1 at the first unexpected error, else 0."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     end, seed, counts = time.monotonic() + options.seconds, options.seed, Counter[str]()
     reported_at = time.monotonic()
-    readers = [read_message, read_stream, read_name, read_file, read_kept]
+    readers = [read_message, read_stream, read_name, read_address_file, read_cache_file]
     while time.monotonic() < end:
         reader = readers[seed % len(readers)]
         try:
--- a/tests/dns_support.py
+++ b/tests/dns_support.py
@@ -1,4 +1,4 @@
-"""Scripted DNS servers and their records, shared by the tests of the resolver."""
+"""Scripted DNS servers with records, shared by the tests of the DNS resolver."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 ZONE = "site3.example.org."
 
 
-def honest_reply(data: bytes) -> bytes:
-    """The wire form of a reply with both SRV records of NAME."""
+def valid_reply(data: bytes) -> bytes:
+    """Returns the encoded reply to a query, with two SRV records of NAME."""
     query = dns.message.from_wire(data)
     reply = dns.message.make_response(query)
     reply.answer.append(dns.rrset.from_text(NAME, 5, "IN", "SRV", f"0 1 80 a.{ZONE}", f"0 1 80 b.{ZONE}"))
     return reply.to_wire()
 
 
-def site(*targets: str, ttl: int = 5) -> DnsServer:
-    """A server with an SRV record and an address for each target."""
+def server_with_targets(*targets: str, ttl: int = 5) -> DnsServer:
+    """Returns a server with an SRV record of NAME and an address record for each target."""
     server = DnsServer()
     server.set_records(NAME, "SRV", *(f"0 {i + 1} 80{i} {t}.{ZONE}" for i, t in enumerate(targets)), ttl=ttl)
     for i, t in enumerate(targets):
@@ -33,8 +33,8 @@
     return server
 
 
-def with_servers(test, count: int = 1) -> None:
-    """Runs a test with a client and so many servers."""
+def run_with_servers(test, count: int = 1) -> None:
+    """Runs a test with a client and `count` servers, all of which the client uses."""
 
     async def body() -> None:
         servers = [await DnsServer().start() for _ in range(count)]
@@ -49,8 +49,8 @@
     run(body())
 
 
-def fill_site(server: DnsServer, count: int) -> set[tuple[str, int]]:
-    """Sets an SRV record and an address of so many targets; returns their addresses and ports."""
+def set_targets(server: DnsServer, count: int) -> set[tuple[str, int]]:
+    """Sets an SRV record and an address record for each of `count` targets; returns their addresses and ports."""
     server.set_records(NAME, "SRV", *(f"0 1 {1000 + i} t{i}.{ZONE}" for i in range(count)))
     for i in range(count):
         server.set_records(f"t{i}.{ZONE}", "A", f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}")
@@ -58,5 +58,5 @@
 
 
 def address_pairs(found: SrvAnswer) -> set[tuple[str, int]]:
-    """The addresses and ports of a result."""
+    """Returns the addresses and ports of the endpoints of an answer."""
     return {(endpoint.address, endpoint.port) for endpoint in found.endpoints}
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -1,4 +1,4 @@
-"""The resolver over sockets, against scripted DNS servers and beside resolvers that share no code with it."""
+"""The resolver over sockets, against scripted DNS servers, and compared with dnspython's resolver and c-ares."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 import dns.resolver
 import pycares
 import trustme
-from dns_support import NAME, ZONE, address_pairs, fill_site, with_servers
+from dns_support import NAME, ZONE, address_pairs, run_with_servers, set_targets
 
 from harecross.dns.client import DnsClient, LookupFailedError
 from harecross.standins import dns as standin
 from harecross.standins.dns import DnsServer
 
 
-def test_a_large_set_comes_over_tcp_and_the_connection_is_reused():
+def test_a_large_set_is_received_over_tcp_and_the_connection_is_reused():
     async def test(client: DnsClient, server: DnsServer) -> None:
         for count in (3, 400):
-            wanted = fill_site(server, count)
+            wanted = set_targets(server, count)
             assert address_pairs(await client.resolve(NAME)) == wanted
         assert server.queries[NAME, "SRV", "udp"] == 2
         assert server.queries[NAME, "SRV", "tcp"] == 1
-        # Addresses that did not fit in the message are queried, many at once; concurrent callers share a query.
+        # Addresses that did not fit into the reply are queried concurrently, and concurrent callers share the queries.
         before = server.queries.total()
         found = await asyncio.gather(*(client.resolve(NAME) for _ in range(5)))
         assert all(address_pairs(f) == wanted for f in found)
@@ -45,23 +45,23 @@
         assert server.queries[NAME, "SRV", "udp"] == 3
         assert server.queries.total() - before < 3 * (2 + 400)
 
-    with_servers(test)
+    run_with_servers(test)
 
 
 @pytest.mark.parametrize("fault", [standin.forged, standin.no_edns, standin.always_truncated])
-def test_servers_with_tolerable_faults_give_the_full_set(fault):
+def test_servers_with_tolerable_faults_yield_the_full_set(fault):
     async def test(client: DnsClient, server: DnsServer) -> None:
-        wanted = fill_site(server, 5)
+        wanted = set_targets(server, 5)
         server.faults.append(fault)
         assert address_pairs(await client.resolve(NAME)) == wanted
         if fault is standin.no_edns:
             queries = server.queries[NAME, "SRV", "udp"]
             assert address_pairs(await client.resolve(NAME)) == wanted
             assert server.queries[NAME, "SRV", "udp"] == queries + 1, (
-                "that it does not know EDNS is remembered"
+                "the client does not remember that the server has no EDNS support"
             )
 
-    with_servers(test)
+    run_with_servers(test)
 
 
 @pytest.mark.parametrize(
@@ -76,10 +76,10 @@
         pytest.param(None, id="dead"),
     ],
 )
-def test_a_second_server_answers_for_one_that_fails_and_alone_the_lookup_fails(fault):
+def test_a_second_server_replaces_one_that_fails_and_without_it_the_lookup_fails(fault):
     async def test(client: DnsClient, bad: DnsServer, good: DnsServer) -> None:
-        wanted = fill_site(good, 4)
-        fill_site(bad, 4)
+        wanted = set_targets(good, 4)
+        set_targets(bad, 4)
         if fault is None:
             bad.stop()
         else:
@@ -93,10 +93,10 @@
         finally:
             await alone.close()
 
-    with_servers(test, 2)
+    run_with_servers(test, 2)
 
 
-def test_dnspython_s_resolver_reads_the_same_sets():
+def test_the_resolver_of_dnspython_returns_the_same_sets():
     async def test(client: DnsClient, server: DnsServer) -> None:
         host, port = server.address.split(":")
 
@@ -107,18 +107,18 @@
             return {(resolver.resolve(record.target, "A")[0].address, record.port) for record in records}
 
         for count in (1, 60):
-            wanted = fill_site(server, count)
+            wanted = set_targets(server, count)
             assert (
                 await asyncio.to_thread(resolve_by_dnspython)
                 == address_pairs(await client.resolve(NAME))
                 == wanted
             )
 
-    with_servers(test)
+    run_with_servers(test)
 
 
 def resolve_by_cares(server: str) -> set[tuple[str, int]]:
-    """The endpoints by c-ares, which shares no code with dnspython or with this package."""
+    """Returns the endpoints that c-ares finds, which shares no code with dnspython or with this package."""
     host, port = server.split(":")
     channel = pycares.Channel(servers=[host], udp_port=int(port), tcp_port=int(port), timeout=5, tries=2)
     answers: dict[str, list] = {}
@@ -146,10 +146,10 @@
     }
 
 
-def test_c_ares_reads_the_same_sets_over_udp_and_tcp():
+def test_c_ares_returns_the_same_sets_over_udp_and_tcp():
     async def test(client: DnsClient, server: DnsServer) -> None:
         for count in (1, 7, 90):
-            wanted = fill_site(server, count)
+            wanted = set_targets(server, count)
             assert (
                 await asyncio.to_thread(resolve_by_cares, server.address)
                 == address_pairs(await client.resolve(NAME))
@@ -162,11 +162,11 @@
         assert ("10.9.9.9", 1000) in theirs
         assert theirs == address_pairs(await client.resolve(NAME))
 
-    with_servers(test)
+    run_with_servers(test)
 
 
 def test_a_set_larger_than_a_message_fails_and_one_that_just_fits_is_complete():
-    """Some 40 bytes each: 64 KiB, the most that DNS carries in one message, hold some 1,600."""
+    """A DNS message holds at most 64 KiB, which is about 1,600 records of about 40 bytes."""
 
     async def test(client: DnsClient, server: DnsServer) -> None:
         server.sends_additional = False
@@ -178,12 +178,12 @@
         with pytest.raises(LookupFailedError, match="truncated over TCP|no answer in time"):
             await client.resolve(NAME)
 
-    with_servers(test)
+    run_with_servers(test)
 
 
-def test_two_servers_that_differ_give_one_set_or_the_other_never_a_mix():
+def test_servers_with_different_sets_yield_one_set_or_the_other_but_never_a_mix():
     async def test(client: DnsClient, one: DnsServer, two: DnsServer) -> None:
-        a = fill_site(one, 6)
+        a = set_targets(one, 6)
         two.set_records(NAME, "SRV", *(f"0 1 {2000 + i} u{i}.{ZONE}" for i in range(6)))
         for i in range(6):
             two.set_records(f"u{i}.{ZONE}", "A", f"10.1.0.{i}")
@@ -195,14 +195,17 @@
         assert seen <= {frozenset(a), frozenset(b)}
         assert seen
 
-    with_servers(test, 2)
+    run_with_servers(test, 2)
 
 
-def test_a_set_that_changes_between_its_records_and_their_addresses_keeps_the_known_ones():
-    """The SRV records of one version, the addresses of the next: the one that went has none, and is said."""
+def test_a_target_removed_between_the_srv_and_the_address_lookup_is_left_out_and_noted():
+    """Guards against losing the set when the zone changes between the SRV lookup and the address lookups.
+
+    The removed target has no address; the other endpoints are kept, and a note names the target.
+    """
 
     async def test(client: DnsClient, server: DnsServer) -> None:
-        wanted = fill_site(server, 4)
+        wanted = set_targets(server, 4)
         server.sends_additional = False
 
         def change(exchange: standin.Exchange) -> None:
@@ -215,44 +218,44 @@
         assert address_pairs(found) == {p for p in wanted if p[1] != 1003}
         assert any("t3" in note for note in found.notes)
 
-    with_servers(test)
+    run_with_servers(test)
 
 
-def test_without_descriptors_a_lookup_fails_and_the_next_one_succeeds(monkeypatch):
+def test_without_free_file_descriptors_a_lookup_fails_and_the_next_one_succeeds(monkeypatch):
     async def test(client: DnsClient, server: DnsServer) -> None:
-        wanted = fill_site(server, 3)
+        wanted = set_targets(server, 3)
 
         async def fail(*args, **options):
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
         loop = asyncio.get_running_loop()
-        short = DnsClient([server.address], Random(3))
-        monkeypatch.setattr(short, "loop", SimpleNamespace(
+        client_without_descriptors = DnsClient([server.address], Random(3))
+        monkeypatch.setattr(client_without_descriptors, "loop", SimpleNamespace(
             time=loop.time, create_datagram_endpoint=fail, create_connection=fail, call_later=loop.call_later,
         ))  # fmt: skip
         with pytest.raises(LookupFailedError, match="Too many open files"):
-            await short.resolve(NAME)
-        short.loop = loop
-        assert address_pairs(await short.resolve(NAME)) == wanted
-        await short.close()
+            await client_without_descriptors.resolve(NAME)
+        client_without_descriptors.loop = loop
+        assert address_pairs(await client_without_descriptors.resolve(NAME)) == wanted
+        await client_without_descriptors.close()
 
-    with_servers(test)
+    run_with_servers(test)
 
 
-def test_over_tls_a_server_without_the_operators_certificate_is_rejected():
-    ca, stranger = trustme.CA(), trustme.CA()
+def test_over_tls_a_server_with_an_untrusted_or_wrong_certificate_is_rejected():
+    ca, other_ca = trustme.CA(), trustme.CA()
 
     async def test() -> None:
-        served = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        ca.issue_cert("resolver.example.org").configure_cert(served)
-        server = await DnsServer().start(tls=served)
-        wanted = fill_site(server, 300)
-        for authority, name, good in ((ca, "resolver.example.org", True), (ca, "other.example.org", False),
-                                      (stranger, "resolver.example.org", False)):  # fmt: skip
-            trust = ssl.create_default_context()
-            authority.configure_trust(trust)
-            client = DnsClient([server.tls_address], Random(1), trust, name)
-            if good:
+        server_context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+        ca.issue_cert("resolver.example.org").configure_cert(server_context)
+        server = await DnsServer().start(tls=server_context)
+        wanted = set_targets(server, 300)
+        for trusted_ca, name, accepted in ((ca, "resolver.example.org", True), (ca, "other.example.org", False),
+                                           (other_ca, "resolver.example.org", False)):  # fmt: skip
+            client_context = ssl.create_default_context()
+            trusted_ca.configure_trust(client_context)
+            client = DnsClient([server.tls_address], Random(1), client_context, name)
+            if accepted:
                 assert address_pairs(await client.resolve(NAME)) == wanted
                 assert server.queries.total() > 0
                 assert not any(t == "udp" for _, _, t in server.queries)
@@ -265,9 +268,9 @@
     run(test())
 
 
-def test_the_command_prints_the_set_or_why_there_is_none():
+def test_the_command_prints_the_endpoints_or_why_there_are_none():
     async def test(client: DnsClient, server: DnsServer) -> None:
-        fill_site(server, 2)
+        set_targets(server, 2)
 
         async def query(*arguments: str) -> tuple[int, str, str]:
             command = [sys.executable, "-m", "harecross", "dns", "query", *arguments]
@@ -289,4 +292,4 @@
             assert "Traceback" not in err
             assert len(err.splitlines()) == 1
 
-    with_servers(test)
+    run_with_servers(test)
--- a/tests/test_dns_lifetime.py
+++ b/tests/test_dns_lifetime.py
@@ -1,4 +1,4 @@
-"""The lifetime of a cached SRV name, over virtual days."""
+"""The lifetime of a cached SRV name, simulated over hours of virtual time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class NameHistory:
-    """One cached name over time, with runs of good answers, empty answers and failures, checked at each step."""
+    """One cached name over time, with periods of answers with endpoints, empty answers and failures.
+
+    The cached name's state is checked after each refresh.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -25,13 +28,15 @@
         self.now = 0.0
         self.mode = "good"
         self.mode_until = 0.0
-        self.answered = False  # whether a good answer came
-        self.usable = False  # whether one came since the set was last empty
-        self.empty_since: float | None = None  # when the present run of empty answers began
+        self.answered = False  # whether there has been an answer with endpoints
+        self.usable = False  # whether there has been an answer with endpoints since the set was last empty
+        self.empty_since: float | None = (
+            None  # time of the first empty answer since the last one with endpoints
+        )
         self.statuses: Counter[CacheStatus] = Counter()
 
     def step(self) -> None:
-        """One refresh and its result."""
+        """Simulates one refresh and checks the result."""
         self._choose_mode()
         self.now = max(self.now, self.name.refresh_at)
         assert self.name.due(self.now)
@@ -66,21 +71,24 @@
         confirmation_s = LIMITS.empty_confirmation
         refresh_at = self.name.refresh_at
         empty_s = self.now - self.empty_since if self.empty_since is not None else 0.0
-        assert self.now < refresh_at <= self.now + LIMITS.max_ttl, "it is refreshed, and not at once"
+        assert self.now < refresh_at <= self.now + LIMITS.max_ttl, (
+            "the next refresh is due at once, or too late"
+        )
         if before.endpoints and not view.endpoints:
             expired = self.answered and before.remaining_s < -LIMITS.max_stale + 31
             confirmed = self.empty_since is not None and empty_s >= confirmation_s
             assert (self.mode == "empty" and confirmed) or expired, (self.now, self.mode, before, view)
         if self.mode == "empty" and self.usable and empty_s > confirmation_s:
-            assert not view.endpoints, "a confirmed empty answer holds"
+            assert not view.endpoints, "a confirmed empty answer was not accepted"
         if self.mode == "empty" and view.status == CacheStatus.UNCONFIRMED_EMPTY:
             assert self.empty_since is not None
             assert refresh_at <= self.empty_since + confirmation_s + 1e-6, (
-                "refreshed when it can be confirmed"
+                "no refresh is due when the empty answer can be confirmed"
             )
 
 
-def test_over_virtual_days_a_set_is_never_emptied_by_failures_nor_by_unconfirmed_empty_answers():
+def test_a_set_is_never_emptied_by_failures_or_by_unconfirmed_empty_answers():
+    """Guards against losing all endpoints when a DNS server fails or, after a restart, answers NXDOMAIN for a while."""
     statuses: Counter[CacheStatus] = Counter()
     for seed in range(150):
         history = NameHistory(seed)
@@ -90,7 +98,7 @@
     assert set(statuses) >= set(CacheStatus) - {CacheStatus.UNKNOWN}, statuses
 
 
-def test_a_thousand_instances_spread_their_queries():
+def test_the_queries_of_a_thousand_nodes_are_spread_over_time():
     names = [CachedName(CacheLimits(), Random(i), 0.0) for i in range(1000)]
     queries: Counter[int] = Counter()
     for now in range(0, 1200):
--- a/tests/test_dns_lookup.py
+++ b/tests/test_dns_lookup.py
@@ -1,4 +1,4 @@
-"""One lookup against servers that fail, on a clock of its own."""
+"""Lookups against servers with random faults, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import dns.flags
 import dns.message
 import dns.rrset
-from dns_support import NAME, ZONE, honest_reply
+from dns_support import NAME, ZONE, valid_reply
 
 from harecross.dns.lookup import LOOKUP_TIMEOUT_S, Lookup, OutgoingQuery
 from harecross.dns.message import Question
@@ -20,7 +20,7 @@
 
 
 class FaultyNetwork:
-    """Draws what becomes of each query, and counts it in `drawn`."""
+    """A network that draws a fault, or none, for each query, and counts the draws in `drawn`."""
 
     FAULTS = ("answer", "silence", "servfail", "other id", "other question", "truncated", "cut", "refused", "garbage",
               "late", "formerr", "lame")  # fmt: skip
@@ -31,7 +31,7 @@
         self.drawn: Counter[str] = Counter()
 
     def draw(self, query: OutgoingQuery) -> tuple[float, bytes | None]:
-        """Seconds, and the message that comes then; None for a transport failure."""
+        """Returns a delay in seconds and the message that arrives after it; None means a transport failure."""
         fault = self._draw_fault(query)
         self.drawn[fault] += 1
         delay = self.rng.uniform(0.001, 0.1)
@@ -40,7 +40,7 @@
         if fault in ("cut", "refused"):
             return delay, None
         if fault == "late":
-            return self.rng.uniform(0.5, 4), honest_reply(query.data)
+            return self.rng.uniform(0.5, 4), valid_reply(query.data)
         return delay, self._reply(fault, query.data)
 
     def _draw_fault(self, query: OutgoingQuery) -> str:
@@ -48,7 +48,7 @@
         if self.rng.random() >= self.answer_probability:
             fault = self.rng.choice(self.FAULTS)
         if fault == "formerr" and b"\x00\x00\x29" not in query.data:
-            return "answer"  # only a query with EDNS gets this error
+            return "answer"  # only a query with EDNS is answered with FORMERR
         if fault == "cut" and query.transport == "udp":
             return "refused"
         if fault == "truncated" and query.transport == "tcp" and self.rng.random() < 0.8:
@@ -56,15 +56,15 @@
         return fault
 
     def _reply(self, fault: str, query: bytes) -> bytes:
-        honest = honest_reply(query)
+        valid = valid_reply(query)
         if fault == "answer":
-            return honest
+            return valid
         if fault == "other id":
-            return (bytes([honest[0] ^ 1]) + honest[1:]).replace(b"\x01b", b"\x01x")
+            return (bytes([valid[0] ^ 1]) + valid[1:]).replace(b"\x01b", b"\x01x")
         if fault == "other question":
-            return honest.replace(b"site3", b"site4")
+            return valid.replace(b"site3", b"site4")
         if fault == "garbage":
-            return honest[: len(honest) // 2]
+            return valid[: len(valid) // 2]
         reply = dns.message.make_response(dns.message.from_wire(query))
         if fault == "servfail":
             reply.set_rcode(2)
@@ -79,7 +79,7 @@
 
 
 class LookupSimulation:
-    """One lookup over a faulty network, on a clock of its own."""
+    """One lookup over a faulty network, on a virtual clock."""
 
     def __init__(self, seed: int) -> None:
         rng = Random(seed)
@@ -112,8 +112,8 @@
             self.send(self.lookup.receive(self.now, attempt, message))
 
 
-def test_whatever_servers_do_a_lookup_ends_in_time_with_the_full_set_or_a_failure():
-    ends: Counter[str] = Counter()
+def test_with_any_faults_a_lookup_ends_in_time_with_the_full_set_or_a_failure():
+    results: Counter[str] = Counter()
     drawn: Counter[str] = Counter()
     for seed in range(1200):
         simulation = LookupSimulation(seed)
@@ -121,17 +121,17 @@
         lookup = simulation.lookup
         assert simulation.now <= LOOKUP_TIMEOUT_S + 0.01, seed
         if lookup.reply is not None:
-            assert len(lookup.reply.answers) == 2, "a part of a set is no set"
+            assert len(lookup.reply.answers) == 2, "a partial set was accepted"
             assert lookup.reply.question == lookup.question
             targets = {record.data[3] for record in lookup.reply.answers}
-            assert targets == {f"a.{ZONE}", f"b.{ZONE}"}, "a forged answer"
-        ends["answer" if lookup.reply is not None else "failure"] += 1
+            assert targets == {f"a.{ZONE}", f"b.{ZONE}"}, "a forged reply was accepted"
+        results["answer" if lookup.reply is not None else "failure"] += 1
         drawn += simulation.network.drawn
-    assert min(ends.values()) > 100, ends
+    assert min(results.values()) > 100, results
     assert min(drawn[fault] for fault in FaultyNetwork.FAULTS) > 5, drawn
 
 
-def test_a_failed_server_comes_last_until_its_penalty_ends():
+def test_a_failed_server_is_tried_last_until_its_penalty_ends():
     rng = Random(1)
     servers = NameServers(["a:1", "b:1"], rng)
     first = servers.all[0]
--- a/tests/test_dns_messages.py
+++ b/tests/test_dns_messages.py
@@ -1,4 +1,4 @@
-"""DNS messages and streams: any bytes are an answer or a MessageError."""
+"""Decoding of DNS messages and streams: any input yields a reply or a MessageError."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @given(st.binary(max_size=300))
 @example(b"\x00\x01\x80\x00\x00\x01\x00\x00\x00\x00\x00\x00\xc0\x0c\x00\x21\x00\x01")
-def test_any_bytes_are_a_reply_or_a_message_error(data):
+def test_any_bytes_yield_a_reply_or_a_message_error(data):
     with suppress(MessageError):
         decode_reply(data)
 
 
 @settings(max_examples=200)
 @given(st.data())
-def test_a_corrupted_reply_is_a_reply_or_a_message_error(data):
+def test_a_corrupted_reply_yields_a_reply_or_a_message_error(data):
     query = dns.message.make_query(NAME, "SRV")
     reply = dns.message.make_response(query)
     reply.answer.append(dns.rrset.from_text(NAME, 5, "IN", "SRV", f"0 1 80 a.{ZONE}", f"1 2 81 b.{ZONE}"))
@@ -40,14 +40,14 @@
 
 
 @given(st.lists(st.binary(max_size=80), max_size=6), st.data())
-def test_any_split_of_a_stream_gives_the_same_messages(messages, data):
-    whole, frames, found = b"".join(map(frame, messages)), FrameDecoder(), []
-    while whole:
-        cut = data.draw(st.integers(1, len(whole)))
-        found += frames.feed(whole[:cut])
-        whole = whole[cut:]
+def test_a_stream_split_into_any_chunks_yields_the_same_messages(messages, data):
+    stream, decoder, found = b"".join(map(frame, messages)), FrameDecoder(), []
+    while stream:
+        size = data.draw(st.integers(1, len(stream)))
+        found += decoder.feed(stream[:size])
+        stream = stream[size:]
     assert found == messages
-    assert not frames.buffer
+    assert not decoder.buffer
 
 
 @pytest.mark.parametrize("name", ["", ".", "a..b", "x" * 64 + ".org", "a." * 200])
--- a/tests/test_dns_srv.py
+++ b/tests/test_dns_srv.py
@@ -1,4 +1,4 @@
-"""From SRV records to endpoints, without sockets."""
+"""The resolution of SRV records to endpoints, without sockets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 pytest.importorskip("dns")
 
 import dns.message
-from dns_support import NAME, ZONE, site
+from dns_support import NAME, ZONE, server_with_targets
 
 from harecross.dns.lifetime import CachedName, CacheLimits, CacheStatus
 from harecross.dns.message import decode_reply, normalize_name
@@ -18,7 +18,7 @@
 
 
 def resolve_directly(server: DnsServer, name: str = NAME, fail: frozenset[str] = frozenset()) -> SrvAnswer:
-    """The set that a server's records make, without sockets."""
+    """Resolves a name by calling the server directly; lookups of the names in `fail` fail."""
     resolution = Resolution(normalize_name(name))
     for _ in range(100):
         if resolution.done:
@@ -34,16 +34,16 @@
     raise AssertionError("the resolution does not end")
 
 
-def test_additional_addresses_are_used_within_the_zone_and_queried_outside():
+def test_additional_addresses_are_used_within_the_zone_and_looked_up_outside():
     for additional in (True, False):
-        server = site("a", "b")
+        server = server_with_targets("a", "b")
         server.sends_additional = additional
         server.set_records(f"b.{ZONE}", "AAAA", "2001:db8::1")
         found = resolve_directly(server)
         assert [(endpoint.address, endpoint.port, endpoint.weight) for endpoint in found.endpoints] == [
             ("10.0.0.1", 800, 1), ("10.0.0.2", 801, 2), ("2001:db8::1", 801, 2)]  # fmt: skip
         assert (server.queries[f"a.{ZONE}", "A", "tcp"] == 0) == additional
-    server = site("a")
+    server = server_with_targets("a")
     server.set_records(NAME, "SRV", "0 1 80 www.elsewhere.example.")
     server.set_records("www.elsewhere.example.", "A", "10.9.9.9", ttl=3)
     found = resolve_directly(server)
@@ -52,8 +52,8 @@
     assert any("ignored the additional address record: outside site3.example.org." in n for n in found.notes)
 
 
-def test_aliases_are_followed_and_noted_and_loops_end():
-    server = site("a")
+def test_aliases_are_followed_and_noted_and_alias_loops_end():
+    server = server_with_targets("a")
     server.sends_additional = False
     server.remove_records(f"a.{ZONE}", "A")
     server.set_records(f"a.{ZONE}", "CNAME", f"b.{ZONE}", ttl=2)
@@ -66,8 +66,8 @@
     server.remove_records(f"b.{ZONE}", "A")
     server.set_records(f"b.{ZONE}", "CNAME", f"a.{ZONE}")
     assert resolve_directly(server).empty_reason == "no target has an address"
-    # The name itself may be an alias, of another zone too; there its own additional records are believed.
-    server = site("a")
+    # The SRV name itself may be an alias, also of a name in another zone, whose additional records are accepted.
+    server = server_with_targets("a")
     server.set_records("_r._tcp.alias.example.org.", "CNAME", NAME)
     assert [
         endpoint.address for endpoint in resolve_directly(server, "_r._tcp.alias.example.org.").endpoints
@@ -90,18 +90,18 @@
     assert not resolve_directly(server).endpoints
 
 
-def test_a_target_whose_lookup_fails_keeps_its_earlier_address():
-    server = site("a", "b")
+def test_a_target_whose_lookup_fails_keeps_its_previous_address():
+    server = server_with_targets("a", "b")
     server.sends_additional = False
     name = CachedName(CacheLimits(), Random(1), 0.0)
     name.receive_answer(0.0, resolve_directly(server))
-    whole = name.view(0.0).endpoints
+    complete_set = name.view(0.0).endpoints
     found = resolve_directly(server, fail=frozenset({f"b.{ZONE}"}))
     assert len(found.endpoints) == 1
     assert found.unresolved_targets == (f"b.{ZONE}",)
     assert not found.empty_reason
     name.receive_answer(1.0, found)
-    assert name.view(1.0).endpoints == whole
+    assert name.view(1.0).endpoints == complete_set
     assert name.view(1.0).remaining_s <= 2
     fresh = CachedName(CacheLimits(), Random(1), 0.0)
     fresh.receive_answer(0.0, resolve_directly(server, fail=frozenset({f"a.{ZONE}", f"b.{ZONE}"})))
