--- a/harecross/dns/connections.py
+++ b/harecross/dns/connections.py
@@ -15,7 +15,7 @@
 
 
 class AttemptCallbacks(NamedTuple):
-    """Called with the results of one query.
+    """The callbacks that receive the results of one query.
 
     Attributes:
         received: Called with each message that arrives for the query.
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -165,15 +165,12 @@
         self._listener: asyncio.Server | None = None
         self._load_report = LoadReport(self.model)
         self._received = 0
-        self._processed = (
-            0  # completed requests, without those whose idempotency key had already taken effect
-        )
-        self._drain_us = (
-            0  # time at which discovery was notified that this server drains or is removed; 0 before
-        )
-        self._late_requests_us: list[
-            int
-        ] = []  # for each request received after `_drain_us`, the time since then
+        # Completed requests, without those whose idempotency key had already taken effect.
+        self._processed = 0
+        # Time at which discovery was notified that this server drains or is removed; 0 before that.
+        self._drain_us = 0
+        # For each request received after `_drain_us`, the time from then until it was received.
+        self._late_requests_us: list[int] = []
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> StandinServer:
         """Starts listening; port 0 means any free port."""
--- a/tests/test_dns_lifetime.py
+++ b/tests/test_dns_lifetime.py
@@ -30,9 +30,8 @@
         self.mode_until = 0.0
         self.answered = False  # whether there has been an answer with endpoints
         self.usable = False  # whether there has been an answer with endpoints since the set was last empty
-        self.empty_since: float | None = (
-            None  # time of the first empty answer since the last one with endpoints
-        )
+        # Time of the first empty answer since the last one with endpoints.
+        self.empty_since: float | None = None
         self.statuses: Counter[CacheStatus] = Counter()
 
     def step(self) -> None:
