--- a/tests/test_endpoint_picker.py
+++ b/tests/test_endpoint_picker.py
@@ -1,6 +1,6 @@
 """Two random choices: which of two members counts as the less loaded."""
 
-from support import SEC, ask, balancer, end
+from support import SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     Endpoint,
@@ -25,18 +25,18 @@
     now, slow_picks = 0, 0
     for i in range(400):
         now += 400_000
-        server = ask(node, recorder, now, i)[2]
+        server = send_request(node, recorder, now, i)[2]
         slow_picks += server == 1
-        end(node, recorder, now, i, 0, server, Outcome.OK, 300_000 if server == 1 else 100_000)
+        end_attempt(node, recorder, now, i, 0, server, Outcome.OK, 300_000 if server == 1 else 100_000)
     assert slow_picks < 60
 
 
 def serve_request(node, recorder, now: int, request: int, latency: dict[int, int], report=None) -> int:
     """Sends a request to the node, ends it with the server's latency and load report, and returns the server."""
-    _, _, server, _ = ask(node, recorder, now, request)
+    _, _, server, _ = send_request(node, recorder, now, request)
     load_report = report(server) if report else ()
     node.outcome(now + latency[server], request, 0, server, Outcome.OK, latency[server], True, load_report)
-    recorder.take()
+    recorder.take_calls()
     return server
 
 
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -10,8 +10,8 @@
 from node_support import (
     CHUNKED,
     HEAD,
-    World,
-    with_node,
+    NodeEnvironment,
+    run_with_node,
 )
 
 from harecross.downstream import connection_manager
@@ -24,20 +24,20 @@
     """Guards against silent connections and incomplete requests that hold a descriptor indefinitely."""
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         client = await world.client()
         client.writer.write(text)
         if text:
             assert (await client.answer())[0] == 408
         assert await client.reader.read() == b""
 
-    with_node(test)
+    run_with_node(test)
 
 
 def test_idle_connections_are_closed(monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         client = await world.client()
         client.send("/_health")
         assert (await client.answer())[0] == 200
@@ -45,7 +45,7 @@
         assert not world.node.client_connections.open
         assert world.node.descriptor_budget.client_connections == 0
 
-    with_node(test)
+    run_with_node(test)
 
 
 def test_the_connection_of_a_client_that_does_not_read_is_closed(monkeypatch):
@@ -57,7 +57,7 @@
         connection_manager.ClientConnection, "pause_writing", lambda c: (full.set(), pause(c))[1]
     )
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.setblocking(False)
@@ -68,7 +68,7 @@
         async def answer() -> None:
             nonlocal answered
             while True:
-                (await world.origins[0].arrived.get()).answer(body=b"x" * 65536)
+                (await world.upstreams[0].received.get()).answer(body=b"x" * 65536)
                 answered += 1
 
         task = asyncio.create_task(answer())
@@ -87,11 +87,11 @@
         task.cancel()
         sock.close()
 
-    with_node(test)
+    run_with_node(test)
 
 
 def test_bodies_are_bounded_by_the_memory_limit():
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         assert world.node.client_connections.max_buffered_body_bytes == 1 << 18
         clients = [await world.client() for _ in range(5)]
         for client in clients:
@@ -103,17 +103,17 @@
         for task in waiting:
             task.cancel()
 
-    with_node(test, memory_mb=1)
+    run_with_node(test, memory_mb=1)
 
 
 def test_connections_beyond_the_limit_are_closed_and_active_clients_keep_theirs(monkeypatch):
     """Guards against hundreds of silent connections that use every descriptor, so that no server can be reached."""
     monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 0)
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         active_client = await world.client()
         active_client.send()
-        (await world.origins[0].arrived.get()).answer()
+        (await world.upstreams[0].received.get()).answer()
         await active_client.answer()
         budget = world.node.descriptor_budget
         max_clients = budget.total - budget.upstream_reserve()
@@ -121,12 +121,12 @@
         silent = [await world.client() for _ in range(max_clients + 20)]
         assert len(world.node.client_connections.open) <= max_clients
         active_client.send()  # the connection is still open
-        (await world.origins[0].arrived.get()).answer()
+        (await world.upstreams[0].received.get()).answer()
         assert (await active_client.answer())[0] == 200
         # If no connection may be evicted, the newest one is refused, and nothing else is affected.
         monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
         active_client.send()
-        received = await world.origins[0].arrived.get()
+        received = await world.upstreams[0].received.get()
         extra = [await world.client() for _ in range(max_clients)]
         with contextlib.suppress(ConnectionError):
             assert await extra[-1].reader.read() == b""
@@ -136,4 +136,4 @@
         assert (await active_client.answer())[0] == 200
         assert len(silent) == max_clients + 20
 
-    with_node(test, sockets=160)
+    run_with_node(test, sockets=160)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support import IDEMPOTENT, SEC, ask, balancer, end
+from support import IDEMPOTENT, SEC, balancer, end_attempt, send_request
 
 from harecross.interface import (
     NOT_PROCESSED,
@@ -22,25 +22,25 @@
 @pytest.mark.parametrize("request_class", [0, 1, 2])
 def test_an_attempt_that_was_not_processed_is_retried(outcome, request_class):
     node, recorder = balancer()
-    _, _, server, _ = ask(node, recorder, 0, 1, request_class)
-    ((action, *_),) = end(node, recorder, 1000, 1, 0, server, outcome)
+    _, _, server, _ = send_request(node, recorder, 0, 1, request_class)
+    ((action, *_),) = end_attempt(node, recorder, 1000, 1, 0, server, outcome)
     assert action == "send"
 
 
 @pytest.mark.parametrize("outcome", POSSIBLY_PROCESSED)
 def test_a_non_idempotent_request_fails_once_it_may_have_been_processed(outcome):
     node, recorder = balancer()
-    _, _, server, _ = ask(node, recorder, 0, 1, 2)
-    assert end(node, recorder, 1000, 1, 0, server, outcome) == [("fail", 1)]
+    _, _, server, _ = send_request(node, recorder, 0, 1, 2)
+    assert end_attempt(node, recorder, 1000, 1, 0, server, outcome) == [("fail", 1)]
 
 
 @pytest.mark.parametrize("outcome", POSSIBLY_PROCESSED)
 def test_an_idempotent_request_is_retried_and_shed_at_the_attempt_cap(outcome):
     node, recorder = balancer(max_attempts=2)
-    _, _, server, _ = ask(node, recorder, 0, 1, 0)
-    ((action, _, other, _),) = end(node, recorder, 1000, 1, 0, server, outcome)
+    _, _, server, _ = send_request(node, recorder, 0, 1, 0)
+    ((action, _, other, _),) = end_attempt(node, recorder, 1000, 1, 0, server, outcome)
     assert action == "send"
-    ((action, *_),) = end(node, recorder, 2000, 1, 1, other, outcome)
+    ((action, *_),) = end_attempt(node, recorder, 2000, 1, 1, other, outcome)
     assert action == "shed"
 
 
@@ -63,8 +63,8 @@
         deduplication_window=SEC,
     )
     node, recorder = balancer(entries, seed=seed, classes=(request_class,))
-    _, _, server, _ = ask(node, recorder, 0, 1)
-    (action,) = end(node, recorder, 1000, 1, 0, server, Outcome.ERROR)
+    _, _, server, _ = send_request(node, recorder, 0, 1)
+    (action,) = end_attempt(node, recorder, 1000, 1, 0, server, Outcome.ERROR)
     return node, recorder, server, action
 
 
@@ -81,7 +81,7 @@
 def test_a_request_with_an_idempotency_key_is_not_retried_after_the_deduplication_window(scope, field):
     for seed in range(10):
         node, recorder, _, (_, _, other, _) = failed_with_a_key(scope, field, seed)
-        assert end(node, recorder, SEC + 1, 1, 1, other, Outcome.ERROR) == [("fail", 1)]
+        assert end_attempt(node, recorder, SEC + 1, 1, 1, other, Outcome.ERROR) == [("fail", 1)]
 
 
 ONE_SERVER_A_CELL = [Endpoint(1, cell=1), Endpoint(2, cell=2)]
@@ -90,17 +90,17 @@
 def test_a_retry_with_an_idempotency_key_goes_back_to_the_only_server_of_its_scope():
     """Otherwise, in a cell with one server, each such request whose response is lost would fail."""
     node, recorder = balancer(ONE_SERVER_A_CELL)
-    _, _, server, _ = ask(node, recorder, 0, 1, 1)
-    assert end(node, recorder, 1000, 1, 0, server, Outcome.RESET)[0][:3] == ("send", 1, server)
+    _, _, server, _ = send_request(node, recorder, 0, 1, 1)
+    assert end_attempt(node, recorder, 1000, 1, 0, server, Outcome.RESET)[0][:3] == ("send", 1, server)
 
 
 def test_a_retry_with_an_idempotency_key_does_not_go_back_to_a_server_that_has_restarted():
     """A restarted server no longer knows which requests it has processed."""
     node, recorder = balancer(ONE_SERVER_A_CELL)
-    _, _, server, _ = ask(node, recorder, 2000, 2, 1)
+    _, _, server, _ = send_request(node, recorder, 2000, 2, 1)
     restarted = replace(ONE_SERVER_A_CELL[server - 1], ready_at=2400)
     node.endpoint_update(2500, EndpointUpdateKind.CHANGES, [restarted])
-    assert end(node, recorder, 3000, 2, 0, server, Outcome.RESET) == [("fail", 2)]
+    assert end_attempt(node, recorder, 3000, 2, 0, server, Outcome.RESET) == [("fail", 2)]
 
 
 def test_a_retry_avoids_the_server_of_the_attempt_before():
@@ -109,8 +109,12 @@
     for seed in range(10):
         node, recorder = balancer([local, remote], seed=seed, cross_zone_cost=0.05)
         node.zone_preference.fraction = 0.0
-        _, _, first, _ = ask(node, recorder, 0, 1)
-        assert end(node, recorder, 1000, 1, 0, first, Outcome.REJECTED)[0][:3] == ("send", 1, 3 - first)
+        _, _, first, _ = send_request(node, recorder, 0, 1)
+        assert end_attempt(node, recorder, 1000, 1, 0, first, Outcome.REJECTED)[0][:3] == (
+            "send",
+            1,
+            3 - first,
+        )
 
 
 def test_retries_are_capped_by_a_budget():
@@ -118,11 +122,11 @@
     node, recorder = balancer(4)
     sends = 0
     for i in range(100):
-        actions = [ask(node, recorder, i * 1000, i)]
+        actions = [send_request(node, recorder, i * 1000, i)]
         attempt = 0
         while actions and actions[0][0] == "send":
             sends += 1
-            actions = end(node, recorder, i * 1000 + 500, i, attempt, actions[0][2], Outcome.ERROR)
+            actions = end_attempt(node, recorder, i * 1000 + 500, i, attempt, actions[0][2], Outcome.ERROR)
             attempt += 1
     assert 100 < sends <= 100 + 100 * 0.1 + 4
 
@@ -130,9 +134,9 @@
 @pytest.mark.parametrize(("request_class", "answer"), [(0, "shed"), (1, "fail"), (2, "fail")])
 def test_a_time_out_at_the_deadline_gets_the_final_answer(request_class, answer):
     node, recorder = balancer()
-    _, _, server, timeout = ask(node, recorder, 0, 1, request_class)
+    _, _, server, timeout = send_request(node, recorder, 0, 1, request_class)
     assert timeout == 3 * SEC
-    ((action, *_),) = end(node, recorder, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
+    ((action, *_),) = end_attempt(node, recorder, timeout, 1, 0, server, Outcome.TIMEOUT, timeout)
     assert action == answer
     assert not node.requests
 
@@ -143,18 +147,18 @@
         Idempotency.IDEMPOTENT, latency_objective=SEC, deadline=3 * SEC, priority_weight=1
     )
     node, recorder = balancer(classes=(request_class,))
-    assert ask(node, recorder, 0, 1)[3] < SEC
+    assert send_request(node, recorder, 0, 1)[3] < SEC
 
 
 def test_a_request_whose_response_has_started_is_not_retried():
     node, recorder = balancer()
-    _, _, server, _ = ask(node, recorder, 0, 1)
+    _, _, server, _ = send_request(node, recorder, 0, 1)
     node.response_started(10, 1, 0, server, 10)
-    assert end(node, recorder, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
+    assert end_attempt(node, recorder, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
 def test_a_request_of_an_unknown_class_is_not_retried_once_it_may_have_been_processed():
     node, recorder = balancer(classes=(IDEMPOTENT,))
-    kind, _, server, _ = ask(node, recorder, 0, 1, request_class=7)
+    kind, _, server, _ = send_request(node, recorder, 0, 1, request_class=7)
     assert kind == "send"
-    assert end(node, recorder, 1000, 1, 0, server, Outcome.ERROR) == [("fail", 1)]
+    assert end_attempt(node, recorder, 1000, 1, 0, server, Outcome.ERROR) == [("fail", 1)]
