--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -192,7 +192,7 @@
             del self.nodes[node]
             WireActions(self.out, node).fault(f"{event}: {type(error).__name__}: {error}")
 
-    # ---- Readers. Each reads one event at `pos` and returns the position after it. --------------------
+    # Each of the `read_` methods below reads one event at `pos` and returns the position after it.
 
     def read_create(self, now: int, body: bytes, pos: int) -> int:
         """Reads the start of a node, with its seed and its settings as JSON."""
--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -65,8 +65,6 @@
         self.finished = False
         self.messages: list[str] = []
 
-    # ---- events ---------------------------------------------------------------------------------------
-
     def begin(self, now: float) -> list[Action]:
         """Returns the first actions."""
         return self.fetch_statuses(now)
@@ -142,8 +140,6 @@
         self.finished = True
         return []
 
-    # ---- queries --------------------------------------------------------------------------------------
-
     def servers_in_maintenance(self) -> dict[str, list[str]]:
         """Returns the servers that are, or may be, in maintenance, each with its nodes."""
         return {
@@ -189,8 +185,6 @@
             if self.status_requested_at[node] >= server.phase_began
         ]
 
-    # ---- steps ----------------------------------------------------------------------------------------
-
     def stop(self, reason: str) -> None:
         """Lets no further server enter maintenance; the release ends once the servers in progress are done."""
         if not self.stop_reason:
--- a/harecross/admin_client/release_runner.py
+++ b/harecross/admin_client/release_runner.py
@@ -99,8 +99,6 @@
             lambda now: self.release.call_answered(now, action.kind, action.node, action.server, result)
         )
 
-    # ---- restarts -------------------------------------------------------------------------------------
-
     def restart(self, server: str) -> None:
         """Starts the restart command, or asks operators to restart the server."""
         if self.restart_command is None:
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -79,8 +79,6 @@
         self.source_sequence = 0
         self.table = ProcessTable(self.sources[0])
 
-    # ---- operations called by the node ------------------------------------------------------------------
-
     def use_configured_list(self, configured: Any) -> None:
         """Applies the configured list, an earlier list of the same address. Raises ValueError if it is malformed."""
         self.table.receive(self.monotonic(), self.sources[0], configured, full=True)
@@ -127,8 +125,6 @@
             self.pending = Watch(self, address, None, schedule, self.epoch)
         return True
 
-    # ---- events of watches ------------------------------------------------------------------------------
-
     def update_received(self, watch: Watch, update: Any, *, full: bool, restarted: bool) -> None:
         """Applies a list or change. Raises ValueError if it is neither."""
         now = self.monotonic()
@@ -217,8 +213,6 @@
             for transition in result.transitions:
                 tracer.process_changed(transition, now)
 
-    # ---- retired watches --------------------------------------------------------------------------------
-
     def retire(self, watch: Watch) -> None:
         """Keeps the previous watch open until its connection ends, so that a drain sent until then is not missed."""
         watch.retired = True
@@ -242,8 +236,6 @@
             watch.close()
         self.retired.clear()
 
-    # ---- polls ------------------------------------------------------------------------------------------
-
     def poll(self) -> None:
         """Requests the full list from the current discovery, in parallel with the watch."""
         task = self.loop.create_task(self.poll_once())
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -125,8 +125,6 @@
         self.resolve_name = resolve_name
         self.uses_listed_weights = True
 
-    # ---- lists and changes ------------------------------------------------------------------------------
-
     def connectivity_changed(self, *, connected: bool) -> None:
         """Does nothing, because the last list stays in use regardless of its age."""
 
@@ -267,8 +265,6 @@
         self.zones.retain({endpoint.zone for endpoint in self.listed.values()})
         self.machine_types.retain({endpoint.machine_type for endpoint in self.listed.values()})
 
-    # ---- maintenance ------------------------------------------------------------------------------------
-
     def is_known(self, name: str) -> bool:
         """Whether discovery lists the server or the server is in maintenance."""
         name = self.resolve_name(name)
--- a/harecross/discovery/process_table.py
+++ b/harecross/discovery/process_table.py
@@ -147,8 +147,6 @@
         self.catching_up = False
         self.caught_up_from = -inf
 
-    # ---- updates from sources ---------------------------------------------------------------------------
-
     def receive(self, now: float, source: DiscoverySource, update: Any, *, full: bool) -> TableUpdate:
         """Records a list or change; returns the one to apply in its place. Raises ValueError if it is neither.
 
@@ -226,8 +224,6 @@
             statements[name] = Statement(lifecycle, source, now, version, started_ms, entry)
         return statements
 
-    # ---- records ----------------------------------------------------------------------------------------
-
     def record_all(self, now: float, stated: Mapping[str, Statement], version: object, *, full: bool) -> None:
         """Records the statements in one list or change of the current source."""
         for name, statement in stated.items():
@@ -285,8 +281,6 @@
         entries = [self.current_statements[name].entry for name in overridden]
         return TableUpdate(wire_format.change(entries), transitions)
 
-    # ---- states and entries derived from the records ----------------------------------------------------
-
     def state(self, name: str) -> ProcessState:
         """Returns the state of a server's process; GONE for an unknown server."""
         statement = self.current_statements.get(name)
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -258,8 +258,6 @@
         slot = (settings.instance_index + self.rng.random()) / max(1, settings.instance_count)
         return (slot + self.wait_count * GOLDEN_RATIO_FRACTION) % 1.0
 
-    # ---- the age of the list ----------------------------------------------------------------------------
-
     def response_deadline(self) -> float:
         """Returns when the open call or watch must be closed unless it receives data before."""
         if self.state is SubscriptionState.CALLING:
--- a/harecross/discovery/wire_format.py
+++ b/harecross/discovery/wire_format.py
@@ -43,9 +43,6 @@
 }
 
 
-# ---- lists and changes ----------------------------------------------------------------------------------
-
-
 def entries_of(update: Any) -> list[Any]:
     """Returns the entries of a list or change. Raises ValueError if `update` is neither."""
     found = update.get(INSTANCES) if isinstance(update, dict) else None
@@ -74,9 +71,6 @@
     return {INSTANCES: list(entries)}
 
 
-# ---- entries that have not been validated ---------------------------------------------------------------
-
-
 def server_name(entry: object) -> str | None:
     """Returns the name of the server that an entry describes; None if `entry` is not a valid entry."""
     if not isinstance(entry, dict) or INSTANCE_ID not in entry:
@@ -98,7 +92,6 @@
     return LIFECYCLES.get(word, Lifecycle.DRAINING) if isinstance(word, str) else Lifecycle.DRAINING
 
 
-# ---- parsing of entries ---------------------------------------------------------------------------------
 # One call parses all fields of an entry, because a list of the largest fleet has a thousand entries and a node has only
 # a tenth of a core.
 
--- a/harecross/dispatch/dispatcher.py
+++ b/harecross/dispatch/dispatcher.py
@@ -102,8 +102,6 @@
         longest_objective = max(settings.latency_objective for settings in self.settings.classes)
         return min(typical, longest_objective) / 1e6
 
-    # ---- client requests ------------------------------------------------------------------------------
-
     def admit(self, response_writer: ResponseWriter, parsed: ParsedRequest) -> DispatchedRequest:
         """Admits or sheds a request. Its final answer is written to `response_writer`, possibly within this call."""
         self.last_request_number += 1
@@ -191,8 +189,6 @@
             self.fail_request(request, FinalReason.DEADLINE)
             self.notify_client_disconnected(request)
 
-    # ---- events for the balancer ----------------------------------------------------------------------
-
     def notify_client_disconnected(self, request: DispatchedRequest) -> None:
         """Notifies the balancer that the client no longer waits for the request."""
         try:
@@ -249,8 +245,6 @@
         except Exception:
             log_exception("timer")
 
-    # ---- attempts and health checks -------------------------------------------------------------------
-
     def attempt_written(self, attempt: UpstreamAttempt, *, fresh: bool, whole: bool) -> None:
         """See `AttemptListener`."""
         if self.tracer is not None:
@@ -343,8 +337,6 @@
             attempt.start_by_us = request.first_run_us + class_settings.deduplication_window
         return attempt
 
-    # ---- actions of the balancer (`interface.Actions`) -----------------------------------------------------
-
     def send(self, request_number: int, server: int, timeout: int) -> None:
         """Starts the request's next attempt; one call of `Balancer.outcome` follows."""
         request = self.requests.get(request_number)
--- a/harecross/dns/lookup.py
+++ b/harecross/dns/lookup.py
@@ -113,8 +113,6 @@
         data = encode_query(self.question, message_id, edns=edns)
         return OutgoingQuery(self._current_attempt, transport, server.address, data)
 
-    # ---- results ------------------------------------------------------------------------------------------
-
     def check_timeout(self, now: float) -> list[OutgoingQuery]:
         """Fails the current attempt if `due` has been reached."""
         if self.done or now < self.due:
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -257,8 +257,6 @@
             else:
                 self._notes.append(f"{record.name}: ignored the additional address record: outside {zone}")
 
-    # ---- the result -----------------------------------------------------------------------------------------
-
     def result(self) -> SrvAnswer:
         """Returns the result. Raises ValueError if the resolution is not done or has failed."""
         if not self.done or self.failure:
--- a/harecross/downstream/client_connection.py
+++ b/harecross/downstream/client_connection.py
@@ -26,8 +26,6 @@
 
     __slots__ = ()
 
-    # ---- asyncio --------------------------------------------------------------------------------------
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop when the connection is established."""
         self.transport = cast(asyncio.Transport, transport)
@@ -96,8 +94,6 @@
         if self.is_idle():
             self.owner.mark_idle(self)
 
-    # ---- input ----------------------------------------------------------------------------------------
-
     def discard(self, size: int, transport: asyncio.Transport) -> None:
         """Discards data received after the input was closed; pauses reading beyond `MAX_DISCARDED_BYTES`."""
         self.discarded_bytes += size
@@ -154,8 +150,6 @@
                 return
         self.pending.append(LocalResponse(status))
 
-    # ---- requests -------------------------------------------------------------------------------------
-
     def handle_pending(self) -> None:
         """Handles pending requests in order."""
         while self.pending and not self.busy and not self.write_blocked and self.transport is not None:
@@ -212,8 +206,6 @@
         self.owner.loop.call_soon(self.close_abandoned)
         return False
 
-    # ---- closing --------------------------------------------------------------------------------------
-
     def close_abandoned(self) -> None:
         """Closes the connection of a client that has disconnected; `connection_lost` notifies the dispatcher."""
         if self.transport is None:
--- a/harecross/downstream/connection_manager.py
+++ b/harecross/downstream/connection_manager.py
@@ -104,8 +104,6 @@
         self.listener: Listener | None = None
         self.heartbeat = Heartbeat()
 
-    # ---- the listener ---------------------------------------------------------------------------------
-
     def listen(self, sock: socket.socket, backlog: int) -> None:
         """Opens the listener; connections stay in its backlog until `start_accepting` is called."""
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -206,8 +204,6 @@
         self.draining = True
         await self.listener.close()
 
-    # ---- standby --------------------------------------------------------------------------------------
-
     def enter_standby(self) -> None:
         """Enters standby: health checks fail, and connections are closed after their responses.
 
@@ -224,8 +220,6 @@
         self.in_standby = self.health_check_failing = self.draining = standby
         self.standby_since = monotonic_us()
 
-    # ---- eviction -------------------------------------------------------------------------------------
-
     def evict_one(self) -> bool:
         """Closes a connection without an open request to free a descriptor; returns whether there was one.
 
@@ -265,8 +259,6 @@
         self.lingering.pop(connection, None)
         connection.abort(CloseReason.DESCRIPTOR_SHORTAGE)
 
-    # ---- states of connections ------------------------------------------------------------------------
-
     def connection_opened(self, connection: ConnectionState) -> None:
         """Adds a connection that was set up; it is silent until its first byte."""
         self.open.add(connection)
@@ -313,8 +305,6 @@
         """Stops the timeout for a slow reader."""
         self.slow_readers.pop(connection, None)
 
-    # ---- timeouts -------------------------------------------------------------------------------------
-
     def sweep(self) -> None:
         """Closes connections whose timeouts have expired."""
         now = monotonic_us()
--- a/harecross/follow/attempt_log.py
+++ b/harecross/follow/attempt_log.py
@@ -85,8 +85,6 @@
         self.unflushed = 0
         self.stream.flush()
 
-    # ---- events -----------------------------------------------------------------------------------------
-
     def request_admitted(self, request: DispatchedRequest, now: int) -> None:
         """See `RequestTracer`. `time_left` is in microseconds; request classes are identified by their numbers."""
         fields = {
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -218,8 +218,6 @@
             return Outcome.REJECTED
         return Outcome.ERROR
 
-    # ---- httptools callbacks -------------------------------------------------------------------------------
-
     def on_message_begin(self) -> None:
         """See `HttpResponseParser`."""
         if self.complete:
--- a/harecross/node/admin_operations.py
+++ b/harecross/node/admin_operations.py
@@ -104,8 +104,6 @@
         self.server.close()
         self.store.release_process_lock()
 
-    # ---- learned state --------------------------------------------------------------------------------
-
     def load_learned_state(self) -> None:
         """Imports the measurements of the process that already serves as this node, if there is one."""
         snapshot = self.store.read_learned_state()
@@ -130,8 +128,6 @@
         if snapshot is not None:
             self.store.write_learned_state(snapshot)
 
-    # ---- maintenance state ----------------------------------------------------------------------------
-
     def refresh_periodically(self) -> None:
         """Applies the maintenance state that another process has written, now and at each interval."""
         if self.store.refresh():
@@ -155,8 +151,6 @@
         else:
             self.client_connections.leave_standby()
 
-    # ---- calls ----------------------------------------------------------------------------------------
-
     def status(self, body: bytes) -> AdminAnswer:
         """Returns whether the node serves, and which servers are in maintenance. Answers 503 until it is ready."""
         if self.started_at is None:
--- a/harecross/node/handover_store.py
+++ b/harecross/node/handover_store.py
@@ -43,8 +43,6 @@
         )
         self.process_lock: int | None = None
 
-    # ---- maintenance state ----------------------------------------------------------------------------
-
     def refresh(self) -> bool:
         """Reads the maintenance file if another process has replaced it. Returns whether the state has changed."""
         if self.maintenance_path is None:
@@ -80,8 +78,6 @@
             )
             self.refresh()
 
-    # ---- learned state --------------------------------------------------------------------------------
-
     def write_learned_state(self, snapshot: bytes) -> None:
         """Writes a snapshot for the process that takes over. Errors are ignored, as the next snapshot follows soon."""
         if self.learned_state_path is not None:
@@ -104,8 +100,6 @@
             return None
         return snapshot if 0 <= age_s < LEARNED_STATE_MAX_AGE_S else None
 
-    # ---- processes ------------------------------------------------------------------------------------
-
     def acquire_process_lock(self) -> None:
         """Registers this process as long as it lives. Raises OSError if the lock file cannot be created."""
         if self.process_lock_path is None or self.process_lock is not None:
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -87,8 +87,6 @@
         self._save_lock = threading.Lock()  # held by the thread that writes the cache file
         self.configure(table, first=True)
 
-    # ---- configuration ------------------------------------------------------------------------------------
-
     def configure(self, table: SourcesTable, *, first: bool = False) -> None:
         """Adds, changes and removes sources. An endpoint of a removed source stays if another source lists it.
 
@@ -163,8 +161,6 @@
             self._clients[key] = DnsClient(servers, self.rng, context, self.table.tls_name)
         return self._clients[key]
 
-    # ---- the watch ----------------------------------------------------------------------------------------
-
     def apply(self, update: Any, *, cached: bool = False, full: bool = False) -> None:
         """Applies a list or change of the watch. Raises ValueError if it is neither."""
         if not self.table.watch:
@@ -227,8 +223,6 @@
         )
         return explain(view, endpoint)
 
-    # ---- the main task ------------------------------------------------------------------------------------
-
     def start(self) -> None:
         """Starts to resolve SRV names and to check address files."""
         self._main_task = self.loop.create_task(self._run())
@@ -311,8 +305,6 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # ---- DNS and files ------------------------------------------------------------------------------------
-
     async def _refresh(self, source: DnsSource) -> None:
         await source.refresh()
         if self.dns_sources.get(source.name) is source:  # the source may have been removed meanwhile
@@ -338,8 +330,6 @@
                 self.membership.update_source(self.now(), source.name, loaded.statements)
         self._wake.set()
 
-    # ---- the cache file -----------------------------------------------------------------------------------
-
     def _load_cache_file(self) -> dict[str, CachedSet]:
         """Returns the sets in the cache file; returns none, and logs the reason, if the file cannot be used."""
         from harecross.sources.cache_file import CacheFileError, read_cache_file, remove_leftovers
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -132,8 +132,6 @@
         if watch_rank is not None:
             self.reconciler.add_source(WATCH, watch_rank)
 
-    # ---- the watch ----------------------------------------------------------------------------------------
-
     def update_watch(self, now: float, wall: float, update: Any, *, cached: bool, full: bool) -> None:
         """Applies a list or change of the watch. Raises ValueError if it is neither."""
         wire_format.entries_of(update)  # raises ValueError
@@ -165,8 +163,6 @@
         statements = (watch_statement(address, entry) for address, entry in self.watch_entries.items())
         self.reconciler.update_source(now, WATCH, statements)
 
-    # ---- any source ---------------------------------------------------------------------------------------
-
     def update_source(self, now: float, source: str, statements: Iterable[Statement]) -> None:
         """Replaces a source's list."""
         self.reconciler.update_source(now, source, statements)
@@ -189,8 +185,6 @@
         """Returns the address of the endpoint with this name, or `name` itself if there is none or more than one."""
         return self.names.resolve(name)
 
-    # ---- publishing ---------------------------------------------------------------------------------------
-
     def publish_changes(self, now: float, wall: float) -> int:
         """Applies the merge rule and publishes the changed entries; returns their number."""
         self.reconciler.set_maintenance(self.consumer.maintenance())
--- a/harecross/sources/reconciler.py
+++ b/harecross/sources/reconciler.py
@@ -107,8 +107,6 @@
         self.recent_drops: list[tuple[float, str]] = []
         self.remembered_drops: list[tuple[float, str, str]] = []
 
-    # ---- sources ------------------------------------------------------------------------------------------
-
     def add_source(self, name: str, rank: int) -> None:
         """Adds a source. If there is one with this name, sets its rank and keeps its statements."""
         existing = self.sources.get(name)
@@ -180,8 +178,6 @@
             if not names:
                 del self.sources_by_address[address]
 
-    # ---- endpoints ----------------------------------------------------------------------------------------
-
     def evidence(self, address: str, now: float) -> dict[str, Evidence]:
         """Returns the evidence of each source on an endpoint, by the source's name."""
         return {
--- a/harecross/standins/dns.py
+++ b/harecross/standins/dns.py
@@ -123,8 +123,6 @@
         """Removes the records of a name and type."""
         self.records.pop((name, record_type), None)
 
-    # ---- replies ------------------------------------------------------------------------------------------
-
     def answer(self, query: dns.message.Message, transport: str) -> list[bytes]:
         """Returns the messages to send in reply to a query; an empty list if a fault suppresses the reply."""
         question = query.question[0]
@@ -253,9 +251,6 @@
     return dns.rrset.from_rdata_list(rrset.name, rrset.ttl, list(rrset)[:count])
 
 
-# ---- faults -----------------------------------------------------------------------------------------------
-
-
 def silent(exchange: Exchange) -> list[bytes]:
     """Sends no reply."""
     return []
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -192,8 +192,6 @@
         for connection in list(self.connections):
             connection.abort()
 
-    # ---- requests -----------------------------------------------------------------------------------------
-
     def receive(self, connection: NodeConnection, head: bytes) -> None:
         """Starts processing a request, or answers a health check or a call for the load report."""
         _, path, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
--- a/harecross/store/store.py
+++ b/harecross/store/store.py
@@ -43,8 +43,6 @@
         """Closes the file."""
         self.database.close()
 
-    # ---- documents ----------------------------------------------------------------------------------------
-
     def collections(self) -> list[str]:
         """Returns the names of the collections that hold documents."""
         return self._documents.collections()
@@ -129,8 +127,6 @@
             self._documents.insert_records(collection, key, version, changed_at, encoded_records)
         return version
 
-    # ---- leases -------------------------------------------------------------------------------------------
-
     def acquire_lease(self, name: str, holder: str, now: float, duration_s: float) -> Lease | None:
         """Acquires a free or expired lease, or renews the holder's own. Returns None while another holder has it.
 
@@ -146,8 +142,6 @@
         """
         return self._leases.current(name)
 
-    # ---- check, dump and compaction ---------------------------------------------------------------------
-
     def check(self) -> list[str]:
         """Returns an error message for each damaged row or page; an empty list if the store is undamaged."""
         with self.database.translated_errors():
--- a/harecross/upstream/connection.py
+++ b/harecross/upstream/connection.py
@@ -136,8 +136,6 @@
         self.reusable_from_us = 0
         self.closed_record: ClosedConnection | None = None
 
-    # ---- asyncio callbacks ----------------------------------------------------------------------------
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See `asyncio.Protocol`."""
         self.transport = cast(asyncio.Transport, transport)
@@ -191,8 +189,6 @@
         closed = self.closed_record or ClosedConnection("server", self.process.address, CloseReason.PEER)
         self.pool.on_connection_closed(closed)
 
-    # ---- requests -------------------------------------------------------------------------------------
-
     def start(self, exchange: Exchange, now: int) -> None:
         """Writes the message of the exchange; of an upload, the bytes received so far."""
         assert self.transport is not None
@@ -248,8 +244,6 @@
             self.pool.start_deadline_timer(exchange)
         exchange.upload_sent()
 
-    # ---- responses ------------------------------------------------------------------------------------
-
     def handle_result(self, parser: ResponseParser, result: ReadResult) -> None:
         """Handles the state of the response after received bytes were parsed."""
         if parser.streaming and not self.forward_body(parser):
@@ -306,8 +300,6 @@
         else:
             self.transport.resume_reading()
 
-    # ---- end of an exchange ---------------------------------------------------------------------------
-
     def complete_exchange(self, parser: ResponseParser) -> None:
         """Reports the outcome of a complete response and releases the connection if it can be reused."""
         exchange = self.exchange
--- a/harecross/upstream/connection_pool.py
+++ b/harecross/upstream/connection_pool.py
@@ -75,8 +75,6 @@
         self.initial_buffer_bytes = MAX_STREAM_BUFFER_BYTES
         self.set_streaming_budget(DEFAULT_STREAMING_BUDGET_BYTES)
 
-    # ---- server processes -----------------------------------------------------------------------------
-
     @property
     def open_connections(self) -> int:
         """Number of connections to servers, including those that are being opened."""
@@ -122,8 +120,6 @@
             connection.discard(reason)
         process.idle.clear()
 
-    # ---- sending --------------------------------------------------------------------------------------
-
     def send(self, exchange: Exchange) -> None:
         """Sends on the most recently used idle connection, or on a new one.
 
@@ -261,8 +257,6 @@
         else:
             connection.start(exchange, now)
 
-    # ---- callbacks of connections ---------------------------------------------------------------------
-
     def record_load_report(self, text: bytes) -> Sequence[float]:
         """Parses and counts a load report from a header or body; returns () if it is invalid."""
         report = parse_load_report(text, self.report_positions, self.report_size) if text else ()
@@ -291,8 +285,6 @@
         if connection in connection.process.idle:
             connection.process.idle.remove(connection)
 
-    # ---- end of exchanges -----------------------------------------------------------------------------
-
     def finish(
         self, exchange: Exchange, outcome: Outcome, body: bytes = b"", report: Sequence[float] = ()
     ) -> None:
@@ -325,8 +317,6 @@
             connection.abandon_exchange(exchange)
         self.finish(exchange, outcome)
 
-    # ---- streamed bodies ------------------------------------------------------------------------------
-
     def set_streaming_budget(self, budget_bytes: int) -> None:
         """Sets the memory budget shared by all streamed responses.
 
@@ -349,8 +339,6 @@
         for connection in self.streaming:
             connection.set_receive_buffer(buffer_bytes)
 
-    # ---- timeouts -------------------------------------------------------------------------------------
-
     def sweep(self) -> None:
         """Closes connections that were idle for too long, and those whose streamed body stalled at the server.
 
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -114,8 +114,6 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # ---- health checks ------------------------------------------------------------------------------------
-
     async def _check_health(self) -> None:
         while True:
             await asyncio.sleep(HEALTH_CHECK_STEP_S)
@@ -159,8 +157,6 @@
         now = monotonic_us()
         self.dispatcher.balancer.health_checked(now, server, connected, now - started_at, ())
 
-    # ---- stop ---------------------------------------------------------------------------------------------
-
     def close(self) -> None:
         """Closes the feed, its sources and its connections. `wait_closed` waits for the sources."""
         super().close()
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -99,8 +99,6 @@
         """Returns how many streams the workers have open, as last reported, at most a quarter of a second ago."""
         return sum(worker.count.streams for worker in self.workers)
 
-    # ---- workers ------------------------------------------------------------------------------------------
-
     async def start(self) -> int:
         """Starts all workers and returns the port. Raises OSError if they cannot listen."""
         host, port = parse_address(self._setup.listen)
@@ -208,8 +206,6 @@
             process.kill()
             await process.wait()
 
-    # ---- to workers ---------------------------------------------------------------------------------------
-
     def publish(self, source: PublishedSnapshots, urgent: Collection[str] = ()) -> None:
         """Sends each worker what has changed since the previous call, encoded once for all workers."""
         before, now = self._published or {}, source.clusters
@@ -229,8 +225,6 @@
             if worker.channel is not None:
                 worker.channel.send_frame(framed)
 
-    # ---- from workers -------------------------------------------------------------------------------------
-
     def _receive(self, worker: WorkerHandle, message: Message) -> None:
         if isinstance(message, StreamCount):
             worker.count = message
