--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -1,4 +1,4 @@
-"""The state machine of a release of servers over several nodes. Performs no I/O.
+"""The state machine of a release of servers over several nodes.
 
 `Release` receives events (the status of a node, the result of a call, the end of a restart, an interrupt, the passing
 of time) and returns the actions to perform next. Times are seconds of one monotonic clock. It guarantees:
--- a/harecross/discovery/endpoint_status.py
+++ b/harecross/discovery/endpoint_status.py
@@ -1,4 +1,4 @@
-"""The status of each server known to a process, as shown to operators. Performs no I/O."""
+"""The status of each server known to a process, as shown to operators."""
 
 from __future__ import annotations
 
--- a/harecross/discovery/json_stream.py
+++ b/harecross/discovery/json_stream.py
@@ -1,4 +1,4 @@
-"""An incremental parser for a stream of JSON values: takes bytes and returns values. Performs no I/O.
+"""An incremental parser for a stream of JSON values: takes bytes and returns values.
 
 A watch is specified to send one object per line, but lists may be indented and span many lines (STANDING, "Days at full
 size"). A value therefore ends where its brackets close, not at the end of a line (RFC 8259, 2). A value counts as
--- a/harecross/discovery/list_versions.py
+++ b/harecross/discovery/list_versions.py
@@ -1,4 +1,4 @@
-"""Determines which of two lists from one discovery is newer. Performs no I/O.
+"""Determines which of two lists from one discovery is newer.
 
 Applying an older list after a newer one would put a server back that the newer list stated as leaving. The versions of
 one address only increase (`generation` in PROTOCOL, "Discovery") unless discovery restarts. A restarted discovery
--- a/harecross/discovery/listed_endpoints.py
+++ b/harecross/discovery/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""Discovery's entry for each server, including draining ones, kept across restarts. Performs no I/O."""
+"""Discovery's entry for each server, including draining ones, kept across restarts."""
 
 from __future__ import annotations
 
--- a/harecross/discovery/process_table.py
+++ b/harecross/discovery/process_table.py
@@ -1,4 +1,4 @@
-"""The process table: what each discovery has stated about server processes. Performs no I/O; times are passed in.
+"""The process table: what each discovery has stated about server processes. The caller passes all times.
 
 A node reads lists from one discovery at a time, and migrates to another address on SIGHUP. The new discovery may lag
 behind the old one for some seconds, and versions of two addresses cannot be compared. Each record therefore keeps the
--- a/harecross/discovery/readiness.py
+++ b/harecross/discovery/readiness.py
@@ -1,4 +1,4 @@
-"""Decides whether requests may be sent using the current server list, and how old that list is. Performs no I/O.
+"""Decides whether requests may be sent using the current server list, and how old that list is.
 
 A node that has just started has the list of its configuration, which "may be old" (DEPLOY, `known`). However, a change
 that the agent on its machine already has, or that was listed 6 s ago, counts as notified as soon as the node starts
--- a/harecross/discovery/start_times.py
+++ b/harecross/discovery/start_times.py
@@ -1,4 +1,4 @@
-"""Estimates when server processes became ready, on this node's monotonic clock. Performs no I/O.
+"""Estimates when server processes became ready, on this node's monotonic clock.
 
 Discovery states the start of a process as Unix time (`startedAtMs`), by a clock that may differ from this node's wall
 clock by hours; both clocks may be stepped. A process that is assumed to be older than it is would get more requests
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules a node's calls to discovery: subscription state, backoff, and slots in staggered rounds. Performs no I/O.
+"""Schedules a node's calls to discovery: subscription state, backoff, and slots in staggered rounds.
 
 If lists are pushed, an agent on the node's own machine responds at negligible cost, and is called again after a short
 backoff. If lists are polled, discovery is a single service that serves the calls of all nodes in turn. An event that
--- a/harecross/dns/frames.py
+++ b/harecross/dns/frames.py
@@ -1,4 +1,4 @@
-"""Framing of DNS messages on a byte stream: each message has a two-byte length prefix (RFC 7766, 8). No I/O."""
+"""Framing of DNS messages on a byte stream: each message has a two-byte length prefix (RFC 7766, 8)."""
 
 from __future__ import annotations
 
--- a/harecross/dns/lifetime.py
+++ b/harecross/dns/lifetime.py
@@ -1,4 +1,4 @@
-"""The cached endpoints of one SRV name: expiry, refresh, and stale or empty answers (RFC 2308, 8767). No I/O.
+"""The cached endpoints of one SRV name: expiry, refresh, and stale or empty answers (RFC 2308, 8767).
 
 Times are in seconds of a monotonic clock, so that adjustments of the system clock have no effect.
 """
--- a/harecross/dns/lookup.py
+++ b/harecross/dns/lookup.py
@@ -1,4 +1,4 @@
-"""The lookup of one question, from the first attempt to a reply or a failure. No I/O.
+"""The lookup of one question, from the first attempt to a reply or a failure.
 
 The caller sends each `OutgoingQuery`, over UDP from a new socket with a random port (RFC 5452), and reports its result.
 Only the newest attempt has a timeout, but a reply to an earlier attempt is accepted as well.
--- a/harecross/dns/servers.py
+++ b/harecross/dns/servers.py
@@ -1,4 +1,4 @@
-"""The state of each DNS server: round-trip time, failures and EDNS support. No I/O.
+"""The state of each DNS server: round-trip time, failures and EDNS support.
 
 All times and durations are in seconds.
 """
--- a/harecross/dns/srv.py
+++ b/harecross/dns/srv.py
@@ -1,4 +1,4 @@
-"""The resolution of an SRV name to endpoints (RFC 2782): which questions to look up, and the result. No I/O."""
+"""The resolution of an SRV name to endpoints (RFC 2782): which questions to look up, and the result."""
 
 from __future__ import annotations
 
--- a/harecross/http/__init__.py
+++ b/harecross/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 message parsing without I/O."""
+"""HTTP/1.1 message parsing."""
--- a/harecross/http/body_buffer.py
+++ b/harecross/http/body_buffer.py
@@ -1,4 +1,4 @@
-"""Body size limits and the buffer for a request body that is forwarded while it is received. Does no I/O."""
+"""Body size limits and the buffer for a request body that is forwarded while it is received."""
 
 from __future__ import annotations
 
--- a/harecross/http/request_parser.py
+++ b/harecross/http/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses and validates client requests and builds the request head for the server. Does no I/O."""
+"""Parses and validates client requests and builds the request head for the server."""
 
 from __future__ import annotations
 
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -1,4 +1,4 @@
-"""Parses one server response and the load report that it may carry. Does no I/O."""
+"""Parses one server response and the load report that it may carry."""
 
 from __future__ import annotations
 
--- a/harecross/node/learned_state.py
+++ b/harecross/node/learned_state.py
@@ -1,4 +1,4 @@
-"""Exports a balancer's measurements as JSON, and imports them in the process that takes over. Does no I/O.
+"""Exports a balancer's measurements as JSON, and imports them in the process that takes over.
 
 The stored key `usual` is the baseline of the requests in flight, and `cut` is the list of the ejected zones' numbers.
 No times are stored, since each process has its own clock. Servers are identified by discovery's ids.
--- a/harecross/node/maintenance.py
+++ b/harecross/node/maintenance.py
@@ -1,4 +1,4 @@
-"""The maintenance state: servers that operators have taken out of service, and standby of the node. Does no I/O."""
+"""The maintenance state: servers that operators have taken out of service, and standby of the node."""
 
 from __future__ import annotations
 
--- a/harecross/node/shutdown_schedule.py
+++ b/harecross/node/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""Computes the times of a graceful shutdown. Does no I/O.
+"""Computes the times of a graceful shutdown.
 
 All times are in seconds after SIGTERM. According to the protocol ("Figures"), clients open new connections for up to
 0.4 s, and SIGKILL follows no sooner than 0.7 s after the longest deadline, of which at most 3 s count. A request that
--- a/harecross/platform/descriptor_budget.py
+++ b/harecross/platform/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Shares a limited number of file descriptors between client and upstream connections. Performs no I/O."""
+"""Shares a limited number of file descriptors between client and upstream connections."""
 
 from __future__ import annotations
 
--- a/harecross/platform/system_errors.py
+++ b/harecross/platform/system_errors.py
@@ -1,4 +1,4 @@
-"""Classifies errors of socket system calls by cause: this machine or a single connection. Performs no I/O.
+"""Classifies errors of socket system calls by cause: this machine or a single connection.
 
 The classification follows the Linux manual pages accept(2), socket(2) and connect(2).
 """
--- a/harecross/sources/address_file.py
+++ b/harecross/sources/address_file.py
@@ -1,4 +1,4 @@
-"""Reads address files: plain text files with one endpoint per line. `parse` performs no I/O."""
+"""Parses address files: plain text files with one endpoint per line."""
 
 from __future__ import annotations
 
--- a/harecross/sources/explanation.py
+++ b/harecross/sources/explanation.py
@@ -1,4 +1,4 @@
-"""Explains to operators why endpoints are in service or not: the body of `GET /sources`. Performs no I/O."""
+"""Explains to operators why endpoints are in service or not: the body of `GET /sources`."""
 
 from __future__ import annotations
 
--- a/harecross/sources/priorities.py
+++ b/harecross/sources/priorities.py
@@ -1,4 +1,4 @@
-"""Chooses which priorities are in use, by the health of their endpoints. Performs no I/O."""
+"""Chooses which priorities are in use, by the health of their endpoints."""
 
 from __future__ import annotations
 
--- a/harecross/sources/publisher.py
+++ b/harecross/sources/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the merged endpoints of all sources as one endpoint list. Performs no I/O; the caller passes the time.
+"""Publishes the merged endpoints of all sources as one endpoint list. The caller passes the time.
 
 The consumer receives lists and changes in discovery's format. An endpoint is identified by its address, in the
 published list too: entries with the same address are one endpoint, whichever source lists them and under any name.
--- a/harecross/sources/reconciler.py
+++ b/harecross/sources/reconciler.py
@@ -1,4 +1,4 @@
-"""Merges the statements of all sources into endpoints, by the merge rule. Performs no I/O.
+"""Merges the statements of all sources into endpoints, by the merge rule.
 
 An endpoint is identified by its address: two names with the same address are one endpoint with one concurrency limit,
 and a server whose address changes becomes another endpoint. Times are in seconds of a monotonic clock.
--- a/harecross/sources/rule.py
+++ b/harecross/sources/rule.py
@@ -1,4 +1,4 @@
-"""The merge rule: decides by the statuses of an endpoint in all sources whether it is used. Performs no I/O.
+"""The merge rule: decides by the statuses of an endpoint in all sources whether it is used.
 
 docs/design-sources.md holds the same rule as a table; a test compares every combination with it.
 """
--- a/harecross/sources/source.py
+++ b/harecross/sources/source.py
@@ -1,4 +1,4 @@
-"""One source's statements over time: the endpoints that it lists, drains and has dropped. Performs no I/O."""
+"""One source's statements over time: the endpoints that it lists, drains and has dropped."""
 
 from __future__ import annotations
 
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -1,4 +1,4 @@
-"""Converts the endpoints of SRV names and the entries of the platform's watch to statements. Performs no I/O."""
+"""Converts the endpoints of SRV names and the entries of the platform's watch to statements."""
 
 from __future__ import annotations
 
--- a/harecross/xds/health_checks.py
+++ b/harecross/xds/health_checks.py
@@ -1,4 +1,4 @@
-"""Schedules the health checks of servers. Performs no I/O. Times are in microseconds."""
+"""Schedules the health checks of servers. Times are in microseconds."""
 
 from __future__ import annotations
 
--- a/harecross/xds/published.py
+++ b/harecross/xds/published.py
@@ -1,4 +1,4 @@
-"""What is known about a cluster's servers, and what is published about them. Performs no I/O."""
+"""What is known about a cluster's servers, and what is published about them."""
 
 from __future__ import annotations
 
--- a/harecross/xds/publisher.py
+++ b/harecross/xds/publisher.py
@@ -1,6 +1,6 @@
 """Derives what is published of a cluster's servers from their views: health, weight and request limit.
 
-The health status and the panic threshold follow Envoy; slow start follows the decision module. Performs no I/O.
+The health status and the panic threshold follow Envoy; slow start follows the decision module.
 Times are in microseconds.
 """
 
--- a/harecross/xds/release.py
+++ b/harecross/xds/release.py
@@ -1,6 +1,6 @@
 """Decides when a change is published: urgent ones at once, others together at a minimum interval.
 
-Performs no I/O. Times are in microseconds.
+Times are in microseconds.
 """
 
 from __future__ import annotations
