--- a/harecross/adapter.py
+++ b/harecross/adapter.py
@@ -20,7 +20,7 @@
 
 BATCH_HEADER = Struct("<IIQ")
 REPLY_LENGTH = Struct("<I")
-# Events, without their leading code.
+# The layouts of the events, without their leading code.
 CREATE = Struct("<HQI")
 DIRECTORY = Struct("<II")
 ENTRY = Struct("<IHQHfBH")
@@ -33,7 +33,7 @@
 SHUTDOWN = Struct("<H")
 PEER_DATA = Struct("<HHH")
 VERDICT = Struct("<HQBIIBHB")
-# Actions, each with its code as the first field.
+# The layouts of the actions, each with the action's code as its first field.
 RELAY, RELAY_CODE = Struct("<BHQII"), 65
 BOUNCE, BOUNCE_CODE = Struct("<BHQI"), 66
 END_FAILED, END_FAILED_CODE = Struct("<BHQ"), 67
@@ -195,7 +195,7 @@
     # Each of the `read_` methods below reads one event at `pos` and returns the position after it.
 
     def read_create(self, now: int, body: bytes, pos: int) -> int:
-        """Reads the start of a node, with its seed and its settings as JSON."""
+        """Reads an event that starts a node, with its seed and its settings as JSON."""
         node, seed, size = CREATE.unpack_from(body, pos)
         pos += CREATE.size
         settings = parse_settings_json(read_bytes(body, pos, size))
--- a/harecross/admin_client/calls.py
+++ b/harecross/admin_client/calls.py
@@ -11,7 +11,7 @@
 from harecross.settings import parse_address
 
 CALL_TIMEOUT_S = 3.0  # an admin server responds within one second
-MAX_ANSWER_BYTES = 1 << 24
+MAX_RESPONSE_BYTES = 1 << 24
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     try:
         connection.request(method, path, body.encode(), {"Connection": "close"})
         response = connection.getresponse()
-        text = response.read(MAX_ANSWER_BYTES).decode(errors="replace").strip()
+        text = response.read(MAX_RESPONSE_BYTES).decode(errors="replace").strip()
         return CallResult(200 <= response.status < 300, text)
     except ConnectionRefusedError:
         return CallResult(False, "connection refused")
@@ -110,4 +110,4 @@
         statuses = {row["id"]: ServerStatus.from_row(row) for row in raw["servers"]}
         return NodeStatus(str(raw["name"]), bool(raw["standby"]), int(raw["others"]), statuses)
     except (ValueError, KeyError, TypeError, AttributeError):
-        return StatusFailure("the response is not the status of a node, or is from an older version")
+        return StatusFailure("the response is not from an admin server of this version")
--- a/harecross/admin_client/cli.py
+++ b/harecross/admin_client/cli.py
@@ -1,6 +1,7 @@
 """`harecross door`: calls to the admin servers of running nodes.
 
-The exit status is 0 for success, 1 if a call failed or was refused, and 2 for invalid arguments.
+The exit status is 0 on success, 1 if a call failed or was refused, 2 for invalid arguments or files, and
+130 after an interrupt.
 """
 
 from __future__ import annotations
--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -7,8 +7,9 @@
   in use at the beginning stays in use.
 - A server is restarted only when it is in maintenance at every node, no node has requests in flight on it, and no node
   has another process.
-- A server exits maintenance at every node where it may be in maintenance, unless its restart failed. The release waits
-  for running restarts.
+- A server exits maintenance at every node where it may be in maintenance, unless its restart failed, the calls to end
+  its maintenance fail, or a second interrupt stops the release immediately. Unless it is stopped immediately, the
+  release waits for running restarts.
 - `servers_in_maintenance` lists every server that stays in maintenance at the end.
 """
 
@@ -43,9 +44,9 @@
         status_calls: By node, when a call that has not ended yet began.
         status_failures: By node, the number of consecutive failures to fetch the status.
         min_in_use: By node, the number of servers that must stay in use; empty until the preconditions are checked.
-        below_min_in_use_since: Since when no further server may enter maintenance, because too few are in use.
+        below_min_in_use_since: Since when too few servers are in use for another to enter maintenance; None otherwise.
         stop_reason: The first reason to stop; empty while there is none.
-        messages: Lines for operators; whoever prints them removes them.
+        messages: Lines for operators; the caller that prints them removes them.
     """
 
     def __init__(self, servers: Sequence[str], nodes: Sequence[str], limits: ReleaseLimits) -> None:
@@ -168,7 +169,7 @@
         return ", ".join(sorted(server.pending_nodes))
 
     def in_use(self, node: str) -> set[str]:
-        """Returns the servers in use at a node, without those that entered maintenance since its status."""
+        """Returns the servers in use at a node, without those that this release may have put into maintenance."""
         out = {server.id for server in self.servers if server.maybe_in_maintenance}
         statuses = self.statuses[node].servers.values()
         return {s.id for s in statuses if s.state == IN_USE and not s.ejected} - out
--- a/harecross/cli.py
+++ b/harecross/cli.py
@@ -33,9 +33,14 @@
 
 @app.command()
 def node(
-    config: Annotated[Path | None, typer.Option(help="The operators' file (deploy/harecross.toml).")] = None,
+    config: Annotated[
+        Path | None, typer.Option(help="The operators' file, such as deploy/harecross.toml.")
+    ] = None,
 ) -> None:
-    """Run one node; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONFIG are set."""
+    """Run one node with the configuration file in LB_CONFIG.
+
+    LB_LISTEN, LB_DISCOVERY and LB_ADMIN replace the addresses in that file.
+    """
     if config is not None:
         os.environ["HARECROSS_CONFIG"] = str(config)
     from harecross.node.__main__ import main as run_node
--- a/harecross/console.py
+++ b/harecross/console.py
@@ -1,4 +1,4 @@
-"""Terminal output of the commands: result tables of a finished replay, and live tables of a running one."""
+"""Terminal output of the commands: tables in general, and those of finished and running replays."""
 
 from __future__ import annotations
 
--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -34,10 +34,10 @@
 class DiscoveryClient:
     """Manages the current watch and, during a migration to another address, the pending watch there.
 
-    Each watch reconnects according to its `SubscriptionSchedule`. If lists are polled, the module is notified when the
-    current watch's call ends. The old watch stays current until the pending one has received its first list. The old
-    watch is then retired: it stays open until its connection ends, so that servers that it reports as draining or gone
-    are still taken out of service.
+    Each watch reconnects according to its `SubscriptionSchedule`. If lists are polled, the balancer is notified when
+    the current watch's call ends. The old watch stays current until the pending one has received its first list. The
+    old watch is then retired: it stays open until its connection ends, so that servers that it reports as draining or
+    gone are still taken out of service.
 
     Attributes:
         on_current_list: Called when discovery has sent a list, or confirmed that the current one is unchanged.
@@ -114,7 +114,8 @@
             self.pending.close()
             self.pending = None
         if self.current is not None and address == self.current.address:
-            self.epoch = self.current.epoch  # returns to the old address before the pending watch was ready
+            # The address has changed back before the pending watch received a list.
+            self.epoch = self.current.epoch
             return True
         self.epoch = max(self.epoch, *self.sources) + 1
         self.migrated_at = self.monotonic()
@@ -243,7 +244,7 @@
         task.add_done_callback(self.poll_tasks.discard)
 
     async def poll_once(self) -> None:
-        """Makes one poll and notifies the module if it fails."""
+        """Makes one poll and notifies the balancer if it fails."""
         watch = self.current
         if watch is None:
             return self.notify_failure()
@@ -254,5 +255,5 @@
             self.notify_failure()
 
     def notify_failure(self) -> None:
-        """Notifies the module that a call delivered no list."""
+        """Notifies the balancer that a call delivered no list."""
         self.registry.dispatcher.endpoint_update(EndpointUpdateKind.FAILED, [])
--- a/harecross/discovery/endpoint_registry.py
+++ b/harecross/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry: applies discovery's lists to the balancing module and the connection pool."""
+"""The endpoint registry: applies discovery's lists to the balancer and the connection pool."""
 
 from __future__ import annotations
 
@@ -77,18 +77,18 @@
 
 
 class EndpointRegistry:
-    """The endpoints in use, each with a number that identifies its name.
+    """The endpoints in use, each with a number by which the balancer and the connection pool refer to it.
 
-    A server in maintenance is reported to the module as DRAINING, whatever discovery states.
+    A server in maintenance is reported to the balancer as DRAINING, whatever discovery states.
 
     Attributes:
-        listed: The servers in service by number, as the module was last notified.
+        listed: The servers in service by number, as the balancer was last notified.
         draining: The names of the servers that discovery lists as draining.
         in_maintenance: The servers in maintenance, each with its current entry in discovery's list, if in service.
         restored_at: When each server's maintenance ended, in monotonic microseconds.
         owner_by_address: The number of the server that listens at each address.
         uses_listed_weights: Whether the lists' weights are measured. Otherwise they are nominal values of the
-            platform, and the module measures the servers' speeds itself.
+            platform, and the balancer measures the servers' speeds itself.
         resolve_name: Maps a server name that operators use to the name that lists use.
     """
 
@@ -154,7 +154,7 @@
             self.update_listener(update, full, cached)
 
     def use_entries(self, entries: Sequence[Any]) -> dict[int, Endpoint]:
-        """Applies the entries and returns the changed endpoints by number, for the module."""
+        """Applies the entries and returns the changed endpoints by number, for the balancer."""
         changed: dict[int, Endpoint] = {}
         for entry in entries:
             try:
@@ -165,7 +165,7 @@
         return changed
 
     def remove_unlisted(self, entries: Sequence[Any], changed: Mapping[int, Endpoint]) -> None:
-        """Removes the servers that a full list omits. The module infers their removal from the full list."""
+        """Removes the servers that a full list omits. The balancer infers their removal from the full list."""
         for number in [number for number in self.listed if number not in changed]:
             self.withdraw(number)
         names = {str(entry.get(wire_format.INSTANCE_ID)) for entry in entries if isinstance(entry, dict)}
@@ -243,7 +243,7 @@
         return [self.withdraw(owner.server), endpoint]
 
     def withdraw(self, number: int, state: EndpointState = EndpointState.GONE) -> Endpoint:
-        """Takes a server out of service and returns the endpoint to report to the module."""
+        """Takes a server out of service and returns the endpoint to report to the balancer."""
         self.pool.take_out_of_service(number)
         self.listed.pop(number, None)
         return Endpoint(number, state)
--- a/harecross/discovery/start_times.py
+++ b/harecross/discovery/start_times.py
@@ -21,8 +21,8 @@
 
     Attributes:
         started_ms: When the process started, in Unix milliseconds as discovery states it.
-        ready_at: When the process became ready, in monotonic microseconds. It stays fixed, because the module treats a
-            different time as a different process.
+        ready_at: When the process became ready, in monotonic microseconds. It stays fixed, because the balancer treats
+            a different time as a different process.
     """
 
     started_ms: int
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -228,10 +228,11 @@
     def poll_delay(self, end: CallEnd) -> float:
         """Returns the seconds until this node's slot in the current round.
 
-        A call that failed in the queue shows that more calls are waiting than discovery can serve in time. Further
-        calls would also fail and lengthen the queue, so a node whose call failed there pauses first. A call that was
-        refused, reset or never answered says nothing about the queue. In that case discovery is or was down, and the
-        node must not pause, because a change that discovery lists on its return reaches the staleness limit 6 s later.
+        A call that failed in the queue shows that more calls are waiting than discovery can serve in time. While the
+        queue counts as long, a node whose call failed pauses first, because further calls would also fail and lengthen
+        the queue. A call that was refused, reset or never answered does not make the queue count as long. In that case
+        discovery is or was down, and the node must not pause, because a change that discovery lists on its return
+        reaches the staleness limit 6 s later.
         """
         self.wait_count += 1
         if end is CallEnd.FAILED and self.long_queue_calls:
--- a/harecross/discovery/wire_format.py
+++ b/harecross/discovery/wire_format.py
@@ -92,10 +92,6 @@
     return LIFECYCLES.get(word, Lifecycle.DRAINING) if isinstance(word, str) else Lifecycle.DRAINING
 
 
-# One call parses all fields of an entry, because a list of the largest fleet has a thousand entries and a node has only
-# a tenth of a core.
-
-
 class InServiceEntry(NamedTuple):
     """The fields of a server that is in service.
 
@@ -124,7 +120,8 @@
 def parse_in_service(entry: Any, *, uses_weight: bool) -> InServiceEntry:
     """Parses the fields of a server in service. Raises KeyError, TypeError or ValueError for an invalid field.
 
-    Unless `uses_weight`, the weight is 1 and the entry's weight is ignored.
+    Unless `uses_weight`, the weight is 1 and the entry's weight is ignored. One call parses all fields, because a list
+    of the largest fleet has a thousand entries and a node has only a tenth of a core.
     """
     return InServiceEntry(
         int(entry.get(STARTED_AT_MS) or 0),
--- a/harecross/dispatch/statistics.py
+++ b/harecross/dispatch/statistics.py
@@ -23,7 +23,8 @@
     """The client connections' part of the report line.
 
     Attributes:
-        errors_by_status: Number of requests answered without a server, by status; 0 for clients that sent nothing.
+        errors_by_status: Number of requests answered without a server, by status. The status 0 stands for connections
+            that were closed because the client sent nothing.
         closed_on_accept: Number of connections closed as soon as they were accepted.
     """
 
--- a/harecross/dns/cli.py
+++ b/harecross/dns/cli.py
@@ -1,6 +1,7 @@
 """The command `harecross dns query`, which resolves an SRV name.
 
-The exit status is 0 if the name has endpoints, 1 if it has none or the lookup fails, 2 for a usage error.
+The exit status is 0 if the name has endpoints, 1 if it has none or the lookup fails, 2 for a usage error or a missing
+extra, and 130 after an interrupt.
 """
 
 from __future__ import annotations
@@ -16,24 +17,27 @@
 if TYPE_CHECKING:
     from harecross.dns.srv import SrvAnswer
 
-dns_app = typer.Typer(no_args_is_help=True, help="The resolver for SRV names.")
+dns_app = typer.Typer(no_args_is_help=True, help="Resolve SRV names.")
 
 
 @dns_app.callback()
 def group() -> None:
-    """The resolver for SRV names."""
+    """Resolve SRV names."""
 
 
 @dns_app.command("query")
 def query(
-    name: Annotated[str, typer.Argument(help="An SRV name, such as _readings._tcp.site3.example.org")],
+    name: Annotated[str, typer.Argument(help="An SRV name, such as _readings._tcp.site3.example.org.")],
     resolver: Annotated[
         list[str],
-        typer.Option("--resolver", help="HOST:PORT of a DNS server, by IP address; more than once."),
+        typer.Option(
+            "--resolver",
+            help="IP-ADDRESS:PORT or tls://IP-ADDRESS:PORT of a DNS server; repeat for each server.",
+        ),
     ],
-    as_json: Annotated[bool, typer.Option("--json", help="To standard output.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the answer as JSON.")] = False,
 ) -> None:
-    """Prints the endpoints of an SRV name, with priority, weight, address and port, and their TTL."""
+    """Print the endpoints of an SRV name, with priority, weight, address and port, and their TTL."""
     check_resolvers(resolver)
     answer, queries_sent = resolve(name, resolver)
     if as_json:
--- a/harecross/dns/lifetime.py
+++ b/harecross/dns/lifetime.py
@@ -14,7 +14,8 @@
 REFRESH_FRACTION = (0.75, 0.95)  # range of the random fraction of its TTL after which a set is refreshed
 # The backoff doubles with each consecutive failure; the actual delay is drawn between half of it and all of it.
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 1.0, 30.0
-EMPTY_CONFIRMATIONS = 4  # an empty answer is queried again at least this often before it is accepted
+# After an empty answer, the name is queried again at least this many times before the answer is accepted.
+EMPTY_CONFIRMATIONS = 4
 
 
 @dataclass(frozen=True, slots=True)
--- a/harecross/follow/late_sends.py
+++ b/harecross/follow/late_sends.py
@@ -97,7 +97,7 @@
 
 
 def announcements_by_server(logs: AttemptLogs) -> dict[str, Announcements]:
-    """Collects the endpoint list changes of all nodes; lists cached before a process started are not news."""
+    """Collects the endpoint list changes of all nodes, without lists that were cached before a process started."""
     found: dict[str, Announcements] = defaultdict(Announcements)
     events = [event for node_events in logs.node_events.values() for event in node_events]
     for event in sorted(events, key=lambda event: event.time_ns):
--- a/harecross/follow/requests.py
+++ b/harecross/follow/requests.py
@@ -9,8 +9,8 @@
 
 # The time after the deadline of a request before its answer counts as late or missing (FLEET, "rules").
 ANSWER_SLACK_NS = 500_000_000
-# The outcomes of an attempt that prove that no server ran the request.
-NEVER_RAN = frozenset(("rejected", "connect_failed", "not_sent"))
+# The values of `error.type` that prove that the server did not process the attempt (`interface.NOT_PROCESSED`).
+NOT_PROCESSED_ERROR_TYPES = frozenset(("rejected", "connect_failed", "not_sent"))
 # The value of a final answer if the client disconnected first.
 CLIENT_DISCONNECTED = "left"
 
@@ -90,7 +90,7 @@
             found.append(f"{final_answers} final answers")
         found += self.deadline_problems(end_ns)
         runs = sum(
-            attempt.written_ns is not None and attempt.error_type not in NEVER_RAN
+            attempt.written_ns is not None and attempt.error_type not in NOT_PROCESSED_ERROR_TYPES
             for attempt in self.attempts
         )
         if runs > 1 and idempotency == Idempotency.NON_IDEMPOTENT:
--- a/harecross/follow/sidecars.py
+++ b/harecross/follow/sidecars.py
@@ -14,7 +14,7 @@
 
 from harecross.follow.requests import LoggedRequest
 
-# The minimum number of calls of a node.
+# The minimum number of calls that a node must have made to be recognised as a sidecar.
 MIN_CALLS = 3
 # The minimum ratio of the calls of a node to the attempts that the server answered.
 MIN_COVERAGE = 0.8
--- a/harecross/http/__init__.py
+++ b/harecross/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 message parsing."""
+"""HTTP/1.1: parsers of requests and responses, and the buffer of streamed request bodies."""
--- a/harecross/interface.py
+++ b/harecross/interface.py
@@ -37,7 +37,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. The first three outcomes prove that the server did not process it.
+    """How an attempt ended. The first three outcomes prove that the server did not process the request.
 
     Attributes:
         REJECTED: The server responded that it did not process the request: it is overloaded or draining.
@@ -95,7 +95,7 @@
     INTERNAL = "internal"
 
 
-# Outcomes that prove that the server did not process the attempt.
+# The outcomes that prove that the server did not process the request.
 NOT_PROCESSED = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
@@ -168,7 +168,8 @@
         cancel: Whether attempts may be cancelled.
         retry_after: Whether a shed request may be given a time after which to retry.
         max_open: The largest number of open requests.
-        discovery_polled: Whether the node has to subscribe to the endpoint list.
+        discovery_polled: Whether the balancer has to ask its host to subscribe to the endpoint list; otherwise the list
+            is pushed.
         max_poll_interval: The longest time without a response from discovery, if `discovery_polled` is set.
         slow_start_duration: The time after its start when a server has its full capacity.
         slow_start_min_capacity: The fraction of its capacity that a server has at its start.
--- a/harecross/node/admin_server.py
+++ b/harecross/node/admin_server.py
@@ -26,9 +26,9 @@
     500: b"Internal Server Error",
     503: b"Service Unavailable",
 }
-# The HTTP status, and one line of text for the body.
+# The answer to a call: the HTTP status, and one line of text for the body.
 AdminAnswer = tuple[int, str]
-# A handler, which is called with the body of a POST, or with the query string of a GET.
+# A handler of a call, which gets the body of a POST or the query string of a GET.
 AdminCall = Callable[[bytes], AdminAnswer]
 
 
@@ -121,7 +121,7 @@
         """Opens the listener. Raises OSError if the address cannot be bound."""
         sock = bind_socket((host, port))
         sock.listen(LISTEN_BACKLOG)
-        self.listener = Listener(sock, lambda waiting: AdminConnection(self), self.accept)
+        self.listener = Listener(sock, lambda unread_interval: AdminConnection(self), self.accept)
         self.listener.start()
         self.address = sock.getsockname()
 
--- a/harecross/node/composition.py
+++ b/harecross/node/composition.py
@@ -26,7 +26,7 @@
 # Descriptors for connections that are about to be closed, two watches, the watches of earlier discoveries, and a file.
 RESERVED_DESCRIPTORS = MAX_ACCEPTS_PER_TURN + 8 + MAX_RETIRED_WATCHES
 ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 4
-ADDITIONAL_SOURCES_DESCRIPTORS = 24  # for DNS servers, endpoint files and stored lists
+ADDITIONAL_SOURCES_DESCRIPTORS = 24  # for DNS servers, address files and the cache file
 MIN_CONNECTION_DESCRIPTORS = 16
 ASSUMED_OPEN_DESCRIPTORS = 16  # the number of open descriptors that is assumed if /proc cannot be read
 BODY_MEMORY_DIVISOR = 4  # buffered bodies may use the memory limit divided by this
--- a/harecross/node/config.py
+++ b/harecross/node/config.py
@@ -32,6 +32,8 @@
         memory: The memory limit in bytes.
         connect_timeout: The timeout of a connection to a server, in microseconds.
         idle_time: The time in microseconds after which an idle connection to a server is closed.
+        columns: The fields of load reports, in order; empty if servers send none.
+        kinds: The names of the machine types.
         known: The endpoint list that is used until discovery sends its own; None if there is none.
         raw: The JSON object that the configuration was read from.
     """
--- a/harecross/node/membership.py
+++ b/harecross/node/membership.py
@@ -76,14 +76,17 @@
             )
 
     def subscribe(self, on: bool) -> None:
-        """Opens or closes the platform's watch (implements `EndpointSubscription`)."""
+        """Opens or closes the platform's watch, if it is a source (see `EndpointSubscription`)."""
         if not on:
             self.discovery.unsubscribe()
         elif self.watches_platform():
             self.discovery.subscribe()
 
     def poll_endpoints(self) -> None:
-        """Queries the sources once (implements `EndpointSubscription`)."""
+        """Polls discovery once, or republishes the merged list if the watch is not a source.
+
+        See `EndpointSubscription`.
+        """
         if self.additional_sources is None or self.additional_sources.includes_watch:
             self.discovery.poll()
         else:
--- a/harecross/platform/clock.py
+++ b/harecross/platform/clock.py
@@ -6,5 +6,5 @@
 
 
 def monotonic_us() -> int:
-    """Returns the current time in monotonic microseconds, the unit of the balancing module."""
+    """Returns the current time in monotonic microseconds, the unit of the balancer."""
     return monotonic_ns() // 1000
--- a/harecross/platform/descriptor_budget.py
+++ b/harecross/platform/descriptor_budget.py
@@ -19,7 +19,11 @@
         self.upstream_connections = 0
 
     def upstream_reserve(self) -> int:
-        """Returns the descriptors that clients cannot use: a quarter, or the open upstream connections and a margin."""
+        """Returns how many descriptors clients cannot use.
+
+        This is a quarter of the total, or the number of upstream connections (at most half of the total) plus a
+        sixteenth of the total, whichever is larger.
+        """
         return max(self.total // 4, min(self.upstream_connections, self.total // 2) + self.total // 16)
 
     def client_reserve(self) -> int:
--- a/harecross/policy/endpoint_picker.py
+++ b/harecross/policy/endpoint_picker.py
@@ -38,7 +38,8 @@
             if probe_target is not None:
                 return probe_target
         local, eligible = self.subset.local, self.subset.eligible
-        if request.previous is not None:  # like Envoy's retry host predicate previous_hosts
+        # A retry avoids the previous server, like Envoy's retry host predicate `previous_hosts`.
+        if request.previous is not None:
             local = [member for member in local if member is not request.previous]
             eligible = [member for member in eligible if member is not request.previous]
         preference, controller = self.subset.zone_preference, self.subset.controller
--- a/harecross/sources/cli.py
+++ b/harecross/sources/cli.py
@@ -1,6 +1,6 @@
 """`harecross sources`: asks running nodes why an endpoint is in service or not, and checks `[sources]` tables.
 
-The exit status is 0 on success, 1 if a node reports an error, and 2 for invalid arguments or files.
+The exit status is 0 on success, 1 if a call failed or was refused, and 2 for invalid arguments or files.
 """
 
 from __future__ import annotations
--- a/harecross/sources/manager.py
+++ b/harecross/sources/manager.py
@@ -45,7 +45,7 @@
         loop: The event loop.
         table: The current `[sources]` table.
         registry: The endpoint registry that receives the merged list.
-        rng: The random numbers for DNS queries and for the times of refreshes.
+        rng: The source of random numbers for DNS queries and for the times of refreshes.
         now: Returns seconds of the monotonic clock.
         wall: Returns the Unix time in seconds.
         membership: The publisher of the merged list.
--- a/harecross/sources/registry_adapter.py
+++ b/harecross/sources/registry_adapter.py
@@ -1,4 +1,4 @@
-"""Connects a membership publisher to the endpoint registry and its decision module."""
+"""Connects a membership publisher to the endpoint registry and its balancer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     def unhealthy(self) -> set[str]:
         """Returns the addresses of servers that are ejected or on which a request costs far more than the mean.
 
-        The decision module ejects at most a third of its servers. If a whole priority is down, its other servers are
+        The balancer ejects at most about a third of its servers. If a whole priority is down, its other servers are
         recognized by the cost of a request, which is high if they are slow or failing.
         """
         names = {number: name for name, number in self._registry.numbers.items()}
--- a/harecross/sources/statements.py
+++ b/harecross/sources/statements.py
@@ -12,10 +12,8 @@
 if TYPE_CHECKING:
     from harecross.dns.srv import SrvEndpoint
 
-MIN_WEIGHT, MAX_WEIGHT = (
-    0.05,
-    20.0,
-)  # bounds of a record's weight, relative to the mean weight of its priority
+# The bounds of a record's weight, relative to the mean weight of its priority.
+MIN_WEIGHT, MAX_WEIGHT = 0.05, 20.0
 DRAINING_BY_LIFECYCLE = {wire_format.IN_SERVICE: False, wire_format.TERMINATING: True}
 
 
@@ -105,8 +103,8 @@
 def watch_statement(address: str, entry: Mapping[str, Any]) -> Statement:
     """Returns the statement of the watch for the endpoint at `address`.
 
-    It omits the weight in the entry: that is the nominal capacity of the server, and the decision module measures the
-    actual one.
+    It omits the weight in the entry: that is the nominal capacity of the server, and the balancer measures the actual
+    one.
     """
     return Statement(
         address=address,
--- a/harecross/standins/cluster.py
+++ b/harecross/standins/cluster.py
@@ -18,7 +18,7 @@
 NODE_START_TIMEOUT_S = 20.0
 HEALTH_CHECK_INTERVAL_S = 0.02
 MAX_LOG_LINES = 500  # log lines kept for each node
-MAX_LINE_BYTES = 1 << 22  # longest reply line of the world process
+MAX_LINE_BYTES = 1 << 22  # longest reply line of the process that runs `world.py`
 PR_SET_PDEATHSIG = 1  # prctl(2) option: sets the signal that a process receives when its parent dies
 LIBC = ctypes.CDLL(None, use_errno=True) if sys.platform == "linux" else None
 
@@ -183,7 +183,7 @@
 
 
 class Cluster:
-    """A world process (discovery and servers) and real nodes, as an async context manager that ends all processes."""
+    """A process of `world.py` (discovery and servers) and real nodes; an async context manager that ends them all."""
 
     def __init__(
         self,
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -268,7 +268,7 @@
             self._key_cache.undo(request.key)
 
     def stats(self) -> dict[str, Any]:
-        """Returns the server's statistics for the world's `stats` command."""
+        """Returns the server's statistics for the `stats` command of `world.py`."""
         model = self.model
         return {
             "arrived": self._received,
--- a/harecross/standins/world.py
+++ b/harecross/standins/world.py
@@ -55,7 +55,7 @@
         self._discovery = StandinDiscovery()
         self._servers: dict[str, StandinServer] = {}
         self._removed: dict[str, StandinServer] = {}
-        self._attributes: dict[str, dict[str, Any]] = {}  # by server: further keys of its endpoint list entry
+        self._attributes: dict[str, dict[str, Any]] = {}  # further keys of each server's entry
         self._key_caches: dict[int, KeyCache] = {}  # by cell
         self._seed = seed
 
@@ -127,7 +127,7 @@
     def _withdraw_server(self, action: str, server: StandinServer) -> None:
         """Drains a server or removes it from the endpoint list."""
         name = server.name
-        # Before the list is sent, because requests received after this moment count as late.
+        # The drain starts before the list is sent, because requests received after it starts count as late.
         server.drain()
         state = "terminating" if action == "drain" else "terminated"
         self._discovery.put(entry(name, server.address, state, **self._attributes[name]))
--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -22,7 +22,7 @@
 
 
 class ControlTable(ControlFileTable, frozen=True):
-    """`[control]`.
+    """The table `[control]`: settings of the service.
 
     Attributes:
         listen: The address to listen on, as HOST:PORT.
@@ -48,7 +48,7 @@
 
 
 class TlsTable(ControlFileTable, frozen=True):
-    """`[tls]`: paths of files, which are read again when they change.
+    """The table `[tls]`: paths of files, which are read again when they change.
 
     Attributes:
         client_ca: The certificate authority of clients. If it is set, clients must present a certificate.
@@ -60,7 +60,7 @@
 
 
 class Limits(ControlFileTable, frozen=True):
-    """`[limits]`: limits on what clients may use of the service.
+    """The table `[limits]`: limits on what clients may use of the service.
 
     Attributes:
         streams: How many streams each serving process may have open.
@@ -74,7 +74,7 @@
 
 
 class ProbeTable(ControlFileTable, frozen=True):
-    """`[clusters.NAME.probe]`: the health checks of the cluster's servers."""
+    """The table `[clusters.NAME.probe]`: the health checks of the cluster's servers."""
 
     kind: Literal["http", "tcp"] = "http"
     interval_s: Seconds = 2.0
@@ -82,7 +82,7 @@
 
 
 class ClusterTable(ControlFileTable, frozen=True):
-    """`[clusters.NAME]`.
+    """The table `[clusters.NAME]`: one cluster and its sources.
 
     Attributes:
         discovery: The address of the platform's discovery; not needed if the cluster has other sources.
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -1,4 +1,4 @@
-"""A cluster feed, which gives the publisher loop the decision module's views of one cluster's servers."""
+"""A cluster feed, which gives the publisher loop the balancer's views of one cluster's servers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ClusterFeed:
-    """Reads a decision module and an endpoint registry, which belong to a node or to the feed itself."""
+    """Reads a balancer and an endpoint registry, which belong to a node or to the feed itself."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         return views, max((view.limit for view in balancer_views.values()), default=0.0)
 
     def forward_load_reports(self) -> None:
-        """Forwards to the decision module what proxies have reported since the last call."""
+        """Forwards to the balancer what proxies have reported since the last call."""
         by_latency = tuple(self.dispatcher.settings.report_fields) == (LATENCY_COLUMN,)
         for load in self.load_reports.take():
             number = self.registry.numbers.get(load.server)
--- a/harecross/xds/published.py
+++ b/harecross/xds/published.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """The decision module's view of one server.
+    """The balancer's view of one server.
 
     Attributes:
         slow_start_factor: The fraction of its full capacity that the server has now, in (0, 1].
--- a/harecross/xds/publisher.py
+++ b/harecross/xds/publisher.py
@@ -1,7 +1,7 @@
 """Derives what is published of a cluster's servers from their views: health, weight and request limit.
 
-The health status and the panic threshold follow Envoy; slow start follows the decision module.
-Times are in microseconds.
+The health status and the panic threshold follow Envoy; slow start follows the balancer. Times are in
+microseconds.
 """
 
 from __future__ import annotations
--- a/harecross/xds/publisher_loop.py
+++ b/harecross/xds/publisher_loop.py
@@ -37,7 +37,7 @@
 
     Attributes:
         requests_per_server: How many requests one server may have in flight, 0 for no limit. If it is None, the
-            request limit follows the decision module's own concurrency limits.
+            request limit follows the balancer's own concurrency limits.
         published: The cluster as last offered for release.
     """
 
--- a/harecross/xds/resources.py
+++ b/harecross/xds/resources.py
@@ -125,7 +125,7 @@
 
 
 def gradient_settings() -> adaptive_concurrency_pb2.AdaptiveConcurrency:
-    """Returns the adaptive concurrency filter with the decision module's own parameters."""
+    """Returns the adaptive concurrency filter with the parameters of the balancer's own controller."""
     settings = adaptive_concurrency_pb2.AdaptiveConcurrency()
     controller = settings.gradient_controller_config
     controller.sample_aggregate_percentile.value = 100 * SAMPLE_PERCENTILE
--- a/harecross/xds/standalone_feed.py
+++ b/harecross/xds/standalone_feed.py
@@ -1,4 +1,4 @@
-"""A feed of the stand-alone control service, with its own decision module, sources and health checks."""
+"""A feed of the stand-alone control service, with its own balancer, sources and health checks."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 HEALTH_CHECK_STEP_S = 0.1  # time between two checks of which health checks are due
 DESCRIPTORS = 8 * MAX_HEALTH_CHECKS
 IDLE_TIMEOUT_US = 15_000_000  # how long an idle connection for health checks stays open
-ALL_SERVERS = 1 << 30  # subset size that exceeds any cluster, because the service judges every server
+ALL_SERVERS = 1 << 30  # subset size above that of any cluster, because the service observes every server
 
 
-def decision_settings(table: ClusterTable) -> Settings:
-    """Returns the settings of a cluster's decision module, which handles no requests."""
+def balancer_settings(table: ClusterTable) -> Settings:
+    """Returns the settings of a cluster's balancer, which handles no requests."""
     columns = tuple(REPORT_FIELD_NAMES.get(column, column) for column in table.columns)
     request_class = ClassSettings(
         Idempotency.IDEMPOTENT, latency_objective=1_000_000, deadline=2_000_000, priority_weight=1.0
@@ -57,7 +57,7 @@
     def __init__(
         self, settings: Settings, seed: int, pool: ConnectionPool, name: str, on_change: Callable[[], None]
     ) -> None:
-        """`name` prefixes log lines; `on_change` is called when the decision module logs a change."""
+        """`name` prefixes log lines; `on_change` is called when the balancer logs a change."""
         self._name = name
         self._on_change = on_change
         super().__init__(settings, seed, pool)
@@ -69,16 +69,16 @@
 
 
 class StandaloneFeed(ClusterFeed):
-    """A feed with its own decision module, endpoint registry, sources and health checks."""
+    """A feed with its own balancer, endpoint registry, sources and health checks."""
 
     def __init__(self, name: str, table: ClusterTable, seed: int, on_change: Callable[[str], None]) -> None:
-        """Creates the feed without starting it. Raises ValueError if a file of addresses cannot be used."""
+        """Creates the feed without starting it. Raises ValueError if an address file cannot be used."""
         self._table = table
         self._pool = ConnectionPool(
             int(table.probe.timeout_s * 1e6), IDLE_TIMEOUT_US, table.columns, DescriptorBudget(DESCRIPTORS)
         )
         dispatcher = StandaloneDispatcher(
-            decision_settings(table), seed, self._pool, name, lambda: on_change(name)
+            balancer_settings(table), seed, self._pool, name, lambda: on_change(name)
         )
         super().__init__(name, dispatcher, EndpointRegistry(dispatcher, self._pool, (), ()), on_change)
         dispatcher.start()
@@ -93,7 +93,7 @@
     def start(self, cached_list: Any = None) -> None:
         """Starts to watch discovery and the other sources, and to check servers.
 
-        Until a source provides a list, the servers are those of `cached_list`, which counts as old.
+        Until a source provides a list, the servers are those of `cached_list`, which counts as a cached list.
         """
         if cached_list is not None:
             try:
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -34,8 +34,9 @@
     frame,
 )
 
-# The delay before a worker that has exited is restarted doubles with each restart, up to the maximum. It is reset
-# to the first value if the worker ran for longer than the maximum.
+# A worker that has exited is restarted after `FIRST_BACKOFF_S` if it ran for longer than `MAX_BACKOFF_S`. Otherwise
+# the delay is twice the previous one, at most `MAX_BACKOFF_S`; before the first restart, the previous delay counts as
+# `FIRST_BACKOFF_S`.
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 START_TIMEOUT_S = 20.0  # how long a new worker may take until it listens
