--- a/benchmarks/shifts.py
+++ b/benchmarks/shifts.py
@@ -28,15 +28,15 @@
 from harecross.shifts.simulation import LoadScenario, SimulationResult, simulate
 
 SIZES = {
-    "errors +1%": LoadScenario(errors=0.012),
-    "errors +2%": LoadScenario(errors=0.022),
-    "errors +5%": LoadScenario(errors=0.052),
-    "errors +20%": LoadScenario(errors=0.202),
-    "slow x1.25": LoadScenario(slow=1.25),
-    "slow x1.5": LoadScenario(slow=1.5),
-    "slow x2": LoadScenario(slow=2.0),
-    "slow x4": LoadScenario(slow=4.0),
-    "errors +50% for a tenth": LoadScenario(errors=0.5, only=lambda unit: unit % 10 == 0),
+    "errors +1%": LoadScenario(error_fraction=0.012),
+    "errors +2%": LoadScenario(error_fraction=0.022),
+    "errors +5%": LoadScenario(error_fraction=0.052),
+    "errors +20%": LoadScenario(error_fraction=0.202),
+    "slow x1.25": LoadScenario(latency_factor=1.25),
+    "slow x1.5": LoadScenario(latency_factor=1.5),
+    "slow x2": LoadScenario(latency_factor=2.0),
+    "slow x4": LoadScenario(latency_factor=4.0),
+    "errors +50% for a tenth": LoadScenario(error_fraction=0.5, affects_unit=lambda unit: unit % 10 == 0),
 }
 
 
--- a/harecross/shifts/cli.py
+++ b/harecross/shifts/cli.py
@@ -84,11 +84,11 @@
     if name == "none":
         return None
     scenario = {
-        "slow": LoadScenario(slow=size),
-        "errors": LoadScenario(errors=size),
-        "late": LoadScenario(slow=LATE_FACTOR),
-        "vanished": LoadScenario(lost=1.0),
-        "both-slow": LoadScenario(slow=LATE_FACTOR),
+        "slow": LoadScenario(latency_factor=size),
+        "errors": LoadScenario(error_fraction=size),
+        "late": LoadScenario(latency_factor=LATE_FACTOR),
+        "vanished": LoadScenario(lost_fraction=1.0),
+        "both-slow": LoadScenario(latency_factor=LATE_FACTOR),
     }[name]
     both = name == "both-slow"
     return lambda since_s, share, candidate: scenario if candidate or both else None
--- a/harecross/shifts/controller.py
+++ b/harecross/shifts/controller.py
@@ -11,7 +11,7 @@
 from harecross.shifts.eprocess import PoolCounts
 from harecross.shifts.judge import FirstAttempt
 from harecross.shifts.plan import Plan
-from harecross.shifts.shift import Decision, Order, OrderRefusedError, Shift
+from harecross.shifts.shift import CommandRejectedError, Decision, OperatorCommand, Shift
 from harecross.store.errors import FencedError, StoreError
 from harecross.store.leases import Lease
 from harecross.store.store import Store
@@ -42,7 +42,7 @@
         self._unstored_undo: Decision | None = None  # done, and not stored yet
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether it holds the lease."""
         return self.lease is not None
 
@@ -70,17 +70,22 @@
         self._publish()
         return decision
 
-    def order(self, now: float, wall: float, order: Order) -> Decision:
-        """Carries out an operator's order. OrderRefusedError where it does not fit, this controller does not lead, or
-        it cannot be stored; an undo is carried out all the same.
+    def execute(self, now: float, wall: float, command: OperatorCommand) -> Decision:
+        """Executes an operator's command and publishes the resulting share.
+
+        An undo is executed even if it cannot be stored.
+
+        Raises:
+            CommandRejectedError: The command does not fit the shift's state, another controller is the leader, or the
+                decision cannot be stored.
         """
         if not self.renew_lease(now, wall):
-            raise OrderRefusedError(f"{order}: another controller leads")
+            raise CommandRejectedError(f"{command}: another controller leads")
         before = self.shift.to_json()
-        decision = self.shift.order(now, wall, order)
+        decision = self.shift.execute(now, wall, command)
         if not self._store(now, wall, decision) and not self._must_apply(decision):
             self.shift.restore(now, before)
-            raise OrderRefusedError(f"{order}: {self.store_problem}")
+            raise CommandRejectedError(f"{command}: {self.store_problem}")
         self._publish()
         return decision
 
--- a/harecross/shifts/shift.py
+++ b/harecross/shifts/shift.py
@@ -54,7 +54,7 @@
     PLAN_CHANGED = "the plan has changed since it was started"
 
 
-class Order(StrEnum):
+class OperatorCommand(StrEnum):
     """What operators may order."""
 
     START = "start"
@@ -67,7 +67,7 @@
 ENDED_BY_OPERATORS = frozenset({PauseCause.OPERATOR, PauseCause.PLAN_CHANGED})
 
 
-class OrderRefusedError(ValueError):
+class CommandRejectedError(ValueError):
     """An order that does not fit the state, or cannot be carried out; the text says why."""
 
 
@@ -128,26 +128,26 @@
 
     # ---- operators ------------------------------------------------------------------------------------------
 
-    def order(self, now: float, wall: float, order: Order) -> Decision:
-        """Carries out an operator's order. OrderRefusedError where it does not fit the state."""
-        if order == Order.START and not self.started:
+    def execute(self, now: float, wall: float, command: OperatorCommand) -> Decision:
+        """Carries out an operator's order. CommandRejectedError where it does not fit the state."""
+        if command == OperatorCommand.START and not self.started:
             self.step = 0
             self._pools_seen(now)
             return self.enter(now, wall, ShiftState.RUNNING, "started by an operator")
         if not self.started:
-            raise OrderRefusedError(f"{order}: it has not been started")
-        if order == Order.PAUSE and self._can_pause():
+            raise CommandRejectedError(f"{command}: it has not been started")
+        if command == OperatorCommand.PAUSE and self._can_pause():
             reason = f"paused: {PauseCause.OPERATOR}"
             return self.enter(now, wall, ShiftState.PAUSED, reason, PauseCause.OPERATOR)
-        if order == Order.RESUME and self.state == ShiftState.PAUSED:
+        if command == OperatorCommand.RESUME and self.state == ShiftState.PAUSED:
             self._pools_seen(now)
             return self.enter(now, wall, ShiftState.RUNNING, "resumed by an operator")
-        if order == Order.UNDO and self.state not in (ShiftState.UNDOING, ShiftState.UNDONE):
+        if command == OperatorCommand.UNDO and self.state not in (ShiftState.UNDOING, ShiftState.UNDONE):
             return self.enter(now, wall, ShiftState.UNDOING, "undone by an operator")
-        if order == Order.DONE and self.state == ShiftState.HELD:
+        if command == OperatorCommand.DONE and self.state == ShiftState.HELD:
             return self.enter(now, wall, ShiftState.DONE, "confirmed by an operator")
         by = f", by {self.cause}" if self.cause else ""
-        raise OrderRefusedError(f"{order}: it is {self.state}{by}")
+        raise CommandRejectedError(f"{command}: it is {self.state}{by}")
 
     def _can_pause(self) -> bool:
         pausable = self.state in (ShiftState.RUNNING, ShiftState.PAUSED)
--- a/harecross/shifts/simulation.py
+++ b/harecross/shifts/simulation.py
@@ -14,7 +14,7 @@
 from harecross.shifts.eprocess import PoolCounts
 from harecross.shifts.judge import FirstAttempt
 from harecross.shifts.plan import Plan, goes_to_candidate
-from harecross.shifts.shift import Decision, Order, Shift, ShiftState
+from harecross.shifts.shift import Decision, OperatorCommand, Shift, ShiftState
 
 LATENCY_OBJECTIVE_S = 1.0
 MEDIAN_LATENCY_S = 0.12
@@ -29,10 +29,10 @@
 class LoadScenario:
     """How a pool behaves at one moment. The defaults are those of a healthy one."""
 
-    slow: float = 1.0  # multiplies latencies
-    errors: float = 0.002  # share of attempts
-    lost: float = 0.001  # share of attempts that get no answer
-    only: Callable[[int], bool] = field(default=lambda unit: True)  # the units that are affected
+    latency_factor: float = 1.0  # multiplies latencies
+    error_fraction: float = 0.002  # share of attempts
+    lost_fraction: float = 0.001  # share of attempts that get no answer
+    affects_unit: Callable[[int], bool] = field(default=lambda unit: True)  # the units that are affected
 
 
 HEALTHY = LoadScenario()
@@ -93,7 +93,7 @@
         self._fault_began: float | None = None
         self._warmup_s = 0.0  # left
         self._shift = Shift(plan, (REQUEST_CLASS,), 0.0)
-        decisions = [self._shift.order(0.0, 0.0, Order.START)]
+        decisions = [self._shift.execute(0.0, 0.0, OperatorCommand.START)]
         self._weights = [1.0 / (1 + self._rng.paretovariate(1.2)) for _ in range(UNITS)]
         self._result = SimulationResult(ShiftState.RUNNING, 0.0, 0, decisions)
 
@@ -133,11 +133,11 @@
     def _attempt(self, unit: int) -> FirstAttempt:
         candidate = goes_to_candidate(self._plan.name, b"%d" % unit, self._shift.share)
         scenario = self._faulty_scenario(candidate)
-        faulty = scenario is not None and scenario.only(unit)
+        faulty = scenario is not None and scenario.affects_unit(unit)
         present = scenario if scenario is not None and faulty else HEALTHY
         latency_s = self._latency_s(present, warming_up=candidate and self._warmup_s > 0)
-        failed = self._rng.random() < present.errors + present.lost
-        if self._rng.random() < present.lost:
+        failed = self._rng.random() < present.error_fraction + present.lost_fraction
+        if self._rng.random() < present.lost_fraction:
             latency_s = inf
         late = latency_s > LATENCY_OBJECTIVE_S
         if candidate and faulty and (failed or late):
@@ -150,7 +150,7 @@
         return self._fault(self._now - self._fault_began, self._shift.share, candidate)
 
     def _latency_s(self, scenario: LoadScenario, *, warming_up: bool) -> float:
-        latency_s = MEDIAN_LATENCY_S * scenario.slow * exp(self._rng.gauss(0, 0.5))
+        latency_s = MEDIAN_LATENCY_S * scenario.latency_factor * exp(self._rng.gauss(0, 0.5))
         if warming_up:
             latency_s *= WARMUP_FACTOR
         if self._rng.random() < 0.01:
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -35,7 +35,7 @@
 from harecross.shifts.eprocess import PoolCounts
 from harecross.shifts.judge import FirstAttempt
 from harecross.shifts.plan import read_plan
-from harecross.shifts.shift import Order
+from harecross.shifts.shift import OperatorCommand
 from harecross.soak import __main__ as soak_main
 from harecross.soak.oracle import Breach, Oracle
 from harecross.soak.plan import Plan
@@ -104,15 +104,15 @@
     """Writes a shift that was started, recorded some failures, and was paused and resumed by an operator."""
     store = Store(str(path))
     controller = shift_controller(store)
-    controller.order(0.0, START_UNIX_S, Order.START)
+    controller.execute(0.0, START_UNIX_S, OperatorCommand.START)
     for second in range(1, 5):
         attempts = [
             FirstAttempt(unit, "read", unit >= 20, 0.05, failed=unit == 20 + second, late=unit == second)
             for unit in range(30)
         ]
         controller.close_window(float(second), START_UNIX_S + second, attempts, PoolCounts(5, 5), 0)
-    controller.order(5.0, START_UNIX_S + 5, Order.PAUSE)
-    controller.order(6.0, START_UNIX_S + 6, Order.RESUME)
+    controller.execute(5.0, START_UNIX_S + 5, OperatorCommand.PAUSE)
+    controller.execute(6.0, START_UNIX_S + 6, OperatorCommand.RESUME)
     store.close()
 
 
--- a/tests/test_shifts.py
+++ b/tests/test_shifts.py
@@ -16,8 +16,8 @@
 from harecross.shifts.plan import JudgeSettings, Plan, Pool, Step, goes_to_candidate, read_plan
 from harecross.shifts.shift import (
     RESUME_AFTER_S,
-    Order,
-    OrderRefusedError,
+    CommandRejectedError,
+    OperatorCommand,
     PauseCause,
     Shift,
     ShiftState,
@@ -47,14 +47,18 @@
 
 
 FAULTS = {
-    "slow": in_candidate(LoadScenario(slow=3.0)),
-    "late": in_candidate(LoadScenario(slow=10.0)),
-    "errors": in_candidate(LoadScenario(errors=0.3)),
-    "fast errors": in_candidate(LoadScenario(slow=0.1, errors=0.5)),
-    "vanished": in_candidate(LoadScenario(lost=1.0)),
-    "a tenth of the keys": in_candidate(LoadScenario(errors=0.9, only=lambda unit: unit % 10 == 0)),
-    "a little": in_candidate(LoadScenario(errors=0.06)),
-    "by and by": lambda since_s, share, candidate: LoadScenario(slow=1 + since_s / 20) if candidate else None,
+    "slow": in_candidate(LoadScenario(latency_factor=3.0)),
+    "late": in_candidate(LoadScenario(latency_factor=10.0)),
+    "errors": in_candidate(LoadScenario(error_fraction=0.3)),
+    "fast errors": in_candidate(LoadScenario(latency_factor=0.1, error_fraction=0.5)),
+    "vanished": in_candidate(LoadScenario(lost_fraction=1.0)),
+    "a tenth of the keys": in_candidate(
+        LoadScenario(error_fraction=0.9, affects_unit=lambda unit: unit % 10 == 0)
+    ),
+    "a little": in_candidate(LoadScenario(error_fraction=0.06)),
+    "by and by": lambda since_s, share, candidate: (
+        LoadScenario(latency_factor=1 + since_s / 20) if candidate else None
+    ),
 }
 
 
@@ -77,7 +81,7 @@
 
 def test_trouble_that_both_pools_share_pauses_and_does_not_undo():
     def both(since_s, share, candidate):
-        return LoadScenario(slow=12.0 if candidate else 10.0) if since_s < 120 else None
+        return LoadScenario(latency_factor=12.0 if candidate else 10.0) if since_s < 120 else None
 
     for seed in range(6):
         result = simulate(PLAN, seed, both, fault_start=lambda now, share: now > 30)
@@ -106,7 +110,7 @@
 
 def started_shift() -> Shift:
     shift = Shift(PLAN, ("read",), 0.0)
-    shift.order(0.0, 0.0, Order.START)
+    shift.execute(0.0, 0.0, OperatorCommand.START)
     return shift
 
 
@@ -171,11 +175,13 @@
     assert shift.share == 0.0
 
 
-@pytest.mark.parametrize("order", [Order.PAUSE, Order.RESUME, Order.UNDO, Order.DONE])
-def test_a_shift_that_has_not_been_started_takes_no_other_order(order):
+@pytest.mark.parametrize(
+    "command", [OperatorCommand.PAUSE, OperatorCommand.RESUME, OperatorCommand.UNDO, OperatorCommand.DONE]
+)
+def test_a_shift_that_has_not_been_started_accepts_no_other_command(command):
     shift = Shift(PLAN, ("read",), 0.0)
-    with pytest.raises(OrderRefusedError):
-        shift.order(0.0, 0.0, order)
+    with pytest.raises(CommandRejectedError):
+        shift.execute(0.0, 0.0, command)
     assert shift.share == 0.0
 
 
@@ -185,22 +191,22 @@
 
 def test_only_an_operator_ends_an_operators_pause():
     shift = started_shift()
-    shift.order(1.0, 1.0, Order.PAUSE)
+    shift.execute(1.0, 1.0, OperatorCommand.PAUSE)
     close_windows(shift, 1.0, 60)
     assert shift.state == ShiftState.PAUSED
     assert shift.share == 0.05
 
 
-@pytest.mark.parametrize("order", list(Order))
-def test_an_undone_shift_stays_so(order):
+@pytest.mark.parametrize("command", list(OperatorCommand))
+def test_an_undone_shift_stays_so(command):
     shift = started_shift()
-    shift.order(1.0, 1.0, Order.PAUSE)
+    shift.execute(1.0, 1.0, OperatorCommand.PAUSE)
     now = close_windows(shift, 1.0, 60)
-    shift.order(now, now, Order.UNDO)
+    shift.execute(now, now, OperatorCommand.UNDO)
     now = close_windows(shift, now, 60)
     assert shift.state == ShiftState.UNDONE
-    with pytest.raises(OrderRefusedError):
-        shift.order(now, now, order)
+    with pytest.raises(CommandRejectedError):
+        shift.execute(now, now, command)
 
 
 def test_a_unit_that_goes_to_the_candidate_at_one_share_goes_there_at_every_larger_one():
@@ -254,7 +260,7 @@
 
         controller = begin("one", 0.0, True)
         try:
-            controller.order(0.0, 0.0, Order.START)
+            controller.execute(0.0, 0.0, OperatorCommand.START)
             while now < 70:
                 now += 1.0
                 errors = 0.5 if controller.shift.share >= 0.3 else 0.0
@@ -278,7 +284,7 @@
         assert all(s in steps for s in shares)
         now += LEASE_S + 1
         after.close_window(now, now, [], LISTED, 0)
-        assert after.leads and shares[-1] == (share if stored else 0.0) if shares else True
+        assert after.is_leader and shares[-1] == (share if stored else 0.0) if shares else True
         records = after.store.records(COLLECTION, PLAN.name)
         if records and stored:
             assert records[-1].body["share"] == share, "the last record is of what is stored"
@@ -296,7 +302,7 @@
             Controller(PLAN, ("read",), Store(path), name, self.publisher(name), 0.0)
             for name in ("one", "two")
         )
-        self.one.order(0.0, 0.0, Order.START)
+        self.one.execute(0.0, 0.0, OperatorCommand.START)
 
     def publisher(self, name: str):
         def publish(token: int, share: float) -> None:
@@ -311,17 +317,17 @@
     return TwoControllers(str(tmp_path / "store"))
 
 
-def test_a_controller_without_the_lease_publishes_nothing_and_takes_no_order(controllers):
+def test_a_controller_without_the_lease_publishes_nothing_and_accepts_no_command(controllers):
     controllers.two.close_window(1.0, 1.0, [], LISTED, 0)
-    with pytest.raises(OrderRefusedError, match="another controller leads"):
-        controllers.two.order(1.0, 1.0, Order.UNDO)
+    with pytest.raises(CommandRejectedError, match="another controller leads"):
+        controllers.two.execute(1.0, 1.0, OperatorCommand.UNDO)
     assert controllers.accepted == ["one"]
-    assert not controllers.two.leads
+    assert not controllers.two.is_leader
 
 
 def test_another_controller_goes_on_from_what_is_stored_once_the_lease_expires(controllers):
     controllers.two.close_window(1.0 + LEASE_S, 1.0 + LEASE_S, [], LISTED, 0)
-    assert controllers.two.leads
+    assert controllers.two.is_leader
     assert controllers.two.shift.state == ShiftState.RUNNING
 
 
@@ -333,7 +339,7 @@
         one.store.put(COLLECTION, PLAN.name, one.shift.to_json(), 12.0, lease=one.lease)
     assert not controllers.node.receive(12.0, one.lease.fencing_token, 0.9)
     one.close_window(12.0, 12.0, [], LISTED, 0)
-    assert not one.leads
+    assert not one.is_leader
     assert controllers.accepted[-1] == "two"
 
 
@@ -341,13 +347,13 @@
     raise StoreError("disk full")
 
 
-def test_without_the_store_an_order_is_refused_and_changes_nothing(tmp_path):
+def test_without_the_store_a_command_is_rejected_and_changes_nothing(tmp_path):
     store, shares = Store(str(tmp_path / "store")), []
     controller = Controller(PLAN, ("read",), store, "one", lambda token, share: shares.append(share), 0.0)
-    controller.order(0.0, 0.0, Order.START)
+    controller.execute(0.0, 0.0, OperatorCommand.START)
     store.put = full_disk
-    with pytest.raises(OrderRefusedError, match="disk full"):
-        controller.order(1.0, 1.0, Order.PAUSE)
+    with pytest.raises(CommandRejectedError, match="disk full"):
+        controller.execute(1.0, 1.0, OperatorCommand.PAUSE)
     assert controller.shift.state == ShiftState.RUNNING
     assert shares[-1] == 0.05
 
@@ -355,9 +361,9 @@
 def test_without_the_store_an_undo_is_carried_out_and_stored_later(tmp_path):
     store, shares = Store(str(tmp_path / "store")), []
     controller = Controller(PLAN, ("read",), store, "one", lambda token, share: shares.append(share), 0.0)
-    controller.order(0.0, 0.0, Order.START)
+    controller.execute(0.0, 0.0, OperatorCommand.START)
     real, store.put = store.put, full_disk
-    controller.order(2.0, 2.0, Order.UNDO)
+    controller.execute(2.0, 2.0, OperatorCommand.UNDO)
     assert shares[-1] == 0.0, "harm must not go on for as long as the disk is full"
     assert store.get(COLLECTION, PLAN.name).body["share"] == 0.05
     store.put = real
@@ -366,10 +372,10 @@
     assert store.records(COLLECTION, PLAN.name)[-1].body["why"] == "undone by an operator"
 
 
-def test_what_was_observed_survives_a_store_that_cannot_be_written_and_a_refused_order(tmp_path):
+def test_what_was_observed_survives_a_store_that_cannot_be_written_and_a_rejected_command(tmp_path):
     store = Store(str(tmp_path / "store"))
     controller = Controller(PLAN, ("read",), store, "one", lambda token, share: None, 0.0)
-    controller.order(0.0, 0.0, Order.START)
+    controller.execute(0.0, 0.0, OperatorCommand.START)
     store.put = full_disk
     for now in range(1, 16):
         attempts = [FirstAttempt(now * 100 + n, "read", n % 2 == 0, 0.1, False, False) for n in range(20)]
@@ -377,8 +383,8 @@
     test = controller.shift.judge.tests["read", "errors"]
     assert test.at_risk == (150, 150)
     assert controller.shift.step_running_s == 15.0
-    with pytest.raises(OrderRefusedError):
-        controller.order(16.0, 16.0, Order.PAUSE)
+    with pytest.raises(CommandRejectedError):
+        controller.execute(16.0, 16.0, OperatorCommand.PAUSE)
     assert test.at_risk == (150, 150)
 
 
@@ -394,7 +400,7 @@
 def test_a_plan_edited_while_it_runs_pauses_until_an_operator_resumes_it(tmp_path):
     path = str(tmp_path / "store")
     one = Controller(PLAN, ("read",), Store(path), "one", lambda token, share: None, 0.0)
-    one.order(0.0, 0.0, Order.START)
+    one.execute(0.0, 0.0, OperatorCommand.START)
     edited = Plan(PLAN.name, PLAN.control, PLAN.candidate, PLAN.steps[1:])
     two = Controller(edited, ("read",), Store(path), "two", lambda token, share: None, 0.0)
     now = LEASE_S + 1
@@ -403,7 +409,7 @@
         now += 1
     assert two.shift.state == ShiftState.PAUSED
     assert two.shift.cause == PauseCause.PLAN_CHANGED
-    two.order(now, now, Order.RESUME)
+    two.execute(now, now, OperatorCommand.RESUME)
     assert two.shift.state == ShiftState.RUNNING
 
 
