--- a/harecross/fleet/__init__.py
+++ b/harecross/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""A model of a fleet's nodes before one discovery, in virtual time: what all nodes do at once.
+"""Simulations of a fleet in virtual time: what happens if all nodes act at the same moment.
 
-No sockets and no clock: the nodes are `discovery.subscription_schedule.SubscriptionSchedule`, as nodes run it.
+Simulated nodes decide with the classes and functions that real nodes use, such as
+`discovery.subscription_schedule.SubscriptionSchedule`.
 """
--- a/harecross/fleet/cli.py
+++ b/harecross/fleet/cli.py
@@ -1,5 +1,7 @@
-"""`harecross fleet`: what all nodes do at once, on a model. Status 0 if the fleet recovers and keeps to its bounds,
-1 if not, 2 for wrong use, 130 after an interrupt.
+"""`harecross fleet`: simulations of a fleet whose nodes all act at the same moment.
+
+The exit status is 0 if the fleet recovers and stays within its bounds, 1 if it does not, 2 for invalid arguments or
+files, and 130 after an interrupt.
 """
 
 from __future__ import annotations
@@ -18,34 +20,47 @@
     from harecross.fleet.result import RehearsalResult
     from harecross.fleet.tier_load import BoundedSum
 
-Played = TypeVar("Played")
-fleet_app = typer.Typer(no_args_is_help=True, help="What all nodes do at once, on a model.")
+ResultT = TypeVar("ResultT")
+fleet_app = typer.Typer(no_args_is_help=True, help="Simulate a fleet whose nodes all act at the same moment.")
 
-Nodes = Annotated[int | None, typer.Option(min=1, max=20_000, help="Nodes that listen.")]
+Nodes = Annotated[int | None, typer.Option(min=1, max=20_000, help="Nodes that subscribe to discovery.")]
 TierNodes = Annotated[int | None, typer.Option(min=1, max=20_000, help="Nodes that call the tier.")]
-Rate = Annotated[float | None, typer.Option(min=0.001, help="Calls a second.")]
-TriggerName = Annotated[str | None, typer.Option(help="silent, ended, broken, restart or down.")]
-Waits = Annotated[str, typer.Option(help="turns, as nodes do; or former, even, jitter, together.")]
+Rate = Annotated[float | None, typer.Option(min=0.001, help="Calls that discovery serves per second.")]
+TriggerName = Annotated[str | None, typer.Option(help="The event: silent, ended, broken, restart or down.")]
+Waits = Annotated[
+    str,
+    typer.Option(
+        help="The schedule of calls: turns (staggered rounds, as in real nodes), former, even, jitter or together."
+    ),
+]
 Servers = Annotated[int | None, typer.Option(min=1, max=20_000, help="Servers of the tier.")]
-EventName = Annotated[str | None, typer.Option(help="calm, herd, lost, replaced or returned.")]
-Seed = Annotated[int, typer.Option()]
-Seeds = Annotated[int, typer.Option(min=1, max=10_000, help="So many days, from that seed on.")]
-AsJson = Annotated[bool, typer.Option("--json", help="To standard output.")]
-Plot = Annotated[bool, typer.Option(help="Curves of the first day.")]
-DayPath = Annotated[Path | None, typer.Argument(help="The day (TOML); without it, the options alone.")]
+EventName = Annotated[str | None, typer.Option(help="The event: calm, herd, lost, replaced or returned.")]
+Seed = Annotated[int, typer.Option(help="The seed of the first run.")]
+Seeds = Annotated[int, typer.Option(min=1, max=10_000, help="The number of runs, with consecutive seeds.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON to standard output.")]
+Plot = Annotated[bool, typer.Option(help="Plot the first run.")]
+ScenarioPath = Annotated[
+    Path | None,
+    typer.Argument(
+        help="The TOML file of the fleet; without it, defaults apply. Options override its values."
+    ),
+]
 TierPath = Annotated[
-    Path | None, typer.Argument(help="The fleet and its tier (TOML); without it, the options alone.")
+    Path | None,
+    typer.Argument(
+        help="The TOML file of the fleet and its tier; without it, defaults apply. Options override its values."
+    ),
 ]
 
 
 @fleet_app.callback()
 def group() -> None:
-    """What all nodes do at once, on a model."""
+    """Simulate a fleet whose nodes all act at the same moment."""
 
 
 @fleet_app.command("rehearse")
 def rehearse(
-    path: DayPath = None,
+    path: ScenarioPath = None,
     nodes: Nodes = None,
     discovery_rate: Rate = None,
     trigger: TriggerName = None,
@@ -55,14 +70,14 @@
     plot: Plot = True,
     as_json: AsJson = False,
 ) -> None:
-    """Every watch is lost at one instant: who knows the list when, and whether the fleet comes back by itself."""
+    """Simulate the loss of all watches at once: when nodes have the list again, and whether all of them recover."""
     from harecross.fleet.schedules import SCHEDULES
 
     if waits not in SCHEDULES:
-        exit_with_error(f"--waits {waits}: one of {', '.join(SCHEDULES)}")
-    fleet = read(path, nodes, discovery_rate, trigger)
+        exit_with_error(f"--waits: {waits!r} is not one of {', '.join(SCHEDULES)}")
+    fleet = load_fleet(path, nodes, discovery_rate, trigger)
     try:
-        results = play_rehearsals(fleet, waits, seed, seeds)
+        results = run_rehearsals(fleet, waits, seed, seeds)
     except ValueError as error:
         exit_with_error(f"{path or 'options'}: {error}")
     from harecross.fleet.report import print_rehearsals, rehearsal_row
@@ -76,15 +91,18 @@
         raise typer.Exit(1)
 
 
-def play_rehearsals(fleet: FleetFile, waits: str, seed: int, seeds: int) -> list[RehearsalResult]:
-    """The rehearsals of so many seeds, from `seed` on. ValueError for a scenario that cannot be."""
+def run_rehearsals(fleet: FleetFile, waits: str, seed: int, seeds: int) -> list[RehearsalResult]:
+    """Runs one rehearsal for each of `seeds` consecutive seeds, starting with `seed`.
+
+    Raises ValueError if the values of the fleet do not make a valid scenario.
+    """
     from harecross.fleet.rehearsal import Rehearsal
     from harecross.fleet.schedules import SCHEDULES
 
-    def play(number: int) -> RehearsalResult:
-        return Rehearsal(fleet.scenario(seed + number), SCHEDULES[waits]).run()
+    def run(offset: int) -> RehearsalResult:
+        return Rehearsal(fleet.scenario(seed + offset), SCHEDULES[waits]).run()
 
-    return play_days(fleet.fleet.nodes, seeds, play)
+    return run_seeds(fleet.fleet.nodes, seeds, run)
 
 
 @fleet_app.command("sums")
@@ -97,60 +115,71 @@
     seeds: Seeds = 1,
     as_json: AsJson = False,
 ) -> None:
-    """What all nodes add up to at one server, beside the bound that arithmetic gives. 1 where one is over."""
+    """Simulate the load that all nodes together put on one server, and compare it with its bounds.
+
+    The exit status is 1 if a bound is exceeded.
+    """
     from harecross.fleet.tier_load import TierLoad
 
-    fleet = replace_tier(read(path, nodes, None, None), servers, event)
+    fleet = apply_tier_options(load_fleet(path, nodes, None, None), servers, event)
 
-    def play(number: int) -> dict[str, BoundedSum]:
-        return TierLoad(fleet.tier_scenario(seed + number)).run()
+    def run(offset: int) -> dict[str, BoundedSum]:
+        return TierLoad(fleet.tier_scenario(seed + offset)).run()
 
-    days = play_days(fleet.fleet.nodes, seeds, play)
-    print_sums(fleet, seed, days, as_json)
-    check_complete(len(days), seeds)
-    if not all(entry.within_bound for day in days for entry in day.values()):
+    runs = run_seeds(fleet.fleet.nodes, seeds, run)
+    print_sums(fleet, seed, runs, as_json)
+    check_complete(len(runs), seeds)
+    if not all(entry.within_bound for run_sums in runs for entry in run_sums.values()):
         raise typer.Exit(1)
 
 
-def print_sums(fleet: FleetFile, seed: int, days: list[dict[str, BoundedSum]], as_json: bool) -> None:
-    """Prints the sums of the days that were played, the first of them by `seed`."""
+def print_sums(fleet: FleetFile, seed: int, runs: list[dict[str, BoundedSum]], as_json: bool) -> None:
+    """Prints the sums of the runs; `seed` is the seed of the first run."""
     from harecross.fleet.report import print_tier_table, tier_row
 
     event = fleet.tier.event
     if as_json:
-        print(json.dumps([tier_row(number, event, day) for number, day in enumerate(days, seed)]))
+        print(
+            json.dumps([tier_row(run_seed, event, run_sums) for run_seed, run_sums in enumerate(runs, seed)])
+        )
     else:
         title = f"{fleet.fleet.nodes} nodes, {fleet.tier.servers} servers, {event}: at one server"
-        print_tier_table(title, days)
+        print_tier_table(title, runs)
+
 
+def run_seeds(nodes: int, seeds: int, run: Callable[[int], ResultT]) -> list[ResultT]:
+    """Calls `run` with 0 to `seeds` - 1 and returns the results.
 
-def play_days(nodes: int, seeds: int, play: Callable[[int], Played]) -> list[Played]:
-    """Plays so many days, one after another; an interrupt ends them early, with status 130 before the first is over."""
+    After an interrupt, returns the results of the finished runs. If there are none, ends the command with status 130.
+    """
     from rich.progress import Progress
 
     from harecross.console import err
 
-    played: list[Played] = []
+    results: list[ResultT] = []
     with Progress(console=err, transient=True, disable=not err.is_terminal) as progress:
         task = progress.add_task(f"{nodes} nodes", total=seeds)
         try:
-            for number in range(seeds):
-                played.append(play(number))
+            for offset in range(seeds):
+                results.append(run(offset))
                 progress.advance(task)
         except KeyboardInterrupt:
-            if not played:
-                exit_with_error("interrupted before the first day was over", 130)
-    return played
+            if not results:
+                exit_with_error("interrupted before the first run finished", 130)
+    return results
 
 
 def check_complete(count: int, seeds: int) -> None:
-    """Ends the command with status 130 if an interrupt left some days out."""
+    """Ends the command with status 130 if an interrupt prevented some of the runs."""
     if count < seeds:
-        exit_with_error(f"interrupted after {count} of {seeds} days", 130)
+        exit_with_error(f"interrupted after {count} of {seeds} runs", 130)
+
 
+def load_fleet(path: Path | None, nodes: int | None, rate: float | None, trigger: str | None) -> FleetFile:
+    """Reads the fleet file, or takes the defaults if `path` is None, and overrides values with those of the options.
 
-def read(path: Path | None, nodes: int | None, rate: float | None, trigger: str | None) -> FleetFile:
-    """The file's fleet, with the values that the options give instead."""
+    Ends the command if the file or an option is invalid.
+    """
     try:
         from msgspec.structs import replace
 
@@ -164,7 +193,7 @@
     except OperatorsFileError as error:
         exit_with_error(str(error))
     if trigger is not None and trigger not in list(Trigger):
-        exit_with_error(f"--trigger {trigger}: one of {', '.join(Trigger)}")
+        exit_with_error(f"--trigger: {trigger!r} is not one of {', '.join(Trigger)}")
     if nodes is not None:
         fleet = replace(fleet, fleet=replace(fleet.fleet, nodes=nodes))
     if rate is not None:
@@ -174,14 +203,14 @@
     return fleet
 
 
-def replace_tier(fleet: FleetFile, servers: int | None, event: str | None) -> FleetFile:
-    """The fleet, with the tier's values that the options give instead."""
+def apply_tier_options(fleet: FleetFile, servers: int | None, event: str | None) -> FleetFile:
+    """Returns the fleet with the tier's values overridden by those of the options."""
     from msgspec.structs import replace
 
     from harecross.fleet.tier_scenario import TierEvent
 
     if event is not None and event not in list(TierEvent):
-        exit_with_error(f"--event {event}: one of {', '.join(TierEvent)}")
+        exit_with_error(f"--event: {event!r} is not one of {', '.join(TierEvent)}")
     tier = fleet.tier
     if servers is not None:
         tier = replace(tier, servers=servers)
--- a/harecross/fleet/fleet_file.py
+++ b/harecross/fleet/fleet_file.py
@@ -1,6 +1,6 @@
-"""A fleet as a file (TOML): its nodes, its discovery, the trigger, and the tier that it calls. Checked strictly.
+"""The TOML file that describes a simulated fleet: its nodes, discovery, the trigger, and the tier that it calls.
 
-The field names are the keys of the file.
+The field names are the keys of the file. Unknown keys and values out of range are errors.
 """
 
 from __future__ import annotations
@@ -17,64 +17,105 @@
 
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 PositiveSeconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
-UpToTrigger = Annotated[float, msgspec.Meta(ge=0, le=10)]  # seconds before TRIGGER_AT_S
+# A time in seconds before the trigger; the simulation starts `TRIGGER_AT_S` before it.
+SecondsBeforeTrigger = Annotated[float, msgspec.Meta(ge=0, le=10)]
 Fraction = Annotated[float, msgspec.Meta(gt=0, le=1)]
+# The trigger occurs this long after the start of the simulation.
 TRIGGER_AT_S = 10.0
 
 
 class FleetSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet]`."""
+    """The table `[fleet]`.
+
+    Attributes:
+        nodes: The number of nodes.
+        within_s: The longest time between polls of a node without a watch, in seconds.
+    """
 
     nodes: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 40
-    within_s: PositiveSeconds = 10.0  # the longest poll interval of a node without a watch
+    within_s: PositiveSeconds = 10.0
 
 
 class DiscoverySection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[discovery]`."""
+    """The table `[discovery]`.
+
+    Attributes:
+        rate: The number of calls that discovery serves per second.
+        timeout_s: The time in seconds after which a waiting call fails; discovery still processes it.
+        overbook: The queue length above which calls are rejected, as a multiple of `timeout_s`.
+        backlog_s: The work in the queue at the trigger, in seconds.
+        spoilt: The fraction of the responses that are malformed.
+        pushed: Whether an agent on each node's machine has the list and responds immediately.
+    """
 
-    rate: Annotated[float, msgspec.Meta(gt=0, le=1_000_000)] = 8.0  # calls a second
-    timeout_s: PositiveSeconds = (
-        2.0  # a call that has waited for so long fails, and is processed all the same
-    )
-    overbook: Annotated[float, msgspec.Meta(gt=0, le=1000)] = 3.0  # the longest queue, in timeouts
-    backlog_s: Seconds = 0.0  # work in the queue at the trigger
-    spoilt: Annotated[float, msgspec.Meta(ge=0, lt=1)] = 0.0  # the malformed fraction of the answers
-    pushed: bool = False  # an agent on each node's machine has the list, and answers at once
+    rate: Annotated[float, msgspec.Meta(gt=0, le=1_000_000)] = 8.0
+    timeout_s: PositiveSeconds = 2.0
+    overbook: Annotated[float, msgspec.Meta(gt=0, le=1000)] = 3.0
+    backlog_s: Seconds = 0.0
+    spoilt: Annotated[float, msgspec.Meta(ge=0, lt=1)] = 0.0
+    pushed: bool = False
 
 
 class TriggerSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[trigger]`."""
+    """The table `[trigger]`. All times are in seconds.
+
+    Attributes:
+        what: The kind of the trigger.
+        down_s: For the trigger `down`: how long discovery refuses calls.
+        drain_s: The time from the trigger until discovery lists the first drain.
+        again_s: The interval at which discovery lists further drains; 0 means that there are none.
+        part: For the trigger `restart`: the fraction of the nodes that restart.
+        dead_s: For the trigger `restart`: how long these nodes were stopped before the trigger.
+        before_s: How long before the trigger discovery lists another drain; 0 means that there is none.
+        length_s: The length of the simulation, which starts `TRIGGER_AT_S` before the trigger.
+    """
 
     what: Trigger = Trigger.SILENT
-    down_s: Seconds = 5.0  # down: how long discovery refuses calls
-    drain_s: Seconds = 0.5  # from the trigger to the first drain in the list
-    again_s: Seconds = 0.0  # between further drains; 0: no further ones
-    part: Fraction = 1.0  # restart: the fraction of the nodes
-    dead_s: UpToTrigger = 0.0  # restart: how long the nodes had been stopped
-    before_s: UpToTrigger = 0.0  # how long before the trigger another drain is listed; 0: none
-    length_s: PositiveSeconds = 120.0  # of the rehearsal, from its start; the trigger comes at TRIGGER_AT_S
+    down_s: Seconds = 5.0
+    drain_s: Seconds = 0.5
+    again_s: Seconds = 0.0
+    part: Fraction = 1.0
+    dead_s: SecondsBeforeTrigger = 0.0
+    before_s: SecondsBeforeTrigger = 0.0
+    length_s: PositiveSeconds = 120.0
 
 
 class TierSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[tier]`: the servers that the nodes call, for `harecross fleet sums`."""
+    """The table `[tier]`: the servers that the nodes call, for `harecross fleet sums`.
+
+    Attributes:
+        servers: The number of servers.
+        zones: The number of zones that the servers are spread over.
+        rate: The mean number of requests per second of a node.
+        uneven: The ratio of the highest to the lowest traffic of a node.
+        service_s: The time in seconds that a server takes for a request.
+        load: The fraction of the servers' capacity that is in use before the event.
+        event: The event at the start of the simulation.
+        part: The fraction of the nodes (herd, lost) or of the servers (replaced) that the event affects.
+        cold_s: The time in seconds for which a started server warms up.
+        cold_from: The capacity of a server at its start, as a fraction of its full capacity.
+        multiple: The overload multiple: a warming-up server fails under this multiple of its present capacity.
+        fall_s: The overload duration: the time in seconds for which the overload must last until the server fails.
+        length_s: The length of the simulation in seconds, from the event on.
+    """
 
     servers: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 120
     zones: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 4
-    rate: Annotated[float, msgspec.Meta(gt=0, le=100_000)] = 20.0  # requests a second of a node, the mean
-    uneven: Annotated[float, msgspec.Meta(ge=1, le=100)] = 3.0  # the most traffic of a node, by the least
-    service_s: PositiveSeconds = 0.5  # that a request takes
-    load: Fraction = 0.6  # of the servers' capacity, before the event
+    rate: Annotated[float, msgspec.Meta(gt=0, le=100_000)] = 20.0
+    uneven: Annotated[float, msgspec.Meta(ge=1, le=100)] = 3.0
+    service_s: PositiveSeconds = 0.5
+    load: Fraction = 0.6
     event: TierEvent = TierEvent.CALM
-    part: Fraction = 0.7  # of the nodes (herd, lost) or the servers (replaced)
-    cold_s: PositiveSeconds = 5.0  # how long a started server warms up
-    cold_from: Fraction = 0.4  # of its capacity, at its start
-    multiple: Annotated[float, msgspec.Meta(gt=0, le=100)] = 3.0  # the overload multiple
-    fall_s: PositiveSeconds = 2.0  # the overload duration
-    length_s: Annotated[float, msgspec.Meta(gt=0, le=60)] = 6.0  # from the event on
+    part: Fraction = 0.7
+    cold_s: PositiveSeconds = 5.0
+    cold_from: Fraction = 0.4
+    multiple: Annotated[float, msgspec.Meta(gt=0, le=100)] = 3.0
+    fall_s: PositiveSeconds = 2.0
+    length_s: Annotated[float, msgspec.Meta(gt=0, le=60)] = 6.0
 
 
 class FleetFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The file. Every key is optional."""
+    """The content of the file. Every key is optional."""
 
     fleet: FleetSection = FleetSection()
     discovery: DiscoverySection = DiscoverySection()
@@ -82,7 +123,7 @@
     tier: TierSection = TierSection()
 
     def tier_scenario(self, seed: int) -> TierScenario:
-        """What `harecross fleet sums` plays."""
+        """Returns the scenario that `harecross fleet sums` simulates."""
         tier = self.tier
         return TierScenario(
             nodes=self.fleet.nodes,
@@ -103,10 +144,15 @@
         )
 
     def scenario(self, seed: int) -> Scenario:
-        """What `harecross fleet rehearse` plays. ValueError for values that do not go together."""
+        """Returns the scenario that `harecross fleet rehearse` simulates.
+
+        Raises ValueError if the simulation ends before the first drain is listed.
+        """
         discovery, trigger = self.discovery, self.trigger
         if trigger.length_s <= TRIGGER_AT_S + trigger.drain_s:
-            raise ValueError("trigger.length_s: above 10 s and trigger.drain_s together")
+            raise ValueError(
+                f"trigger.length_s: {trigger.length_s} is not greater than 10 s plus trigger.drain_s"
+            )
         return Scenario(
             nodes=self.fleet.nodes,
             seed=seed,
@@ -128,5 +174,5 @@
 
 
 def read_fleet(path: Path) -> FleetFile:
-    """The file. OperatorsFileError for one that is missing, not TOML, or holds what cannot be."""
+    """Reads a fleet file. Raises OperatorsFileError if it is missing, is not TOML, or has an invalid key or value."""
     return read_toml(path, FleetFile)
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -1,9 +1,10 @@
-"""A rehearsal in virtual time: nodes with watches, one discovery, a trigger. A seed gives the same events each time.
+"""A discrete-event simulation of nodes with watches, one discovery service and a trigger, in virtual time.
 
-At the trigger every watch falls silent, breaks or ends, or stopped nodes restart from the list that they last had;
-discovery may be down for a while. Drains are listed at stated times, and reach the nodes whose watch is open. The
-result counts the drains that a node had not received within the staleness limit, and the time in which a node might
-still send.
+At the trigger, either every watch falls silent, ends, or ends within a message, or stopped nodes restart with the list
+that they last had, or every watch ends and discovery is down for a while. Discovery lists drains at fixed times; they
+reach the nodes whose watch is open. The result counts the drains that a node had not received within the staleness
+limit, and the time during which restarted nodes could send by a list past that limit. The same seed gives the same
+events.
 """
 
 from __future__ import annotations
@@ -27,13 +28,15 @@
 from harecross.fleet.result import RehearsalResult
 from harecross.fleet.scenario import Scenario, Trigger
 
-PROCESS_START_S = 0.3  # from a process's start to its first call
+# The time from the start of a node's process to its first call.
+PROCESS_START_S = 0.3
 ScheduleFactory = Callable[[DiscoverySettings, Random], SubscriptionSchedule]
-EventHandler = Callable[[float], None]  # called with the time
+# Called with the time of the event.
+EventHandler = Callable[[float], None]
 
 
 def merge_intervals(intervals: list[tuple[float, float]]) -> list[tuple[float, float]]:
-    """The same times as intervals that do not overlap, in order."""
+    """Returns the union of the intervals as disjoint intervals, sorted by time."""
     merged: list[tuple[float, float]] = []
     for begin, end in sorted(intervals):
         if merged and begin <= merged[-1][1]:
@@ -44,7 +47,19 @@
 
 
 class NodeModel:
-    """One node of the rehearsal."""
+    """One simulated node.
+
+    Attributes:
+        schedule: The schedule of its calls to discovery.
+        readiness: The readiness of its list if its process started during the rehearsal, else None.
+        stopped: Whether its process is stopped.
+        started_at: When its process started, or -inf if that was before the rehearsal.
+        ready_at: When discovery first confirmed a list to the restarted process; inf until then, -inf if the node has
+            not restarted.
+        subscribed_at: When it first subscribed again after the trigger, or inf if it has not done so yet.
+        change_times: When the node received each change of the list, in the order of the changes.
+        generation: A counter that invalidates scheduled events: events of an earlier generation are ignored.
+    """
 
     __slots__ = (
         "change_times",
@@ -59,17 +74,17 @@
 
     def __init__(self, schedule: SubscriptionSchedule) -> None:
         self.schedule = schedule
-        self.readiness: ListReadiness | None = None  # of a process that started within the rehearsal
+        self.readiness: ListReadiness | None = None
         self.stopped = False
         self.started_at = -inf
-        self.ready_at = -inf  # when it might send
-        self.subscribed_at = inf  # after the trigger
-        self.change_times: list[float] = []  # by change: when the node received it
-        self.generation = 0  # of its events; an event of an earlier generation is void
+        self.ready_at = -inf
+        self.subscribed_at = inf
+        self.change_times: list[float] = []
+        self.generation = 0
 
 
 class Rehearsal:
-    """The events of a scenario in order."""
+    """Runs the events of one scenario in the order of their times."""
 
     def __init__(self, scenario: Scenario, schedule_factory: ScheduleFactory = SubscriptionSchedule) -> None:
         self.scenario = scenario
@@ -79,25 +94,31 @@
         self.result = RehearsalResult(scenario, [], [])
         self._events: list[tuple[float, int, EventHandler]] = []
         self._event_count = 0
-        self._listed_at: list[float] = []  # by change
-        self._received_at: list[list[float]] = []  # by change: when each node received it
+        # When discovery listed each change.
+        self._listed_at: list[float] = []
+        # For each change, when each of the nodes that have it received it.
+        self._received_at: list[list[float]] = []
 
     def _new_schedule(self, schedule_factory: ScheduleFactory, index: int) -> SubscriptionSchedule:
         settings = DiscoverySettings(True, self.scenario.nodes, index, self.scenario.max_poll_interval)
         return schedule_factory(settings, Random(self.rng.getrandbits(64)))
 
     def run(self) -> RehearsalResult:
-        """Plays the scenario to its end."""
+        """Runs the scenario to its end and returns the result."""
         for position, node in enumerate(self.nodes, 1):
             self._subscribe_at_start(node, position)
         self._schedule_scenario()
         while self._events and self._events[0][0] <= self.scenario.duration:
             now, _, handler = heapq.heappop(self._events)
             handler(now)
-        return self._finish()
+        return self._collect_result()
 
     def _subscribe_at_start(self, node: NodeModel, position: int) -> None:
-        """A node of a fleet that started at once: it remembers the queue that it met, and its watch is open."""
+        """Subscribes a node that started together with the whole fleet; `position` is its place in discovery's queue.
+
+        A node whose first call timed out in that queue goes into the trigger with a schedule that knows of the long
+        queue.
+        """
         scenario, schedule = self.scenario, node.schedule
         call_timeout = scenario.discovery.call_timeout_s
         queued_s = position / scenario.discovery.calls_per_second
@@ -116,7 +137,7 @@
             self._add_event(scenario.trigger_at - scenario.stopped_before, self._stop_nodes)
         if scenario.earlier_drain > 0:
             self._add_event(scenario.trigger_at - scenario.earlier_drain, self._list_drain)
-        self._add_event(scenario.trigger_at, self._pull_trigger)
+        self._add_event(scenario.trigger_at, self._fire_trigger)
         drain_at = scenario.trigger_at + scenario.drain_delay
         while drain_at < scenario.duration:
             self._add_event(drain_at, self._list_drain)
@@ -126,10 +147,8 @@
         self._event_count += 1
         heapq.heappush(self._events, (at, self._event_count, handler))
 
-    # ---- events -------------------------------------------------------------------------------------------
-
     def _restarted_nodes(self) -> list[NodeModel]:
-        """The same part of the nodes in the whole rehearsal."""
+        """Returns the nodes that restart at the trigger, always the same ones within a rehearsal."""
         return self.nodes[: ceil(self.scenario.restart_fraction * len(self.nodes))]
 
     def _stop_nodes(self, now: float) -> None:
@@ -137,18 +156,18 @@
             node.generation += 1
             node.stopped = True
 
-    def _pull_trigger(self, now: float) -> None:
+    def _fire_trigger(self, now: float) -> None:
         trigger = self.scenario.trigger
         self.discovery.idle_at = now + self.scenario.backlog
         affected = self._restarted_nodes() if trigger is Trigger.RESTART else self.nodes
         for node in self.nodes[len(affected) :]:
-            node.subscribed_at = now  # its watch stays open
+            node.subscribed_at = now  # the watches of the other nodes stay open
         for node in affected:
             node.generation += 1
             if trigger is Trigger.RESTART:
                 self._restart(node, now)
             elif trigger is Trigger.SILENT:
-                # Heartbeats of one service come to all nodes at once, the last one at the trigger.
+                # Discovery sends heartbeats to all nodes at the same moment; the last one is sent at the trigger.
                 self._add_event(now + WATCH_HEARTBEAT_TIMEOUT_S, self._call_end_handler(node, CallEnd.SILENT))
             else:
                 end = CallEnd.MALFORMED if trigger is Trigger.BROKEN else CallEnd.ENDED
@@ -171,13 +190,16 @@
                 self._receive_changes(node, now)
 
     def _receive_changes(self, node: NodeModel, now: float) -> None:
-        """The node receives all changes that it does not have yet."""
+        """Records that a node receives all changes that it does not have yet."""
         for received_at in self._received_at[len(node.change_times) :]:
             received_at.append(now)
             node.change_times.append(now)
 
     def _call_end_handler(self, node: NodeModel, end: CallEnd) -> EventHandler:
-        """Ends the node's present call and schedules the next, unless its state has changed by then."""
+        """Returns a handler that ends the node's current call and schedules the next one.
+
+        The handler does nothing if the node's generation has changed by then.
+        """
         generation = node.generation
 
         def handler(now: float) -> None:
@@ -193,11 +215,11 @@
 
         def handler(now: float) -> None:
             if node.generation == generation:
-                self._call(node, now)
+                self._start_call(node, now)
 
         self._add_event(node.schedule.next_call_at, handler)
 
-    def _call(self, node: NodeModel, now: float) -> None:
+    def _start_call(self, node: NodeModel, now: float) -> None:
         scenario = self.scenario
         second = int(now - scenario.trigger_at)
         node.schedule.call_started(now)
@@ -213,7 +235,7 @@
         self._add_event(result.ended_at, self._list_handler(node))
 
     def _list_handler(self, node: NodeModel) -> EventHandler:
-        """The node receives the full list, or the malformed part of one."""
+        """Returns a handler by which the node receives the full list or a malformed response."""
         malformed = self.rng.random() < self.scenario.malformed_fraction
         generation = node.generation
 
@@ -237,29 +259,27 @@
             node.ready_at = min(node.ready_at, now)
         self._receive_changes(node, now)
 
-    # ---- the result ---------------------------------------------------------------------------------------
-
-    def _finish(self) -> RehearsalResult:
+    def _collect_result(self) -> RehearsalResult:
         result = self.result
         result.recovery_times = sorted(node.subscribed_at - self.scenario.trigger_at for node in self.nodes)
         for node in self.nodes:
             if node.readiness is not None:
-                self._add_start(node, node.readiness)
+                self._add_restart(node, node.readiness)
         result.ready_times.sort()
         for listed_at, received_at in zip(self._listed_at, self._received_at, strict=True):
             self._add_drain(listed_at, received_at)
         result.wasted_calls, result.rejected_calls = self.discovery.wasted, self.discovery.rejected
         return result
 
-    def _add_start(self, node: NodeModel, readiness: ListReadiness) -> None:
-        """Adds the figures of a node that restarted."""
+    def _add_restart(self, node: NodeModel, readiness: ListReadiness) -> None:
+        """Adds the measurements of a node that restarted to the result."""
         ready_at = min(node.ready_at, max(readiness.wait_until, node.started_at))
         self.result.ready_times.append(ready_at - node.started_at)
         self.result.start_wait_s += min(ready_at, self.scenario.duration) - node.started_at
         self.result.stale_send_s += self._stale_send_s(node, ready_at)
 
     def _add_drain(self, listed_at: float, received_at: list[float]) -> None:
-        """Adds the figures of one drain. A node that never received it counts with an infinite delay."""
+        """Adds the delays of one drain to the result; the delay of a node that never received it is infinite."""
         delays = sorted(at - listed_at for at in received_at)
         delays += [inf] * (len(self.nodes) - len(received_at))
         if not self.result.first_drain_delays:
@@ -268,9 +288,10 @@
             self.result.late_drains += sum(delay > STALENESS_LIMIT_S for delay in delays)
 
     def _stale_send_s(self, node: NodeModel, ready_at: float) -> float:
-        """How long a restarted node might send without a change that it counts as notified of, in seconds.
+        """Returns how long a restarted node could send without a change of which it counts as notified, in seconds.
 
-        It counts as notified of a change that its agent has from its start on, of any other after the staleness limit.
+        With a local agent, the node counts as notified of a change as soon as the agent has it and the node has
+        started. Otherwise it counts as notified once the staleness limit has passed as well.
         """
         limit = 0.0 if self.scenario.local_agent else STALENESS_LIMIT_S
         intervals: list[tuple[float, float]] = []
--- a/harecross/fleet/report.py
+++ b/harecross/fleet/report.py
@@ -1,4 +1,4 @@
-"""The figures of rehearsals and of tier models, as tables, a plot and JSON rows."""
+"""Reports of rehearsals and of tier simulations: tables, a plot and JSON rows."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 from harecross.fleet.result import RehearsalResult
 from harecross.fleet.tier_load import BoundedSum
 
-REPORTED_FRACTIONS = (0.5, 0.9, 0.99, 1.0)  # of the nodes
+# Times are reported for these fractions of the nodes.
+REPORTED_FRACTIONS = (0.5, 0.9, 0.99, 1.0)
 MAX_TABLE_ROWS = 20
 MAX_PLOTTED_RECOVERY_S = 60.0
 
 
 def rehearsal_row(result: RehearsalResult) -> dict[str, Any]:
-    """One rehearsal's figures for programs; null for what did not happen."""
+    """Returns one rehearsal's result as a JSON object; a time is None if the nodes did not recover."""
     scenario = result.scenario
     recovery: dict[str, float | None] = {}
     for fraction in REPORTED_FRACTIONS:
         time = result.recovery_time(fraction)
         recovery[f"{fraction:g}"] = None if time == inf else round(time, 3)
     ready = {
-        f"{part:g}": round(result.ready_time(part), 3) for part in REPORTED_FRACTIONS if result.ready_times
+        f"{fraction:g}": round(result.ready_time(fraction), 3)
+        for fraction in REPORTED_FRACTIONS
+        if result.ready_times
     }
     return {
         "seed": scenario.seed,
@@ -40,28 +43,28 @@
 
 
 def tier_row(seed: int, event: str, sums: dict[str, BoundedSum]) -> dict[str, Any]:
-    """One tier model's figures for programs."""
+    """Returns the result of one tier simulation as a JSON object."""
     figures = {name: {"most": entry.highest, "bound": entry.bound} for name, entry in sums.items()}
     return {"seed": seed, "event": event, "sums": figures}
 
 
 def format_seconds(value: float) -> str:
-    """A time for people."""
+    """Formats a time for display; an infinite time is shown as "never"."""
     return "never" if value == inf else f"{value:.1f} s"
 
 
 def print_rehearsals(results: list[RehearsalResult], schedule: str, plot: bool) -> None:
-    """Prints the figures for people, with a plot of the first rehearsal if wanted."""
+    """Prints tables and summaries of the results, and a plot of the first one if `plot` is set."""
     out.print(rehearsal_table(results, schedule))
     if results[0].ready_times:
-        print_starts(results)
+        print_start_times(results)
     print_recovery(results)
     if plot:
         print_plot(results[0])
 
 
 def rehearsal_table(results: list[RehearsalResult], schedule: str) -> Any:
-    """The first rehearsals, one a row."""
+    """Returns a table with a row for each rehearsal, up to `MAX_TABLE_ROWS`."""
     scenario = results[0].scenario
     rate = scenario.discovery.calls_per_second
     rows = table(
@@ -75,8 +78,8 @@
     return rows
 
 
-def print_starts(results: list[RehearsalResult]) -> None:
-    """Prints how long restarted nodes took until they might send."""
+def print_start_times(results: list[RehearsalResult]) -> None:
+    """Prints how long restarted nodes took until they could send, and how long they could send by a stale list."""
     slowest = max(result.ready_times[-1] for result in results)
     stale = sum(result.stale_send_s for result in results)
     half = max(result.ready_time(0.5) for result in results)
@@ -88,7 +91,7 @@
 
 
 def print_recovery(results: list[RehearsalResult]) -> None:
-    """Prints the worst recovery beside the earliest possible one."""
+    """Prints the longest recovery time next to the shortest possible one."""
     earliest = results[0].scenario.earliest_recovery_s
     worst = format_seconds(max(result.recovery_times[-1] for result in results))
     out.print(
@@ -101,7 +104,7 @@
 
 
 def print_plot(result: RehearsalResult) -> None:
-    """Prints calls, answers and recovered nodes by second, if the plot library is installed."""
+    """Plots calls, responses and recovered nodes per second, if the plot library is installed."""
     try:
         import plotext
     except ImportError:
@@ -121,11 +124,11 @@
     print(plotext.build())
 
 
-def print_tier_table(title: str, days: list[dict[str, BoundedSum]]) -> None:
-    """Prints each sum by its worst day."""
+def print_tier_table(title: str, runs: list[dict[str, BoundedSum]]) -> None:
+    """Prints each sum from the run in which it came closest to its bound or exceeded it most."""
     rows = table(title, "what", "most seen", "bound by arithmetic")
-    for name in days[0]:
-        worst = max((sums[name] for sums in days), key=lambda entry: entry.highest / entry.bound)
+    for name in runs[0]:
+        worst = max((sums[name] for sums in runs), key=lambda entry: entry.highest / entry.bound)
         style = "" if worst.within_bound else "red"
         rows.add_row(name, f"{worst.highest:,.2f}", f"{worst.bound:,.2f}", style=style)
     out.print(rows)
--- a/harecross/fleet/schedules.py
+++ b/harecross/fleet/schedules.py
@@ -1,20 +1,20 @@
-"""Other subscription schedules, to compare with that of the nodes: an earlier one, and common ones."""
+"""Alternative subscription schedules for comparison with that of the nodes: an earlier one, and common ones."""
 
 from __future__ import annotations
 
 from harecross.discovery.subscription_schedule import MIN_CALL_DELAY_S, CallEnd, SubscriptionSchedule
 
-# Of ExponentialSchedule: its delays are the longest poll interval divided by these.
+# The initial and the largest delay of `ExponentialSchedule` are the longest poll interval divided by these.
 INITIAL_DELAY_DIVISOR, MAX_DELAY_DIVISOR = 20, 4
 
 
 class ExponentialSchedule(SubscriptionSchedule):
-    """The nodes' schedule up to 2026-12-01: doubled delays with half of them random, without staggered rounds."""
+    """Exponential backoff with a random factor from 0.5 to 1.5, which nodes used until 2026-12-01."""
 
     __slots__ = ()
 
     def poll_delay(self, end: CallEnd) -> float:
-        """The delay before the next call, in seconds."""
+        """Returns the delay before the next call, in seconds."""
         interval = self.settings.max_poll_interval_s
         failures = min(self.consecutive_failures - (end is CallEnd.FAILED), 3)
         doubled = interval / INITIAL_DELAY_DIVISOR * 2.0**failures
@@ -22,12 +22,12 @@
 
 
 class UnstaggeredSchedule(SubscriptionSchedule):
-    """Rounds without positions: nodes that lose their watches at one instant call again at one instant."""
+    """Rounds without slots: nodes that lose their watches at the same moment call again at the same moment."""
 
     __slots__ = ()
 
     def round_position(self) -> float:
-        """The same position for every node."""
+        """Returns the same position in the round for every node."""
         return 0.0
 
 
@@ -37,7 +37,7 @@
     __slots__ = ()
 
     def poll_delay(self, end: CallEnd) -> float:
-        """The delay before the next call, in seconds."""
+        """Returns the delay before the next call, in seconds."""
         doubled = 0.5 * 2.0 ** min(self.consecutive_failures + 1, 20)
         return MIN_CALL_DELAY_S + min(self.settings.max_poll_interval_s, doubled) * self.rng.random()
 
@@ -48,11 +48,11 @@
     __slots__ = ()
 
     def poll_delay(self, end: CallEnd) -> float:
-        """The delay before the next call, in seconds."""
+        """Returns the delay before the next call, in seconds."""
         return 0.3 + (4.7 if end is CallEnd.FAILED else 3.7) * self.rng.random()
 
 
-# By the value of `harecross fleet rehearse --waits`.
+# The schedules by the values of the option `harecross fleet rehearse --waits`.
 SCHEDULES: dict[str, type[SubscriptionSchedule]] = {
     "turns": SubscriptionSchedule,
     "former": ExponentialSchedule,
--- a/harecross/fleet/tier_load.py
+++ b/harecross/fleet/tier_load.py
@@ -1,10 +1,12 @@
-"""What the nodes of a fleet add up to at each server: connections, TLS handshakes, requests while minRTT is measured,
-requests to servers that warm up.
+"""Simulates the load that all nodes of a fleet together put on each server.
 
-Each node decides by `harecross.policy.fleet_limits`, from its own count of servers and nodes; here hundreds of them
-call the same servers, with uneven traffic, in virtual time and from one seed. Each sum has a bound, computed from the
-fleet's own figures and not from `fleet_limits`: a limit that is not divided by the number of nodes exceeds it. There
-are no health checks: the policy uses real requests as recovery probes.
+The load consists of connections, TLS handshakes, requests during minRTT measurements, and requests to servers that are
+warming up. Each node applies `harecross.policy.fleet_limits` to the numbers of servers and nodes that it knows. Here
+hundreds of nodes with uneven traffic call the same servers in virtual time; one seed determines all random numbers.
+
+Each sum over the nodes has a bound, which is computed from the figures of the fleet and not by `fleet_limits`, so a
+limit that is not divided by the number of nodes exceeds it. There are no health checks, because the policy uses real
+requests as recovery probes.
 """
 
 from __future__ import annotations
@@ -19,21 +21,22 @@
 from harecross.fleet.tier_scenario import TierEvent, TierScenario
 from harecross.policy import fleet_limits
 
-# What a bound leaves to chance, in standard deviations of a Poisson count: exceeded less than once in a billion.
+# The margin of a bound, in standard deviations of a Poisson count: chance exceeds it less than once in a billion.
 BOUND_DEVIATIONS = 6
+# Handshakes are counted in windows of this length.
 HANDSHAKE_WINDOW_S = 1.0
 
 
 @dataclass(slots=True)
 class BoundedSum:
-    """The highest sum at one server, and its bound."""
+    """The highest sum over the nodes at any server, and its bound."""
 
     highest: float
     bound: float
 
     @property
     def within_bound(self) -> bool:
-        """Whether the sum keeps to its bound, but for rounding."""
+        """Whether the sum does not exceed its bound, apart from rounding errors."""
         return self.highest <= self.bound * (1 + 1e-9)
 
 
@@ -46,21 +49,28 @@
 
 @dataclass(slots=True)
 class TierNode:
-    """One node: its traffic, its subset and its connections."""
+    """One simulated node.
+
+    Attributes:
+        requests_per_second: The node's traffic.
+        subset: The indexes of the servers in the node's subset.
+        connections: For each server, when each of the node's connections to it becomes idle.
+        buckets: The token bucket for each server that is warming up.
+    """
 
     requests_per_second: float
-    subset: list[int]  # servers
-    connections: dict[int, list[float]] = field(default_factory=dict)  # by server: when each becomes idle
-    buckets: dict[int, TokenBucket] = field(default_factory=dict)  # by server that warms up
+    subset: list[int]
+    connections: dict[int, list[float]] = field(default_factory=dict)
+    buckets: dict[int, TokenBucket] = field(default_factory=dict)
 
 
 def poisson_bound(mean: float, batch: float = 1.0) -> float:
-    """A bound for a count of that mean whose parts come in batches of that size."""
+    """Returns an upper bound of a Poisson count with the given mean whose events come in batches of the given size."""
     return mean + BOUND_DEVIATIONS * sqrt(mean * batch) + BOUND_DEVIATIONS
 
 
 def max_count_within(times: list[float], window_s: float) -> int:
-    """The most of the times, which are in order, within any window of that length."""
+    """Returns the highest number of the sorted times within any window of the given length."""
     highest = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - window_s:
@@ -70,24 +80,26 @@
 
 
 class TierLoad:
-    """A tier's servers and the nodes that call them."""
+    """Simulates the servers of a tier and the nodes that call them."""
 
     def __init__(self, scenario: TierScenario) -> None:
         self.scenario = scenario
         self.rng = Random(scenario.seed)
         rates = self._draw_rates()
-        # The servers are sized for the fleet before the event.
+        # The requests per second that one server can handle, sized for the fleet's traffic before the event.
         self.server_capacity = sum(rates) / scenario.servers / scenario.utilization
         self.nodes = [TierNode(rate, self._draw_subset()) for rate in rates]
-        self.warming_up: set[int] = set()  # servers
+        self.warming_up: set[int] = set()  # the indexes of the servers that are warming up
         self._apply_event()
-        self._open = [0] * scenario.servers  # connections by server
-        self._max_open = [0] * scenario.servers
-        self._handshakes: list[list[float]] = [[] for _ in range(scenario.servers)]  # times by server
-        self._warm_up_requests: list[list[float]] = [[] for _ in range(scenario.servers)]  # times by server
+        # The current and the highest number of open connections of each server.
+        self._open_connections = [0] * scenario.servers
+        self._max_open_connections = [0] * scenario.servers
+        # The times of each server's TLS handshakes, and of its requests while it is warming up.
+        self._handshakes: list[list[float]] = [[] for _ in range(scenario.servers)]
+        self._warm_up_requests: list[list[float]] = [[] for _ in range(scenario.servers)]
 
     def _draw_rates(self) -> list[float]:
-        """Requests a second by node: most nodes have little traffic, few have much."""
+        """Returns the requests per second of each node: most nodes have little traffic, a few have much."""
         scenario = self.scenario
         weights = [1 + (scenario.traffic_skew - 1) * self.rng.random() ** 3 for _ in range(scenario.nodes)]
         mean = sum(weights) / len(weights)
@@ -108,7 +120,7 @@
             self.warming_up = set(range(0, scenario.servers, scenario.zones))
 
     def _remove_nodes(self) -> None:
-        """Removes a part of the nodes; the others get its traffic."""
+        """Removes a fraction of the nodes and distributes their traffic over the remaining ones."""
         scenario = self.scenario
         removed = ceil(scenario.event_fraction * scenario.nodes)
         remaining = self.nodes[: max(1, scenario.nodes - removed)]
@@ -118,32 +130,30 @@
             node.requests_per_second *= factor
         self.nodes = remaining
 
-    # ---- requests -----------------------------------------------------------------------------------------
-
     def run(self) -> dict[str, BoundedSum]:
-        """Plays the scenario, and returns the sums by their names."""
+        """Runs the scenario and returns the sums by name."""
         started = 0
         if self.scenario.event is TierEvent.HERD:
             started = ceil(self.scenario.event_fraction * len(self.nodes))
         for node in self.nodes[started:]:
-            self._open_connections(node)
-        self._max_open = list(self._open)
+            self._connect_to_subset(node)
+        self._max_open_connections = list(self._open_connections)
         for at, node in self._requests():
             self._send(node, at)
         return self._sums(started)
 
-    def _open_connections(self, node: TierNode) -> None:
-        """A node that has run for long has connections to each subset member, as many as its traffic takes."""
+    def _connect_to_subset(self, node: TierNode) -> None:
+        """Gives a long-running node the connections to each subset member that its traffic requires."""
         for server in node.subset:
             if server in self.warming_up:
-                continue  # the connections ended with the process before
+                continue  # the connections ended with the previous process of the server
             in_flight = node.requests_per_second * self.scenario.service_time
             count = max(1, round(in_flight / len(node.subset)))
             node.connections[server] = [0.0] * count
-            self._open[server] += count
+            self._open_connections[server] += count
 
     def _requests(self) -> Iterator[tuple[float, TierNode]]:
-        """The requests of all nodes in order of time, each node's as a Poisson process."""
+        """Yields the requests of all nodes in order of time; each node's requests are a Poisson process."""
         queue: list[tuple[float, int]] = []
         for index, node in enumerate(self.nodes):
             heappush(queue, (self.rng.expovariate(node.requests_per_second), index))
@@ -155,7 +165,10 @@
                 heappush(queue, (at + self.rng.expovariate(node.requests_per_second), index))
 
     def _send(self, node: TierNode, at: float) -> None:
-        """Sends one request to one of two random members, or to any that may get it; sheds it where none may."""
+        """Sends a request to one of two random subset members, or else to any member that may receive it.
+
+        The request is shed if no member may receive it.
+        """
         subset = node.subset
         first, second = self.rng.randrange(len(subset)), self.rng.randrange(len(subset))
         for server in (subset[first], subset[second], *subset):
@@ -173,12 +186,14 @@
                 idle_at[index] = ends_at
                 return
         idle_at.append(ends_at)
-        self._open[server] += 1
-        self._max_open[server] = max(self._max_open[server], self._open[server])
+        self._open_connections[server] += 1
+        self._max_open_connections[server] = max(
+            self._max_open_connections[server], self._open_connections[server]
+        )
         self._handshakes[server].append(at)
 
     def may_send(self, node: TierNode, server: int, at: float) -> bool:
-        """Takes a token for a server that warms up, as the policy does; False where there is none."""
+        """Takes a token for a server that is warming up, as the policy does. Returns False if there is none."""
         full_members = sum(member not in self.warming_up for member in node.subset)
         if full_members:
             rate = node.requests_per_second / full_members
@@ -194,22 +209,20 @@
         return tokens >= 1
 
     def _capacity_fraction(self, at: float) -> float:
-        """The present capacity of the servers that warm up, which all started with the event."""
+        """Returns the current capacity of the servers that are warming up; all of them started at the event."""
         window = self.scenario.slow_start_window
         return fleet_limits.slow_start_factor(
             self.scenario.slow_start_capacity, max(0.0, window - at), window
         )
 
-    # ---- sums and bounds ----------------------------------------------------------------------------------
-
     def _sums(self, started: int) -> dict[str, BoundedSum]:
-        """The sums by their names; `started` nodes began without connections."""
+        """Returns the sums by name. `started` is the number of nodes that started without connections."""
         in_flight = self._in_flight_bound()
         calling = len(self.nodes) * self._subset_size() / self.scenario.servers
         connecting = (started or len(self.nodes)) * self._subset_size() / self.scenario.servers
         handshakes = max(max_count_within(times, HANDSHAKE_WINDOW_S) for times in self._handshakes)
         sums = {
-            "connections": BoundedSum(max(self._max_open), poisson_bound(calling) + in_flight),
+            "connections": BoundedSum(max(self._max_open_connections), poisson_bound(calling) + in_flight),
             "handshakes a second": BoundedSum(handshakes, poisson_bound(connecting) + in_flight),
             "calls of a pass": self._min_rtt_sum(),
             "calls that nobody refuses": self._limit_floor_sum(),
@@ -220,14 +233,15 @@
         return sums
 
     def _subset_size(self) -> float:
-        """The size of a subset by the design, computed without `fleet_limits`."""
+        """Returns the intended size of a subset, computed without `fleet_limits`."""
         servers, nodes = self.scenario.servers, self.scenario.nodes
         return min(servers, max(10.0, min(24.0, ceil(16 * servers / nodes))))
 
     def _in_flight_bound(self) -> float:
-        """A bound for the requests in flight at one server. Servers that warm up have fewer.
+        """Returns an upper bound of the requests in flight at one server.
 
-        The requests that one node has in flight at one server come together: a compound Poisson sum.
+        Servers that are warming up have fewer requests, so the bound is that of the other servers. The requests of one
+        node at one server arrive in batches, so their sum is compound Poisson.
         """
         scenario = self.scenario
         full_servers = max(1, scenario.servers - len(self.warming_up))
@@ -236,19 +250,22 @@
         return poisson_bound(total / full_servers, 1 + batch)
 
     def _min_rtt_sum(self) -> BoundedSum:
-        """Requests in flight at one server while all nodes measure minRTT."""
+        """Returns the requests in flight at one server while all nodes measure minRTT."""
         servers, nodes = self.scenario.servers, self.scenario.nodes
         total = sum(fleet_limits.min_rtt_limit(len(node.subset), servers, nodes) for node in self.nodes)
         return BoundedSum(total / servers, 9 * max(1.0, servers / nodes))
 
     def _limit_floor_sum(self) -> BoundedSum:
-        """Requests in flight at one server where all nodes are at their lowest limit."""
+        """Returns the requests in flight at one server while all nodes are at their lowest limit."""
         servers, nodes = self.scenario.servers, self.scenario.nodes
         total = sum(fleet_limits.limit_floor(servers, nodes) for _ in self.nodes)
         return BoundedSum(total / servers, 3.0)
 
     def _overload_fraction(self, server: int) -> float:
-        """The highest load of a server that warms up, in any overload duration, by the load at which it fails."""
+        """Returns the highest load of a server that is warming up, as a fraction of the load at which it fails.
+
+        The load is the number of requests within any window of the overload duration.
+        """
         scenario, times = self.scenario, self._warm_up_requests[server]
         duration = scenario.overload_duration
         highest, first = 0.0, 0
--- a/harecross/fleet/tier_scenario.py
+++ b/harecross/fleet/tier_scenario.py
@@ -1,4 +1,4 @@
-"""What a model of one tier plays: its servers, the nodes that call them, and an event."""
+"""The scenario of a tier simulation: the servers, the nodes that call them, and an event."""
 
 from __future__ import annotations
 
@@ -7,40 +7,56 @@
 
 
 class TierEvent(StrEnum):
-    """What happens at the start. The values are keys of the file and of the command's options."""
+    """What happens at the start. The values are used in the fleet file and on the command line."""
 
     CALM = "calm"  # nothing
-    HERD = "herd"  # a part of the nodes starts at once
-    LOST = "lost"  # a part of the nodes is gone, and their clients come to the others
-    REPLACED = "replaced"  # a part of the servers starts at once
-    RETURNED = "returned"  # the servers of a zone start at once
+    HERD = "herd"  # a fraction of the nodes starts at the same moment
+    LOST = "lost"  # a fraction of the nodes is gone, and the other nodes get their clients
+    REPLACED = "replaced"  # a fraction of the servers is replaced at the same moment by servers that have just started
+    RETURNED = "returned"  # all servers of one zone start at the same moment
 
 
 @dataclass(frozen=True, slots=True)
 class TierScenario:
-    """One tier's servers and the nodes that call them. Times in seconds. ValueError for values that cannot be."""
+    """The parameters of a tier simulation. All times are in seconds. Raises ValueError for invalid values.
+
+    Attributes:
+        nodes: The number of nodes.
+        servers: The number of servers.
+        zones: The number of zones that the servers are spread over.
+        requests_per_second: The mean traffic of a node.
+        traffic_skew: The ratio of the highest to the lowest traffic of a node.
+        service_time: The time that a server takes for a request.
+        utilization: The fraction of the servers' total capacity that is in use before the event.
+        event: The event at the start of the simulation.
+        event_fraction: The fraction of the nodes (`HERD`, `LOST`) or servers (`REPLACED`) that the event affects.
+        slow_start_window: The time from a server's start until it has its full capacity.
+        slow_start_capacity: A server's capacity at its start, as a fraction of its full capacity.
+        overload_multiple: A server that is warming up fails under this multiple of its current capacity.
+        overload_duration: The time for which the overload must last until the server fails.
+        duration: The length of the simulation, from the event on.
+        seed: The seed of all random numbers.
+    """
 
     nodes: int = 200
     servers: int = 120
     zones: int = 4
-    requests_per_second: float = 20.0  # of a node, the mean
-    traffic_skew: float = 3.0  # the most traffic of a node, as a multiple of the least
-    service_time: float = 0.5  # of a request
-    utilization: float = 0.6  # of all servers' capacity, before the event
+    requests_per_second: float = 20.0
+    traffic_skew: float = 3.0
+    service_time: float = 0.5
+    utilization: float = 0.6
     event: TierEvent = TierEvent.CALM
-    event_fraction: float = 0.7  # herd, lost: of the nodes; replaced: of the servers
-    slow_start_window: float = 5.0  # from a server's start until its full capacity
-    slow_start_capacity: float = 0.4  # a server's capacity at its start, as a fraction of the full one
-    overload_multiple: float = (
-        3.0  # of its present capacity; a warming server that gets this many requests...
-    )
-    overload_duration: float = 2.0  # ...for so long fails
-    duration: float = 6.0  # from the event on
+    event_fraction: float = 0.7
+    slow_start_window: float = 5.0
+    slow_start_capacity: float = 0.4
+    overload_multiple: float = 3.0
+    overload_duration: float = 2.0
+    duration: float = 6.0
     seed: int = 1
 
     def __post_init__(self) -> None:
         if self.event not in list(TierEvent):
-            raise ValueError(f"event: {self.event!r} is none of {', '.join(TierEvent)}")
+            raise ValueError(f"event: {self.event!r} is not one of {', '.join(TierEvent)}")
         for name in ("nodes", "servers", "zones"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: {getattr(self, name)} is less than 1")
@@ -49,9 +65,9 @@
             "overload_duration", "duration",
         ):  # fmt: skip
             if getattr(self, name) <= 0:
-                raise ValueError(f"{name}: {getattr(self, name)} is not above 0")
+                raise ValueError(f"{name}: {getattr(self, name)} is not greater than 0")
         if self.traffic_skew < 1:
             raise ValueError(f"traffic_skew: {self.traffic_skew} is less than 1")
         for name in ("event_fraction", "slow_start_capacity"):
             if not 0 < getattr(self, name) <= 1:
-                raise ValueError(f"{name}: {getattr(self, name)} is not above 0 and at most 1")
+                raise ValueError(f"{name}: {getattr(self, name)} is not in (0, 1]")
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -58,7 +58,7 @@
     done = call("--nodes", "5", "--seeds", "9", "--no-plot")
     assert done.exit_code == 130
     assert "the worst of 2" in done.output
-    assert "interrupted after 2 of 9 days" in done.stderr
+    assert "interrupted after 2 of 9 runs" in done.stderr
 
 
 @pytest.mark.parametrize(
