--- a/harecross/shifts/__init__.py
+++ b/harecross/shifts/__init__.py
@@ -1,1 +1,1 @@
-"""Traffic shifted step by step from a control pool to a candidate pool, and back where the candidate does harm."""
+"""Shifts traffic step by step from a control pool to a candidate pool, and back if the candidate does harm."""
--- a/harecross/shifts/cli.py
+++ b/harecross/shifts/cli.py
@@ -1,4 +1,7 @@
-"""`harecross shift`: plans checked, and rehearsed in a simulation. Status 0, 2 for wrong use."""
+"""`harecross shift`: checks plans, and rehearses them in a simulation.
+
+The exit status is 0, or 2 for invalid arguments or plans.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +17,19 @@
     from harecross.shifts.plan import Plan
     from harecross.shifts.simulation import Fault, SimulationResult
 
-shift_app = typer.Typer(no_args_is_help=True, help="Traffic moved step by step between two pools.")
-plan_app = typer.Typer(no_args_is_help=True, help="Plans.")
+shift_app = typer.Typer(no_args_is_help=True, help="Shift traffic step by step between two pools.")
+plan_app = typer.Typer(no_args_is_help=True, help="Commands for plans.")
 shift_app.add_typer(plan_app, name="plan")
 
-File = Annotated[Path, typer.Argument(help="The plan (TOML).")]
+File = Annotated[Path, typer.Argument(help="The plan, a TOML file.")]
 FAULTS = ("none", "slow", "errors", "late", "vanished", "both-slow")
-LATE_FACTOR = 20.0  # latencies of the faults `late` and `both-slow`
+# The faults `late` and `both-slow` multiply latencies by this factor.
+LATE_FACTOR = 20.0
 
 
 @plan_app.command("check")
 def check(path: File) -> None:
-    """Whether a plan can be used, and what it says."""
+    """Check that a plan is valid, and summarize it."""
     plan = load_plan(path)
     least = sum(step.least_s for step in plan.steps)
     shares = ", ".join(f"{step.share:.0%}" for step in plan.steps)
@@ -33,7 +37,7 @@
 
 
 def load_plan(path: Path) -> Plan:
-    """The plan in a file; ends the command where it cannot be used."""
+    """Reads a plan from a file. Ends the command if the plan is invalid."""
     try:
         from harecross.operators import OperatorsFileError
         from harecross.shifts.plan import read_plan
@@ -48,27 +52,36 @@
 @shift_app.command("rehearse")
 def rehearse(
     path: File,
-    fault: Annotated[str, typer.Option(help=f"What goes wrong: {', '.join(FAULTS)}.")] = "none",
-    share: Annotated[float, typer.Option(min=0, max=1, help="From which share on.")] = 0.3,
-    size: Annotated[float, typer.Option(min=0, help="Times slower; share of errors.")] = 3.0,
-    rate: Annotated[float, typer.Option(min=1, max=10_000, help="First tries a second.")] = 60.0,
-    seed: Annotated[int, typer.Option()] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="To standard output.")] = False,
+    fault: Annotated[
+        str, typer.Option(help=f"The fault of the simulated pools: {', '.join(FAULTS)}.")
+    ] = "none",
+    share: Annotated[
+        float, typer.Option(min=0, max=1, help="The candidate's share at which the fault begins.")
+    ] = 0.3,
+    size: Annotated[
+        float,
+        typer.Option(
+            min=0, help="The factor by which slow responses take longer, or the fraction of errors."
+        ),
+    ] = 3.0,
+    rate: Annotated[float, typer.Option(min=1, max=10_000, help="First attempts per second.")] = 60.0,
+    seed: Annotated[int, typer.Option(help="The seed of all random numbers.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="Print JSON to standard output.")] = False,
 ) -> None:
-    """Play the plan on a model of two pools: what would be decided when, and why. No node is asked."""
+    """Simulate the plan on two pools, and show what would be decided when and why. No node is contacted."""
     from harecross.shifts.simulation import simulate
 
     if fault not in FAULTS:
-        exit_with_error(f"--fault {fault}: one of {', '.join(FAULTS)}")
+        exit_with_error(f"--fault: {fault!r} is not one of {', '.join(FAULTS)}")
     if fault == "errors" and size > 1:
-        exit_with_error(f"--size {size:g}: a share of errors is at most 1")
+        exit_with_error(f"--size: {size:g} is greater than 1, the largest fraction of errors")
     plan = load_plan(path)
     result = simulate(
         plan,
         seed,
         make_fault(fault, size),
         rate,
-        lambda now, present_share: present_share >= share,
+        lambda now, current_share: current_share >= share,
         seconds=4 * sum(step.least_s for step in plan.steps) + 600,
     )
     if as_json:
@@ -78,7 +91,7 @@
 
 
 def make_fault(name: str, size: float) -> Fault | None:
-    """The fault of that name; None for `none`."""
+    """Returns the fault with the given name, or None for `none`."""
     from harecross.shifts.simulation import LoadScenario
 
     if name == "none":
@@ -90,18 +103,18 @@
         "vanished": LoadScenario(lost_fraction=1.0),
         "both-slow": LoadScenario(latency_factor=LATE_FACTOR),
     }[name]
-    both = name == "both-slow"
-    return lambda since_s, share, candidate: scenario if candidate or both else None
+    affects_control = name == "both-slow"
+    return lambda since_s, share, candidate: scenario if candidate or affects_control else None
 
 
 def print_json(result: SimulationResult) -> None:
-    """Prints a rehearsal for programs."""
+    """Prints the result of a rehearsal as JSON."""
     decisions = [decision.to_json() for decision in result.decisions]
     print(json.dumps({"state": str(result.state), "seconds": result.seconds, "decisions": decisions}))
 
 
 def print_table(plan: Plan, result: SimulationResult) -> None:
-    """Prints a rehearsal for people."""
+    """Prints the result of a rehearsal as a table."""
     from harecross.console import out, table
 
     title = f"{plan.name}: {result.state} after {result.seconds:g} s"
--- a/harecross/shifts/controller.py
+++ b/harecross/shifts/controller.py
@@ -1,7 +1,8 @@
-"""One controller of a shift: it leads by a lease, and stores each decision before it publishes it. Free of sockets.
+"""A controller of a shift, which leads while it holds a lease and stores each decision before publishing it.
 
-The order is: decide, store the state and its record in one transaction under the lease's fencing token, publish. Killed
-between any two, nodes have the old share or the new one, and the next leader goes on from what is stored.
+A controller first decides, then stores the new state and the record of the decision in one transaction with the fencing
+token of its lease, and then publishes the share. If it is killed between two of these steps, nodes have either the old
+or the new share, and the next leader continues from the stored state.
 """
 
 from __future__ import annotations
@@ -16,34 +17,51 @@
 from harecross.store.leases import Lease
 from harecross.store.store import Store
 
-COLLECTION = "shift"  # of the store
-LEASE_S = 10.0  # without renewal for so long, another controller may lead
-MAX_UNSTORED_S = 10.0  # between two writes of the tests' state, where nothing is decided
+# The collection of the store that holds shifts.
+COLLECTION = "shift"
+# Another controller may become the leader if the lease has not been renewed for this long.
+LEASE_S = 10.0
+# The state of the sequential tests is stored at least this often, even if nothing is decided.
+MAX_UNSTORED_S = 10.0
 
-PublishShare = Callable[[int, float], None]  # the fencing token, the candidate's share
+# Called with the fencing token and the candidate's share.
+PublishShare = Callable[[int, float], None]
 
 
 class Controller:
-    """Leads a shift while it holds the lease, and follows otherwise."""
+    """Controls a shift while it holds the lease. Without the lease, it only tries to acquire it.
+
+    Attributes:
+        plan: The plan of the shift.
+        classes: The names of the request classes that the plan covers.
+        store: The store that holds the shift and the lease.
+        holder: The name of this controller in the lease.
+        shift: The state of the shift.
+        lease: The lease, or None if this controller is not the leader.
+        store_problem: Why the last operation of the store failed, or "" if it succeeded.
+    """
 
     def __init__(
         self, plan: Plan, classes: tuple[str, ...], store: Store, holder: str, publish_share: PublishShare,
         now: float,
     ) -> None:  # fmt: skip
-        """`holder` names this controller in the lease. `publish_share` sends the share to the nodes; it is called at
-        every window, also where nothing changes, as nodes without contact go back to the control pool.
+        """Creates a controller without the lease.
+
+        `publish_share` sends the share to the nodes. It is called for every window, even if nothing changes, because
+        nodes that lose contact with the controller go back to the control pool.
         """
         self.plan, self.classes, self.store, self.holder = plan, classes, store, holder
         self.shift = Shift(plan, classes, now)
         self.lease: Lease | None = None
-        self.store_problem = ""  # why the store could not be written, if so
+        self.store_problem = ""
         self._publish_share = publish_share
         self._stored_at = now
-        self._unstored_undo: Decision | None = None  # done, and not stored yet
+        # A decision that has taken effect, but could not be stored yet.
+        self._unstored_undo: Decision | None = None
 
     @property
     def is_leader(self) -> bool:
-        """Whether it holds the lease."""
+        """Whether this controller holds the lease."""
         return self.lease is not None
 
     def close_window(
@@ -54,7 +72,10 @@
         listed: PoolCounts,
         candidate_in_flight: int,
     ) -> Decision | None:
-        """Closes one window. Without the lease it only follows: it judges no traffic and publishes nothing."""
+        """Closes one window and returns the decision that follows, if any.
+
+        Without the lease, the controller evaluates no traffic and publishes nothing.
+        """
         if not self.renew_lease(now, wall):
             return None
         self.shift.judge.add(attempts)
@@ -64,7 +85,7 @@
         due = due or now - self._stored_at >= MAX_UNSTORED_S
         stored = not due or self._store(now, wall, decision)
         if decision is not None and not stored and not self._must_apply(decision):
-            # A share that is not stored must not reach the nodes.
+            # A share that could not be stored must not reach the nodes.
             self.shift.restore(now, before)
             decision = None
         self._publish()
@@ -90,8 +111,10 @@
         return decision
 
     def _must_apply(self, decision: Decision) -> bool:
-        """Whether a decision applies though it cannot be stored: one that takes the candidate's traffic away, or a
-        full disk would let it go on doing harm. It is stored later.
+        """Whether a decision takes effect even if it cannot be stored, and is stored later.
+
+        This is true of decisions that remove all traffic from the candidate. Otherwise the candidate could go on doing
+        harm while, for example, the disk is full.
         """
         return self.lease is not None and decision.share == 0.0
 
@@ -100,7 +123,10 @@
             self._publish_share(self.lease.fencing_token, self.shift.share)
 
     def renew_lease(self, now: float, wall: float) -> bool:
-        """Acquires or renews the lease, and returns whether it has it. A new one begins from what is stored."""
+        """Acquires or renews the lease, and returns whether this controller holds it.
+
+        With a new lease, the controller loads the stored state.
+        """
         previous = self.lease
         try:
             self.lease = self.store.acquire_lease(
@@ -112,7 +138,7 @@
                 self._load(now)
             self.store_problem = ""
         except StoreError as error:
-            # Without the store nothing new is decided, and another controller leads once the lease expires.
+            # Without the store nothing is decided, and another controller becomes the leader once the lease expires.
             self.lease, self.store_problem = None, str(error)
         return self.lease is not None
 
@@ -123,7 +149,7 @@
             self.shift.restore(now, stored.body)
 
     def _store(self, now: float, wall: float, decision: Decision | None) -> bool:
-        """Stores the shift and its decisions; returns whether that succeeded."""
+        """Stores the shift and its decisions. Returns whether the store accepted them."""
         decisions = [d for d in (self._unstored_undo, decision) if d is not None]
         records = [d.to_json() for d in decisions]
         urgent = self.shift.share == 0.0
--- a/harecross/shifts/judge.py
+++ b/harecross/shifts/judge.py
@@ -1,7 +1,8 @@
-"""Whether the candidate does harm that the control, at the same moment, does not. Free of I/O.
+"""Decides whether the candidate does harm that the control does not do at the same time.
 
-The unit of the test is what keeps to its pool (a captain). Each kind of harm in each class has a sequential test of its
-own (`eprocess`), and the mean of their e-values is the evidence.
+Harm means errors or slow responses. The unit of the tests is whatever always goes to the same pool, such as a key. Each
+kind of harm in each request class has its own sequential test (`eprocess`), and the mean of their e-values is the
+evidence against the candidate.
 """
 
 from __future__ import annotations
@@ -15,85 +16,117 @@
 from harecross.shifts.eprocess import EProcess, PoolCounts
 from harecross.shifts.plan import JudgeSettings
 
-MAX_CONTROL_LATENCIES = 2000  # from which the control's quantiles are taken
-MIN_CONTROL_LATENCIES = 50  # fewer have no quantiles
-GROSS_MIN_UNITS = 20  # of each pool, over `GROSS_WINDOWS`
-GROSS_CANDIDATE_SHARE, GROSS_CONTROL_SHARE = 0.5, 0.1  # of units with an event
+# The quantiles of the control's latency are computed from this many of its most recent latencies.
+MAX_CONTROL_LATENCIES = 2000
+# Quantiles are not computed from fewer latencies than this.
+MIN_CONTROL_LATENCIES = 50
+# Harm is gross if at least the first fraction of the candidate's units and at most the second fraction of the
+# control's units had an event over the last `GROSS_WINDOWS` windows, with at least `GROSS_MIN_UNITS` units in each
+# pool.
+GROSS_MIN_UNITS = 20
+GROSS_CANDIDATE_SHARE, GROSS_CONTROL_SHARE = 0.5, 0.1
 GROSS_WINDOWS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class FirstAttempt:
-    """The end of a request's first attempt, in the pool that it was sent to.
+    """The result of a request's first attempt.
 
-    Neither a client's retry nor a further attempt of the node is one.
+    A client's retry and a further attempt by the node are not first attempts.
+
+    Attributes:
+        unit: The unit that the request belongs to.
+        request_class: The class of the request.
+        candidate: Whether the attempt was sent to the candidate pool.
+        latency_s: The time until the response in seconds, or inf if there was none.
+        failed: Whether the attempt ended with an error, a timeout or a rejection.
+        late: Whether the response came after its latency objective.
     """
 
     unit: int
     request_class: str
-    candidate: bool  # the pool
-    latency_s: float  # inf where no answer came
-    failed: bool  # an error, a time-out or a rejection
-    late: bool  # after its latency objective
+    candidate: bool
+    latency_s: float
+    failed: bool
+    late: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The result of a window."""
+    """The result of a window.
+
+    Attributes:
+        harm: Whether the tests show that the candidate does relevant harm.
+        gross: Whether the harm is so large that no test is needed.
+        shared: Whether the control has the same problem.
+        evidence: The mean e-value; an alarm requires 1 / `false_alarms`.
+        strongest: The kinds of harm with the largest e-values.
+        units: The number of units at risk in the window.
+    """
 
     harm: bool
-    gross: bool  # harm that needs no test
-    shared: bool  # the control is in trouble too
-    evidence: float  # the mean e-value; an alarm is 1/false_alarms
-    strongest: str  # the kinds of harm with the largest e-values
-    units: PoolCounts  # at risk in the window
+    gross: bool
+    shared: bool
+    evidence: float
+    strongest: str
+    units: PoolCounts
 
 
 class HarmKey(NamedTuple):
-    """What one test is about."""
+    """Identifies one test.
+
+    Attributes:
+        request_class: The name of the request class.
+        harm: The kind of harm: "errors", "late", or, for example, "slow p90".
+    """
 
     request_class: str
-    harm: str  # errors, late, or slower than a quantile of the control
+    harm: str
 
 
 class UnitSets:
-    """The units at risk, and those with an event, of one window."""
+    """The sets of units at risk and of units with an event in one window."""
 
     def __init__(self) -> None:
-        self._at_risk: tuple[set[int], set[int]] = (set(), set())  # control, candidate
+        # The sets of the control and of the candidate; a `bool` that is true for the candidate is the index.
+        self._at_risk: tuple[set[int], set[int]] = (set(), set())
         self._events: tuple[set[int], set[int]] = (set(), set())
 
     def add(self, attempt: FirstAttempt, *, event: bool) -> None:
-        """Counts an attempt's unit, once in each set."""
+        """Adds the unit of an attempt to the sets."""
         self._at_risk[attempt.candidate].add(attempt.unit)
         if event:
             self._events[attempt.candidate].add(attempt.unit)
 
     @property
     def at_risk(self) -> PoolCounts:
-        """How many units were at risk."""
+        """The number of units at risk in each pool."""
         return PoolCounts(*map(len, self._at_risk))
 
     @property
     def events(self) -> PoolCounts:
-        """How many units had an event."""
+        """The number of units with an event in each pool."""
         return PoolCounts(*map(len, self._events))
 
     def units_with_event(self) -> set[int]:
-        """The units of either pool that had an event."""
+        """Returns the units of both pools that had an event."""
         return self._events[0] | self._events[1]
 
 
 class ControlLatencies:
-    """The control's latencies in one class, and the bounds above which a latency counts as slow."""
+    """The control's latencies in one request class, and the bounds above which a latency counts as slow.
+
+    Attributes:
+        bounds_s: The bound for each quantile in seconds, or inf while there are too few latencies.
+    """
 
     def __init__(self, quantiles: Sequence[float], slower: float) -> None:
         self._quantiles, self._slower = quantiles, slower
         self._latencies: deque[float] = deque(maxlen=MAX_CONTROL_LATENCIES)
-        self.bounds_s = [inf] * len(quantiles)  # inf until enough is known
+        self.bounds_s = [inf] * len(quantiles)
 
     def add(self, attempts: Iterable[FirstAttempt]) -> None:
-        """Takes the control's answers, and computes the bounds anew."""
+        """Adds the latencies of the control's successful attempts and recomputes the bounds."""
         self._latencies.extend(
             attempt.latency_s
             for attempt in attempts
@@ -108,7 +141,12 @@
 
 
 class Judge:
-    """Collects first attempts and closes windows."""
+    """Collects first attempts, and evaluates them when a window closes.
+
+    Attributes:
+        settings: The settings from the plan.
+        tests: The tests by request class and kind of harm.
+    """
 
     def __init__(self, settings: JudgeSettings, classes: Sequence[str]) -> None:
         self.settings = settings
@@ -117,22 +155,22 @@
         self.tests = {HarmKey(name, harm): EProcess() for name in classes for harm in harms}
         self._control = {name: ControlLatencies(settings.quantiles, settings.slower) for name in classes}
         self._attempts: list[FirstAttempt] = []
-        # Units whose event was counted, by the time until when a further one does not count.
+        # For each test and unit whose event was counted, the time until which further events do not count.
         self._counted_until: dict[tuple[HarmKey, int], float] = {}
         self._recent: deque[UnitSets] = deque(maxlen=GROSS_WINDOWS)
 
     def add(self, attempts: Iterable[FirstAttempt]) -> None:
-        """Adds first attempts that have ended; those of a class that the plan does not name are left out."""
+        """Adds first attempts that have ended. Attempts of classes that the plan does not cover are ignored."""
         self._attempts.extend(attempt for attempt in attempts if attempt.request_class in self._control)
 
     def close_window(self, now: float) -> Verdict:
-        """Ends a window. `now` is monotonic seconds."""
+        """Closes a window and returns its result. `now` is in seconds of a monotonic clock."""
         attempts, self._attempts = self._attempts, []
         for name, control in self._control.items():
-            of_class = [attempt for attempt in attempts if attempt.request_class == name]
-            self._update_tests(now, name, of_class, control.bounds_s)
-            # After the tests: the latencies compared with a bound must have had no part in it.
-            control.add(of_class)
+            class_attempts = [attempt for attempt in attempts if attempt.request_class == name]
+            self._update_tests(now, name, class_attempts, control.bounds_s)
+            # This follows the tests because latencies must not influence the bound that they are compared with.
+            control.add(class_attempts)
         window = UnitSets()
         for attempt in attempts:
             window.add(attempt, event=attempt.failed or attempt.late)
@@ -157,21 +195,19 @@
     ) -> None:
         units = UnitSets()
         for attempt, event in zip(attempts, events, strict=True):
-            # One unit whose own requests always fail must not pass for a pool that fails.
+            # A single unit whose requests always fail must not make its whole pool look faulty.
             if (key, attempt.unit) not in self._counted_until:
                 units.add(attempt, event=event)
         for unit in units.units_with_event():
             self._counted_until[key, unit] = now + self.settings.again_s
         self.tests[key].update(units.at_risk, units.events, self.settings.ratio)
 
-    # ---- verdicts -----------------------------------------------------------------------------------------
-
     def verdict(self, window: UnitSets) -> Verdict:
-        """The result of the window just closed."""
+        """Returns the result of the window that was just closed."""
         values = {key: test.value() for key, test in self.tests.items()}
         evidence = sum(values.values()) / len(values)
         ranked = sorted(values.items(), key=lambda item: -item[1])
-        # A difference may be certain, and still too small to matter.
+        # A difference can be statistically certain but too small to matter.
         relevant = [item for item in ranked if self.tests[item[0]].excess_risk() >= self.settings.least]
         alarm = evidence >= 1 / self.settings.false_alarms
         harm = alarm and bool(relevant) and relevant[0][1] >= evidence
@@ -183,13 +219,14 @@
         )
 
     def _shared(self, window: UnitSets) -> bool:
-        """Whether so much of the control has an event that both pools must have a common trouble."""
+        """Whether so many of the control's units have an event that both pools must share a problem."""
         at_risk, events = window.at_risk.control, window.events.control
         return at_risk >= GROSS_MIN_UNITS and events / at_risk >= self.settings.shared
 
     def _gross(self) -> bool:
-        """Whether half of the candidate's units had an event, and under a tenth of the control's: what anybody can
-        see is acted upon while the tests still count evidence.
+        """Whether at least half of the candidate's units and at most a tenth of the control's units had an event.
+
+        Such obvious harm is acted upon immediately, without waiting for the tests to collect enough evidence.
         """
         at_risk = events = PoolCounts(0, 0)
         for window in self._recent:
@@ -201,14 +238,12 @@
             and events.control <= GROSS_CONTROL_SHARE * at_risk.control
         )
 
-    # ---- stored over a restart ------------------------------------------------------------------------------
-
     def to_json(self) -> dict[str, Any]:
-        """The tests in their stored form; without it a restart would lose the evidence."""
+        """Returns the tests in their stored form, which preserves the evidence across a restart."""
         return {f"{key.request_class}/{key.harm}": test.to_json() for key, test in self.tests.items()}
 
     def restore(self, document: Mapping[str, Any]) -> None:
-        """Goes on from the stored form; tests that the plan no longer has are left out."""
+        """Restores the tests from their stored form. Stored tests that the plan no longer has are ignored."""
         for key, test in self.tests.items():
             stored = document.get(f"{key.request_class}/{key.harm}")
             if stored is not None:
--- a/harecross/shifts/plan.py
+++ b/harecross/shifts/plan.py
@@ -1,6 +1,7 @@
-"""A shift's plan (TOML): pools, steps, what is compared, where it applies. Checked strictly.
+"""The plan of a shift, a TOML file: the pools, the steps, how the pools are compared, and the affected requests.
 
-The fields' names are the file's keys, and `Plan.digest` is made from them: a renamed field would pause a stored shift.
+The field names are the keys of the file. `Plan.digest` is computed from them, so renaming a field would pause every
+stored shift that is running. Unknown keys and values out of range are errors.
 """
 
 from __future__ import annotations
@@ -21,19 +22,31 @@
 
 
 class PlanTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A table in which an unknown key is an error."""
+    """A table of the plan in which an unknown key is an error."""
 
 
 class Pool(PlanTable, frozen=True):
-    """One pool: the servers with one of these labels. Exactly one of the three is given."""
+    """One pool: the servers that have one of the given labels. Exactly one of the three fields must be set.
 
-    kinds: tuple[str, ...] = ()  # machine types
+    Attributes:
+        kinds: The machine types.
+        zones: The zones.
+        sources: The names of sources from the table `[sources]` of the operators' file.
+    """
+
+    kinds: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
-    sources: tuple[str, ...] = ()  # names of `[sources]`
+    sources: tuple[str, ...] = ()
 
 
 class Step(PlanTable, frozen=True):
-    """One step: the candidate's share, and for how long and with how many units it is observed at least."""
+    """One step of a plan.
+
+    Attributes:
+        share: The candidate's share of the units.
+        least_s: The shortest running time of the step, in seconds.
+        least_units: The smallest number of candidate units that the step must observe.
+    """
 
     share: Share
     least_s: Seconds = 60.0
@@ -41,33 +54,59 @@
 
 
 class JudgeSettings(PlanTable, frozen=True):
-    """`[judge]`."""
+    """The table `[judge]`: how the candidate is compared with the control.
+
+    Attributes:
+        false_alarms: The highest probability that a shift between equal pools is undone.
+        ratio: Harm is ignored up to this multiple of the control's.
+        least: Harm is ignored if the fraction of units with an event exceeds the control's by less than this.
+        slower: A latency counts as slow if it exceeds the control's quantile by more than this fraction of it.
+        quantiles: The quantiles of the control's latency with which latencies are compared.
+        window_s: The length of a window in seconds.
+        again_s: After an event of a unit, its further events are ignored for this many seconds.
+        shared: Both pools are considered faulty from this fraction of the control's units with an event on.
+        quiet_s: The candidate is considered to have too little traffic if no unit was seen in it for this many seconds.
+    """
 
-    # The probability that a shift between like pools is undone.
     false_alarms: Annotated[float, msgspec.Meta(gt=0, le=0.2)] = 0.01
-    # Neither harm of up to so many times the control's counts...
     ratio: Annotated[float, msgspec.Meta(ge=1, le=10)] = 1.25
-    # ...nor a share of units with an event that is larger by less than this.
     least: Annotated[float, msgspec.Meta(ge=0, le=0.5)] = 0.005
-    # A latency counts as slow from so much above the control's quantile.
     slower: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.25
     quantiles: tuple[Annotated[float, msgspec.Meta(gt=0, lt=1)], ...] = (0.5, 0.9, 0.99)
     window_s: Annotated[float, msgspec.Meta(ge=0.1, le=60)] = 1.0
-    again_s: Seconds = 600.0  # a unit with an event counts again after so long
-    shared: Share = 0.3  # the control's share of units with an event from which both pools are in trouble
-    quiet_s: Seconds = 30.0  # without a unit in the candidate for so long there is too little traffic
+    again_s: Seconds = 600.0
+    shared: Share = 0.3
+    quiet_s: Seconds = 30.0
 
 
 class Scope(PlanTable, frozen=True):
-    """`[scope]`: the requests that the shift is about; empty lists mean all."""
+    """The table `[scope]`: the requests that the shift affects.
+
+    Attributes:
+        classes: The request classes; empty means all.
+        tenants: The tenants; empty means all.
+        by: The unit of the shift: all requests with the same key, tenant or id go to the same pool.
+    """
 
     classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
-    by: Literal["key", "tenant", "id"] = "key"  # what keeps to its pool
+    by: Literal["key", "tenant", "id"] = "key"
 
 
 class Plan(PlanTable, frozen=True):
-    """The whole file."""
+    """The content of the file.
+
+    Attributes:
+        name: The name of the shift.
+        control: The pool that has the traffic before the shift.
+        candidate: The pool that the traffic is shifted to.
+        steps: The steps, with rising shares.
+        judge: How the candidate is compared with the control.
+        scope: The requests that the shift affects.
+        at_end: What follows the last step. "done" sends all traffic to the candidate; "hold" keeps the last share
+            until an operator commands `done` or `undo`.
+        contact_s: A node uses only the control pool if it has not heard from the controller for this many seconds.
+    """
 
     name: str
     control: Pool
@@ -75,66 +114,81 @@
     steps: tuple[Step, ...]
     judge: JudgeSettings = JudgeSettings()
     scope: Scope = Scope()
-    at_end: Literal["done", "hold"] = "done"  # hold: the last share stays until an operator says done or undo
-    # A node that has not heard from the controller for so long uses the control pool alone.
+    at_end: Literal["done", "hold"] = "done"
     contact_s: Seconds = 30.0
 
     def digest(self) -> str:
-        """A hash of all keys and values: a plan that is edited while it runs is another plan."""
+        """Returns a hash of all keys and values, by which a change of the plan of a running shift is detected."""
         return blake2b(msgspec.json.encode(self, order="deterministic"), digest_size=8).hexdigest()
 
 
 def read_plan(path: str | Path) -> Plan:
-    """The plan in a file. OperatorsFileError names the file, the key and what is allowed."""
+    """Reads a plan from a file.
+
+    Raises OperatorsFileError, which names the file, the key and what is allowed, if the plan is invalid.
+    """
     plan = read_toml(path, Plan)
-    check = PlanCheck(path)
-    check.require(
-        plan.name.isascii() and plan.name.replace("-", "").isalnum(), "name", "letters, digits and - only"
+    validator = PlanValidator(path)
+    validator.require(
+        plan.name.isascii() and plan.name.replace("-", "").isalnum(),
+        "name",
+        "only letters, digits and - are allowed",
     )
-    check.steps(plan.steps)
-    check.pools(plan.control, plan.candidate)
-    check.quantiles(plan.judge.quantiles)
+    validator.check_steps(plan.steps)
+    validator.check_pools(plan.control, plan.candidate)
+    validator.check_quantiles(plan.judge.quantiles)
     return plan
 
 
-class PlanCheck:
-    """What a schema cannot say of a plan."""
+class PlanValidator:
+    """Checks the rules for plans that the types of the fields cannot express."""
 
     def __init__(self, path: str | Path) -> None:
         self._path = path
 
     def require(self, valid: bool, key: str, allowed: str) -> None:
-        """OperatorsFileError where a key is not valid."""
+        """Raises OperatorsFileError if `valid` is false."""
         if not valid:
             raise OperatorsFileError(f"{self._path}: {key}: {allowed}")
 
-    def steps(self, steps: tuple[Step, ...]) -> None:
-        """The shares must rise."""
-        self.require(bool(steps), "steps", "one [[steps]] at least")
+    def check_steps(self, steps: tuple[Step, ...]) -> None:
+        """Requires at least one step, and shares that rise from step to step."""
+        self.require(bool(steps), "steps", "at least one [[steps]] is required")
         for index, (before, step) in enumerate(itertools.pairwise(steps), 1):
             rises = step.share > before.share
-            self.require(rises, f"steps[{index}].share", f"above the one before it ({before.share:g})")
-
-    def pools(self, control: Pool, candidate: Pool) -> None:
-        """Each pool must have one kind of label, and no label of the other's."""
+            self.require(
+                rises,
+                f"steps[{index}].share",
+                f"{step.share:g} is not greater than the share of the previous step, {before.share:g}",
+            )
+
+    def check_pools(self, control: Pool, candidate: Pool) -> None:
+        """Requires each pool to have exactly one kind of label, and no label in common with the other pool."""
         for name, pool in (("control", control), ("candidate", candidate)):
             given = [label for label in POOL_LABELS if getattr(pool, label)]
-            self.require(len(given) == 1, name, "one of kinds, zones, sources")
+            self.require(len(given) == 1, name, "exactly one of kinds, zones, sources is required")
         for label in POOL_LABELS:
             common = sorted({*getattr(control, label)} & {*getattr(candidate, label)})
-            self.require(not common, f"candidate.{label}", f"{', '.join(common)}: in both pools")
+            self.require(not common, f"candidate.{label}", f"{', '.join(common)} must not be in both pools")
 
-    def quantiles(self, quantiles: tuple[float, ...]) -> None:
-        """The quantiles must rise."""
+    def check_quantiles(self, quantiles: tuple[float, ...]) -> None:
+        """Requires at least one quantile, and that quantiles rise."""
         rising = bool(quantiles) and list(quantiles) == sorted(set(quantiles))
-        self.require(rising, "judge.quantiles", "rising, one at least")
+        self.require(
+            rising,
+            "judge.quantiles",
+            "at least one quantile is required, and each must be greater than the previous one",
+        )
 
 
 def unit_position(salt: str, unit: bytes) -> float:
-    """Where a unit stands in [0, 1): the same on every node, for as long as the plan keeps its name."""
+    """Returns the hash of a unit as a number in [0, 1).
+
+    It is the same on every node. `salt` is the name of the plan, so it changes with that name.
+    """
     return int.from_bytes(blake2b(unit, digest_size=8, key=salt.encode()[:64]).digest(), "big") / 2.0**64
 
 
 def goes_to_candidate(salt: str, unit: bytes, share: float) -> bool:
-    """Whether a unit goes to the candidate. One that goes there at one share goes there at every larger one."""
+    """Whether a unit goes to the candidate. A unit that does so at one share also does so at every larger share."""
     return unit_position(salt, unit) < share
