--- a/benchmarks/shifts.py
+++ b/benchmarks/shifts.py
@@ -1,11 +1,15 @@
-"""False alarms and power of the judge of shifts, beside fixed thresholds, on the seeded model of two pools.
+"""Compares the judge of shifts with fixed thresholds, by false alarms and power, on the seeded simulation of two pools.
 
     python benchmarks/shifts.py [--shifts 1000] [--each 100] [--processes 7]
 
-A/A: so many shifts between like pools with bursty traffic and heavy-tailed latencies; how many are undone. Power:
-from the 30% step on the candidate does more harm, by kind and size; how many are undone, after how long, and the
-first tries harmed beyond the usual. The other judge looks each 10 s at the candidate alone, as Flagger's defaults do:
-success rate under 99% or p99 over 0.5 s five times, then undo. The same seeds for both.
+A/A: shifts between equal pools with bursty traffic and heavy-tailed latencies. The output is the number of shifts by
+their last state; `undone` is a false alarm.
+
+Power: from the 30 % step on, the candidate has a fault of the given kind and size. The output is the number of undone
+shifts, the time until they were undone, and the first attempts harmed by the fault.
+
+The fixed thresholds check only the candidate, every 10 s, as Flagger's defaults do: a shift is undone after five checks
+with a success rate below 99 % or a p99 latency above 0.5 s. Both methods use the same seeds.
 """
 
 from __future__ import annotations
@@ -27,7 +31,7 @@
 from harecross.shifts.shift import Shift, ShiftState
 from harecross.shifts.simulation import LoadScenario, SimulationResult, simulate
 
-SIZES = {
+FAULTS = {
     "errors +1%": LoadScenario(error_fraction=0.012),
     "errors +2%": LoadScenario(error_fraction=0.022),
     "errors +5%": LoadScenario(error_fraction=0.052),
@@ -52,16 +56,19 @@
 
 
 class FixedThresholds:
-    """A canary against fixed bounds, without a control. It is called at each window, and says whether to undo."""
+    """Compares the candidate with fixed thresholds instead of the control.
+
+    An instance is called for each window and returns whether the shift must be undone.
+    """
 
     def __init__(self) -> None:
         self._candidate_attempts: list[FirstAttempt] = []
         self._failed_checks = 0
         self._next_check = 10.0
-        self._wrapped = False
+        self._verdicts_replaced = False
 
-    def _wrap(self, judge: Judge) -> None:
-        """Lets the judge find no harm, and records what it gets."""
+    def _replace_verdicts(self, judge: Judge) -> None:
+        """Makes the judge find no harm, and records the attempts that it gets."""
         add = judge.add
 
         def add_and_record(attempts: Iterable[FirstAttempt]) -> None:
@@ -73,18 +80,18 @@
         judge.verdict = no_harm  # type: ignore[method-assign]
 
     def __call__(self, shift: Shift, now: float) -> bool:
-        if not self._wrapped:
-            self._wrapped = True
-            self._wrap(shift.judge)
+        if not self._verdicts_replaced:
+            self._verdicts_replaced = True
+            self._replace_verdicts(shift.judge)
         if now < self._next_check:
             return False
         self._next_check = now + 10.0
         attempts, self._candidate_attempts = self._candidate_attempts, []
         if attempts:
-            good = sum(not attempt.failed for attempt in attempts) / len(attempts)
+            success_rate = sum(not attempt.failed for attempt in attempts) / len(attempts)
             ranked = sorted(attempt.latency_s for attempt in attempts)
             p99_s = ranked[min(int(0.99 * len(ranked)), len(ranked) - 1)]
-            self._failed_checks += good < 0.99 or p99_s > 0.5
+            self._failed_checks += success_rate < 0.99 or p99_s > 0.5
         return self._failed_checks >= 5
 
 
@@ -92,9 +99,11 @@
     return Verdict(False, False, False, 1.0, "", window.at_risk)
 
 
-def one(false_alarms: float, what: str, fixed: bool, seed: int) -> SimulationResult:
-    scenario = SIZES.get(what)
-    fault = (lambda since, share, c: scenario if c else None) if scenario is not None else None
+def run_shift(false_alarms: float, fault_name: str, fixed: bool, seed: int) -> SimulationResult:
+    scenario = FAULTS.get(fault_name)
+    fault = (
+        (lambda since_s, share, candidate: scenario if candidate else None) if scenario is not None else None
+    )
     judge = FixedThresholds() if fixed else None
     result = simulate(
         plan(false_alarms), seed, fault, fault_start=lambda now, share: share >= 0.3, judge=judge
@@ -103,17 +112,17 @@
     return result
 
 
-def summary(outs: list[SimulationResult]) -> dict[str, object]:
-    times = sorted(o.undone_after_s for o in outs)
-    undone = sum(o.state == ShiftState.UNDONE for o in outs)
+def summary(results: list[SimulationResult]) -> dict[str, object]:
+    times = sorted(result.undone_after_s for result in results)
+    undone = sum(result.state == ShiftState.UNDONE for result in results)
 
-    def at(share: float) -> float | None:
-        t = times[min(int(share * len(times)), len(times) - 1)]
-        return None if t == inf else t
+    def quantile(fraction: float) -> float | None:
+        time = times[min(int(fraction * len(times)), len(times) - 1)]
+        return None if time == inf else time
 
-    harmed = sorted(o.attempts_harmed for o in outs)
+    harmed = sorted(result.attempts_harmed for result in results)
     return {
-        "undone": f"{undone} of {len(outs)}", "median_s": at(0.5), "p95_s": at(0.95),
+        "undone": f"{undone} of {len(results)}", "median_s": quantile(0.5), "p95_s": quantile(0.95),
         "harmed_median": harmed[len(harmed) // 2],
     }  # fmt: skip
 
@@ -126,20 +135,22 @@
     options = parser.parse_args()
     with Processes(options.processes) as pool:
 
-        def run(job: Callable[[int], SimulationResult], count: int, first: int) -> list[SimulationResult]:
-            return pool.map(job, range(first, first + count), chunksize=4)
+        def run(
+            simulate_seed: Callable[[int], SimulationResult], count: int, first_seed: int
+        ) -> list[SimulationResult]:
+            return pool.map(simulate_seed, range(first_seed, first_seed + count), chunksize=4)
 
         for name, alarms, fixed in (
             ("ours, stated 1%", 0.01, False),
             ("ours, stated 5%", 0.05, False),
             ("fixed", 0.01, True),
         ):
-            outs = run(partial(one, alarms, "like", fixed), options.shifts, 100_000)
-            print("A/A", name, json.dumps(Counter(str(o.state) for o in outs)), flush=True)
-        for what in SIZES:
+            results = run(partial(run_shift, alarms, "like", fixed), options.shifts, 100_000)
+            print("A/A", name, json.dumps(Counter(str(result.state) for result in results)), flush=True)
+        for fault_name in FAULTS:
             for name, fixed in (("ours", False), ("fixed", True)):
-                outs = run(partial(one, 0.01, what, fixed), options.each, 500_000)
-                print(f"{what:24} {name:6}", json.dumps(summary(outs)), flush=True)
+                results = run(partial(run_shift, 0.01, fault_name, fixed), options.each, 500_000)
+                print(f"{fault_name:24} {name:6}", json.dumps(summary(results)), flush=True)
 
 
 if __name__ == "__main__":
--- a/harecross/shifts/shift.py
+++ b/harecross/shifts/shift.py
@@ -2,7 +2,7 @@
 
 | State | Candidate's share | Entered | Left |
 | --- | --- | --- | --- |
-| running | the step's | by an operator, or `RESUME_AFTER_S` after the cause of a pause is gone | to paused, undoing, held or done |
+| running | the step's | by an operator, or `RESUME_AFTER_S` after a pause's cause is gone | to all but undone |
 | paused | the step's | by a `PauseCause` | to running or undoing |
 | undoing | 0 | by harm, an operator, or an empty candidate | if nothing is in flight, or after `DRAIN_TIMEOUT_S` |
 | undone | 0 | after undoing | never; a plan with another name is another shift |
--- a/tests/test_fleet_rehearsal.py
+++ b/tests/test_fleet_rehearsal.py
@@ -1,4 +1,4 @@
-"""A fleet of nodes and one discovery, on the model: recovery from lost watches by staggered rounds."""
+"""Rehearsals of a fleet: recovery from the loss of all watches by staggered rounds of calls to one discovery."""
 
 from math import inf
 
@@ -34,7 +34,10 @@
 
 
 def rehearse(nodes: int, seconds: float, schedule: str = "turns", **changes) -> RehearsalResult:
-    """Nodes and a discovery that serves one call of each in `seconds`, with the queue that a common start leaves."""
+    """Runs a rehearsal in which discovery needs `seconds` to serve one call of each node.
+
+    The backlog at the trigger is about that of a fleet whose nodes have all started at the same moment.
+    """
     values = {
         "nodes": nodes, "discovery": DiscoveryCapacity(nodes / seconds), "backlog": 0.85 * seconds, "duration": 130.0,
     }  # fmt: skip
@@ -42,10 +45,12 @@
 
 
 @pytest.mark.parametrize("nodes", [40, 2000])
-def test_after_all_watches_fall_silent_staggered_rounds_recover_and_the_former_backoff_never_does(nodes):
-    for seconds, last in ((2.0, 2.0), (4.9, 1.2), (6.0, 1.8), (8.0, 3.4)):
+def test_staggered_rounds_recover_from_silent_watches_and_the_former_backoff_does_not(nodes):
+    for seconds, max_ratio in ((2.0, 2.0), (4.9, 1.2), (6.0, 1.8), (8.0, 3.4)):
         result = rehearse(nodes, seconds)
-        assert result.recovered and result.recovery_times[-1] <= last * result.scenario.earliest_recovery_s, (
+        assert (
+            result.recovered and result.recovery_times[-1] <= max_ratio * result.scenario.earliest_recovery_s
+        ), (
             seconds,
             result.recovery_times[-1],
             result.scenario.earliest_recovery_s,
@@ -55,17 +60,17 @@
         former = rehearse(nodes, seconds, "former")
         assert former.recovery_time(0.5) == inf
         assert sum(former.answers.values()) < 0.2 * nodes
-        # In the last minute no call was answered, and the queue never got shorter.
+        # From 60 s on no call is answered, and from 20 s on the backlog never falls to the call timeout.
         assert sum(count for second, count in former.answers.items() if second > 60) == 0
         assert min(backlog for second, backlog in former.backlog_s.items() if second > 20) > 2.0
 
 
-def test_without_round_positions_the_fleet_calls_at_once_and_fails_at_once():
-    mutant, turns = rehearse(40, 4.9, "together"), rehearse(40, 4.9)
-    assert turns.recovered
-    assert turns.wasted_calls < 10
-    assert mutant.wasted_calls > 2 * turns.wasted_calls
-    assert mutant.recovery_times[-1] > 2 * turns.recovery_times[-1]
+def test_without_slots_in_the_round_calls_arrive_together_and_fail_together():
+    unstaggered, staggered = rehearse(40, 4.9, "together"), rehearse(40, 4.9)
+    assert staggered.recovered
+    assert staggered.wasted_calls < 10
+    assert unstaggered.wasted_calls > 2 * staggered.wasted_calls
+    assert unstaggered.recovery_times[-1] > 2 * staggered.recovery_times[-1]
 
 
 def test_two_nodes_recover_within_one_round():
@@ -85,7 +90,7 @@
 
 
 def test_a_fleet_too_large_for_the_longest_poll_interval_still_recovers():
-    """Most nodes have no heartbeat for longer than the staleness limit, but none for good."""
+    """Most nodes get no heartbeat for longer than the staleness limit, but all nodes recover."""
     result = rehearse(200, 16.0, max_poll_interval=10.0)
     assert result.recovered
     assert result.late_drains > 0
@@ -98,13 +103,13 @@
     assert result.recovery_times[-1] < 4 * result.scenario.earliest_recovery_s
 
 
-def test_a_thousand_seeds_recover_and_replay_exactly():
-    worst = 0.0
+def test_a_thousand_seeds_recover_and_a_seed_is_reproducible():
+    worst_ratio = 0.0
     for seed in range(1000):
         result = rehearse(40, 4.9, seed=seed, duration=60.0)
         assert result.recovered
-        worst = max(worst, result.recovery_times[-1] / result.scenario.earliest_recovery_s)
-    assert worst < 1.9
+        worst_ratio = max(worst_ratio, result.recovery_times[-1] / result.scenario.earliest_recovery_s)
+    assert worst_ratio < 1.9
     assert rehearse(40, 4.9, seed=77).recovery_times == rehearse(40, 4.9, seed=77).recovery_times
 
 
--- a/tests/test_shifts.py
+++ b/tests/test_shifts.py
@@ -1,4 +1,4 @@
-"""Shifts: the judge on a seeded simulation, the states, and controllers killed at every point."""
+"""Shifts: the judge in a seeded simulation, the state machine, and controllers that are killed at any point."""
 
 from collections import Counter
 from itertools import pairwise
@@ -35,11 +35,9 @@
 LISTED = PoolCounts(5, 5)
 EMPTY_CANDIDATE = PoolCounts(5, 0)
 
-# ---- the judge, in a simulation -----------------------------------------------------------------------------
 
-
-def at_share(share: float):
-    return lambda now, present: present >= share
+def from_share(share: float):
+    return lambda now, current_share: current_share >= share
 
 
 def in_candidate(scenario: LoadScenario):
@@ -55,8 +53,8 @@
     "a tenth of the keys": in_candidate(
         LoadScenario(error_fraction=0.9, affects_unit=lambda unit: unit % 10 == 0)
     ),
-    "a little": in_candidate(LoadScenario(error_fraction=0.06)),
-    "by and by": lambda since_s, share, candidate: (
+    "few errors": in_candidate(LoadScenario(error_fraction=0.06)),
+    "growing slowness": lambda since_s, share, candidate: (
         LoadScenario(latency_factor=1 + since_s / 20) if candidate else None
     ),
 }
@@ -64,34 +62,38 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_harm_from_the_30_percent_step_on_is_undone_within_a_minute(fault):
-    """The traffic is bursty, its latencies heavy-tailed, some units send a hundred times more often."""
+    """The traffic is bursty, latencies are heavy-tailed, and some units send a hundred times more often than others."""
     for seed in range(12):
-        result = simulate(PLAN, seed, FAULTS[fault], fault_start=at_share(0.3))
-        assert result.state == ShiftState.UNDONE, (fault, seed, [d.reason for d in result.decisions])
+        result = simulate(PLAN, seed, FAULTS[fault], fault_start=from_share(0.3))
+        assert result.state == ShiftState.UNDONE, (
+            fault,
+            seed,
+            [decision.reason for decision in result.decisions],
+        )
         assert result.undone_after_s <= 60, (fault, seed, result.undone_after_s)
         assert result.decisions[-1].share == 0.0
 
 
-def test_like_pools_are_undone_no_more_often_than_stated():
-    """1,000 are in benchmarks/shifts.py; these few would show a judge that is wrong by much."""
+def test_shifts_between_equal_pools_are_undone_no_more_often_than_configured():
+    """60 shifts reveal only large errors of the judge; benchmarks/shifts.py runs 1,000."""
     plan = Plan("a-a", PLAN.control, PLAN.candidate, PLAN.steps, JudgeSettings(false_alarms=0.05))
-    ends = Counter(simulate(plan, 10_000 + seed).state for seed in range(60))
-    assert ends[ShiftState.DONE] >= 54 and ends[ShiftState.UNDONE] <= 6, ends
+    end_states = Counter(simulate(plan, 10_000 + seed).state for seed in range(60))
+    assert end_states[ShiftState.DONE] >= 54 and end_states[ShiftState.UNDONE] <= 6, end_states
 
 
-def test_trouble_that_both_pools_share_pauses_and_does_not_undo():
-    def both(since_s, share, candidate):
+def test_a_problem_that_both_pools_share_pauses_and_does_not_undo():
+    def slow_in_both_pools(since_s, share, candidate):
         return LoadScenario(latency_factor=12.0 if candidate else 10.0) if since_s < 120 else None
 
     for seed in range(6):
-        result = simulate(PLAN, seed, both, fault_start=lambda now, share: now > 30)
+        result = simulate(PLAN, seed, slow_in_both_pools, fault_start=lambda now, share: now > 30)
         reasons = [decision.reason for decision in result.decisions]
         assert result.state == ShiftState.DONE, (seed, reasons)
         assert any(str(PauseCause.SHARED_TROUBLE) in reason for reason in reasons), reasons
         assert len(reasons) < 12, reasons
 
 
-def test_a_unit_whose_own_requests_always_fail_is_no_harm():
+def test_a_single_unit_whose_requests_always_fail_does_not_count_as_harm():
     judge = Judge(JudgeSettings(), ("read",))
     rng, verdict = Random(1), None
     for now in range(600):
@@ -105,9 +107,6 @@
     assert verdict.evidence < 10
 
 
-# ---- the states ---------------------------------------------------------------------------------------------
-
-
 def started_shift() -> Shift:
     shift = Shift(PLAN, ("read",), 0.0)
     shift.execute(0.0, 0.0, OperatorCommand.START)
@@ -117,31 +116,33 @@
 def close_windows(
     shift: Shift, now: float, seconds: float, units: int = 20, listed=LISTED, share=None
 ) -> float:
-    """Healthy traffic of so many units a second; returns the time after it."""
+    """Closes windows with healthy traffic of `units` units per second; returns the time of the last one."""
     rng = Random(int(now))
     for _ in range(int(seconds)):
         now += 1.0
-        part = shift.share if share is None else share
+        candidate_share = shift.share if share is None else share
         shift.judge.add(
-            FirstAttempt(rng.randrange(10**9), "read", rng.random() < part, 0.1, False, False)
+            FirstAttempt(rng.randrange(10**9), "read", rng.random() < candidate_share, 0.1, False, False)
             for _ in range(units)
         )
         shift.close_window(now, now, listed, 0)
     return now
 
 
-def test_a_trickle_of_traffic_does_not_oscillate():
+def test_a_shift_with_very_little_traffic_does_not_oscillate():
     shift = started_shift()
     now, states = 0.0, []
     for _ in range(30):
         now = close_windows(shift, now, 25, units=0)
         states.append(shift.state)
-        now = close_windows(shift, now, 1, units=1, share=1.0)  # one request, now and then
+        now = close_windows(shift, now, 1, units=1, share=1.0)
         states.append(shift.state)
-    assert sum(a != b for a, b in pairwise(states)) == 0, "one request in half a minute is no silence"
+    assert sum(before != after for before, after in pairwise(states)) == 0, (
+        "one request per 26 s is enough traffic"
+    )
 
 
-def test_silence_pauses_until_there_is_traffic_again():
+def test_a_shift_without_traffic_pauses_until_there_is_traffic_again():
     shift = started_shift()
     now = close_windows(shift, 0.0, 45, units=0)
     assert shift.state == ShiftState.PAUSED
@@ -150,7 +151,7 @@
     assert shift.state == ShiftState.RUNNING
 
 
-def test_time_in_a_pause_does_not_count():
+def test_time_in_a_pause_does_not_count_as_time_in_the_step():
     shift = started_shift()
     now = close_windows(shift, 0.0, 45, units=0)
     running_s = shift.step_running_s
@@ -198,7 +199,7 @@
 
 
 @pytest.mark.parametrize("command", list(OperatorCommand))
-def test_an_undone_shift_stays_so(command):
+def test_an_undone_shift_accepts_no_command(command):
     shift = started_shift()
     shift.execute(1.0, 1.0, OperatorCommand.PAUSE)
     now = close_windows(shift, 1.0, 60)
@@ -211,23 +212,23 @@
 
 def test_a_unit_that_goes_to_the_candidate_at_one_share_goes_there_at_every_larger_one():
     units = [b"captain-%d" % number for number in range(4000)]
-    before: set[bytes] = set()
+    previously_chosen: set[bytes] = set()
     for share in (0.01, 0.05, 0.3, 0.6, 1.0):
         chosen = {unit for unit in units if goes_to_candidate("x", unit, share)}
-        assert before <= chosen
+        assert previously_chosen <= chosen
         assert abs(len(chosen) / len(units) - share) < 0.03
-        before = chosen
-
-
-# ---- controllers --------------------------------------------------------------------------------------------
+        previously_chosen = chosen
 
 
 class KilledError(BaseException):
-    """The controller is killed."""
+    """Simulates the death of the controller's process. It is not an Exception, so no code under test handles it."""
 
 
-def test_killed_at_every_point_the_nodes_share_is_the_old_or_the_new_one(tmp_path):
-    """The n-th call to the store or to the nodes kills it, before or after it was done; another one leads on."""
+def test_a_controller_killed_at_any_point_leaves_the_old_or_the_new_share(tmp_path):
+    """A controller is killed right before a call to the store or to the nodes, or right after its first call.
+
+    Another controller then takes over. Every third call is tested.
+    """
     killed = 0
     for killed_at in range(0, 160, 3):
         path = str(tmp_path / f"store{killed_at}")
@@ -235,13 +236,13 @@
         node = NodeShare(30.0, 0.0)
         calls, now = 0, 0.0
 
-        def counted(real, killed_at=killed_at):
-            def call(*args, **more):
+        def killing(real, killed_at=killed_at):
+            def call(*args, **kwargs):
                 nonlocal calls
                 calls += 1
                 if calls == killed_at:
                     raise KilledError
-                result = real(*args, **more)
+                result = real(*args, **kwargs)
                 if calls == killed_at + 1:
                     raise KilledError
                 return result
@@ -252,13 +253,13 @@
             if node.receive(0.0, token, share):
                 shares.append(share)
 
-        def begin(name, now, kills, path=path, publish=publish):
+        def make_controller(name, now, kills, path=path, publish=publish):
             store = Store(path)
             if kills:
-                store.put, store.acquire_lease = counted(store.put), counted(store.acquire_lease)
-            return Controller(PLAN, ("read",), store, name, counted(publish) if kills else publish, now)
+                store.put, store.acquire_lease = killing(store.put), killing(store.acquire_lease)
+            return Controller(PLAN, ("read",), store, name, killing(publish) if kills else publish, now)
 
-        controller = begin("one", 0.0, True)
+        controller = make_controller("one", 0.0, True)
         try:
             controller.execute(0.0, 0.0, OperatorCommand.START)
             while now < 70:
@@ -274,30 +275,38 @@
         except KilledError:
             killed += 1
         controller.store.close()
-        last = shares[-1] if shares else 0.0
-        after = begin("two", now, False)
+        last_share = shares[-1] if shares else 0.0
+        after = make_controller("two", now, False)
         stored = after.store.get(COLLECTION, PLAN.name)
         steps = [0.0, 0.05, 0.3, 0.6]
         share = stored.body["share"] if stored else 0.0
-        # What is stored is what the nodes have, or the next share that they would have got.
-        assert share == last or (last in steps and share in (0.0, 0.05, 0.3)), (killed_at, last, share)
-        assert all(s in steps for s in shares)
+        # The stored share is the one that the nodes have, or the next one, which had not been published yet.
+        assert share == last_share or (last_share in steps and share in (0.0, 0.05, 0.3)), (
+            killed_at,
+            last_share,
+            share,
+        )
+        assert all(published in steps for published in shares)
         now += LEASE_S + 1
         after.close_window(now, now, [], LISTED, 0)
         assert after.is_leader and shares[-1] == (share if stored else 0.0) if shares else True
         records = after.store.records(COLLECTION, PLAN.name)
         if records and stored:
-            assert records[-1].body["share"] == share, "the last record is of what is stored"
+            assert records[-1].body["share"] == share, "the last record has the stored share"
         after.store.close()
     assert killed > 25, killed
 
 
 class TwoControllers:
-    """Two controllers of one shift and a node. The first one has started it."""
+    """Two controllers of one shift and a node. The first controller has started the shift.
+
+    Attributes:
+        accepted: The names of the controllers whose shares the node accepted, in order.
+    """
 
     def __init__(self, path: str) -> None:
         self.node = NodeShare(30.0, 0.0)
-        self.accepted: list[str] = []  # the controllers whose shares the node has taken
+        self.accepted: list[str] = []
         self.one, self.two = (
             Controller(PLAN, ("read",), Store(path), name, self.publisher(name), 0.0)
             for name in ("one", "two")
@@ -325,16 +334,16 @@
     assert not controllers.two.is_leader
 
 
-def test_another_controller_goes_on_from_what_is_stored_once_the_lease_expires(controllers):
+def test_another_controller_continues_from_the_stored_state_once_the_lease_expires(controllers):
     controllers.two.close_window(1.0 + LEASE_S, 1.0 + LEASE_S, [], LISTED, 0)
     assert controllers.two.is_leader
     assert controllers.two.shift.state == ShiftState.RUNNING
 
 
-def test_a_leader_paused_past_its_lease_is_fenced_at_the_store_and_at_the_nodes(controllers):
+def test_a_leader_suspended_past_its_lease_is_fenced_off_by_the_store_and_the_nodes(controllers):
     one, two = controllers.one, controllers.two
     two.close_window(1.0 + LEASE_S, 1.0 + LEASE_S, [], LISTED, 0)
-    assert one.lease is not None, "it still believes in its lease"
+    assert one.lease is not None, "it does not know yet that its lease has expired"
     with pytest.raises(StoreError):
         one.store.put(COLLECTION, PLAN.name, one.shift.to_json(), 12.0, lease=one.lease)
     assert not controllers.node.receive(12.0, one.lease.fencing_token, 0.9)
@@ -343,7 +352,7 @@
     assert controllers.accepted[-1] == "two"
 
 
-def full_disk(*args, **more):
+def full_disk(*args, **kwargs):
     raise StoreError("disk full")
 
 
@@ -362,17 +371,17 @@
     store, shares = Store(str(tmp_path / "store")), []
     controller = Controller(PLAN, ("read",), store, "one", lambda token, share: shares.append(share), 0.0)
     controller.execute(0.0, 0.0, OperatorCommand.START)
-    real, store.put = store.put, full_disk
+    original_put, store.put = store.put, full_disk
     controller.execute(2.0, 2.0, OperatorCommand.UNDO)
-    assert shares[-1] == 0.0, "harm must not go on for as long as the disk is full"
+    assert shares[-1] == 0.0, "a full disk must not prolong the harm"
     assert store.get(COLLECTION, PLAN.name).body["share"] == 0.05
-    store.put = real
+    store.put = original_put
     controller.close_window(3.0, 3.0, [], LISTED, 1)
     assert store.get(COLLECTION, PLAN.name).body["share"] == 0.0
     assert store.records(COLLECTION, PLAN.name)[-1].body["why"] == "undone by an operator"
 
 
-def test_what_was_observed_survives_a_store_that_cannot_be_written_and_a_rejected_command(tmp_path):
+def test_observations_survive_failed_writes_to_the_store_and_a_rejected_command(tmp_path):
     store = Store(str(tmp_path / "store"))
     controller = Controller(PLAN, ("read",), store, "one", lambda token, share: None, 0.0)
     controller.execute(0.0, 0.0, OperatorCommand.START)
@@ -388,7 +397,7 @@
     assert test.at_risk == (150, 150)
 
 
-def test_the_stored_form_does_not_change_with_what_is_observed_later():
+def test_the_stored_form_does_not_change_with_later_observations():
     judge = Judge(JudgeSettings(), ("read",))
     judge.add(FirstAttempt(n, "read", n % 2 == 0, 0.1, False, False) for n in range(20))
     judge.close_window(1.0)
@@ -397,7 +406,7 @@
     assert document["read/errors"]["at_risk"] == [10, 10]
 
 
-def test_a_plan_edited_while_it_runs_pauses_until_an_operator_resumes_it(tmp_path):
+def test_a_shift_whose_plan_was_edited_pauses_until_an_operator_resumes_it(tmp_path):
     path = str(tmp_path / "store")
     one = Controller(PLAN, ("read",), Store(path), "one", lambda token, share: None, 0.0)
     one.execute(0.0, 0.0, OperatorCommand.START)
@@ -413,9 +422,6 @@
     assert two.shift.state == ShiftState.RUNNING
 
 
-# ---- nodes --------------------------------------------------------------------------------------------------
-
-
 def test_a_node_without_contact_keeps_its_share_for_a_while_and_then_uses_the_control_pool():
     node = NodeShare(30.0, 0.0)
     node.receive(10.0, 1, 0.3)
@@ -423,22 +429,20 @@
     assert node.share(40.0) == 0.0
 
 
-def test_a_node_without_contact_stays_with_a_shift_that_is_done():
+def test_a_node_without_contact_keeps_the_share_of_a_shift_that_is_done():
     node = NodeShare(30.0, 0.0)
     node.receive(50.0, 2, 1.0)
     assert node.share(10_000.0) == 1.0
 
 
-# ---- the plan's file ----------------------------------------------------------------------------------------
-
-GOOD = 'name = "x"\n[control]\nkinds = ["a"]\n[candidate]\nkinds = ["b"]\n' + "".join(
+VALID = 'name = "x"\n[control]\nkinds = ["a"]\n[candidate]\nkinds = ["b"]\n' + "".join(
     f"[[steps]]\nshare = {share}\n" for share in (0.1, 0.5)
 )
 
 
-def test_a_plans_steps_are_read(tmp_path):
+def test_the_steps_of_a_plan_are_read(tmp_path):
     path = tmp_path / "plan.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID)
     assert [step.share for step in read_plan(path).steps] == [0.1, 0.5]
 
 
@@ -453,8 +457,8 @@
         ("0.5", "1.5", "<= 1"),
     ],
 )
-def test_a_bad_plan_is_refused_with_its_key_and_what_is_allowed(tmp_path, old, new, allowed):
+def test_an_invalid_plan_is_rejected_with_its_key_and_what_is_allowed(tmp_path, old, new, allowed):
     path = tmp_path / "plan.toml"
-    path.write_text(GOOD.replace(old, new, 1) if old != "0.5" else new.join(GOOD.rsplit(old, 1)))
+    path.write_text(VALID.replace(old, new, 1) if old != "0.5" else new.join(VALID.rsplit(old, 1)))
     with pytest.raises(OperatorsFileError, match=allowed):
         read_plan(path)
