--- a/harecross/node/options.py
+++ b/harecross/node/options.py
@@ -44,8 +44,8 @@
     def on_names_changed(self, callback: Callable[[], None]) -> None:
         """Registers a callback that is called before endpoints with new names are published."""
 
-    def explain(self, box: str) -> dict[str, Any]:
-        """Returns what each source states about the endpoint `box`, or about all endpoints if it is empty."""
+    def explain(self, endpoint: str) -> dict[str, Any]:
+        """Returns what each source states about the endpoint `endpoint`, or about all endpoints if it is empty."""
 
     async def stop(self) -> None:
         """Stops querying the sources."""
