--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -90,7 +90,9 @@
         self.scenario = scenario
         self.rng = Random(scenario.seed)
         self.discovery = DiscoveryQueue(scenario.discovery)
-        self.nodes = [NodeModel(self._new_schedule(schedule_factory, i)) for i in range(scenario.nodes)]
+        self.nodes = [
+            NodeModel(self._new_schedule(schedule_factory, number)) for number in range(scenario.nodes)
+        ]
         self.result = RehearsalResult(scenario, [], [])
         self._events: list[tuple[float, int, EventHandler]] = []
         self._event_count = 0
--- a/harecross/fleet/tier_load.py
+++ b/harecross/fleet/tier_load.py
@@ -194,9 +194,9 @@
 
     def may_send(self, node: TierNode, server: int, at: float) -> bool:
         """Takes a token for a server that is warming up, as the policy does. Returns False if there is none."""
-        full_members = sum(member not in self.warming_up for member in node.subset)
-        if full_members:
-            rate = node.requests_per_second / full_members
+        warm_members = sum(member not in self.warming_up for member in node.subset)
+        if warm_members:
+            rate = node.requests_per_second / warm_members
         else:
             fraction = fleet_limits.all_warming_up_fraction(
                 0.0, self.scenario.overload_multiple, True, False, 0
@@ -209,7 +209,7 @@
         return tokens >= 1
 
     def _capacity_fraction(self, at: float) -> float:
-        """Returns the current capacity of the servers that are warming up; all of them started at the event."""
+        """Returns the current fraction of their capacity that servers have which started at the event."""
         window = self.scenario.slow_start_window
         return fleet_limits.slow_start_factor(
             self.scenario.slow_start_capacity, max(0.0, window - at), window
@@ -218,12 +218,14 @@
     def _sums(self, started: int) -> dict[str, BoundedSum]:
         """Returns the sums by name. `started` is the number of nodes that started without connections."""
         in_flight = self._in_flight_bound()
-        calling = len(self.nodes) * self._subset_size() / self.scenario.servers
-        connecting = (started or len(self.nodes)) * self._subset_size() / self.scenario.servers
+        calling_nodes = len(self.nodes) * self._subset_size() / self.scenario.servers
+        connecting_nodes = (started or len(self.nodes)) * self._subset_size() / self.scenario.servers
         handshakes = max(max_count_within(times, HANDSHAKE_WINDOW_S) for times in self._handshakes)
         sums = {
-            "connections": BoundedSum(max(self._max_open_connections), poisson_bound(calling) + in_flight),
-            "handshakes a second": BoundedSum(handshakes, poisson_bound(connecting) + in_flight),
+            "connections": BoundedSum(
+                max(self._max_open_connections), poisson_bound(calling_nodes) + in_flight
+            ),
+            "handshakes a second": BoundedSum(handshakes, poisson_bound(connecting_nodes) + in_flight),
             "calls of a pass": self._min_rtt_sum(),
             "calls that nobody refuses": self._limit_floor_sum(),
         }
@@ -244,19 +246,22 @@
         node at one server arrive in batches, so their sum is compound Poisson.
         """
         scenario = self.scenario
-        full_servers = max(1, scenario.servers - len(self.warming_up))
+        warm_servers = max(1, scenario.servers - len(self.warming_up))
         total = sum(node.requests_per_second for node in self.nodes) * scenario.service_time
         batch = scenario.traffic_skew * total / len(self.nodes) / self._subset_size()
-        return poisson_bound(total / full_servers, 1 + batch)
+        return poisson_bound(total / warm_servers, 1 + batch)
 
     def _min_rtt_sum(self) -> BoundedSum:
-        """Returns the requests in flight at one server while all nodes measure minRTT."""
+        """Returns the requests in flight at one server while all nodes measure minRTT.
+
+        The bound is 9 requests, multiplied by the number of servers per node if there are more servers than nodes.
+        """
         servers, nodes = self.scenario.servers, self.scenario.nodes
         total = sum(fleet_limits.min_rtt_limit(len(node.subset), servers, nodes) for node in self.nodes)
         return BoundedSum(total / servers, 9 * max(1.0, servers / nodes))
 
     def _limit_floor_sum(self) -> BoundedSum:
-        """Returns the requests in flight at one server while all nodes are at their lowest limit."""
+        """Returns the requests in flight at one server while all nodes are at their lowest limit; the bound is 3."""
         servers, nodes = self.scenario.servers, self.scenario.nodes
         total = sum(fleet_limits.limit_floor(servers, nodes) for _ in self.nodes)
         return BoundedSum(total / servers, 3.0)
--- a/harecross/shifts/cli.py
+++ b/harecross/shifts/cli.py
@@ -21,19 +21,21 @@
 plan_app = typer.Typer(no_args_is_help=True, help="Commands for plans.")
 shift_app.add_typer(plan_app, name="plan")
 
-File = Annotated[Path, typer.Argument(help="The plan, a TOML file.")]
+PlanPath = Annotated[Path, typer.Argument(help="The plan, a TOML file.")]
 FAULTS = ("none", "slow", "errors", "late", "vanished", "both-slow")
 # The faults `late` and `both-slow` multiply latencies by this factor.
 LATE_FACTOR = 20.0
 
 
 @plan_app.command("check")
-def check(path: File) -> None:
+def check(path: PlanPath) -> None:
     """Check that a plan is valid, and summarize it."""
     plan = load_plan(path)
-    least = sum(step.least_s for step in plan.steps)
+    min_duration_s = sum(step.least_s for step in plan.steps)
     shares = ", ".join(f"{step.share:.0%}" for step in plan.steps)
-    print(f"{path}: {plan.name}: {shares}; {least:g} s at least; false alarms {plan.judge.false_alarms:.1%}")
+    print(
+        f"{path}: {plan.name}: {shares}; {min_duration_s:g} s at least; false alarms {plan.judge.false_alarms:.1%}"
+    )
 
 
 def load_plan(path: Path) -> Plan:
@@ -51,7 +53,7 @@
 
 @shift_app.command("rehearse")
 def rehearse(
-    path: File,
+    path: PlanPath,
     fault: Annotated[
         str, typer.Option(help=f"The fault of the simulated pools: {', '.join(FAULTS)}.")
     ] = "none",
@@ -118,14 +120,14 @@
     from harecross.console import out, table
 
     title = f"{plan.name}: {result.state} after {result.seconds:g} s"
-    decisions = table(title, "at", "state", "share", "why", "evidence")
+    rows = table(title, "at", "state", "share", "why", "evidence")
     for decision in result.decisions:
-        decisions.add_row(
+        rows.add_row(
             f"{decision.at:,.0f} s",
             str(decision.state),
             f"{decision.share:.0%}",
             decision.reason,
             f"{decision.figures['evidence']:g}",
         )
-    out.print(decisions)
+    out.print(rows)
     out.print(f"an undo needs evidence of {1 / plan.judge.false_alarms:g}", highlight=False)
--- a/harecross/shifts/plan.py
+++ b/harecross/shifts/plan.py
@@ -1,7 +1,7 @@
 """The plan of a shift, a TOML file: the pools, the steps, how the pools are compared, and the affected requests.
 
 The field names are the keys of the file. `Plan.digest` is computed from them, so renaming a field would pause every
-stored shift that is running. Unknown keys and values out of range are errors.
+stored shift that has not ended. Unknown keys and values out of range are errors.
 """
 
 from __future__ import annotations
@@ -64,8 +64,8 @@
         quantiles: The quantiles of the control's latency with which latencies are compared.
         window_s: The length of a window in seconds.
         again_s: After an event of a unit, its further events are ignored for this many seconds.
-        shared: Both pools are considered faulty from this fraction of the control's units with an event on.
-        quiet_s: The candidate is considered to have too little traffic if no unit was seen in it for this many seconds.
+        shared: Both pools are considered faulty if at least this fraction of the control's units has an event.
+        quiet_s: The candidate has too little traffic if no unit was seen in it for this many seconds.
     """
 
     false_alarms: Annotated[float, msgspec.Meta(gt=0, le=0.2)] = 0.01
@@ -173,9 +173,9 @@
 
     def check_quantiles(self, quantiles: tuple[float, ...]) -> None:
         """Requires at least one quantile, and that quantiles rise."""
-        rising = bool(quantiles) and list(quantiles) == sorted(set(quantiles))
+        rises = bool(quantiles) and list(quantiles) == sorted(set(quantiles))
         self.require(
-            rising,
+            rises,
             "judge.quantiles",
             "at least one quantile is required, and each must be greater than the previous one",
         )
