--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -32,7 +32,7 @@
 from harecross.xds.release import ReleaseSchedule
 from harecross.xds.resources import PublishedSnapshots, ResourceEncoder
 from harecross.xds.server import ControlServer
-from harecross.xds.wire import sotw_frame
+from harecross.xds.wire import encode_sotw_resource
 from harecross.xds.worker_channel import WorkerSetup
 from harecross.xds.worker_pool import WorkerPool
 
@@ -178,7 +178,7 @@
                 pipe.send({**used(pids), "bytes": sent, "changes": changes, "streams": control.count()})
             elif what == "frames":
                 held = PublishedSnapshots(encoder, release.released).for_zone("").get(EDS)
-                pipe.send(b"".join(sotw_frame(EDS, held[n]) for n in args[0]))
+                pipe.send(b"".join(encode_sotw_resource(EDS, held[n]) for n in args[0]))
             else:
                 await control.stop()
                 return
--- a/harecross/xds/assembly.py
+++ b/harecross/xds/assembly.py
@@ -6,7 +6,7 @@
 from harecross.xds import load_report_service, status
 from harecross.xds.access import matches_any
 from harecross.xds.client_identity import AllowedClusters
-from harecross.xds.load_report_service import SinkOfCluster
+from harecross.xds.load_report_service import LoadReportSinkLookup
 from harecross.xds.resources import ResourceEncoder
 from harecross.xds.server import ControlServer
 from harecross.xds.status import StatusRows
@@ -17,12 +17,12 @@
 def create_server(
     setup: WorkerSetup,
     allowed_clusters: AllowedClusters,
-    load_report_sink: SinkOfCluster,
+    load_report_sink: LoadReportSinkLookup,
     status_rows: StatusRows | None = None,
 ) -> ControlServer:
     """A control server with status and load reports; `status_rows` where its own streams are not all there are."""
     server = ControlServer(setup.limits, allowed_clusters, log_line)
-    rows = status_rows or status.rows_of(server)
+    rows = status_rows or status.local_status_rows(server)
     server.add_handler(status.status_handler(rows, lambda names: matches_any(setup.status, names)))
     if setup.load_reports_s:
         server.add_handler(
--- a/harecross/xds/cache.py
+++ b/harecross/xds/cache.py
@@ -22,12 +22,12 @@
 
 
 @lru_cache(1 << 16)
-def digest(name: str, version: str) -> int:
+def resource_digest(name: str, version: str) -> int:
     """One resource's part of the version of a set."""
     return int.from_bytes(hashlib.sha256(f"{name}={version}".encode()).digest()[:8], "big")
 
 
-def version_text(total: int) -> str:
+def format_version(total: int) -> str:
     """The version of a set whose digests sum up to `total`."""
     return f"{total % VERSION_SPACE:016x}"
 
@@ -39,7 +39,7 @@
     name: str
     body: bytes
     version: str
-    frames: dict[str, bytes] = field(default_factory=dict, compare=False, repr=False)  # see `wire`
+    encodings: dict[str, bytes] = field(default_factory=dict, compare=False, repr=False)  # see `wire`
 
     @classmethod
     def from_body(cls, name: str, body: bytes) -> Resource:
@@ -50,9 +50,9 @@
 Resources = Mapping[str, Resource]
 
 
-def version_of(resources: Iterable[Resource]) -> str:
+def combined_version(resources: Iterable[Resource]) -> str:
     """The version of a set, whatever its order: a sum, so that a stream can update it as the set changes."""
-    return version_text(sum(digest(resource.name, resource.version) for resource in resources))
+    return format_version(sum(resource_digest(resource.name, resource.version) for resource in resources))
 
 
 @dataclass(frozen=True, eq=False, slots=True)
@@ -63,12 +63,12 @@
     removed.
     """
 
-    types: Mapping[str, Resources]
+    resources_by_type: Mapping[str, Resources]
     withheld: frozenset[str] = frozenset()
 
     def get(self, type_url: str) -> Resources:
         """The resources of one type, by name."""
-        return self.types.get(type_url, {})
+        return self.resources_by_type.get(type_url, {})
 
     def for_zone(self, zone: str) -> Snapshot:
         """The same for every zone; see `resources.PublishedSnapshots`."""
@@ -78,7 +78,7 @@
         """What a client sees that may see these clusters; a cluster's four resources have its name."""
         types = {
             type_url: {name: resource for name, resource in resources.items() if name in clusters}
-            for type_url, resources in self.types.items()
+            for type_url, resources in self.resources_by_type.items()
         }
         return Snapshot(types, self.withheld & clusters)
 
--- a/harecross/xds/client_identity.py
+++ b/harecross/xds/client_identity.py
@@ -16,10 +16,10 @@
     """A client that may see something."""
 
     certificate_names: tuple[str, ...]
-    allowed: frozenset[str] | None  # clusters; None: all
+    allowed_clusters: frozenset[str] | None  # clusters; None: all
 
 
-def ignore(text: str) -> None:
+def discard_log_line(text: str) -> None:
     """A log that keeps nothing."""
 
 
@@ -30,7 +30,9 @@
     return tuple(name.decode("utf-8", "replace") for name in names)
 
 
-async def identify(context: Any, allowed_clusters: AllowedClusters, log: Log = ignore) -> ClientIdentity:
+async def identify(
+    context: Any, allowed_clusters: AllowedClusters, log: Log = discard_log_line
+) -> ClientIdentity:
     """The client of a call. Aborts the call of one that may see nothing."""
     names = certificate_names(context)
     allowed = allowed_clusters(names)
--- a/harecross/xds/delta_stream.py
+++ b/harecross/xds/delta_stream.py
@@ -29,10 +29,10 @@
         """A request of the proxy: subscriptions, an ACK or NACK, or both. `initial` are versions that it has."""
         added = check_names(type_url, subscribe, self.max_names)
         dropped = check_names(type_url, unsubscribe, self.max_names)
-        subscription = self.types.get(type_url)
+        subscription = self.subscriptions.get(type_url)
         first = subscription is None
         if first or error or added or dropped:
-            self.settled = False  # an ACK alone makes no response due
+            self.up_to_date = False  # an ACK alone makes no response due
         if subscription is None:
             subscription = self._begin(type_url, added, initial or {})
         if nonce and subscription.acknowledge(nonce, error):
@@ -48,7 +48,7 @@
         subscription.response_due = subscription.wildcard
         for name, version in initial.items():
             subscription.set_known(name, version)
-        self.types[type_url] = subscription
+        self.subscriptions[type_url] = subscription
         return subscription
 
     def _subscribe(
--- a/harecross/xds/embedded.py
+++ b/harecross/xds/embedded.py
@@ -9,7 +9,7 @@
 from harecross.xds.publisher_loop import PublisherLoop
 from harecross.xds.resources import ResourceEncoder
 from harecross.xds.server import ControlServer
-from harecross.xds.status import rows_of, status_handler
+from harecross.xds.status import local_status_rows, status_handler
 
 
 class EmbeddedControlService:
@@ -18,7 +18,7 @@
     def __init__(self, listen: str, cluster: str, interval_s: float = 1.0) -> None:
         """`listen` is HOST:PORT; `cluster` names the node's servers; `interval_s` is between releases of weights."""
         self.server = ControlServer(log=log_line)
-        self.server.add_handler(status_handler(rows_of(self.server), lambda names: True))
+        self.server.add_handler(status_handler(local_status_rows(self.server), lambda names: True))
         self._listen = listen
         self._cluster = cluster
         self._interval_s = interval_s
--- a/harecross/xds/feed.py
+++ b/harecross/xds/feed.py
@@ -67,11 +67,13 @@
     def pass_load_reports_on(self) -> None:
         """Passes on to the decision module what proxies have reported since the last call."""
         by_latency = tuple(self.dispatcher.settings.report_fields) == (LATENCY_COLUMN,)
-        for load in self.load_reports.take():
+        for load in self.load_reports.collect():
             number = self.registry.numbers.get(load.server)
             if number is not None:
                 report = (load.latency_ms,) if by_latency and load.latency_ms else ()
-                self.dispatcher.balancer.load_reported(monotonic_us(), number, load.good, load.bad, report)
+                self.dispatcher.balancer.load_reported(
+                    monotonic_us(), number, load.successes, load.failures, report
+                )
 
     def close(self) -> None:
         """Ends the feed."""
--- a/harecross/xds/load_report_service.py
+++ b/harecross/xds/load_report_service.py
@@ -16,14 +16,18 @@
 class LoadReportSink(Protocol):
     """Where a cluster's reports go: `load_reports.LoadReports`, or on to the service's process."""
 
-    def add(self, reporter: str, server: str, good: int, bad: int, in_progress: int, seconds: float) -> None:
+    def add(
+        self, reporter: str, server: str, successes: int, failures: int, in_progress: int, seconds: float
+    ) -> None:
         """Takes one report's figures of one server."""
 
 
-SinkOfCluster = Callable[[str], LoadReportSink | None]  # None for a cluster that is not served
+LoadReportSinkLookup = Callable[[str], LoadReportSink | None]  # None for a cluster that is not served
 
 
-def load_report_handler(sink_of: SinkOfCluster, allowed_clusters: AllowedClusters, interval_s: float) -> Any:
+def load_report_handler(
+    find_sink: LoadReportSinkLookup, allowed_clusters: AllowedClusters, interval_s: float
+) -> Any:
     """The service's handler. A client's reports count for the clusters that it may see."""
 
     async def stream_load_stats(requests: AsyncIterator[Any], context: Any) -> None:
@@ -38,8 +42,8 @@
                 response.load_reporting_interval.FromMilliseconds(int(interval_s * 1000))
                 await context.write(response.SerializeToString())
             for stats in request.cluster_stats:
-                allowed = identity.allowed is None or stats.cluster_name in identity.allowed
-                sink = sink_of(stats.cluster_name) if allowed else None
+                allowed = identity.allowed_clusters is None or stats.cluster_name in identity.allowed_clusters
+                sink = find_sink(stats.cluster_name) if allowed else None
                 if sink is not None:
                     add_stats(sink, reporter, stats)
 
--- a/harecross/xds/load_reports.py
+++ b/harecross/xds/load_reports.py
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """One proxy's requests to one server since the last `take`."""
+    """One proxy's requests to one server since the last `collect`."""
 
-    good: int = 0
-    bad: int = 0
+    successes: int = 0
+    failures: int = 0
     in_progress_s: float = 0.0  # requests in progress times seconds
 
     @property
     def total(self) -> int:
         """Requests that ended."""
-        return self.good + self.bad
+        return self.successes + self.failures
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,8 +34,8 @@
     """All proxies' requests to one server."""
 
     server: str
-    good: int
-    bad: int
+    successes: int
+    failures: int
     latency_ms: float  # 0 where too few requests ended
 
 
@@ -47,14 +47,16 @@
         default_factory=lambda: defaultdict(dict)
     )  # by server, then by reporter
 
-    def add(self, reporter: str, server: str, good: int, bad: int, in_progress: int, seconds: float) -> None:
+    def add(
+        self, reporter: str, server: str, successes: int, failures: int, in_progress: int, seconds: float
+    ) -> None:
         """Takes one report's figures of one server; figures that cannot be are bounded."""
         counts = self._counts[server].setdefault(reporter, RequestCounts())
-        counts.good += min(max(good, 0), MAX_COUNT)
-        counts.bad += min(max(bad, 0), MAX_COUNT)
+        counts.successes += min(max(successes, 0), MAX_COUNT)
+        counts.failures += min(max(failures, 0), MAX_COUNT)
         counts.in_progress_s += min(max(in_progress, 0), MAX_COUNT) * min(max(seconds, 0.0), MAX_SECONDS)
 
-    def take(self) -> list[ServerLoad]:
+    def collect(self) -> list[ServerLoad]:
         """What has come since the last call, by server."""
         loads = [
             server_load(server, by_reporter.values())
@@ -72,9 +74,9 @@
     or that reports falsely, does not eject the server for all.
     """
     total = sum(counts.total for counts in reports)
-    shares = sorted(counts.bad / counts.total for counts in reports if counts.total)
-    bad = round(total * shares[ceil(len(shares) / 2) - 1])
+    shares = sorted(counts.failures / counts.total for counts in reports if counts.total)
+    failures = round(total * shares[ceil(len(shares) / 2) - 1])
     in_progress_s = sum(counts.in_progress_s for counts in reports)
     # Little's law: requests in progress are the rate times the time each takes.
     latency_ms = 1000 * in_progress_s / total if total >= MIN_REQUESTS_FOR_LATENCY else 0.0
-    return ServerLoad(server, total - bad, bad, latency_ms)
+    return ServerLoad(server, total - failures, failures, latency_ms)
--- a/harecross/xds/server.py
+++ b/harecross/xds/server.py
@@ -7,7 +7,7 @@
 
 import grpc
 
-from harecross.xds.client_identity import AllowedClusters, Log, ignore
+from harecross.xds.client_identity import AllowedClusters, Log, discard_log_line
 from harecross.xds.config import Limits
 from harecross.xds.proxy_stream import ProxyStream
 from harecross.xds.publication import Publication, SnapshotSource
@@ -28,7 +28,7 @@
         self,
         limits: Limits | None = None,
         allowed_clusters: AllowedClusters = all_clusters,
-        log: Log = ignore,
+        log: Log = discard_log_line,
     ) -> None:
         self.port = 0
         self._limits = limits or Limits()
@@ -107,11 +107,11 @@
             proxy.stream.push(self._streams.snapshot_for(proxy), urgent)
             if urgent:
                 proxy.wake.set()
-            self._streams.turns.enqueue(proxy)
+            self._streams.write_slots.enqueue(proxy)
 
     def refresh_access(self) -> None:
         """What clients may see has changed."""
         for proxy in self.proxies:
-            proxy.allowed = self._allowed_clusters(proxy.certificate_names)
+            proxy.allowed_clusters = self._allowed_clusters(proxy.certificate_names)
         if self.source is not None:
             self.publish(self.source)
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -153,7 +153,7 @@
         text = (
             f"control: configuration read again: {len(changed)} clusters new or changed, {len(removed)} gone"
         )
-        later = settings_for_next_start(self.config, read)
+        later = settings_needing_restart(self.config, read)
         if later:
             text += f"; {', '.join(later)} will count from the next start"
         log_line(text)
@@ -200,7 +200,7 @@
     )
 
 
-def settings_for_next_start(running: ControlFile, read: ControlFile) -> list[str]:
+def settings_needing_restart(running: ControlFile, read: ControlFile) -> list[str]:
     """The tables of a file that was read again, and differ from what is running."""
     later = []
     if (running.control, running.tls, running.limits) != (read.control, read.tls, read.limits):
--- a/harecross/xds/sotw_stream.py
+++ b/harecross/xds/sotw_stream.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from harecross.xds.cache import WILDCARD_TYPES, Resource, version_of
+from harecross.xds.cache import WILDCARD_TYPES, Resource, combined_version
 from harecross.xds.streams import Stream
 from harecross.xds.subscription import WHOLE_SET, Response, Subscription, check_names
 
@@ -19,14 +19,14 @@
     ) -> None:
         """A request of the proxy: its first of a type, an ACK, a NACK or another subscription."""
         requested = check_names(type_url, names, self.max_names)
-        subscription = self.types.get(type_url)
+        subscription = self.subscriptions.get(type_url)
         if subscription is None:
             # A nonce of an earlier stream means nothing on this one: it is a first request all the same.
-            self.settled = False
+            self.up_to_date = False
             self._begin(type_url, requested, version)
             return
-        if error or subscription.maybe_dropped or requested != subscription.names:
-            self.settled = False  # an ACK alone makes no response due
+        if error or subscription.possibly_dropped or requested != subscription.names:
+            self.up_to_date = False  # an ACK alone makes no response due
         stale = nonce != subscription.last_nonce
         # While parts are on their way the NACK of an earlier one counts; its subscription does not.
         if nonce and subscription.acknowledge(nonce, error):
@@ -37,16 +37,16 @@
         if stale:
             # Another request follows. By then the proxy may have dropped what it does not name here, and may ask
             # for it again.
-            subscription.maybe_dropped |= subscription.names - requested
+            subscription.possibly_dropped |= subscription.names - requested
         else:
             self._subscribe(type_url, subscription, requested)
 
     def _begin(self, type_url: str, requested: frozenset[str], version: str) -> None:
         """Takes a first request. A proxy that reconnects with what it would get does not get it again."""
         wildcard = type_url in WILDCARD_TYPES and not requested
-        subscription = self.types[type_url] = Subscription(set(requested), wildcard)
+        subscription = self.subscriptions[type_url] = Subscription(set(requested), wildcard)
         resources = self._requested_resources(type_url, subscription)
-        if resources and version and version == version_of(resources):
+        if resources and version and version == combined_version(resources):
             for resource in resources:
                 subscription.set_known(resource.name, resource.version)
             subscription.status.sent = subscription.status.acked = version
@@ -55,9 +55,9 @@
 
     @staticmethod
     def _subscribe(type_url: str, subscription: Subscription, requested: frozenset[str]) -> None:
-        for name in subscription.maybe_dropped | (subscription.names - requested):
+        for name in subscription.possibly_dropped | (subscription.names - requested):
             subscription.forget(name)
-        subscription.maybe_dropped.clear()
+        subscription.possibly_dropped.clear()
         if type_url in WILDCARD_TYPES:
             added = bool(requested - subscription.names)
             subscription.response_due = subscription.response_due or added
@@ -92,7 +92,7 @@
 
     def _respond_whole(self, type_url: str, subscription: Subscription) -> Response | None:
         resources = self._requested_resources(type_url, subscription)
-        version = version_of(resources)
+        version = combined_version(resources)
         unchanged = version in (subscription.known_version, subscription.refused.get(WHOLE_SET))
         if unchanged and not subscription.response_due:
             return None
--- a/harecross/xds/status.py
+++ b/harecross/xds/status.py
@@ -39,7 +39,8 @@
         "age_s": round(now - proxy.connected_at, 1),
         "heard_s": round(now - proxy.last_request_at, 1),
         "types": {
-            type_url: type_values(subscription) for type_url, subscription in proxy.stream.types.items()
+            type_url: type_values(subscription)
+            for type_url, subscription in proxy.stream.subscriptions.items()
         },
     }
 
@@ -56,7 +57,7 @@
     }
 
 
-def rows_of(server: ControlServer) -> StatusRows:
+def local_status_rows(server: ControlServer) -> StatusRows:
     """The table of one control server alone, for `status_handler`."""
 
     async def rows() -> list[dict[str, Any]]:
@@ -99,11 +100,11 @@
         config.node.metadata.update({f"sent {type_url.rpartition('.')[2]}": state["sent"]})
 
 
-def status_handler(rows: StatusRows, may_ask: Callable[[tuple[str, ...]], bool]) -> Any:
-    """The service's handler; `rows` returns the table, `may_ask` tells by certificate names who may ask."""
+def status_handler(rows: StatusRows, is_authorized: Callable[[tuple[str, ...]], bool]) -> Any:
+    """The service's handler; `rows` returns the table, `is_authorized` tells by certificate names who may ask."""
 
     async def check_access(context: Any) -> None:
-        if not may_ask(certificate_names(context)):
+        if not is_authorized(certificate_names(context)):
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, "the status is not for this certificate")
 
     async def fetch(request: Any, context: Any) -> bytes:
--- a/harecross/xds/stream_service.py
+++ b/harecross/xds/stream_service.py
@@ -19,14 +19,14 @@
 from harecross.xds.client_identity import AllowedClusters, Log, identify
 from harecross.xds.config import Limits
 from harecross.xds.delta_stream import DeltaStream
-from harecross.xds.proxy_stream import ProxyStream, TurnQueue
+from harecross.xds.proxy_stream import ProxyStream, WriteSlots
 from harecross.xds.publication import Publication
 from harecross.xds.sotw_stream import SotwStream
 from harecross.xds.streams import MAX_UNACKNOWLEDGED
 from harecross.xds.subscription import BadRequestError, Response
 from harecross.xds.wire import encode_delta, encode_sotw
 
-TURN_TIMEOUT_S = 0.25  # a proxy that reads slowly does not keep its turn from the others
+SLOT_TIMEOUT_S = 0.25  # a proxy that reads slowly does not keep its turn from the others
 UNREAD_TIMEOUT_S = 10.0  # for which one response may stay unread
 MAX_LOGGED_ERROR = 500  # characters of a proxy's error
 UNLIMITED_BYTES = 1 << 62
@@ -51,7 +51,7 @@
         self, publication: Publication, limits: Limits, allowed_clusters: AllowedClusters, log: Log
     ) -> None:
         self.proxies: set[ProxyStream] = set()
-        self.turns = TurnQueue()
+        self.write_slots = WriteSlots()
         self.bytes_sent = 0
         self.slow_proxies_dropped = 0
         self._publication = publication
@@ -91,7 +91,7 @@
 
     def snapshot_for(self, proxy: ProxyStream) -> Snapshot:
         """What a proxy is to have now."""
-        return self._publication.snapshot_for(proxy.zone, proxy.allowed)
+        return self._publication.snapshot_for(proxy.zone, proxy.allowed_clusters)
 
     # ---- one call -----------------------------------------------------------------------------------------
 
@@ -104,7 +104,7 @@
         # A service that has just started must not tell proxies that nothing exists.
         await self._publication.ready.wait()
         stream = (DeltaStream if delta else SotwStream)(Snapshot({}), self._limits.subscriptions)
-        return ProxyStream(context.peer(), stream, identity.allowed, identity.certificate_names)
+        return ProxyStream(context.peer(), stream, identity.allowed_clusters, identity.certificate_names)
 
     async def _serve(self, requests: AsyncIterator[Any], context: Any, *, delta: bool, only: str) -> None:
         """Serves one stream to its end; `only` is the type of a separate service."""
@@ -119,7 +119,7 @@
         finally:
             self.proxies.discard(proxy)
             proxy.closed = True
-            self.turns.end_turn(proxy)
+            self.write_slots.release(proxy)
             for task in tasks:
                 task.cancel()
             results = await asyncio.gather(*tasks, return_exceptions=True)
@@ -172,7 +172,7 @@
             self._receive(proxy, request, type_url)
             if proxy.stream.urgent:
                 proxy.wake.set()
-            self.turns.enqueue(proxy)
+            self.write_slots.enqueue(proxy)
 
     def _receive(self, proxy: ProxyStream, request: Any, type_url: str) -> None:
         error = ""
@@ -198,9 +198,9 @@
     async def _write(self, proxy: ProxyStream, context: Any, encode: Callable[[Response], bytes]) -> None:
         stream = proxy.stream
         while True:
-            response = stream.next(urgent_only=not proxy.has_turn)
+            response = stream.next(urgent_only=not proxy.has_slot)
             if response is None:
-                self.turns.end_turn(proxy)
+                self.write_slots.release(proxy)
                 await proxy.wake.wait()
                 proxy.wake.clear()
                 continue
@@ -208,18 +208,18 @@
                 raise SlowProxyError("responses are left without their ACK")
             await self._send(proxy, context, encode(response))
             # To the end of the queue: streams that little is due on do not wait for those that much is due on.
-            self.turns.end_turn(proxy)
-            self.turns.enqueue(proxy)
+            self.write_slots.release(proxy)
+            self.write_slots.enqueue(proxy)
 
     async def _send(self, proxy: ProxyStream, context: Any, message: bytes) -> None:
         self.bytes_sent += len(message)
         loop = asyncio.get_running_loop()
-        turn_timeout = loop.call_later(TURN_TIMEOUT_S, self.turns.block, proxy)
+        slot_timeout = loop.call_later(SLOT_TIMEOUT_S, self.write_slots.block, proxy)
         try:
             async with asyncio.timeout(UNREAD_TIMEOUT_S):
                 await context.write(message)
         except TimeoutError:
             raise SlowProxyError("responses are left unread") from None
         finally:
-            turn_timeout.cancel()
+            slot_timeout.cancel()
             proxy.blocked = False
--- a/harecross/xds/streams.py
+++ b/harecross/xds/streams.py
@@ -31,9 +31,9 @@
         self.snapshot = snapshot
         self.max_names = max_names
         self.max_part_bytes = max_part_bytes
-        self.types: dict[str, Subscription] = {}
+        self.subscriptions: dict[str, Subscription] = {}
         self.urgent: set[str] = set()  # assignments that go first
-        self.settled = True  # no response is due
+        self.up_to_date = True  # no response is due
         self._next_snapshots: list[Snapshot] = []
         self._responses = 0
 
@@ -42,28 +42,28 @@
         if target is not self.snapshot or self._next_snapshots:
             self.snapshot, *self._next_snapshots = update_steps(self.snapshot, target)
         self.urgent.update(urgent)
-        self.settled = False
+        self.up_to_date = False
 
     def next(self, *, urgent_only: bool = False) -> Response | None:
         """The next response, if one is due; with `urgent_only` only one that must not wait."""
         response = self._next_urgent()
         if response is not None:
             return response
-        if urgent_only or self.settled:
+        if urgent_only or self.up_to_date:
             return None
         while True:
             for type_url in TYPES_IN_ORDER:
-                subscription = self.types.get(type_url)
+                subscription = self.subscriptions.get(type_url)
                 response = self._respond(type_url, subscription) if subscription is not None else None
                 if response is not None:
                     return response
             if not self._next_snapshots:
-                self.settled = True
+                self.up_to_date = True
                 return None
             self.snapshot = self._next_snapshots.pop(0)
 
     def _next_urgent(self) -> Response | None:
-        subscription = self.types.get(EDS)
+        subscription = self.subscriptions.get(EDS)
         if not self.urgent or subscription is None:
             return None
         response = self._respond_urgent(EDS, subscription, self.urgent)
@@ -81,7 +81,9 @@
 
     def unacknowledged(self) -> int:
         """Responses without their ACK, of the type that has most."""
-        return max((len(subscription.unacknowledged) for subscription in self.types.values()), default=0)
+        return max(
+            (len(subscription.unacknowledged) for subscription in self.subscriptions.values()), default=0
+        )
 
     def _send(
         self,
--- a/harecross/xds/subscription.py
+++ b/harecross/xds/subscription.py
@@ -8,7 +8,14 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from harecross.xds.cache import TYPES_IN_ORDER, VERSION_SPACE, Resource, Resources, digest, version_text
+from harecross.xds.cache import (
+    TYPES_IN_ORDER,
+    VERSION_SPACE,
+    Resource,
+    Resources,
+    format_version,
+    resource_digest,
+)
 
 MAX_NAMES = 10_000  # subscriptions of one stream and type
 WHOLE_SET = "*"  # stands for a response that is accepted or refused as a whole
@@ -48,9 +55,11 @@
     wildcard: bool = False  # all resources of the type
     known: dict[str, str] = field(default_factory=dict)  # what the proxy has, or is on its way to it
     refused: dict[str, str] = field(default_factory=dict)  # not sent again unchanged
-    send_singly: set[str] = field(default_factory=set)  # of a refused response, to find the bad resource
+    send_individually: set[str] = field(
+        default_factory=set
+    )  # of a refused response, to find the bad resource
     unacknowledged: dict[str, dict[str, str]] = field(default_factory=dict)  # what was sent, by nonce
-    maybe_dropped: set[str] = field(default_factory=set)  # not named by a stale request
+    possibly_dropped: set[str] = field(default_factory=set)  # not named by a stale request
     missing: set[str] = field(default_factory=set)  # do not exist, and are to be reported as removed
     response_due: bool = False  # also an empty one
     last_nonce: str = ""
@@ -60,19 +69,19 @@
     @property
     def known_version(self) -> str:
         """The version of all that the proxy has."""
-        return version_text(self._known_sum)
+        return format_version(self._known_sum)
 
     def set_known(self, name: str, version: str) -> None:
         """The proxy has a resource, or will have it."""
         self.forget(name)
         self.known[name] = version
-        self._known_sum = (self._known_sum + digest(name, version)) % VERSION_SPACE
+        self._known_sum = (self._known_sum + resource_digest(name, version)) % VERSION_SPACE
 
     def forget(self, name: str) -> None:
         """The proxy does not have a resource, or may not have it."""
         version = self.known.pop(name, None)
         if version is not None:
-            self._known_sum = (self._known_sum - digest(name, version)) % VERSION_SPACE
+            self._known_sum = (self._known_sum - resource_digest(name, version)) % VERSION_SPACE
 
     def outdated(self, available: Resources, names: Iterable[str]) -> list[str]:
         """Those of the names whose resource is to be sent."""
@@ -87,10 +96,10 @@
 
     def next_part(self, available: Resources, due: list[str], max_bytes: int) -> list[Resource]:
         """As many of the resources as one response holds; one that may be bad is sent alone."""
-        if self.send_singly:
-            single = next((name for name in due if name in self.send_singly), None)
+        if self.send_individually:
+            single = next((name for name in due if name in self.send_individually), None)
             if single is not None:
-                self.send_singly.discard(single)
+                self.send_individually.discard(single)
                 return [available[single]]
         size, part = 0, []
         for name in due:
@@ -115,14 +124,14 @@
     def _accept(self, sent: dict[str, str]) -> None:
         for name in sent:
             self.refused.pop(name, None)
-        if not self.refused and not self.send_singly:
+        if not self.refused and not self.send_individually:
             self.status.refused = self.status.reason = ""
 
     def _refuse(self, sent: dict[str, str]) -> None:
         changed = {name: version for name, version in sent.items() if version != REMOVED}
         if len(changed) > 1:
             # One bad resource must not keep the others from the proxy.
-            self.send_singly |= changed.keys()
+            self.send_individually |= changed.keys()
             for name, version in changed.items():
                 if self.known.get(name) == version:
                     self.forget(name)
--- a/harecross/xds/wire.py
+++ b/harecross/xds/wire.py
@@ -13,22 +13,22 @@
 from harecross.xds.subscription import Response
 
 
-def sotw_frame(type_url: str, resource: Resource) -> bytes:
+def encode_sotw_resource(type_url: str, resource: Resource) -> bytes:
     """A resource as a part of a state-of-the-world response."""
-    if "sotw" not in resource.frames:
+    if "sotw" not in resource.encodings:
         body = AnyMessage(type_url=type_url, value=resource.body)
-        resource.frames["sotw"] = discovery_pb2.DiscoveryResponse(resources=[body]).SerializeToString()
-    return resource.frames["sotw"]
+        resource.encodings["sotw"] = discovery_pb2.DiscoveryResponse(resources=[body]).SerializeToString()
+    return resource.encodings["sotw"]
 
 
-def delta_frame(type_url: str, resource: Resource) -> bytes:
+def encode_delta_resource(type_url: str, resource: Resource) -> bytes:
     """A resource as a part of an incremental response."""
-    if "delta" not in resource.frames:
+    if "delta" not in resource.encodings:
         body = AnyMessage(type_url=type_url, value=resource.body)
         message = discovery_pb2.Resource(name=resource.name, version=resource.version, resource=body)
         response = discovery_pb2.DeltaDiscoveryResponse(resources=[message])
-        resource.frames["delta"] = response.SerializeToString()
-    return resource.frames["delta"]
+        resource.encodings["delta"] = response.SerializeToString()
+    return resource.encodings["delta"]
 
 
 def encode_sotw(response: Response) -> bytes:
@@ -36,7 +36,9 @@
     header: bytes = discovery_pb2.DiscoveryResponse(
         version_info=response.version, nonce=response.nonce, type_url=response.type_url
     ).SerializeToString()
-    return header + b"".join(sotw_frame(response.type_url, resource) for resource in response.resources)
+    return header + b"".join(
+        encode_sotw_resource(response.type_url, resource) for resource in response.resources
+    )
 
 
 def encode_delta(response: Response) -> bytes:
@@ -47,4 +49,6 @@
         type_url=response.type_url,
         removed_resources=response.removed,
     ).SerializeToString()
-    return header + b"".join(delta_frame(response.type_url, resource) for resource in response.resources)
+    return header + b"".join(
+        encode_delta_resource(response.type_url, resource) for resource in response.resources
+    )
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -17,7 +17,7 @@
 
 from harecross.platform.child_process import ChildProcess, describe_exit
 from harecross.settings import parse_address
-from harecross.xds.load_report_service import SinkOfCluster
+from harecross.xds.load_report_service import LoadReportSinkLookup
 from harecross.xds.published import PublishedCluster
 from harecross.xds.resources import PublishedSnapshots
 from harecross.xds.worker_channel import (
@@ -72,7 +72,7 @@
         self,
         size: int,
         setup: WorkerSetup,
-        load_report_sink: SinkOfCluster,
+        load_report_sink: LoadReportSinkLookup,
         log: Callable[[str], None],
     ) -> None:
         self.port = 0
--- a/tests/control_support.py
+++ b/tests/control_support.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_child_dies_of_a_signal_that_nobody_sent(request, capfd):
+def fail_on_unexpected_child_signal(request, capfd):
     """A worker that crashes is replaced, and its test would pass without a word."""
     yield
     out, err = capfd.readouterr()
@@ -37,15 +37,15 @@
         assert "was ended by" not in line or killed in line, line
 
 
-def text_of(
-    catalogs: dict[str, StandinDiscovery],
+def config_text(
+    discoveries: dict[str, StandinDiscovery],
     more: str = "",
     control: str = "",
     cluster: str = "",
     probe: str = "http",
 ) -> str:
     parts = [f'[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.2\n{control}\n{more}']
-    for name, catalog in catalogs.items():
+    for name, catalog in discoveries.items():
         parts.append(f'[clusters.{name}]\ndiscovery = "{catalog.address}"\n{cluster}')
         parts.append(f'[clusters.{name}.probe]\nkind = "{probe}"\ninterval_s = 0.1\ntimeout_s = 0.2')
     return "\n".join(parts)
@@ -58,20 +58,20 @@
         self.folder = folder
         self.path = folder / "control.toml"
         self.servers: dict[str, StandinServer] = {}
-        self.catalogs: dict[str, StandinDiscovery] = {}
+        self.discoveries: dict[str, StandinDiscovery] = {}
         self.service: ControlService | None = None
         self.task: asyncio.Task[None] | None = None
         self.channel = None
 
     async def cluster(self, name: str, servers: int = 3) -> StandinDiscovery:
-        catalog = self.catalogs[name] = await StandinDiscovery().start()
+        catalog = self.discoveries[name] = await StandinDiscovery().start()
         for i in range(servers):
             s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", ServerCapacity()).start()
             catalog.put(entry(s.name, s.address))
         return catalog
 
     async def serve(self, **parts: str) -> ControlService:
-        self.path.write_text(text_of(self.catalogs, **parts))
+        self.path.write_text(config_text(self.discoveries, **parts))
         self.service = ControlService(self.path, read_control(self.path))
         self.task = asyncio.create_task(self.service.run())
         ready = asyncio.create_task(self.service.ready.wait())
@@ -82,7 +82,7 @@
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.service.server.port}")
         return self.service
 
-    async def leave(self) -> None:
+    async def stop_service(self) -> None:
         if self.channel is not None:
             await self.channel.close()
         if self.service is not None:
@@ -91,8 +91,8 @@
         self.service = self.channel = None
 
     async def close(self) -> None:
-        await self.leave()
-        for catalog in self.catalogs.values():
+        await self.stop_service()
+        for catalog in self.discoveries.values():
             await catalog.stop()
         for server in self.servers.values():
             server.stop()
@@ -116,7 +116,7 @@
 )
 
 
-async def process(path: Path) -> tuple[subprocess.Popen, int]:
+async def start_service_process(path: Path) -> tuple[subprocess.Popen, int]:
     """The service in a process of its own, and its port."""
     started = subprocess.Popen([sys.executable, "-c", SERVE_SCRIPT, str(path)], stderr=subprocess.PIPE)
     while b"listening on port" not in (output := await asyncio.to_thread(started.stderr.readline)):
@@ -124,7 +124,7 @@
     return started, int(output.split(b"port ")[1].split(b",")[0])
 
 
-async def command(*args: object) -> tuple[int, str]:
+async def run_command(*args: object) -> tuple[int, str]:
     # Not by uvloop, whose fork would run grpc's handlers in the child (harecross.platform.child_process).
     made = await asyncio.to_thread(
         subprocess.run,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,11 +15,11 @@
 from control_support import (  # noqa: E402
     DRAIN_GRACE,
     UNHEALTHY,
+    config_text,
     control_site,
+    fail_on_unexpected_child_signal,  # noqa: F401
     health,
-    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
-    process,
-    text_of,
+    start_service_process,
 )
 from node_support import node_at, run  # noqa: E402
 
@@ -45,7 +45,7 @@
     async def body() -> None:
         async with site_with_proxy(tmp_path) as (site, proxy):
             changed_at = asyncio.get_running_loop().time()
-            site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, "terminating"))
+            site.discoveries["orders"].put(entry("orders1", site.servers["orders1"].address, "terminating"))
             await proxy.until(lambda proxy: health(proxy).get("orders1") == DRAINING)
             assert proxy.first_seen_at("orders", "orders1", DRAINING) - changed_at < DRAIN_GRACE
 
@@ -56,7 +56,7 @@
     async def body() -> None:
         async with site_with_proxy(tmp_path) as (site, proxy):
             for lifecycle in ("terminating", "terminated"):
-                site.catalogs["orders"].put(entry("orders1", site.servers["orders1"].address, lifecycle))
+                site.discoveries["orders"].put(entry("orders1", site.servers["orders1"].address, lifecycle))
             await proxy.until(lambda proxy: set(health(proxy)) == {"orders0", "orders2"})
 
     run(body())
@@ -114,7 +114,7 @@
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
-            await site.leave()
+            await site.stop_service()
             await catalog.stop()
             service = await site.serve(control=memory)
             proxy = XdsProxy(site.channel).start()
@@ -140,7 +140,7 @@
                 {t: dict(h) for t, h in proxy.accepted.items()},
                 {t: dict(v) for t, v in proxy.versions.items()},
             )
-            await site.leave()
+            await site.stop_service()
             await catalog.stop()
             await site.serve(control="wait_s = 0.2")
             again = XdsProxy(site.channel, delta=delta)
@@ -148,7 +148,7 @@
             again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
             again.start()
             await again.until(lambda proxy: proxy.streams >= 1)
-            while not any(ASSIGNMENT in s.stream.types for s in site.service.server.proxies):
+            while not any(ASSIGNMENT in s.stream.subscriptions for s in site.service.server.proxies):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
             assert len(health(again)) == 3
@@ -166,8 +166,10 @@
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 2'
             # The port is free between two services: on a host of its own nobody else is given it meanwhile.
             host = f"127.78.{os.getpid() >> 8 & 0xFF}.{os.getpid() & 0xFF or 1}"
-            site.path.write_text(text_of(site.catalogs, control=memory).replace("127.0.0.1:0", f"{host}:0"))
-            service, port = await process(site.path)
+            site.path.write_text(
+                config_text(site.discoveries, control=memory).replace("127.0.0.1:0", f"{host}:0")
+            )
+            service, port = await start_service_process(site.path)
             site.path.write_text(site.path.read_text().replace(f"{host}:0", f"{host}:{port}"))
             async with grpc.aio.insecure_channel(f"{host}:{port}") as channel:
                 proxy = XdsProxy(channel, delta=delta)
@@ -186,7 +188,7 @@
                     service.send_signal(signal.SIGKILL)
                     await asyncio.to_thread(service.wait)
                     catalog.put(entry(name, site.servers[name].address, "terminated"))
-                    service, _ = await process(site.path)
+                    service, _ = await start_service_process(site.path)
                     await proxy.until(lambda proxy, n=name: n not in health(proxy))
                     catalog.put(entry(name, site.servers[name].address))
                     await proxy.until(lambda proxy, n=name: health(proxy).get(n) == 1)
@@ -228,8 +230,8 @@
 def test_a_cluster_that_leaves_the_file_leaves_the_proxy(tmp_path):
     async def body() -> None:
         async with two_clusters(tmp_path) as (site, proxy):
-            orders = {"orders": site.catalogs["orders"]}
-            site.path.write_text(text_of(orders, cluster="cross_zone_price = 0.5"))
+            orders = {"orders": site.discoveries["orders"]}
+            site.path.write_text(config_text(orders, cluster="cross_zone_price = 0.5"))
             os.kill(os.getpid(), signal.SIGHUP)
             await proxy.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"orders"})
             assert len(health(proxy)) == 3
@@ -251,7 +253,7 @@
             ca.cert_pem.write_to_path(tmp_path / "ca.pem")
             files = "\n".join(f'{k} = "{tmp_path / "ca.pem"}"' for k in ("certificate", "key", "client_ca"))
             rules = f'[tls]\n{files}\n[clients]\n"edge.example" = ["*"]\n[limits]\nstreams = 1'
-            site.path.write_text(text_of(site.catalogs, more=rules))
+            site.path.write_text(config_text(site.discoveries, more=rules))
             os.kill(os.getpid(), signal.SIGHUP)
             output = ""
             while "read again" not in output:
--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -13,10 +13,10 @@
 grpc = pytest.importorskip("grpc")
 
 from control_support import (  # noqa: E402
-    command,
     control_site,
+    fail_on_unexpected_child_signal,  # noqa: F401
     health,
-    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
+    run_command,
 )
 from node_support import run  # noqa: E402
 
@@ -101,7 +101,7 @@
                 cert = theirs.issue_cert(name)
                 cert.private_key_pem.write_to_path(tmp_path / "me.key")
                 cert.cert_chain_pems[0].write_to_path(tmp_path / "me.pem")
-                code, out = await command(
+                code, out = await run_command(
                     "control", "status", "--address", f"127.0.0.1:{site.service.server.port}",
                     "--ca", tmp_path / "ca.pem", "--cert", tmp_path / "me.pem", "--key", tmp_path / "me.key",
                 )  # fmt: skip
@@ -127,7 +127,7 @@
             await bad.until(lambda proxy: any(t == ASSIGNMENT for t, _, _ in proxy.responses))
             address = f"127.0.0.1:{site.service.server.port}"
             while True:
-                code, out = await command("control", "status", "--address", address, "--json", "-")
+                code, out = await run_command("control", "status", "--address", address, "--json", "-")
                 rows = {r["node"]: r for r in json.loads(out)["proxies"]}
                 states = {n: {t["type"]: t for t in r["types"]} for n, r in rows.items()}
                 if "EDS" in states.get("bad", {}) and states["bad"]["EDS"]["reason"]:
@@ -136,14 +136,14 @@
             assert states["good"]["EDS"]["state"] == "SYNCED"
             assert states["bad"]["EDS"]["state"] == "ERROR"
             assert states["bad"]["EDS"]["reason"] == "no such locality"
-            code, out = await command("control", "status", "--address", address)
+            code, out = await run_command("control", "status", "--address", address)
             assert code == 0
             assert "no such locality" in out
             assert "SYNCED" in out
             await good.stop()
             await bad.stop()
-            await site.leave()
-            code, out = await command("control", "status", "--address", address)
+            await site.stop_service()
+            code, out = await run_command("control", "status", "--address", address)
             assert code == 1
             assert "UNAVAILABLE" in out
             assert len(out.splitlines()) <= 2
@@ -184,17 +184,17 @@
 def test_the_command_ends_with_status_2_on_a_bad_file_or_a_port_in_use(tmp_path):
     async def body() -> None:
         path = tmp_path / "control.toml"
-        assert await command("control", "--config", path) == (
+        assert await run_command("control", "--config", path) == (
             2,
             f"harecross: {path}: No such file or directory\n",
         )
-        code, out = await command("control")
+        code, out = await run_command("control")
         assert code == 2
         assert "--config" in out
         taken = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = taken.sockets[0].getsockname()[1]
         path.write_text(f'[control]\nlisten = "127.0.0.1:{port}"\n[clusters.a]\ndiscovery = "127.0.0.1:1"')
-        code, out = await command("control", "--config", path)
+        code, out = await run_command("control", "--config", path)
         assert code == 2
         assert "control.listen" in out
         assert "Traceback" not in out
--- a/tests/test_control_rules.py
+++ b/tests/test_control_rules.py
@@ -15,11 +15,11 @@
     DRAIN_GRACE,
     UNHEALTHY,
     control_site,
+    fail_on_unexpected_child_signal,  # noqa: F401
     health,
-    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
 )
 from node_support import run  # noqa: E402
-from xds_support import Caller, backend  # noqa: E402
+from xds_support import GrpcXdsClient, start_backend  # noqa: E402
 
 from harecross.standins.discovery import entry  # noqa: E402
 from harecross.standins.model import ServerCapacity  # noqa: E402
@@ -141,21 +141,21 @@
     async def body() -> None:
         async with control_site(tmp_path) as site:
             catalog = await site.cluster("svc", 0)
-            made = {f"b{i}": await backend(f"b{i}") for i in range(3)}
+            made = {f"b{i}": await start_backend(f"b{i}") for i in range(3)}
             for name, (_, address) in made.items():
                 catalog.put(entry(name, address))
             service = await site.serve(control="load_reports_s = 0.1", probe="tcp")
             reported: Counter[str] = Counter()
             feed = service.publisher_loop.feeds["svc"]
-            take = feed.load_reports.take
+            collect = feed.load_reports.collect
 
             def taken():
-                seen = take()
-                reported.update({s.server: s.good for s in seen})
+                seen = collect()
+                reported.update({s.server: s.successes for s in seen})
                 return seen
 
-            feed.load_reports = SimpleNamespace(add=feed.load_reports.add, take=taken)
-            caller = await Caller.start(f"127.0.0.1:{service.server.port}", tmp_path)
+            feed.load_reports = SimpleNamespace(add=feed.load_reports.add, collect=taken)
+            caller = await GrpcXdsClient.start(f"127.0.0.1:{service.server.port}", tmp_path)
             try:
                 assert set(await caller.calls(200)) == {"b0", "b1", "b2"}
                 catalog.put(entry("b1", made["b1"][1], "terminating"))
--- a/tests/test_control_workers.py
+++ b/tests/test_control_workers.py
@@ -16,12 +16,12 @@
 from control_support import (  # noqa: E402
     DRAIN_GRACE,
     ControlSite,
-    command,
+    config_text,
     control_site,
+    fail_on_unexpected_child_signal,  # noqa: F401
     health,
-    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
-    process,
-    text_of,
+    run_command,
+    start_service_process,
 )
 from node_support import run  # noqa: E402
 
@@ -36,7 +36,7 @@
         self.site = site
         self.proxies = proxies
         self.pool = site.service.server
-        self.orders = site.catalogs["orders"]
+        self.orders = site.discoveries["orders"]
 
     @property
     def target(self) -> str:
@@ -89,7 +89,7 @@
 def test_every_worker_answers_with_the_status_of_all(tmp_path):
     async def body() -> None:
         async with worker_site(tmp_path) as workers:
-            code, out = await command("control", "status", "--address", workers.target, "--json", "-")
+            code, out = await run_command("control", "status", "--address", workers.target, "--json", "-")
             nodes = {row["node"] for row in json.loads(out)["proxies"]}
             assert code == 0
             assert nodes == {f"p{i}" for i in range(16)}
@@ -133,7 +133,7 @@
 def test_a_cluster_that_leaves_the_file_leaves_the_streams_of_all_workers(tmp_path):
     async def body() -> None:
         async with worker_site(tmp_path) as workers:
-            workers.site.path.write_text(text_of({"orders": workers.orders}, control=WORKER_OPTIONS))
+            workers.site.path.write_text(config_text({"orders": workers.orders}, control=WORKER_OPTIONS))
             os.kill(os.getpid(), signal.SIGHUP)
             await workers.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"orders"})
 
@@ -144,8 +144,8 @@
     async def body() -> None:
         async with control_site(tmp_path) as site:
             await site.cluster("orders")
-            site.path.write_text(text_of(site.catalogs, control="workers = 2"))
-            service, port = await process(site.path)
+            site.path.write_text(config_text(site.discoveries, control="workers = 2"))
+            service, port = await start_service_process(site.path)
             service.kill()
             await asyncio.to_thread(service.wait)
             # The port is free once the last of them has gone.
@@ -166,7 +166,7 @@
             first = await site.serve(control="workers = 2")
             path = tmp_path / "second.toml"
             path.write_text(site.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
-            code, out = await command("control", "--config", path)
+            code, out = await run_command("control", "--config", path)
             assert code == 2
             assert "control.listen" in out
             assert "in use" in out
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -320,35 +320,35 @@
 
 
 def test_one_proxy_whose_way_to_a_server_is_broken_makes_no_failures():
-    (load,) = reports(True, False, False, False, False).take()
-    assert load.bad == 0
-    assert load.good == 1400
+    (load,) = reports(True, False, False, False, False).collect()
+    assert load.failures == 0
+    assert load.successes == 1400
 
 
 def test_the_failures_that_most_proxies_report_count():
-    (load,) = reports(True, True, True, False, False).take()
-    assert load.good == 0
+    (load,) = reports(True, True, True, False, False).collect()
+    assert load.successes == 0
 
 
 def test_reports_are_taken_once():
     collected = reports(False)
-    collected.take()
-    assert collected.take() == []
+    collected.collect()
+    assert collected.collect() == []
 
 
 def test_figures_that_cannot_be_are_bounded():
     collected = LoadReports()
     collected.add("p", "s", 1 << 60, -5, 1 << 60, 1e30)
-    (load,) = collected.take()
-    assert load.good == 10_000
-    assert load.bad == 0
+    (load,) = collected.collect()
+    assert load.successes == 10_000
+    assert load.failures == 0
     assert load.latency_ms <= 3.6e6
 
 
 def test_latency_is_the_requests_in_progress_over_their_rate():
     collected = LoadReports()
     collected.add("p", "s", 100, 0, 5, 2.0)  # 50 a second, 5 in progress: 100 ms each
-    assert abs(collected.take()[0].latency_ms - 100) < 1
+    assert abs(collected.collect()[0].latency_ms - 100) < 1
 
 
 # ---- health checks ------------------------------------------------------------------------------------------
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -11,12 +11,12 @@
 
 from envoy.service.discovery.v3 import discovery_pb2  # noqa: E402
 from node_support import run  # noqa: E402
-from xds_support import Caller, backend, snapshot  # noqa: E402
+from xds_support import GrpcXdsClient, snapshot, start_backend  # noqa: E402
 
 from harecross.standins.xds import ASSIGNMENT, DRAINING, XdsProxy  # noqa: E402
 from harecross.xds import server, stream_service  # noqa: E402
 from harecross.xds.cache import CDS, EDS, Snapshot  # noqa: E402
-from harecross.xds.client_identity import ignore  # noqa: E402
+from harecross.xds.client_identity import discard_log_line  # noqa: E402
 from harecross.xds.config import Limits  # noqa: E402
 from harecross.xds.published import Health, PublishedCluster, PublishedEndpoint  # noqa: E402
 from harecross.xds.resources import PublishedSnapshots, ResourceEncoder  # noqa: E402
@@ -51,7 +51,7 @@
     assert of(HERE).get(EDS)["svc"].version != of(HERE, drained=(1,)).get(EDS)["svc"].version
 
 
-async def started(first=None, log=ignore) -> tuple[ControlServer, str]:
+async def started(first=None, log=discard_log_line) -> tuple[ControlServer, str]:
     control = ControlServer(log=log)
     port = await control.start("127.0.0.1:0")
     if first is not None:
@@ -292,7 +292,7 @@
             await second.start(f"127.0.0.1:{port}")
             second.publish(snapshot(two))
             await proxy.until(lambda proxy: proxy.streams >= 2 and proxy.error is None)
-            while not any(EDS in s.stream.types for s in second.proxies):
+            while not any(EDS in s.stream.subscriptions for s in second.proxies):
                 await asyncio.sleep(0.005)
             second.publish(snapshot({**two, "b": (endpoints(HERE, drained=(0,)), 0)}))
             await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("b")))
@@ -454,10 +454,10 @@
 
 def test_grpcs_own_client_follows_weights_drains_and_a_restart(tmp_path):
     async def body() -> None:
-        servers, addresses = zip(*[await backend(f"b{i}") for i in range(3)], strict=True)
+        servers, addresses = zip(*[await start_backend(f"b{i}") for i in range(3)], strict=True)
         addresses = list(addresses)
         control, address = await started(of(addresses, weights={0: 300}))
-        caller = await Caller.start(address, tmp_path)
+        caller = await GrpcXdsClient.start(address, tmp_path)
         try:
             found = await caller.calls(500)
             assert set(found) == {"b0", "b1", "b2"}
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -15,8 +15,8 @@
     TYPES_IN_ORDER,
     Resource,
     Snapshot,
+    combined_version,
     update_steps,
-    version_of,
 )
 from harecross.xds.delta_stream import DeltaStream
 from harecross.xds.sotw_stream import SotwStream
@@ -72,7 +72,7 @@
     response = only(ask(stream, EDS, "", ["a"]))
     assert [resource.body for resource in response.resources] == [b"e1"]
     assert ask(stream, EDS, response.nonce, ["a"]) == []
-    assert stream.types[EDS].status.acked == response.version
+    assert stream.subscriptions[EDS].status.acked == response.version
     assert only(push(stream, A2)).resources[0].body == b"e2"
     assert push(stream, A2) == []
 
@@ -84,7 +84,7 @@
     bad = only(push(stream, A2))
     assert ask(stream, EDS, bad.nonce, ["a"], error="no such thing") == []
     assert push(stream, A2) == []  # no loop
-    status = stream.types[EDS].status
+    status = stream.subscriptions[EDS].status
     assert (status.acked, status.refused, status.reason) == (first.version, bad.version, "no such thing")
     good = only(push(stream, A3))
     assert ask(stream, EDS, good.nonce, ["a"]) == []
@@ -99,10 +99,10 @@
     first = only(ask(stream, EDS, "", ["a"]))
     second = only(push(stream, A2))  # two updates, the first without its ACK
     assert ask(stream, EDS, first.nonce, ["a", "b"]) == []
-    assert stream.types[EDS].names == {"a"}
-    assert stream.types[EDS].status.acked == ""
+    assert stream.subscriptions[EDS].names == {"a"}
+    assert stream.subscriptions[EDS].status.acked == ""
     ask(stream, EDS, second.nonce, ["a"])
-    assert stream.types[EDS].status.acked == second.version
+    assert stream.subscriptions[EDS].status.acked == second.version
 
 
 def test_a_subscription_changed_in_mid_update_is_answered_from_the_newest():
@@ -192,10 +192,12 @@
 
 
 def test_versions_are_those_of_the_content():
-    assert version_of(A1.get(EDS).values()) == version_of(snapshot(eds={"a": "e1"}).get(EDS).values())
-    assert version_of(A1.get(EDS).values()) != version_of(A2.get(EDS).values())
+    assert combined_version(A1.get(EDS).values()) == combined_version(
+        snapshot(eds={"a": "e1"}).get(EDS).values()
+    )
+    assert combined_version(A1.get(EDS).values()) != combined_version(A2.get(EDS).values())
     both = snapshot(eds={"a": "1", "b": "2"}).get(EDS)
-    assert version_of(both.values()) == version_of(reversed(list(both.values())))
+    assert combined_version(both.values()) == combined_version(reversed(list(both.values())))
 
 
 def test_what_is_referred_to_goes_first_and_is_removed_last():
@@ -375,7 +377,7 @@
             assert len(inbox) < 10, "sent in a loop"
         assert held == {"a": b"1", "c": b"1"}
         assert refused == 2
-        assert stream.types[EDS].status.reason == "bad"
+        assert stream.subscriptions[EDS].status.reason == "bad"
         assert [
             resource.name
             for resource in only(push(stream, snapshot(eds={"a": "1", "b": "2", "c": "1"}))).resources
@@ -384,7 +386,7 @@
 
 def test_what_is_withheld_is_neither_sent_nor_told_as_removed():
     # A service that has restarted and does not know a cluster's list yet: proxies keep what they have.
-    unknown = Snapshot(snapshot(cds={"a": "1"}).types, frozenset("a"))
+    unknown = Snapshot(snapshot(cds={"a": "1"}).resources_by_type, frozenset("a"))
     stream = DeltaStream(unknown)
     assert ask(stream, EDS, subscribe=["a"], initial={"a": "old"}) == []
     assert ask(DeltaStream(unknown), EDS, subscribe=["a"]) == []
--- a/tests/xds_support.py
+++ b/tests/xds_support.py
@@ -39,7 +39,7 @@
 """
 
 
-async def backend(name: str):
+async def start_backend(name: str):
     async def who(request: bytes, context) -> bytes:
         return name.encode()
 
@@ -51,13 +51,13 @@
     return server, f"127.0.0.1:{port}"
 
 
-class Caller:
+class GrpcXdsClient:
     """grpcio's own xDS client, in a process of its own."""
 
     process: asyncio.subprocess.Process
 
     @classmethod
-    async def start(cls, address: str, folder: Path) -> Caller:
+    async def start(cls, address: str, folder: Path) -> GrpcXdsClient:
         bootstrap = {
             "xds_servers": [
                 {
