--- a/harecross/xds/__init__.py
+++ b/harecross/xds/__init__.py
@@ -1,6 +1,7 @@
-"""The control service: what the decision module finds of servers, for other proxies, over xDS v3.
+"""The control service: publishes the balancer's view of the servers to other proxies over xDS v3.
 
-`publisher` (what to publish of each server), `release` (when), `cache` (resources, versions, order), `subscription` and
-the streams (one proxy's stream, both variants) are free of I/O; `resources` builds messages; `stream_service` and
-`server` serve them over gRPC. `publisher_loop` connects cluster feeds and the server.
+The modules without I/O are `publisher` (what to publish for each server), `release` (when to publish it), `cache`
+(resources, their versions and the order of updates), `subscription` and the stream modules (the protocol state of one
+proxy's stream, for both xDS variants). `resources` builds the protobuf messages; `stream_service` and `server` serve
+them over gRPC. `publisher_loop` connects the cluster feeds to the server.
 """
--- a/harecross/xds/access.py
+++ b/harecross/xds/access.py
@@ -1,4 +1,4 @@
-"""Which clusters a client may see, by the name in its certificate. Free of I/O."""
+"""Rules on which clusters a client may see, by the names in its certificate. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 from fnmatch import fnmatchcase
 from ipaddress import ip_address
 
+# In a rule or a list of patterns: every cluster or every client.
 ALL = "*"
 
 
 def allowed_clusters(rules: Mapping[str, Sequence[str]], names: Sequence[str]) -> frozenset[str] | None:
-    """The clusters for a client of these certificate names, None for all of them.
+    """Returns the clusters that a client with these certificate names may see; None stands for all of them.
 
-    Rules map a pattern (`*.partner.example`) to clusters, or to `*`. Without rules every client sees all; with
-    rules a client that no pattern matches sees nothing.
+    A rule maps a pattern such as `*.partner.example` to names of clusters or to `*`. Without rules every client sees
+    all clusters. With rules, a client that no pattern matches sees none.
     """
     if not rules:
         return None
@@ -25,12 +26,12 @@
 
 
 def matches_any(patterns: Sequence[str], names: Sequence[str]) -> bool:
-    """Whether a pattern matches a client of these names; `*` matches everyone, without a certificate too."""
+    """Returns whether a pattern matches one of a client's names; `*` matches clients without a certificate too."""
     return ALL in patterns or any(fnmatchcase(name, pattern) for pattern in patterns for name in names)
 
 
 def is_loopback(host: str) -> bool:
-    """Whether an address reaches this machine alone."""
+    """Returns whether a host can be reached from this machine only."""
     if host == "localhost":
         return True
     try:
--- a/harecross/xds/cli.py
+++ b/harecross/xds/cli.py
@@ -1,4 +1,4 @@
-"""`harecross control`: the control service, and what its proxies hold."""
+"""The commands `harecross control`, which runs the control service, and `harecross control status`."""
 
 from __future__ import annotations
 
@@ -15,9 +15,11 @@
 @control_app.callback()
 def control(
     context: typer.Context,
-    config: Annotated[Path | None, typer.Option(help="The service's file (deploy/control.toml).")] = None,
+    config: Annotated[
+        Path | None, typer.Option(help="The service's configuration file, such as deploy/control.toml.")
+    ] = None,
 ) -> None:
-    """Hand the decisions to other proxies over xDS; `status` asks a running service who holds what."""
+    """Serve the balancer's decisions to other proxies over xDS; `status` shows what each proxy has."""
     if context.invoked_subcommand is not None:
         return
     if config is None:
@@ -37,12 +39,16 @@
 @control_app.command("status")
 def control_status(
     address: Annotated[str, typer.Option(help="HOST:PORT of the service.")] = "127.0.0.1:18000",
-    ca: Annotated[Path | None, typer.Option(help="With TLS: who signed the service's certificate.")] = None,
-    cert: Annotated[Path | None, typer.Option(help="The client's certificate.")] = None,
-    key: Annotated[Path | None, typer.Option(help="The client's key.")] = None,
-    json_to: Annotated[str | None, typer.Option("--json", help="A file, or - for standard output.")] = None,
+    ca: Annotated[
+        Path | None, typer.Option(help="With TLS: the CA that signed the service's certificate.")
+    ] = None,
+    cert: Annotated[Path | None, typer.Option(help="With TLS: the client's certificate.")] = None,
+    key: Annotated[Path | None, typer.Option(help="With TLS: the client's private key.")] = None,
+    json_to: Annotated[
+        str | None, typer.Option("--json", help="Write JSON to this file, or to standard output if it is -.")
+    ] = None,
 ) -> None:
-    """Each proxy: what it was sent, has acknowledged and has refused, and why."""
+    """Show what each proxy was sent, acknowledged and refused, and why."""
     try:
         from harecross.xds.status_client import StatusError, fetch_status
     except ImportError as error:
@@ -59,21 +65,23 @@
 
 
 def _print_streams(streams: list[dict[str, Any]]) -> None:
-    """Prints a line for each type of each stream, and the reasons of what was refused."""
+    """Prints a row for each resource type of each stream, then the proxies' reasons for refused responses."""
     from harecross.console import out, table
 
     columns = ("node", "address", "variant", "age s", "type", "state", "acknowledged")
-    found = table(f"{len(streams)} streams", *columns)
+    status_table = table(f"{len(streams)} streams", *columns)
     refusals = []
     for stream in streams:
         proxy = (stream["node"], stream["peer"], stream["variant"], f"{stream['age_s']:.0f}")
         for index, state in enumerate(stream["types"] or [{}]):
             cells = proxy if index == 0 else ("",) * len(proxy)
-            found.add_row(*cells, state.get("type", "-"), state.get("state", ""), state.get("acked", ""))
+            status_table.add_row(
+                *cells, state.get("type", "-"), state.get("state", ""), state.get("acked", "")
+            )
             if state.get("reason"):
                 refusals.append(
                     f"{stream['node']} refused {state['type']} {state['refused']}: {state['reason']}"
                 )
-    out.print(found)
-    for line in refusals:
-        out.print(line, highlight=False, markup=False, soft_wrap=True)
+    out.print(status_table)
+    for refusal in refusals:
+        out.print(refusal, highlight=False, markup=False, soft_wrap=True)
--- a/harecross/xds/delta_stream.py
+++ b/harecross/xds/delta_stream.py
@@ -1,4 +1,4 @@
-"""The incremental variant: only what differs is sent, and removals are named."""
+"""The incremental (delta) variant of a stream: a response holds the changed resources and the names of removed ones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DeltaStream(Stream):
-    """An incremental stream."""
+    """The protocol state of one incremental stream."""
 
     variant = "delta"
 
@@ -26,13 +26,17 @@
         initial: Mapping[str, str] | None = None,
         error: str = "",
     ) -> None:
-        """A request of the proxy: subscriptions, an ACK or NACK, or both. `initial` are versions that it has."""
+        """Handles a request: changed subscriptions, an ACK or NACK, or both.
+
+        `error` is the message of a NACK. `initial` holds the versions, by resource name, that a reconnecting proxy
+        already has.
+        """
         added = check_names(type_url, subscribe, self.max_names)
         dropped = check_names(type_url, unsubscribe, self.max_names)
         subscription = self.subscriptions.get(type_url)
         first = subscription is None
         if first or error or added or dropped:
-            self.up_to_date = False  # an ACK alone makes no response due
+            self.up_to_date = False  # an ACK without changes makes no response due
         if subscription is None:
             subscription = self._begin(type_url, added, initial or {})
         if nonce and subscription.acknowledge(nonce, error):
@@ -43,7 +47,7 @@
         self._subscribe(type_url, subscription, added, dropped, first=first)
 
     def _begin(self, type_url: str, added: frozenset[str], initial: Mapping[str, str]) -> Subscription:
-        """Takes the first request of a type."""
+        """Creates the subscription for the first request of a type."""
         subscription = Subscription(wildcard=type_url in WILDCARD_TYPES and not added)
         subscription.response_due = subscription.wildcard
         for name, version in initial.items():
@@ -71,13 +75,17 @@
             subscription.forget(name)
         if not first:
             for name in added:
-                subscription.forget(name)  # asked for again: sent again, whatever the proxy has
+                # A resource that is requested again is sent again, whatever version the proxy has.
+                subscription.forget(name)
         subscription.names |= added
         available = self.snapshot.get(type_url)
         subscription.missing |= {name for name in added if name not in available}
 
     def _respond(self, type_url: str, subscription: Subscription) -> Response | None:
-        """What differs from what the proxy has; names that do not exist are reported as removed."""
+        """Returns a response with what differs from the proxy's resources, or None if nothing is due.
+
+        Requested resources that do not exist are reported as removed.
+        """
         available = self.snapshot.get(type_url)
         requested = self._requested(type_url, subscription)
         due = subscription.outdated(available, requested)
@@ -89,7 +97,7 @@
             if name in subscription.names and name not in available and name not in withheld
         }
         self._forget_refused_removals(subscription, requested)
-        # A removal that was refused goes out again with the next thing that is new.
+        # A refused removal makes no response due by itself; it is sent again with the next change.
         new_removals = {name for name in gone if subscription.refused.get(name) != REMOVED}
         new_removals |= subscription.missing
         if not due and not new_removals and not subscription.response_due:
@@ -105,13 +113,13 @@
         return self._send_difference(type_url, subscription, due, set())
 
     def _requested(self, type_url: str, subscription: Subscription) -> AbstractSet[str]:
-        """The names of those resources that exist and that the proxy asked for."""
+        """Returns the names of the requested resources that exist."""
         available = self.snapshot.get(type_url)
         return available.keys() if subscription.wildcard else subscription.names & available.keys()
 
     @staticmethod
     def _forget_refused_removals(subscription: Subscription, requested: AbstractSet[str]) -> None:
-        """Those of resources that are there again: their next removal is a new one."""
+        """Forgets the refused removals of resources that exist again, so that their next removal counts as new."""
         for name in [n for n, version in subscription.refused.items() if version == REMOVED]:
             if name in requested:
                 del subscription.refused[name]
--- a/harecross/xds/load_report_service.py
+++ b/harecross/xds/load_report_service.py
@@ -1,4 +1,7 @@
-"""The load reporting service: what proxies observed of servers. Source: `envoy.service.load_stats.v3`."""
+"""The load reporting service (LRS), which receives what proxies observed of servers.
+
+Source: `envoy.service.load_stats.v3`.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +17,34 @@
 
 
 class LoadReportSink(Protocol):
-    """Where a cluster's reports go: `load_reports.LoadReports`, or on to the service's process."""
+    """Receives the load reports of one cluster.
+
+    It is a `load_reports.LoadReports`, or in a worker process an object that forwards the reports to the service.
+    """
 
     def add(
         self, reporter: str, server: str, successes: int, failures: int, in_progress: int, seconds: float
     ) -> None:
-        """Takes one report's figures of one server."""
+        """Adds the figures that one report has for one server."""
 
 
-LoadReportSinkLookup = Callable[[str], LoadReportSink | None]  # None for a cluster that is not served
+# Returns the sink for the cluster of this name, or None if the cluster is not served.
+LoadReportSinkLookup = Callable[[str], LoadReportSink | None]
 
 
 def load_report_handler(
     find_sink: LoadReportSinkLookup, allowed_clusters: AllowedClusters, interval_s: float
 ) -> Any:
-    """The service's handler. A client's reports count for the clusters that it may see."""
+    """Returns the gRPC handler of the load reporting service.
+
+    Proxies are asked to report every `interval_s` seconds. A client's reports on clusters that it may not see are
+    ignored.
+    """
 
     async def stream_load_stats(requests: AsyncIterator[Any], context: Any) -> None:
         identity = await identify(context, allowed_clusters)
-        # One reporter for each certificate or, without, each connection: a node may name itself as it likes.
+        # A reporter is identified by its certificate or, without one, by its connection. The node id is not used,
+        # because a client can choose any.
         reporter = identity.certificate_names[0] if identity.certificate_names else context.peer()
         responded = False
         async for request in requests:
@@ -54,7 +66,7 @@
 
 
 def add_stats(sink: LoadReportSink, reporter: str, stats: Any) -> None:
-    """Passes on a reporter's figures of one cluster; a locality of it is a server."""
+    """Passes a reporter's figures for one cluster to the sink; each locality of the cluster is one server."""
     seconds = stats.load_report_interval.ToMilliseconds() / 1000
     for locality in stats.upstream_locality_stats:
         sink.add(
--- a/harecross/xds/server.py
+++ b/harecross/xds/server.py
@@ -1,4 +1,4 @@
-"""The control server: serves a publication over gRPC."""
+"""The control server: serves the published resources over gRPC."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from harecross.xds.publication import Publication, SnapshotSource
 from harecross.xds.stream_service import StreamService
 
+# The interval of gRPC keepalive pings on a connection, and how long an answer to one may take, in milliseconds.
 KEEPALIVE_MS, KEEPALIVE_TIMEOUT_MS = 10_000, 5_000
 
 
 def all_clusters(names: tuple[str, ...]) -> frozenset[str] | None:
-    """Lets every client see all clusters."""
+    """Allows every client all clusters."""
     return None
 
 
 class ControlServer:
-    """Serves what is published; nothing is sent before the first `publish`."""
+    """Serves the published resources to proxies; sends nothing before the first `publish`."""
 
     def __init__(
         self,
@@ -40,36 +41,39 @@
 
     @property
     def proxies(self) -> set[ProxyStream]:
-        """The open streams."""
+        """The open streams of proxies."""
         return self._streams.proxies
 
     @property
     def source(self) -> SnapshotSource | None:
-        """What is published."""
+        """The published resources, or None before the first `publish`."""
         return self._publication.source
 
     @property
     def bytes_sent(self) -> int:
-        """Bytes of all responses."""
+        """Bytes of all responses that were sent on streams."""
         return self._streams.bytes_sent
 
     @property
     def slow_proxies_dropped(self) -> int:
-        """Streams ended since the proxy did not take what it was sent."""
+        """The number of streams that were ended because the proxy did not read or acknowledge responses."""
         return self._streams.slow_proxies_dropped
 
     def count(self) -> int:
-        """How many streams are open."""
+        """Returns the number of open streams."""
         return len(self.proxies)
 
     def add_handler(self, handler: Any) -> None:
-        """Adds a further gRPC service, before the start."""
+        """Adds another gRPC service. It has to be added before the start."""
         self._handlers.append(handler)
 
     async def start(self, address: str, credentials: Any = None, *, shared: bool = False) -> int:
-        """Listens; returns the port. OSError if it cannot.
+        """Starts to listen and returns the port.
 
-        A port that is shared with other processes gets a part of the connections.
+        If the port is `shared` with other processes (SO_REUSEPORT), this server accepts a part of the connections.
+
+        Raises:
+            OSError: If the server cannot listen on the address.
         """
         self._server = grpc.aio.server(options=self._options(shared=shared))
         self._server.add_generic_rpc_handlers(tuple(self._handlers))
@@ -96,12 +100,12 @@
         ]
 
     async def stop(self) -> None:
-        """Ends every stream; proxies keep what they have and reconnect."""
+        """Ends every stream. Proxies keep their resources and reconnect."""
         if self._server is not None:
             await self._server.stop(0)
 
     def publish(self, source: SnapshotSource, urgent: Collection[str] = ()) -> None:
-        """Serves this from now on; the assignments of `urgent` go out at once."""
+        """Serves these resources from now on; sends the endpoint assignments named in `urgent` at once."""
         self._publication.replace(source, urgent)
         for proxy in self.proxies:
             proxy.stream.push(self._streams.snapshot_for(proxy), urgent)
@@ -110,7 +114,7 @@
             self._streams.write_slots.enqueue(proxy)
 
     def refresh_access(self) -> None:
-        """What clients may see has changed."""
+        """Applies changed rules on which clusters a client may see, to open streams too."""
         for proxy in self.proxies:
             proxy.allowed_clusters = self._allowed_clusters(proxy.certificate_names)
         if self.source is not None:
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -1,4 +1,4 @@
-"""The stand-alone control service (`harecross control`): configuration, clusters, signals."""
+"""The standalone control service (`harecross control`): its configuration, clusters and signals."""
 
 from __future__ import annotations
 
@@ -24,10 +24,19 @@
 
 
 class ControlService:
-    """One run of the service."""
+    """One run of the service.
+
+    Attributes:
+        ready: Set once the service listens.
+        stop: Set to stop the service.
+        config: The configuration that is in effect.
+        server: The gRPC server, or the pool of worker processes that have one each.
+        publisher_loop: Publishes the changes of the clusters.
+        remembered_lists: The endpoint lists that are saved for the next start.
+    """
 
     def __init__(self, path: Path, config: ControlFile, seed: int = 1) -> None:
-        self.ready = asyncio.Event()  # it listens
+        self.ready = asyncio.Event()
         self.stop = asyncio.Event()
         self._path = path
         self.config = config
@@ -38,8 +47,9 @@
             self.server, create_encoder(self._setup), config.control.interval_s, self._on_step
         )
         self.remembered_lists = RememberedLists(config.control.remember)
-        self._load_reports_passed_at = 0.0
-        self._wait_until = 0.0  # for the first whole lists
+        # Both times are those of the event loop's clock, in seconds.
+        self._load_reports_forwarded_at = 0.0
+        self._full_lists_deadline = 0.0
 
     def _create_server(self) -> ControlServer | WorkerPool:
         workers = self.config.control.workers
@@ -57,14 +67,18 @@
     # ---- start and stop -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serves until a signal. OperatorsFileError if it cannot listen."""
+        """Serves until SIGTERM, SIGINT or `stop`; SIGHUP reloads the configuration.
+
+        Raises:
+            OperatorsFileError: If a cluster cannot be started or if the service cannot listen.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         self._start_clusters()
         port = await self._listen()
-        self._wait_until = loop.time() + self.config.control.wait_s
+        self._full_lists_deadline = loop.time() + self.config.control.wait_s
         self.publisher_loop.start()
         log_line(f"control: listening on port {port}, {len(self.config.clusters)} clusters")
         self.ready.set()
@@ -97,13 +111,13 @@
         await self.server.stop()
 
     def start_cluster(self, name: str, remembered: Any = None) -> None:
-        """Adds a cluster of the configuration, which begins with a remembered list."""
+        """Starts a cluster of the configuration, with its remembered endpoint list if there is one."""
         table = self.config.clusters[name]
         feed = StandaloneFeed(name, table, self._seed, self._on_change)
         self.publisher_loop.add(feed, table.cross_zone_price, table.calls_per_server)
         feed.start(remembered)
 
-    # ---- at work ------------------------------------------------------------------------------------------
+    # ---- periodic work ------------------------------------------------------------------------------------
 
     def _on_change(self, name: str) -> None:
         self.remembered_lists.mark_changed()
@@ -113,33 +127,37 @@
         now = asyncio.get_running_loop().time()
         if not self.publisher_loop.enabled:
             self._enable_if_ready(now)
-        if now >= self._load_reports_passed_at + self.config.control.load_reports_s:
-            self._load_reports_passed_at = now
+        if now >= self._load_reports_forwarded_at + self.config.control.load_reports_s:
+            self._load_reports_forwarded_at = now
             for feed in self.publisher_loop.feeds.values():
                 feed.pass_load_reports_on()
         self.remembered_lists.save_if_due(self.publisher_loop.feeds)
 
     def _enable_if_ready(self, now: float) -> None:
-        """Publishes once all lists are there, or after the configured wait."""
+        """Enables publishing once every cluster has its full list, or after the configured wait."""
         feeds = self.publisher_loop.feeds
         waiting = [name for name, feed in feeds.items() if not feed.listed_endpoints.has_full_list]
-        if waiting and now < self._wait_until:
+        if waiting and now < self._full_lists_deadline:
             return
         self.publisher_loop.enabled = True
         for name in waiting:
             known = feeds[name].listed_endpoints.is_publishable()
-            how = "the remembered list, which is old" if known else "nothing: proxies keep what they have"
+            action = (
+                "publishing the remembered list, which may be out of date"
+                if known
+                else "publishing nothing, proxies keep their endpoints"
+            )
             wait_s = self.config.control.wait_s
-            log_line(f"control: no list of {name} after {wait_s:g} s; it is served {how}")
+            log_line(f"control: no endpoint list for cluster {name} after {wait_s:g} s: {action}")
 
     # ---- reload -------------------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Reads clusters and clients again (SIGHUP); the rest counts from the next start."""
+        """Reloads the clusters and the rules for clients (SIGHUP); other changes take effect at the next start."""
         try:
             read = read_control(self._path)
         except OperatorsFileError as error:
-            log_line(f"control: configuration not changed: {error}")
+            log_line(f"control: configuration not reloaded: {error}")
             return
         old, self.config = self.config, reloaded_config(self.config, read)
         removed = old.clusters.keys() - self.config.clusters.keys()
@@ -150,16 +168,17 @@
             self._restart_cluster(name)
         if old.clients != self.config.clients:
             self._refresh_access()
-        text = (
-            f"control: configuration read again: {len(changed)} clusters new or changed, {len(removed)} gone"
-        )
+        text = f"control: configuration reloaded: {len(changed)} clusters added or changed, {len(removed)} removed"
         later = settings_needing_restart(self.config, read)
         if later:
-            text += f"; {', '.join(later)} will count from the next start"
+            text += f"; {', '.join(later)} will take effect at the next start"
         log_line(text)
 
     def _restart_cluster(self, name: str) -> None:
-        """Starts a new or changed cluster. A changed one begins with its old list, so that proxies see no gap."""
+        """Starts a new or changed cluster.
+
+        A changed cluster starts with its previous endpoint list, so that its endpoints stay published meanwhile.
+        """
         feed = self.publisher_loop.feeds.get(name)
         remembered = None
         if feed is not None:
@@ -175,7 +194,7 @@
 
 
 def worker_setup(config: ControlFile) -> WorkerSetup:
-    """What the service's streams are served by, in this process or in workers."""
+    """Returns the settings that the process with the gRPC server needs: this process or a worker."""
     control = config.control
     return WorkerSetup(
         control.listen,
@@ -189,10 +208,10 @@
 
 
 def reloaded_config(running: ControlFile, read: ControlFile) -> ControlFile:
-    """The configuration after a reload.
+    """Returns the configuration that is in effect after a reload.
 
-    Rules for clients that need the new [tls] wait for the next start, or they would take all clusters from clients
-    that show no certificate.
+    If [tls] has changed, new rules for clients wait for the next start as [tls] does. Without the new [tls], clients
+    may not present a certificate yet, and the rules would take all clusters from them.
     """
     clients = read.clients if running.tls == read.tls else running.clients
     return msgspec.structs.replace(
@@ -201,7 +220,10 @@
 
 
 def settings_needing_restart(running: ControlFile, read: ControlFile) -> list[str]:
-    """The tables of a file that was read again, and differ from what is running."""
+    """Returns the names of the tables whose changes take effect only at the next start.
+
+    `running` is the configuration in effect and `read` the one that was read from the file.
+    """
     later = []
     if (running.control, running.tls, running.limits) != (read.control, read.tls, read.limits):
         later = ["control", "tls", "limits"]
@@ -209,7 +231,11 @@
 
 
 def main(path: Path) -> None:
-    """Runs the service. OperatorsFileError for a file that cannot be used."""
+    """Runs the service until it is stopped.
+
+    Raises:
+        OperatorsFileError: If the configuration file cannot be used.
+    """
     import uvloop
 
     config = read_control(path)
--- a/harecross/xds/sotw_stream.py
+++ b/harecross/xds/sotw_stream.py
@@ -1,4 +1,8 @@
-"""The state-of-the-world variant: listeners and clusters come whole, assignments and routes in parts."""
+"""The state-of-the-world variant of a stream.
+
+A response for listeners or clusters holds all of them. Endpoint assignments and routes may be sent in several
+responses.
+"""
 
 from __future__ import annotations
 
@@ -10,39 +14,45 @@
 
 
 class SotwStream(Stream):
-    """A state-of-the-world stream."""
+    """The protocol state of one state-of-the-world stream."""
 
     variant = "sotw"
 
     def request(
         self, type_url: str, nonce: str, names: Iterable[str], error: str = "", version: str = ""
     ) -> None:
-        """A request of the proxy: its first of a type, an ACK, a NACK or another subscription."""
+        """Handles a request: the first one of a type, an ACK, a NACK or a changed subscription.
+
+        `error` is the message of a NACK; `version` is the version that the proxy has, which counts in a first request.
+        """
         requested = check_names(type_url, names, self.max_names)
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
-            # A nonce of an earlier stream means nothing on this one: it is a first request all the same.
+            # A nonce of an earlier stream has no meaning on this one, so this is a first request.
             self.up_to_date = False
             self._begin(type_url, requested, version)
             return
         if error or subscription.possibly_dropped or requested != subscription.names:
-            self.up_to_date = False  # an ACK alone makes no response due
+            self.up_to_date = False  # an ACK without changes makes no response due
         stale = nonce != subscription.last_nonce
-        # While parts are on their way the NACK of an earlier one counts; its subscription does not.
+        # While several responses are in flight, the NACK of an earlier one counts, but its list of names does not.
         if nonce and subscription.acknowledge(nonce, error):
             if error:
                 subscription.status.refused = subscription.status.sent
             elif not stale:
                 subscription.status.acked = subscription.status.sent
         if stale:
-            # Another request follows. By then the proxy may have dropped what it does not name here, and may ask
-            # for it again.
+            # A request with the newest nonce follows. By then the proxy may have dropped the resources that this one
+            # does not name, and may request them again.
             subscription.possibly_dropped |= subscription.names - requested
         else:
             self._subscribe(type_url, subscription, requested)
 
     def _begin(self, type_url: str, requested: frozenset[str], version: str) -> None:
-        """Takes a first request. A proxy that reconnects with what it would get does not get it again."""
+        """Handles the first request of a type.
+
+        A proxy that reconnects with the version that it would be sent is not sent the resources again.
+        """
         wildcard = type_url in WILDCARD_TYPES and not requested
         subscription = self.subscriptions[type_url] = Subscription(set(requested), wildcard)
         resources = self._requested_resources(type_url, subscription)
@@ -61,7 +71,7 @@
         if type_url in WILDCARD_TYPES:
             added = bool(requested - subscription.names)
             subscription.response_due = subscription.response_due or added
-            # Names after a wildcard: from now on only these.
+            # A wildcard subscription becomes a subscription by name once the proxy names resources.
             subscription.wildcard = subscription.wildcard and not requested
         subscription.names = set(requested)
 
--- a/harecross/xds/status.py
+++ b/harecross/xds/status.py
@@ -1,4 +1,4 @@
-"""Who has what: each proxy's state by type, as a table, and the client status discovery service (CSDS).
+"""The status of each proxy by resource type, as a table and over the client status discovery service (CSDS).
 
 Source: `envoy.service.status.v3`.
 """
@@ -19,17 +19,18 @@
 
 CSDS = "envoy.service.status.v3.ClientStatusDiscoveryService"
 
+# Returns the status table, which may have to be collected from other processes.
 StatusRows = Callable[[], Awaitable[list[dict[str, Any]]]]
 
 
 def status_table(server: ControlServer) -> list[dict[str, Any]]:
-    """Each stream and, by type, what it was sent, has acknowledged and has refused; times in seconds."""
+    """Returns a row for each stream: what its proxy was sent, acknowledged and refused, by type; times in seconds."""
     now = time.time()
     return [stream_row(proxy, now) for proxy in sorted(server.proxies, key=lambda p: (p.node, p.peer))]
 
 
 def stream_row(proxy: ProxyStream, now: float) -> dict[str, Any]:
-    """One stream's row."""
+    """Returns the row of one stream; `now` is in Unix seconds."""
     return {
         "node": proxy.node,
         "zone": proxy.zone,
@@ -46,7 +47,7 @@
 
 
 def type_values(subscription: Subscription) -> dict[str, Any]:
-    """One type's part of a stream's row."""
+    """Returns the part of a stream's row that describes one resource type."""
     status = subscription.status
     return {
         "sent": status.sent,
@@ -58,7 +59,7 @@
 
 
 def local_status_rows(server: ControlServer) -> StatusRows:
-    """The table of one control server alone, for `status_handler`."""
+    """Returns the source of status rows for a service with one process, whose streams are all on `server`."""
 
     async def rows() -> list[dict[str, Any]]:
         return status_table(server)
@@ -67,7 +68,7 @@
 
 
 def config_status(state: dict[str, Any]) -> int:
-    """`envoy.service.status.v3.ConfigStatus` of one type."""
+    """Returns the `envoy.service.status.v3.ConfigStatus` of one type."""
     if not state["sent"]:
         return int(csds_pb2.NOT_SENT)
     if state["reason"]:
@@ -76,7 +77,7 @@
 
 
 def client_status(rows: list[dict[str, Any]]) -> Any:
-    """The whole answer of CSDS. What the message has no field for goes into the node's metadata."""
+    """Builds the CSDS response. Values without a field of their own are stored in the node's metadata."""
     response = csds_pb2.ClientStatusResponse()
     for row in rows:
         config = response.config.add()
@@ -90,7 +91,7 @@
 
 
 def add_type_status(config: Any, type_url: str, state: dict[str, Any]) -> None:
-    """Adds one type to a client's status."""
+    """Adds the state of one type to the status of a client."""
     resource = config.generic_xds_configs.add(type_url=type_url, config_status=config_status(state))
     resource.version_info = state["acked"]
     if state["reason"]:
@@ -101,7 +102,10 @@
 
 
 def status_handler(rows: StatusRows, is_authorized: Callable[[tuple[str, ...]], bool]) -> Any:
-    """The service's handler; `rows` returns the table, `is_authorized` tells by certificate names who may ask."""
+    """Returns the gRPC handler of the status service.
+
+    `rows` returns the table. `is_authorized` decides whether a client with these certificate names may read it.
+    """
 
     async def check_access(context: Any) -> None:
         if not is_authorized(certificate_names(context)):
--- a/harecross/xds/status_client.py
+++ b/harecross/xds/status_client.py
@@ -12,17 +12,23 @@
 from harecross.xds.status import CSDS
 
 SHORT_NAMES = {CDS: "CDS", EDS: "EDS", LDS: "LDS", RDS: "RDS"}
+# How long the service may take to answer.
 TIMEOUT_S = 5.0
 
 
 class StatusError(Exception):
-    """The service cannot be reached, or does not answer this client."""
+    """The control service could not be reached or refused the request."""
 
 
 def fetch_status(
     address: str, ca: Path | None, certificate: Path | None, key: Path | None
 ) -> list[dict[str, Any]]:
-    """A row for each stream. StatusError; OSError for a file that cannot be read."""
+    """Returns a row for each stream of the service at `address`.
+
+    Raises:
+        StatusError: If the service does not answer or does not allow the request.
+        OSError: If a certificate or key file cannot be read.
+    """
     with open_channel(address, ca, certificate, key) as channel:
         call = channel.unary_unary(
             f"/{CSDS}/FetchClientStatus",
@@ -37,7 +43,7 @@
 
 
 def open_channel(address: str, ca: Path | None, certificate: Path | None, key: Path | None) -> Any:
-    """A channel to the service, with TLS where `ca` is given."""
+    """Opens a channel to the service, with TLS if `ca` is given."""
     if ca is None:
         return grpc.insecure_channel(address)
     pair: tuple[bytes | None, bytes | None] = (None, None)
@@ -47,14 +53,14 @@
 
 
 def stream_row(config: Any) -> dict[str, Any]:
-    """One stream, as the command prints it."""
+    """Converts one client's status to the row that the command prints."""
     metadata = dict(config.node.metadata.items())
     types = [type_row(resource) for resource in config.generic_xds_configs]
     return {"node": config.node.id, "zone": config.node.locality.zone, **metadata, "types": types}
 
 
 def type_row(resource: Any) -> dict[str, str]:
-    """One type of a stream."""
+    """Converts the status of one resource type to the part of the row that describes it."""
     return {
         "type": SHORT_NAMES.get(resource.type_url, resource.type_url),
         "state": csds_pb2.ConfigStatus.Name(resource.config_status),
--- a/harecross/xds/stream_service.py
+++ b/harecross/xds/stream_service.py
@@ -1,8 +1,8 @@
-"""The discovery services' calls on grpcio's asyncio server: streams of both variants, and single fetches.
+"""The discovery services on grpcio's asyncio server: streams of both xDS variants, and single fetches.
 
-A stream is a task that reads and one that writes. The writer pulls one response at a time, so that nothing is queued
-for a slow proxy. What is urgent every writer sends at once; for the rest, a thousand reconnecting proxies among it,
-writers take turns. All protocol logic is in `streams`.
+Each stream has a task that reads and one that writes. The writer pulls one response at a time, so that nothing is
+queued for a slow proxy. Every writer sends urgent responses at once. For all other responses, such as the full resends
+to a thousand reconnecting proxies, a writer needs a write slot. The protocol logic is in `streams` and its subclasses.
 """
 
 from __future__ import annotations
@@ -26,9 +26,13 @@
 from harecross.xds.subscription import BadRequestError, Response
 from harecross.xds.wire import encode_delta, encode_sotw
 
-SLOT_TIMEOUT_S = 0.25  # a proxy that reads slowly does not keep its turn from the others
-UNREAD_TIMEOUT_S = 10.0  # for which one response may stay unread
-MAX_LOGGED_ERROR = 500  # characters of a proxy's error
+# How long a stream may hold its write slot while the proxy does not read. A slow proxy does not delay the others.
+SLOT_TIMEOUT_S = 0.25
+# How long one response may stay unread before the stream is ended.
+UNREAD_TIMEOUT_S = 10.0
+# The most characters of a proxy's error message that are logged.
+MAX_LOGGED_ERROR = 500
+# A part size for fetches, whose only response holds everything.
 UNLIMITED_BYTES = 1 << 62
 
 ADS = "envoy.service.discovery.v3.AggregatedDiscoveryService"
@@ -41,11 +45,18 @@
 
 
 class SlowProxyError(Exception):
-    """A proxy does not take what it is sent."""
+    """A proxy does not read or does not acknowledge the responses that it is sent."""
 
 
 class StreamService:
-    """Serves the streams of a publication."""
+    """Serves the resources of a publication to proxies.
+
+    Attributes:
+        proxies: The open streams.
+        write_slots: The slots for non-urgent responses.
+        bytes_sent: Bytes of all responses that were sent on streams.
+        slow_proxies_dropped: Streams that were ended because the proxy did not read or acknowledge responses.
+    """
 
     def __init__(
         self, publication: Publication, limits: Limits, allowed_clusters: AllowedClusters, log: Log
@@ -60,7 +71,7 @@
         self._log = log
 
     def handlers(self) -> list[Any]:
-        """The gRPC handlers of the aggregated and the separate services."""
+        """Returns the gRPC handlers of the aggregated service and of the services for a single type."""
         methods = {
             "StreamAggregatedResources": self._stream_handler(delta=False),
             "DeltaAggregatedResources": self._stream_handler(delta=True),
@@ -68,16 +79,16 @@
         handlers = [grpc.method_handlers_generic_handler(ADS, methods)]
         for type_url, (service, name) in SERVICES.items():
             methods = {
-                f"Stream{name}": self._stream_handler(delta=False, only=type_url),
-                f"Delta{name}": self._stream_handler(delta=True, only=type_url),
+                f"Stream{name}": self._stream_handler(delta=False, only_type=type_url),
+                f"Delta{name}": self._stream_handler(delta=True, only_type=type_url),
                 f"Fetch{name}": self._fetch_handler(type_url),
             }
             handlers.append(grpc.method_handlers_generic_handler(service, methods))
         return handlers
 
-    def _stream_handler(self, *, delta: bool, only: str = "") -> Any:
+    def _stream_handler(self, *, delta: bool, only_type: str = "") -> Any:
         async def call(requests: AsyncIterator[Any], context: Any) -> None:
-            await self._serve(requests, context, delta=delta, only=only)
+            await self._serve(requests, context, delta=delta, only_type=only_type)
 
         request = discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
         return grpc.stream_stream_rpc_method_handler(call, request_deserializer=request.FromString)
@@ -90,28 +101,33 @@
         return grpc.unary_unary_rpc_method_handler(call, request_deserializer=deserializer)
 
     def snapshot_for(self, proxy: ProxyStream) -> Snapshot:
-        """What a proxy is to have now."""
+        """Returns the resources that a proxy should have now."""
         return self._publication.snapshot_for(proxy.zone, proxy.allowed_clusters)
 
-    # ---- one call -----------------------------------------------------------------------------------------
+    # ---- calls --------------------------------------------------------------------------------------------
 
     async def _admit(self, context: Any, *, delta: bool) -> ProxyStream:
-        """The call's stream, once there is content. Aborts the call of a client that is not admitted."""
+        """Waits for the first publication and returns the state of a new stream.
+
+        Aborts the call if too many streams are open or if the client may not see any cluster.
+        """
         if len(self.proxies) >= self._limits.streams:
             text = f"{self._limits.streams} streams are open"
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, text)
         identity = await identify(context, self._allowed_clusters, self._log)
-        # A service that has just started must not tell proxies that nothing exists.
+        # A service that has just started must not report to proxies that no resources exist.
         await self._publication.ready.wait()
         stream = (DeltaStream if delta else SotwStream)(Snapshot({}), self._limits.subscriptions)
         return ProxyStream(context.peer(), stream, identity.allowed_clusters, identity.certificate_names)
 
-    async def _serve(self, requests: AsyncIterator[Any], context: Any, *, delta: bool, only: str) -> None:
-        """Serves one stream to its end; `only` is the type of a separate service."""
+    async def _serve(
+        self, requests: AsyncIterator[Any], context: Any, *, delta: bool, only_type: str
+    ) -> None:
+        """Serves one stream until it ends; `only_type` is the type URL if the service serves a single type."""
         proxy = await self._admit(context, delta=delta)
         self.proxies.add(proxy)
         tasks = [
-            asyncio.create_task(self._read(proxy, requests, only)),
+            asyncio.create_task(self._read(proxy, requests, only_type)),
             asyncio.create_task(self._write(proxy, context, encode_delta if delta else encode_sotw)),
         ]
         try:
@@ -126,22 +142,23 @@
         await self._end(proxy, context, [r for r in results if isinstance(r, Exception)])
 
     async def _end(self, proxy: ProxyStream, context: Any, errors: list[Exception]) -> None:
-        """Ends a call with the status that its errors stand for."""
+        """Ends a call with the gRPC status that corresponds to its errors."""
         for error in errors:
             if isinstance(error, BadRequestError):
-                self._log(f"xds: {proxy.node or proxy.peer}: {error}")
+                self._log(f"xds: {proxy.node or proxy.peer} sent an invalid request: {error}")
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             if isinstance(error, SlowProxyError):
-                # The status may wait behind what the proxy does not read; nothing more is kept for it meanwhile.
+                # The status may have to wait until the proxy reads the pending response. The stream is no longer
+                # among `proxies`, so nothing further is kept for it meanwhile.
                 self.slow_proxies_dropped += 1
-                self._log(f"xds: {proxy.node or proxy.peer} let go: {error}")
+                self._log(f"xds: {proxy.node or proxy.peer} disconnected: {error}")
                 await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, str(error))
         for error in errors:
             if not isinstance(error, grpc.RpcError):
                 raise error
 
     async def _fetch(self, request: Any, context: Any, type_url: str) -> bytes:
-        """One answer, without a stream."""
+        """Answers a fetch: one response without a stream."""
         proxy = await self._admit(context, delta=False)
         proxy.zone = request.node.locality.zone
         stream = SotwStream(self.snapshot_for(proxy), max_part_bytes=UNLIMITED_BYTES)
@@ -157,14 +174,14 @@
 
     # ---- reading ------------------------------------------------------------------------------------------
 
-    async def _read(self, proxy: ProxyStream, requests: AsyncIterator[Any], only: str) -> None:
+    async def _read(self, proxy: ProxyStream, requests: AsyncIterator[Any], only_type: str) -> None:
         async for request in requests:
             proxy.last_request_at = time.time()
-            type_url = request.type_url or only
-            if only and type_url != only:
+            type_url = request.type_url or only_type
+            if only_type and type_url != only_type:
                 raise BadRequestError(f"{type_url}: not served by this service")
             if not proxy.identified:
-                # Only the first request of a stream need name the node.
+                # A proxy may leave its node out of all requests but the first.
                 proxy.identified = True
                 proxy.node, proxy.zone = request.node.id, request.node.locality.zone
                 proxy.stream.snapshot = self.snapshot_for(proxy)
@@ -207,7 +224,7 @@
             if stream.unacknowledged() > MAX_UNACKNOWLEDGED:
                 raise SlowProxyError("responses are left without their ACK")
             await self._send(proxy, context, encode(response))
-            # To the end of the queue: streams that little is due on do not wait for those that much is due on.
+            # The stream goes to the end of the queue, so that streams with many responses due do not delay the others.
             self.write_slots.release(proxy)
             self.write_slots.enqueue(proxy)
 
--- a/harecross/xds/tls.py
+++ b/harecross/xds/tls.py
@@ -1,4 +1,4 @@
-"""Server credentials from files that are read again when they change."""
+"""TLS credentials of the server, reloaded when their files change."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class FileSignature(NamedTuple):
-    """Changes whenever a file does."""
+    """A file's modification time and size, by which a changed file is recognized."""
 
     modified_ns: int
     size: int
 
 
 class CredentialFiles:
-    """The files of `[tls]`; each handshake asks whether they have changed."""
+    """The certificate files of the configuration table `[tls]`; each TLS handshake checks whether they have changed."""
 
     def __init__(self, table: TlsTable, log: Callable[[str], None]) -> None:
         self._table = table
@@ -34,27 +34,35 @@
         return [FileSignature(stat.st_mtime_ns, stat.st_size) for stat in stats]
 
     def read(self) -> Any:
-        """The server's configuration by the files."""
+        """Reads the files and returns the server's certificate configuration."""
         pair = (Path(self._table.key).read_bytes(), Path(self._table.certificate).read_bytes())
         roots = Path(self._table.client_ca).read_bytes() if self._table.client_ca else None
         return grpc.ssl_server_certificate_configuration([pair], roots)
 
     def read_if_changed(self) -> Any:
-        """The new configuration, or None for no change. A handshake never fails over files half replaced."""
+        """Returns the new certificate configuration, or None if the files have not changed.
+
+        If the files cannot be read, for example while they are being replaced, the handshake continues with the
+        previous configuration.
+        """
         try:
             signatures = self._signatures()
             if signatures == self._loaded:
                 return None
             config = self.read()
         except OSError as error:
-            self._log(f"tls: files not read again: {error}")
+            self._log(f"tls: certificate files not reloaded, the previous ones stay in use: {error}")
             return None
         self._loaded = signatures
-        self._log("tls: files read again")
+        self._log("tls: certificate files reloaded")
         return config
 
 
 def server_credentials(table: TlsTable, log: Callable[[str], None]) -> Any:
-    """The credentials of a control server. OSError for files that cannot be read."""
+    """Returns the credentials of a control server.
+
+    Raises:
+        OSError: If a file cannot be read.
+    """
     files = CredentialFiles(table, log)
     return grpc.dynamic_ssl_server_credentials(files.read(), files.read_if_changed, bool(table.client_ca))
--- a/harecross/xds/wire.py
+++ b/harecross/xds/wire.py
@@ -1,7 +1,7 @@
-"""Responses as bytes: each resource is encoded once for all streams, and a response is put together from them.
+"""Encodes responses: each resource is encoded once for all streams, and a response is assembled from the encodings.
 
-Concatenating the encodings of two messages merges them (Protocol Buffers, "Last One Wins" and repeated fields), so
-a header and encoded resources make a whole response.
+Concatenating the encodings of two protobuf messages merges them: for a scalar field the last value wins, and repeated
+fields are joined. An encoded header followed by encoded resources is therefore a complete response.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def encode_sotw_resource(type_url: str, resource: Resource) -> bytes:
-    """A resource as a part of a state-of-the-world response."""
+    """Returns a state-of-the-world response that holds only this resource; the encoding is cached."""
     if "sotw" not in resource.encodings:
         body = AnyMessage(type_url=type_url, value=resource.body)
         resource.encodings["sotw"] = discovery_pb2.DiscoveryResponse(resources=[body]).SerializeToString()
@@ -22,7 +22,7 @@
 
 
 def encode_delta_resource(type_url: str, resource: Resource) -> bytes:
-    """A resource as a part of an incremental response."""
+    """Returns an incremental response that holds only this resource; the encoding is cached."""
     if "delta" not in resource.encodings:
         body = AnyMessage(type_url=type_url, value=resource.body)
         message = discovery_pb2.Resource(name=resource.name, version=resource.version, resource=body)
@@ -32,7 +32,7 @@
 
 
 def encode_sotw(response: Response) -> bytes:
-    """A state-of-the-world response."""
+    """Encodes a state-of-the-world response."""
     header: bytes = discovery_pb2.DiscoveryResponse(
         version_info=response.version, nonce=response.nonce, type_url=response.type_url
     ).SerializeToString()
@@ -42,7 +42,7 @@
 
 
 def encode_delta(response: Response) -> bytes:
-    """An incremental response."""
+    """Encodes an incremental response."""
     header: bytes = discovery_pb2.DeltaDiscoveryResponse(
         system_version_info=response.version,
         nonce=response.nonce,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -256,10 +256,10 @@
             site.path.write_text(config_text(site.discoveries, more=rules))
             os.kill(os.getpid(), signal.SIGHUP)
             output = ""
-            while "read again" not in output:
+            while "configuration reloaded" not in output:
                 await asyncio.sleep(0.01)
                 output += capfd.readouterr().err
-            assert "control, tls, limits, clients will count from the next start" in output
+            assert "control, tls, limits, clients will take effect at the next start" in output
             assert service.config.tls is None
             assert not service.config.clients
             late = XdsProxy(site.channel).start()
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -210,7 +210,7 @@
             good = XdsProxy(fine, ["svc"], delta, "good").start()
             weight = 0
             # By its name: on a machine that stands still for a moment the other one may be let go, and comes back.
-            while not any("lazy let go" in line for line in lines):
+            while not any("lazy disconnected" in line for line in lines):
                 weight += 1
                 control.publish(of(MANY, weights={0: weight}))
                 await good.until(
