--- a/tests/control_support.py
+++ b/tests/control_support.py
@@ -63,14 +63,14 @@
         self.task: asyncio.Task[None] | None = None
         self.channel = None
 
-    async def cluster(self, name: str, servers: int = 3) -> StandinDiscovery:
+    async def add_cluster(self, name: str, servers: int = 3) -> StandinDiscovery:
         catalog = self.discoveries[name] = await StandinDiscovery().start()
         for i in range(servers):
             s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", ServerCapacity()).start()
             catalog.put(entry(s.name, s.address))
         return catalog
 
-    async def serve(self, **parts: str) -> ControlService:
+    async def start_service(self, **parts: str) -> ControlService:
         self.path.write_text(config_text(self.discoveries, **parts))
         self.service = ControlService(self.path, read_control(self.path))
         self.task = asyncio.create_task(self.service.run())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -33,8 +33,8 @@
 async def site_with_proxy(folder: Path):
     """A service with one cluster of three servers, and a proxy that has them."""
     async with control_site(folder) as site:
-        await site.cluster("orders")
-        await site.serve()
+        await site.add_cluster("orders")
+        await site.start_service()
         proxy = XdsProxy(site.channel).start()
         await proxy.until(lambda proxy: health(proxy) == {"orders0": 1, "orders1": 1, "orders2": 1})
         yield site, proxy
@@ -66,8 +66,8 @@
 def test_a_server_that_stops_answering_probes_is_ejected_and_comes_back(tmp_path, kind):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders", 5)
-            await site.serve(probe=kind)
+            await site.add_cluster("orders", 5)
+            await site.start_service(probe=kind)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 5)
             server = site.servers["orders0"]
@@ -90,8 +90,8 @@
 def test_discovery_that_lists_almost_nothing_is_not_believed_at_once(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders", 6)
-            await site.serve()
+            catalog = await site.add_cluster("orders", 6)
+            await site.start_service()
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 6)
             gone = [e for n, e in catalog.instances.items() if n != "orders0"]
@@ -108,15 +108,15 @@
 def test_discovery_silent_at_the_start_the_remembered_list_is_served_as_old(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders")
+            catalog = await site.add_cluster("orders")
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 0.3'
-            await site.serve(control=memory)
+            await site.start_service(control=memory)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
             await site.stop_service()
             await catalog.stop()
-            service = await site.serve(control=memory)
+            service = await site.start_service(control=memory)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             listed = service.publisher_loop.feeds["orders"].listed_endpoints
@@ -131,8 +131,8 @@
 def test_a_service_that_knows_no_list_takes_nothing_from_a_proxy(tmp_path, delta):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders")
-            await site.serve(control="wait_s = 0.2")
+            catalog = await site.add_cluster("orders")
+            await site.start_service(control="wait_s = 0.2")
             proxy = XdsProxy(site.channel, delta=delta).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
@@ -142,7 +142,7 @@
             )
             await site.stop_service()
             await catalog.stop()
-            await site.serve(control="wait_s = 0.2")
+            await site.start_service(control="wait_s = 0.2")
             again = XdsProxy(site.channel, delta=delta)
             again.accepted, again.versions = held
             again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
@@ -162,7 +162,7 @@
 def test_killed_and_restarted_while_the_list_changes_no_proxy_sees_an_empty_cluster(tmp_path, delta):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders", 6)
+            catalog = await site.add_cluster("orders", 6)
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 2'
             # The port is free between two services: on a host of its own nobody else is given it meanwhile.
             host = f"127.78.{os.getpid() >> 8 & 0xFF}.{os.getpid() & 0xFF or 1}"
@@ -205,9 +205,9 @@
 async def two_clusters(folder: Path):
     """A service with the clusters orders and stock, and a proxy that has both."""
     async with control_site(folder) as site:
-        await site.cluster("orders")
-        await site.cluster("stock", 2)
-        await site.serve()
+        await site.add_cluster("orders")
+        await site.add_cluster("stock", 2)
+        await site.start_service()
         proxy = XdsProxy(site.channel).start()
         await proxy.until(lambda proxy: len(health(proxy)) == 3 and len(health(proxy, "stock")) == 2)
         yield site, proxy
@@ -245,8 +245,8 @@
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            service = await site.serve()
+            await site.add_cluster("orders")
+            service = await site.start_service()
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             ca = trustme.CA()
--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -33,8 +33,8 @@
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.cluster("stock", 2)
+            await site.add_cluster("orders")
+            await site.add_cluster("stock", 2)
             ours, theirs = trustme.CA(), trustme.CA()
 
             def put(ca) -> None:
@@ -55,7 +55,7 @@
             put(ours)
             named = (("certificate", "server.pem"), ("key", "server.key"), ("client_ca", "ca.pem"))
             files = "\n".join(f'{k} = "{tmp_path / f}"' for k, f in named)
-            await site.serve(
+            await site.start_service(
                 more=f'[tls]\n{files}\n[clients]\n"*.partner.example" = ["orders"]\n"edge.example" = ["*"]',
                 control=f'status = ["edge.example"]\nworkers = {workers}',
             )
@@ -117,8 +117,8 @@
 def test_status_shows_who_holds_what_and_who_refused_and_why(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.serve()
+            await site.add_cluster("orders")
+            await site.start_service()
             good = XdsProxy(site.channel, node="good").start()
             bad = XdsProxy(site.channel, node="bad", delta=True)
             bad.rejection_reason = lambda t, names: "no such locality" if t == ASSIGNMENT else ""
--- a/tests/test_control_rules.py
+++ b/tests/test_control_rules.py
@@ -34,8 +34,8 @@
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders", 4)
-            await site.serve(cluster="cold_s = 2.0\ncold_start = 0.2")
+            catalog = await site.add_cluster("orders", 4)
+            await site.start_service(cluster="cold_s = 2.0\ncold_start = 0.2")
             proxies = [XdsProxy(site.channel, delta=i % 2 == 1, node=f"p{i}").start() for i in range(8)]
             for proxy in proxies:
                 await proxy.until(lambda proxy: len(health(proxy)) == 4)
@@ -91,8 +91,8 @@
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders", 5)
-            await site.serve(control=f"load_reports_s = 0.1\nworkers = {workers}")
+            await site.add_cluster("orders", 5)
+            await site.start_service(control=f"load_reports_s = 0.1\nworkers = {workers}")
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 5)
 
@@ -140,11 +140,11 @@
 def test_grpcs_own_client_is_served_from_discovery_and_reports_its_calls(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("svc", 0)
+            catalog = await site.add_cluster("svc", 0)
             made = {f"b{i}": await start_backend(f"b{i}") for i in range(3)}
             for name, (_, address) in made.items():
                 catalog.put(entry(name, address))
-            service = await site.serve(control="load_reports_s = 0.1", probe="tcp")
+            service = await site.start_service(control="load_reports_s = 0.1", probe="tcp")
             reported: Counter[str] = Counter()
             feed = service.publisher_loop.feeds["svc"]
             collect = feed.load_reports.collect
--- a/tests/test_control_workers.py
+++ b/tests/test_control_workers.py
@@ -58,9 +58,9 @@
 @asynccontextmanager
 async def worker_site(folder: Path):
     async with control_site(folder) as site:
-        await site.cluster("orders")
-        await site.cluster("stock", 2)
-        service = await site.serve(control=WORKER_OPTIONS)
+        await site.add_cluster("orders")
+        await site.add_cluster("stock", 2)
+        service = await site.start_service(control=WORKER_OPTIONS)
         target = f"127.0.0.1:{service.server.port}"
         channels = [grpc.aio.insecure_channel(target, options=OWN_CONNECTION) for _ in range(16)]
         proxies = [
@@ -143,7 +143,7 @@
 def test_workers_end_with_a_service_that_is_killed(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
+            await site.add_cluster("orders")
             site.path.write_text(config_text(site.discoveries, control="workers = 2"))
             service, port = await start_service_process(site.path)
             service.kill()
@@ -162,8 +162,8 @@
 def test_a_port_in_use_is_not_shared_without_a_word(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            first = await site.serve(control="workers = 2")
+            await site.add_cluster("orders")
+            first = await site.start_service(control="workers = 2")
             path = tmp_path / "second.toml"
             path.write_text(site.path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{first.server.port}"))
             code, out = await run_command("control", "--config", path)
