--- a/tests/control_support.py
+++ b/tests/control_support.py
@@ -1,4 +1,4 @@
-"""A control service with its discovery, servers and proxies on loopback, for the tests of the whole."""
+"""A control service with its discovery, servers and proxies on loopback, for tests of the whole service."""
 
 from __future__ import annotations
 
@@ -21,20 +21,26 @@
 from harecross.xds.config import read_control  # noqa: E402
 from harecross.xds.service import ControlService  # noqa: E402
 
+# The users require that a drain reaches every proxy within this many seconds.
 DRAIN_GRACE = 0.25
+# The value of `envoy.config.core.v3.HealthStatus.UNHEALTHY`.
 UNHEALTHY = 2
 
 
 @pytest.fixture(autouse=True)
 def fail_on_unexpected_child_signal(request, capfd):
-    """A worker that crashes is replaced, and its test would pass without a word."""
+    """Fails a test in which a worker crashed or was killed unexpectedly.
+
+    The service replaces a worker that has ended, so without this check the test would pass. A test with "killed" in
+    its name may end workers with SIGKILL.
+    """
     yield
     out, err = capfd.readouterr()
     sys.stderr.write(err)
     assert "Fatal Python error" not in out + err
-    killed = "SIGKILL" if "killed" in request.node.name else "none"
+    expected_signal = "SIGKILL" if "killed" in request.node.name else "none"
     for line in err.splitlines():
-        assert "was ended by" not in line or killed in line, line
+        assert "was ended by" not in line or expected_signal in line, line
 
 
 def config_text(
@@ -44,15 +50,16 @@
     cluster: str = "",
     probe: str = "http",
 ) -> str:
+    """Returns a configuration with a cluster for each discovery; the other parameters are TOML text to insert."""
     parts = [f'[control]\nlisten = "127.0.0.1:0"\ninterval_s = 0.2\n{control}\n{more}']
-    for name, catalog in discoveries.items():
-        parts.append(f'[clusters.{name}]\ndiscovery = "{catalog.address}"\n{cluster}')
+    for name, discovery in discoveries.items():
+        parts.append(f'[clusters.{name}]\ndiscovery = "{discovery.address}"\n{cluster}')
         parts.append(f'[clusters.{name}.probe]\nkind = "{probe}"\ninterval_s = 0.1\ntimeout_s = 0.2')
     return "\n".join(parts)
 
 
 class ControlSite:
-    """Catalogs, servers and one service in this process."""
+    """Stand-in discoveries and servers for each cluster, and one control service, all in this process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -64,11 +71,11 @@
         self.channel = None
 
     async def add_cluster(self, name: str, servers: int = 3) -> StandinDiscovery:
-        catalog = self.discoveries[name] = await StandinDiscovery().start()
+        discovery = self.discoveries[name] = await StandinDiscovery().start()
         for i in range(servers):
             s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", ServerCapacity()).start()
-            catalog.put(entry(s.name, s.address))
-        return catalog
+            discovery.put(entry(s.name, s.address))
+        return discovery
 
     async def start_service(self, **parts: str) -> ControlService:
         self.path.write_text(config_text(self.discoveries, **parts))
@@ -92,14 +99,15 @@
 
     async def close(self) -> None:
         await self.stop_service()
-        for catalog in self.discoveries.values():
-            await catalog.stop()
+        for discovery in self.discoveries.values():
+            await discovery.stop()
         for server in self.servers.values():
             server.stop()
 
 
 @asynccontextmanager
 async def control_site(folder: Path):
+    """Provides a control site and closes it at the end."""
     site = ControlSite(folder)
     try:
         yield site
@@ -108,6 +116,7 @@
 
 
 def health(proxy: XdsProxy, cluster: str = "orders") -> dict[str, int]:
+    """Returns the health status of each endpoint that a proxy has, by server name."""
     return {t.name: t.health for t in proxy.endpoints(cluster)}
 
 
@@ -117,7 +126,7 @@
 
 
 async def start_service_process(path: Path) -> tuple[subprocess.Popen, int]:
-    """The service in a process of its own, and its port."""
+    """Starts the service in a process of its own; returns the process and the service's port."""
     started = subprocess.Popen([sys.executable, "-c", SERVE_SCRIPT, str(path)], stderr=subprocess.PIPE)
     while b"listening on port" not in (output := await asyncio.to_thread(started.stderr.readline)):
         assert output, f"the service {describe_exit(started.wait())}"
@@ -125,11 +134,12 @@
 
 
 async def run_command(*args: object) -> tuple[int, str]:
-    # Not by uvloop, whose fork would run grpc's handlers in the child (harecross.platform.child_process).
-    made = await asyncio.to_thread(
+    """Runs `harecross` with these arguments; returns its exit status and output."""
+    # uvloop would fork, which runs grpc's fork handlers in the child (see harecross.platform.child_process).
+    completed = await asyncio.to_thread(
         subprocess.run,
         [sys.executable, "-m", "harecross", *map(str, args)],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
     )
-    return made.returncode, made.stdout.decode()
+    return completed.returncode, completed.stdout.decode()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control service as a whole: drains, health checks, lists that are wrong, restarts, reloads, a node."""
+"""Tests of the whole control service: drains, health checks, wrong endpoint lists, restarts, reloads, and in a node."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @asynccontextmanager
 async def site_with_proxy(folder: Path):
-    """A service with one cluster of three servers, and a proxy that has them."""
+    """Starts a service with one cluster of three servers, and a proxy that has received them."""
     async with control_site(folder) as site:
         await site.add_cluster("orders")
         await site.start_service()
@@ -52,7 +52,7 @@
     run(body())
 
 
-def test_a_server_that_has_ended_leaves_the_proxys_list(tmp_path):
+def test_a_terminated_server_is_removed_from_the_proxys_list(tmp_path):
     async def body() -> None:
         async with site_with_proxy(tmp_path) as (site, proxy):
             for lifecycle in ("terminating", "terminated"):
@@ -87,17 +87,17 @@
     run(body())
 
 
-def test_discovery_that_lists_almost_nothing_is_not_believed_at_once(tmp_path):
+def test_a_mass_removal_by_discovery_is_not_applied_at_once(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.add_cluster("orders", 6)
+            discovery = await site.add_cluster("orders", 6)
             await site.start_service()
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 6)
-            gone = [e for n, e in catalog.instances.items() if n != "orders0"]
-            catalog.put(*({**e, "lifecycle": "terminated"} for e in gone))
-            # What comes after it is believed, and shows that the service has read the short list.
-            catalog.put(entry("orders0", site.servers["orders0"].address, "terminating"))
+            removed = [e for n, e in discovery.instances.items() if n != "orders0"]
+            discovery.put(*({**e, "lifecycle": "terminated"} for e in removed))
+            # The drain that follows is applied, which shows that the service has read the mass removal.
+            discovery.put(entry("orders0", site.servers["orders0"].address, "terminating"))
             await proxy.until(lambda proxy: health(proxy)["orders0"] == DRAINING)
             assert len(health(proxy)) == 6
             await proxy.stop()
@@ -105,17 +105,17 @@
     run(body())
 
 
-def test_discovery_silent_at_the_start_the_remembered_list_is_served_as_old(tmp_path):
+def test_the_remembered_list_is_served_as_cached_while_discovery_is_down(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.add_cluster("orders")
+            discovery = await site.add_cluster("orders")
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 0.3'
             await site.start_service(control=memory)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
             await proxy.stop()
             await site.stop_service()
-            await catalog.stop()
+            await discovery.stop()
             service = await site.start_service(control=memory)
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
@@ -128,10 +128,10 @@
 
 
 @pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
-def test_a_service_that_knows_no_list_takes_nothing_from_a_proxy(tmp_path, delta):
+def test_a_service_without_a_list_removes_nothing_from_a_proxy(tmp_path, delta):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.add_cluster("orders")
+            discovery = await site.add_cluster("orders")
             await site.start_service(control="wait_s = 0.2")
             proxy = XdsProxy(site.channel, delta=delta).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 3)
@@ -141,30 +141,31 @@
                 {t: dict(v) for t, v in proxy.versions.items()},
             )
             await site.stop_service()
-            await catalog.stop()
+            await discovery.stop()
             await site.start_service(control="wait_s = 0.2")
-            again = XdsProxy(site.channel, delta=delta)
-            again.accepted, again.versions = held
-            again.version, again.wanted = dict(proxy.version), set(proxy.wanted)
-            again.start()
-            await again.until(lambda proxy: proxy.streams >= 1)
+            reconnected = XdsProxy(site.channel, delta=delta)
+            reconnected.accepted, reconnected.versions = held
+            reconnected.version, reconnected.wanted = dict(proxy.version), set(proxy.wanted)
+            reconnected.start()
+            await reconnected.until(lambda proxy: proxy.streams >= 1)
             while not any(ASSIGNMENT in s.stream.subscriptions for s in site.service.server.proxies):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
-            assert len(health(again)) == 3
-            assert set(again.accepted[CLUSTER]) == {"orders"}
-            await again.stop()
+            assert len(health(reconnected)) == 3
+            assert set(reconnected.accepted[CLUSTER]) == {"orders"}
+            await reconnected.stop()
 
     run(body())
 
 
 @pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
-def test_killed_and_restarted_while_the_list_changes_no_proxy_sees_an_empty_cluster(tmp_path, delta):
+def test_no_proxy_sees_an_empty_cluster_while_the_service_is_killed_and_the_list_changes(tmp_path, delta):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.add_cluster("orders", 6)
+            discovery = await site.add_cluster("orders", 6)
             memory = f'remember = "{tmp_path / "lists.json"}"\nwait_s = 2'
-            # The port is free between two services: on a host of its own nobody else is given it meanwhile.
+            # The port is unused between two runs of the service. On a loopback address of this test's own, no other
+            # program can be given the port meanwhile.
             host = f"127.78.{os.getpid() >> 8 & 0xFF}.{os.getpid() & 0xFF or 1}"
             site.path.write_text(
                 config_text(site.discoveries, control=memory).replace("127.0.0.1:0", f"{host}:0")
@@ -181,18 +182,18 @@
                 )
                 proxy.start()
                 await proxy.until(lambda proxy: len(health(proxy)) == 6)
-                began = len(seen)
+                seen_before_restarts = len(seen)
                 for turn in range(3):
                     name = f"orders{turn}"
-                    catalog.put(entry(name, site.servers[name].address, "terminating"))
+                    discovery.put(entry(name, site.servers[name].address, "terminating"))
                     service.send_signal(signal.SIGKILL)
                     await asyncio.to_thread(service.wait)
-                    catalog.put(entry(name, site.servers[name].address, "terminated"))
+                    discovery.put(entry(name, site.servers[name].address, "terminated"))
                     service, _ = await start_service_process(site.path)
                     await proxy.until(lambda proxy, n=name: n not in health(proxy))
-                    catalog.put(entry(name, site.servers[name].address))
+                    discovery.put(entry(name, site.servers[name].address))
                     await proxy.until(lambda proxy, n=name: health(proxy).get(n) == 1)
-                assert min(seen[began:], default=6) >= 5
+                assert min(seen[seen_before_restarts:], default=6) >= 5
                 assert proxy.streams >= 4
                 service.send_signal(signal.SIGTERM)
                 assert await asyncio.to_thread(service.wait) == 0
@@ -203,7 +204,7 @@
 
 @asynccontextmanager
 async def two_clusters(folder: Path):
-    """A service with the clusters orders and stock, and a proxy that has both."""
+    """Starts a service with the clusters orders and stock, and a proxy that has received both."""
     async with control_site(folder) as site:
         await site.add_cluster("orders")
         await site.add_cluster("stock", 2)
@@ -214,7 +215,7 @@
         await proxy.stop()
 
 
-def test_a_bad_file_changes_nothing(tmp_path):
+def test_an_invalid_configuration_file_changes_nothing(tmp_path):
     async def body() -> None:
         async with two_clusters(tmp_path) as (site, proxy):
             site.path.write_text(site.path.read_text() + "\n[nonsense]\n")
@@ -227,7 +228,7 @@
     run(body())
 
 
-def test_a_cluster_that_leaves_the_file_leaves_the_proxy(tmp_path):
+def test_a_cluster_removed_from_the_file_is_removed_from_the_proxy(tmp_path):
     async def body() -> None:
         async with two_clusters(tmp_path) as (site, proxy):
             orders = {"orders": site.discoveries["orders"]}
@@ -239,7 +240,7 @@
     run(body())
 
 
-def test_rules_that_need_a_tls_not_there_yet_wait_for_the_next_start(tmp_path, capfd):
+def test_client_rules_that_need_a_new_tls_table_wait_for_the_next_start(tmp_path, capfd):
     pytest.importorskip("trustme")
     import trustme
 
@@ -273,24 +274,24 @@
 # ---- inside a node --------------------------------------------------------------------------------------
 
 
-def test_a_node_hands_on_its_own_view(tmp_path):
+def test_a_node_publishes_its_own_view(tmp_path):
     from harecross.xds.embedded import EmbeddedControlService
 
     async def body() -> None:
-        catalog = await StandinDiscovery().start()
+        discovery = await StandinDiscovery().start()
         servers = [await StandinServer(f"s{i}", ServerCapacity()).start() for i in range(3)]
         for s in servers:
-            catalog.put(entry(s.name, s.address))
-        beside = EmbeddedControlService("127.0.0.1:0", "mine", interval_s=0.1)
-        async with node_at(catalog.address, embedded_service=beside) as node:
-            assert node.options.embedded_service is beside
-            async with grpc.aio.insecure_channel(f"127.0.0.1:{beside.server.port}") as channel:
+            discovery.put(entry(s.name, s.address))
+        embedded = EmbeddedControlService("127.0.0.1:0", "mine", interval_s=0.1)
+        async with node_at(discovery.address, embedded_service=embedded) as node:
+            assert node.options.embedded_service is embedded
+            async with grpc.aio.insecure_channel(f"127.0.0.1:{embedded.server.port}") as channel:
                 proxy = XdsProxy(channel).start()
                 await proxy.until(lambda proxy: len(health(proxy, "mine")) == 3)
-                catalog.put(entry("s1", servers[1].address, "terminating"))
+                discovery.put(entry("s1", servers[1].address, "terminating"))
                 await proxy.until(lambda proxy: health(proxy, "mine")["s1"] == DRAINING)
                 await proxy.stop()
-        await catalog.stop()
+        await discovery.stop()
         for s in servers:
             s.stop()
 
--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -1,4 +1,4 @@
-"""Who may see what of the control service, its status command and its file."""
+"""Tests of the access rules of the control service, its status command and its configuration file."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 from harecross.standins.xds import ASSIGNMENT, CLUSTER, XdsProxy  # noqa: E402
 from harecross.xds.config import read_control  # noqa: E402
 
-# ---- security -------------------------------------------------------------------------------------------
+# ---- access rules ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("workers", [1, 2])
-def test_clients_see_what_their_certificate_allows_and_new_files_count_without_a_restart(tmp_path, workers):
+def test_clients_see_what_their_certificate_allows_and_changed_files_apply_without_a_restart(
+    tmp_path, workers
+):
     trustme = pytest.importorskip("trustme")
 
     async def body() -> None:
@@ -37,7 +39,7 @@
             await site.add_cluster("stock", 2)
             ours, theirs = trustme.CA(), trustme.CA()
 
-            def put(ca) -> None:
+            def install_certificates(ca) -> None:
                 server = ca.issue_cert("127.0.0.1")
                 server.cert_chain_pems[0].write_to_path(tmp_path / "server.pem")
                 server.private_key_pem.write_to_path(tmp_path / "server.key")
@@ -48,11 +50,13 @@
                 if name is not None:
                     cert = ca.issue_cert(name)
                     pair = (cert.private_key_pem.bytes(), cert.cert_chain_pems[0].bytes())
-                made = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
+                credentials = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
                 options = [("grpc.use_local_subchannel_pool", 1)]
-                return grpc.aio.secure_channel(f"127.0.0.1:{site.service.server.port}", made, options=options)
+                return grpc.aio.secure_channel(
+                    f"127.0.0.1:{site.service.server.port}", credentials, options=options
+                )
 
-            put(ours)
+            install_certificates(ours)
             named = (("certificate", "server.pem"), ("key", "server.key"), ("client_ca", "ca.pem"))
             files = "\n".join(f'{k} = "{tmp_path / f}"' for k, f in named)
             await site.start_service(
@@ -60,7 +64,8 @@
                 control=f'status = ["edge.example"]\nworkers = {workers}',
             )
 
-            async def sees(ca, name: str | None) -> set[str] | str:
+            async def visible_clusters(ca, name: str | None) -> set[str] | str:
+                """Returns the clusters that a client with this certificate is sent, or the status of its stream."""
                 async with channel(ca, name) as c:
                     proxy = XdsProxy(c).start()
                     try:
@@ -75,28 +80,28 @@
                     finally:
                         await proxy.stop()
 
-            assert await sees(ours, "a.partner.example") == {"orders"}
-            assert await sees(ours, "edge.example") == {"orders", "stock"}
-            assert await sees(ours, "nobody.example") == "PERMISSION_DENIED"
-            assert await sees(ours, None) == "UNAVAILABLE"
-            assert await sees(theirs, "edge.example") == "UNAVAILABLE"
-            # Other rules reach the streams that are open.
+            assert await visible_clusters(ours, "a.partner.example") == {"orders"}
+            assert await visible_clusters(ours, "edge.example") == {"orders", "stock"}
+            assert await visible_clusters(ours, "nobody.example") == "PERMISSION_DENIED"
+            assert await visible_clusters(ours, None) == "UNAVAILABLE"
+            assert await visible_clusters(theirs, "edge.example") == "UNAVAILABLE"
+            # Changed rules apply to open streams.
             rules = site.path.read_text()
             async with channel(ours, "edge.example") as c:
-                open_one = XdsProxy(c).start()
-                await open_one.until(lambda proxy: len(proxy.accepted[CLUSTER]) == 2)
+                open_proxy = XdsProxy(c).start()
+                await open_proxy.until(lambda proxy: len(proxy.accepted[CLUSTER]) == 2)
                 site.path.write_text(rules.replace('"edge.example" = ["*"]', '"edge.example" = ["stock"]'))
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"stock"})
+                await open_proxy.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"stock"})
                 site.path.write_text(rules)
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(
-                    lambda proxy: len(proxy.accepted[CLUSTER]) == 2 and open_one.streams == 1
+                await open_proxy.until(
+                    lambda proxy: len(proxy.accepted[CLUSTER]) == 2 and open_proxy.streams == 1
                 )
-                await open_one.stop()
-            put(theirs)
-            assert await sees(theirs, "edge.example") == {"orders", "stock"}
-            assert await sees(ours, "edge.example") == "UNAVAILABLE"
+                await open_proxy.stop()
+            install_certificates(theirs)
+            assert await visible_clusters(theirs, "edge.example") == {"orders", "stock"}
+            assert await visible_clusters(ours, "edge.example") == "UNAVAILABLE"
             for name, word in (("edge.example", "streams"), ("a.partner.example", "PERMISSION_DENIED")):
                 cert = theirs.issue_cert(name)
                 cert.private_key_pem.write_to_path(tmp_path / "me.key")
@@ -111,10 +116,10 @@
     run(body())
 
 
-# ---- the command ----------------------------------------------------------------------------------------
+# ---- commands and the configuration file ----------------------------------------------------------------
 
 
-def test_status_shows_who_holds_what_and_who_refused_and_why(tmp_path):
+def test_status_shows_what_each_proxy_accepted_or_refused_and_why(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
             await site.add_cluster("orders")
@@ -171,7 +176,7 @@
         ("[clusters", ["not TOML", "at end of document"]),
     ],
 )
-def test_a_file_that_cannot_be_is_one_line(tmp_path, text, words):
+def test_an_invalid_file_is_reported_in_one_line(tmp_path, text, words):
     path = tmp_path / "control.toml"
     path.write_text(text)
     with pytest.raises(OperatorsFileError) as e:
@@ -181,7 +186,7 @@
     assert "\n" not in str(e.value)
 
 
-def test_the_command_ends_with_status_2_on_a_bad_file_or_a_port_in_use(tmp_path):
+def test_the_command_exits_with_status_2_on_an_invalid_file_or_a_port_in_use(tmp_path):
     async def body() -> None:
         path = tmp_path / "control.toml"
         assert await run_command("control", "--config", path) == (
@@ -191,17 +196,17 @@
         code, out = await run_command("control")
         assert code == 2
         assert "--config" in out
-        taken = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        port = taken.sockets[0].getsockname()[1]
+        occupying_server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        port = occupying_server.sockets[0].getsockname()[1]
         path.write_text(f'[control]\nlisten = "127.0.0.1:{port}"\n[clusters.a]\ndiscovery = "127.0.0.1:1"')
         code, out = await run_command("control", "--config", path)
         assert code == 2
         assert "control.listen" in out
         assert "Traceback" not in out
-        taken.close()
+        occupying_server.close()
 
     run(body())
 
 
-def test_the_shipped_file_is_good():
+def test_the_shipped_file_is_valid():
     assert set(read_control(Path(__file__).parent.parent / "deploy" / "control.toml").clusters) == {"orders"}
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -1,4 +1,4 @@
-"""The gRPC front against clients on loopback: our own on the wire, and grpcio's own xDS resolver."""
+"""Tests of the control server over gRPC on loopback, with the stand-in proxy and with grpcio's own xDS client."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 from harecross.xds.server import ControlServer  # noqa: E402
 from harecross.xds.status import status_table  # noqa: E402
 
-DRAIN_GRACE = 0.25  # seconds: the users' rule
+# The users require that a drain reaches every proxy within this many seconds.
+DRAIN_GRACE = 0.25
 
 
 def endpoints(addresses: list[str], drained: tuple[int, ...] = (), weights: dict[int, int] | None = None):
@@ -39,19 +40,22 @@
     ]
 
 
-def of(addresses: list[str], **more) -> Snapshot:
+def svc_snapshot(addresses: list[str], **more) -> Snapshot:
     return snapshot({"svc": (endpoints(addresses, **more), 0)})
 
 
-HERE = ["127.0.0.1:1001", "127.0.0.1:1002"]
+ADDRESSES = ["127.0.0.1:1001", "127.0.0.1:1002"]
 
 
 def test_equal_content_has_equal_versions_in_two_services():
-    assert of(HERE).get(EDS)["svc"].version == of(HERE).get(EDS)["svc"].version
-    assert of(HERE).get(EDS)["svc"].version != of(HERE, drained=(1,)).get(EDS)["svc"].version
+    assert svc_snapshot(ADDRESSES).get(EDS)["svc"].version == svc_snapshot(ADDRESSES).get(EDS)["svc"].version
+    assert (
+        svc_snapshot(ADDRESSES).get(EDS)["svc"].version
+        != svc_snapshot(ADDRESSES, drained=(1,)).get(EDS)["svc"].version
+    )
 
 
-async def started(first=None, log=discard_log_line) -> tuple[ControlServer, str]:
+async def start_control_server(first=None, log=discard_log_line) -> tuple[ControlServer, str]:
     control = ControlServer(log=log)
     port = await control.start("127.0.0.1:0")
     if first is not None:
@@ -59,7 +63,7 @@
     return control, f"127.0.0.1:{port}"
 
 
-async def gathered(*proxies: XdsProxy) -> None:
+async def stop_proxies(*proxies: XdsProxy) -> None:
     await asyncio.gather(*(proxy.stop() for proxy in proxies))
 
 
@@ -67,34 +71,34 @@
 
 
 @VARIANTS
-def test_every_stream_has_a_drain_within_the_grace_while_weights_churn(delta):
+def test_every_stream_receives_a_drain_within_the_grace_time_while_weights_change(delta):
     async def body() -> None:
-        control, address = await started(of(HERE))
+        control, address = await start_control_server(svc_snapshot(ADDRESSES))
         async with grpc.aio.insecure_channel(address) as channel:
             proxies = [XdsProxy(channel, ["svc"], delta, f"p{i}").start() for i in range(20)]
             for proxy in proxies:
                 await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             for weight in range(50, 60):
-                control.publish(of(HERE, weights={0: weight}))
+                control.publish(svc_snapshot(ADDRESSES, weights={0: weight}))
                 await asyncio.sleep(0)
             changed_at = time.monotonic()
-            control.publish(of(HERE, drained=(1,), weights={0: 60}), urgent={"svc"})
+            control.publish(svc_snapshot(ADDRESSES, drained=(1,), weights={0: 60}), urgent={"svc"})
             for proxy in proxies:
                 await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("svc")))
-            # Every proxy has it, and the slowest within what the users allow.
+            # Every proxy has received the drain, the slowest one within the required time.
             slowest = max(proxy.first_seen_at("svc", "s1", DRAINING) for proxy in proxies) - changed_at
             print(f"slowest of 20: {slowest * 1000:.0f} ms")
             assert slowest < DRAIN_GRACE
-            await gathered(*proxies)
+            await stop_proxies(*proxies)
         await control.stop()
 
     run(body())
 
 
 @VARIANTS
-def test_a_refusal_shows_in_the_status_and_a_good_version_follows(delta):
+def test_a_refusal_shows_in_the_status_until_a_valid_version_follows(delta):
     async def body() -> None:
-        control, address = await started(of(HERE))
+        control, address = await start_control_server(svc_snapshot(ADDRESSES))
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, ["svc"], delta, types=(ASSIGNMENT,))
             proxy.rejection_reason = lambda type_url, names: "no such locality"
@@ -104,33 +108,33 @@
             (s,) = status_table(control)
             assert s["node"] == "proxy"
             assert s["types"][EDS]["reason"] == "no such locality"
-            control.publish(of(HERE))  # the same content: no loop
+            control.publish(svc_snapshot(ADDRESSES))  # unchanged content must not be sent again
             await asyncio.sleep(0.1)
             assert len(proxy.responses) == 1
             proxy.rejection_reason = lambda type_url, names: ""
-            control.publish(of(HERE, drained=(0,)))
+            control.publish(svc_snapshot(ADDRESSES, drained=(0,)))
             await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
             while status_table(control)[0]["types"][EDS]["reason"]:
                 await asyncio.sleep(0.005)
             state = status_table(control)[0]["types"][EDS]
             assert state["acked"] == state["sent"] != ""
-            await gathered(proxy)
+            await stop_proxies(proxy)
         await control.stop()
 
     run(body())
 
 
-def test_nothing_is_said_before_the_first_list_is_known():
+def test_nothing_is_sent_before_the_first_publication():
     async def body() -> None:
-        control, address = await started()
+        control, address = await start_control_server()
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel).start()
             await asyncio.sleep(0.2)
             assert proxy.streams == 1
             assert not proxy.responses
-            control.publish(of(HERE))
+            control.publish(svc_snapshot(ADDRESSES))
             await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
-            await gathered(proxy)
+            await stop_proxies(proxy)
         await control.stop()
 
     run(body())
@@ -139,7 +143,7 @@
 @VARIANTS
 def test_a_malformed_first_request_ends_its_stream_and_no_other(delta):
     async def body() -> None:
-        control, address = await started(of(HERE))
+        control, address = await start_control_server(svc_snapshot(ADDRESSES))
         async with grpc.aio.insecure_channel(address) as channel:
             good = XdsProxy(channel, delta=delta).start()
             bad = XdsProxy(channel, ["x"], delta, types=("type.googleapis.com/nonsense",)).start()
@@ -150,17 +154,18 @@
             control.publish(snapshot({}))
             await good.until(lambda proxy: not proxy.accepted[CDS])
             assert good.streams == 1
-            await gathered(good, bad)
+            await stop_proxies(good, bad)
         await control.stop()
 
     run(body())
 
 
-MANY = [f"127.0.0.1:{i + 1}" for i in range(3000)]
+MANY_ADDRESSES = [f"127.0.0.1:{i + 1}" for i in range(3000)]
 
-# One response is more than such a client takes in unread. Left to itself grpcio widens the window, by up to megabytes,
-# and a client that acknowledges nothing is let go for that before it is stuck.
-NARROW = [
+# Channel options with which a client that does not read cannot buffer a whole response. By default grpcio enlarges the
+# flow-control window, by up to megabytes; the client would then be disconnected for its missing ACKs before a write to
+# it blocks.
+SMALL_WINDOW = [
     ("grpc.http2.bdp_probe", 0),
     ("grpc.http2.lookahead_bytes", 1 << 16),
     ("grpc.use_local_subchannel_pool", 1),
@@ -168,68 +173,68 @@
 
 
 @VARIANTS
-def test_proxies_that_do_not_read_keep_no_other_waiting(delta, monkeypatch):
+def test_proxies_that_do_not_read_do_not_delay_others(delta, monkeypatch):
     monkeypatch.setattr(stream_service, "UNREAD_TIMEOUT_S", 600.0)
 
     async def body() -> None:
-        control, address = await started(of(MANY))
-        narrow = grpc.aio.insecure_channel(address, options=NARROW)
-        async with narrow as stuck, grpc.aio.insecure_channel(address) as fine:
-            lazy = [
-                XdsProxy(stuck, ["svc"], delta, f"lazy{i}") for i in range(20)
-            ]  # more than there are turns
-            for proxy in lazy:
+        control, address = await start_control_server(svc_snapshot(MANY_ADDRESSES))
+        small_window = grpc.aio.insecure_channel(address, options=SMALL_WINDOW)
+        async with small_window as stuck_channel, grpc.aio.insecure_channel(address) as fine:
+            # More proxies than there are write slots.
+            unread_proxies = [XdsProxy(stuck_channel, ["svc"], delta, f"lazy{i}") for i in range(20)]
+            for proxy in unread_proxies:
                 proxy.may_read.clear()
                 proxy.start()
-            while sum(proxy.blocked for proxy in control.proxies) < len(lazy):
+            while sum(proxy.blocked for proxy in control.proxies) < len(unread_proxies):
                 await asyncio.sleep(0.02)
-            # Another publication gives them no other turn.
-            control.publish(of(MANY, weights={0: 50}))
-            # They would hold all turns for ten minutes; another one is served all the same.
+            # Another publication must not grant them a write slot again.
+            control.publish(svc_snapshot(MANY_ADDRESSES, weights={0: 50}))
+            # If they kept their slots, they would hold all of them for ten minutes. Another proxy is served meanwhile.
             good = XdsProxy(fine, ["svc"], delta, "good").start()
             await good.until(lambda proxy: len(proxy.endpoints("svc")) == 3000)
             assert control.slow_proxies_dropped == 0
-            await gathered(good, *lazy)
+            await stop_proxies(good, *unread_proxies)
         await control.stop()
 
     run(body())
 
 
 @VARIANTS
-def test_a_proxy_that_does_not_read_is_let_go(delta, monkeypatch):
+def test_a_proxy_that_does_not_read_is_disconnected(delta, monkeypatch):
     monkeypatch.setattr(stream_service, "UNREAD_TIMEOUT_S", 0.3)
 
     async def body() -> None:
         lines: list[str] = []
-        control, address = await started(of(MANY), lines.append)
-        narrow = grpc.aio.insecure_channel(address, options=NARROW)
-        async with narrow as stuck, grpc.aio.insecure_channel(address) as fine:
-            lazy = XdsProxy(stuck, ["svc"], delta, "lazy")
-            lazy.may_read.clear()
-            lazy.start()
+        control, address = await start_control_server(svc_snapshot(MANY_ADDRESSES), lines.append)
+        small_window = grpc.aio.insecure_channel(address, options=SMALL_WINDOW)
+        async with small_window as stuck_channel, grpc.aio.insecure_channel(address) as fine:
+            unread_proxy = XdsProxy(stuck_channel, ["svc"], delta, "lazy")
+            unread_proxy.may_read.clear()
+            unread_proxy.start()
             good = XdsProxy(fine, ["svc"], delta, "good").start()
             weight = 0
-            # By its name: on a machine that stands still for a moment the other one may be let go, and comes back.
+            # The log line is matched by the node's name: if the machine pauses for a moment, the other proxy may be
+            # disconnected too, and reconnects.
             while not any("lazy disconnected" in line for line in lines):
                 weight += 1
-                control.publish(of(MANY, weights={0: weight}))
+                control.publish(svc_snapshot(MANY_ADDRESSES, weights={0: weight}))
                 await good.until(
                     lambda proxy, w=weight: len(e := proxy.endpoints("svc")) > 0 and e[0].weight == w
                 )
             await good.until(lambda proxy, w=weight: proxy.endpoints("svc")[0].weight == w)
             assert {proxy.node for proxy in control.proxies} == {"good"}
             assert control.slow_proxies_dropped >= 1
-            await gathered(good, lazy)
+            await stop_proxies(good, unread_proxy)
         await control.stop()
 
     run(body())
 
 
-def test_a_proxy_that_acknowledges_nothing_is_let_go(monkeypatch):
+def test_a_proxy_that_acknowledges_nothing_is_disconnected(monkeypatch):
     monkeypatch.setattr(stream_service, "MAX_UNACKNOWLEDGED", 5)
 
     async def body() -> None:
-        control, address = await started(of(HERE))
+        control, address = await start_control_server(svc_snapshot(ADDRESSES))
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, ["svc"], types=(ASSIGNMENT,))
             proxy.acknowledges = False
@@ -237,21 +242,21 @@
             weight = 0
             while not control.slow_proxies_dropped:
                 weight += 1
-                control.publish(of(HERE, weights={0: weight}))
+                control.publish(svc_snapshot(ADDRESSES, weights={0: weight}))
                 await asyncio.sleep(0.005)
-            await gathered(proxy)
+            await stop_proxies(proxy)
         await control.stop()
 
     run(body())
 
 
 @VARIANTS
-def test_a_proxy_that_reconnects_in_mid_update_ends_with_the_newest(delta):
-    """Cut at every response of an update that comes in parts."""
+def test_a_proxy_that_reconnects_during_an_update_gets_the_newest_content(delta):
+    """The stream is cut at each of the first responses of an update that is sent in several responses."""
     many = {f"c{i}": (endpoints([f"127.0.0.1:{n + 1}" for n in range(300)]), 0) for i in range(8)}
 
     async def body() -> None:
-        control, address = await started(snapshot(many))
+        control, address = await start_control_server(snapshot(many))
         async with grpc.aio.insecure_channel(address) as channel:
             for at in range(1, 5):
                 proxy = XdsProxy(channel, delta=delta)
@@ -269,7 +274,7 @@
                     lambda proxy: len(proxy.accepted[EDS]) == 8 and len(proxy.endpoints("c7")) == 1
                 )
                 assert proxy.accepted[EDS] == {n: r.body for n, r in control.source.get(EDS).items()}
-                await gathered(proxy)
+                await stop_proxies(proxy)
                 control.publish(snapshot(many))
         await control.stop()
 
@@ -277,12 +282,12 @@
 
 
 @VARIANTS
-def test_a_proxy_that_comes_back_is_sent_only_what_differs_by_either_service(delta):
-    """Two services with the same content serve the same proxy in turn."""
+def test_a_proxy_that_reconnects_to_another_service_is_sent_only_what_differs(delta):
+    """Two services with the same content serve the same proxy one after the other."""
 
     async def body() -> None:
-        two = {"a": (endpoints(HERE), 0), "b": (endpoints(HERE), 0)}
-        first, address = await started(snapshot(two))
+        two = {"a": (endpoints(ADDRESSES), 0), "b": (endpoints(ADDRESSES), 0)}
+        first, address = await start_control_server(snapshot(two))
         port = address.rpartition(":")[2]
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, delta=delta).start()
@@ -294,19 +299,21 @@
             await proxy.until(lambda proxy: proxy.streams >= 2 and proxy.error is None)
             while not any(EDS in s.stream.subscriptions for s in second.proxies):
                 await asyncio.sleep(0.005)
-            second.publish(snapshot({**two, "b": (endpoints(HERE, drained=(0,)), 0)}))
+            second.publish(snapshot({**two, "b": (endpoints(ADDRESSES, drained=(0,)), 0)}))
             await proxy.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("b")))
-            assert proxy.received_count == 1  # of the four it would be sent anew
-            await gathered(proxy)
+            assert proxy.received_count == 1  # a full resend would have four resources
+            await stop_proxies(proxy)
         await second.stop()
 
     run(body())
 
 
 @VARIANTS
-def test_a_cluster_that_goes_while_its_endpoints_change_is_never_seen_empty(delta):
+def test_a_cluster_removed_while_its_endpoints_change_is_never_seen_empty(delta):
     async def body() -> None:
-        control, address = await started(snapshot({"a": (endpoints(HERE), 0), "b": (endpoints(HERE), 0)}))
+        control, address = await start_control_server(
+            snapshot({"a": (endpoints(ADDRESSES), 0), "b": (endpoints(ADDRESSES), 0)})
+        )
         async with grpc.aio.insecure_channel(address) as channel:
             proxy = XdsProxy(channel, delta=delta)
             proxy.on_response = lambda proxy, t, names: seen.append(
@@ -315,22 +322,22 @@
             seen: list[dict[str, int]] = []
             proxy.start()
             await proxy.until(lambda proxy: len(proxy.accepted[EDS]) == 2)
-            for turn in range(20):
-                with_b = {"a": (endpoints(HERE), 0), "b": (endpoints(HERE, weights={0: turn + 1}), 0)}
+            for i in range(20):
+                with_b = {"a": (endpoints(ADDRESSES), 0), "b": (endpoints(ADDRESSES, weights={0: i + 1}), 0)}
                 control.publish(snapshot(with_b))
                 await asyncio.sleep(0)
-                control.publish(snapshot({"a": (endpoints(HERE), 0)}))
+                control.publish(snapshot({"a": (endpoints(ADDRESSES), 0)}))
             await proxy.until(lambda proxy: set(proxy.accepted[CDS]) == {"a"})
             assert all(count == 2 for held in seen for count in held.values()), seen
-            await gathered(proxy)
+            await stop_proxies(proxy)
         await control.stop()
 
     run(body())
 
 
-def test_the_separate_services_serve_their_own_type_alone():
+def test_the_single_type_services_serve_only_their_own_type():
     async def body() -> None:
-        control, address = await started(of(HERE))
+        control, address = await start_control_server(svc_snapshot(ADDRESSES))
         service = "/envoy.service.endpoint.v3.EndpointDiscoveryService/"
         async with grpc.aio.insecure_channel(address) as channel:
             for delta, method in ((False, "StreamEndpoints"), (True, "DeltaEndpoints")):
@@ -339,14 +346,14 @@
                 wrong = XdsProxy(channel, delta=delta, path=service + method, types=(CDS,)).start()
                 await wrong.until(lambda proxy: proxy.error is not None)
                 assert "not served by this service" in wrong.error.details()
-                await gathered(proxy, wrong)
+                await stop_proxies(proxy, wrong)
             fetch = channel.unary_unary(
                 service + "FetchEndpoints",
                 request_serializer=discovery_pb2.DiscoveryRequest.SerializeToString,
                 response_deserializer=discovery_pb2.DiscoveryResponse.FromString,
             )
             found = await fetch(discovery_pb2.DiscoveryRequest(resource_names=["svc"]))
-            assert found.resources[0].value == of(HERE).get(EDS)["svc"].body
+            assert found.resources[0].value == svc_snapshot(ADDRESSES).get(EDS)["svc"].body
             with pytest.raises(grpc.aio.AioRpcError) as e:
                 await fetch(discovery_pb2.DiscoveryRequest(resource_names=["none"]))
             assert e.value.code() == grpc.StatusCode.NOT_FOUND
@@ -355,22 +362,22 @@
     run(body())
 
 
-def test_the_bounds_on_streams_and_subscriptions_hold():
+def test_the_limits_on_streams_subscriptions_and_message_size_are_enforced():
     async def body() -> None:
         control = ControlServer(Limits(streams=2, subscriptions=3, message_bytes=1024))
         address = f"127.0.0.1:{await control.start('127.0.0.1:0')}"
-        control.publish(of(HERE))
+        control.publish(svc_snapshot(ADDRESSES))
         async with grpc.aio.insecure_channel(address) as channel:
             greedy = XdsProxy(channel, list("abcd"), types=(ASSIGNMENT,)).start()
             await greedy.until(lambda proxy: proxy.error is not None)
             assert "more than 3 subscriptions" in greedy.error.details()
-            await gathered(greedy)
+            await stop_proxies(greedy)
             while control.proxies:
                 await asyncio.sleep(0.005)
             large = XdsProxy(channel, ["x" * 2000], types=(ASSIGNMENT,)).start()
             await large.until(lambda proxy: proxy.error is not None)
             assert large.error.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
-            await gathered(large)
+            await stop_proxies(large)
             while control.proxies:
                 await asyncio.sleep(0.005)
             two = [XdsProxy(channel).start() for _ in range(2)]
@@ -379,48 +386,53 @@
             third = XdsProxy(channel).start()
             await third.until(lambda proxy: proxy.error is not None)
             assert third.error.code() == grpc.StatusCode.RESOURCE_EXHAUSTED
-            await gathered(third, *two)
+            await stop_proxies(third, *two)
         await control.stop()
 
     run(body())
 
 
-def test_a_peer_that_has_gone_without_a_word_is_found_by_its_pings(monkeypatch):
-    """A machine cut off: the connection stays open and nothing comes through it."""
+def test_a_peer_behind_a_silent_connection_is_detected_by_keepalive_pings(monkeypatch):
+    """The proxy's machine is cut off: its connection stays open but passes no data."""
     monkeypatch.setattr(server, "KEEPALIVE_MS", 1000)
     monkeypatch.setattr(server, "KEEPALIVE_TIMEOUT_MS", 500)
 
     async def body() -> None:
-        control, address = await started(of(HERE))
+        control, address = await start_control_server(svc_snapshot(ADDRESSES))
         port = int(address.rpartition(":")[2])
-        through = asyncio.Event()
-        through.set()
+        link_up = asyncio.Event()
+        link_up.set()
         writers = []
 
         async def pipe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(65536):
-                await through.wait()
+                await link_up.wait()
                 writer.write(data)
 
         async def relay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            there = await asyncio.open_connection("127.0.0.1", port)
-            writers.extend((writer, there[1]))
-            await asyncio.gather(pipe(reader, there[1]), pipe(there[0], writer), return_exceptions=True)
+            server_side = await asyncio.open_connection("127.0.0.1", port)
+            writers.extend((writer, server_side[1]))
+            await asyncio.gather(
+                pipe(reader, server_side[1]), pipe(server_side[0], writer), return_exceptions=True
+            )
 
-        between = await asyncio.start_server(relay, "127.0.0.1", 0)
-        cut_off = f"127.0.0.1:{between.sockets[0].getsockname()[1]}"
-        async with grpc.aio.insecure_channel(cut_off) as channel, grpc.aio.insecure_channel(address) as fine:
+        relay_server = await asyncio.start_server(relay, "127.0.0.1", 0)
+        relay_address = f"127.0.0.1:{relay_server.sockets[0].getsockname()[1]}"
+        async with (
+            grpc.aio.insecure_channel(relay_address) as channel,
+            grpc.aio.insecure_channel(address) as fine,
+        ):
             gone, good = XdsProxy(channel, node="gone").start(), XdsProxy(fine, node="good").start()
             for proxy in (gone, good):
                 await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
-            through.clear()
+            link_up.clear()
             while {proxy.node for proxy in control.proxies} != {"good"}:
                 await asyncio.sleep(0.01)
-            control.publish(of(HERE, drained=(0,)), urgent={"svc"})
+            control.publish(svc_snapshot(ADDRESSES, drained=(0,)), urgent={"svc"})
             await good.until(lambda proxy: any(t.health == DRAINING for t in proxy.endpoints("svc")))
-            through.set()
-            await gathered(gone, good)
-        between.close()
+            link_up.set()
+            await stop_proxies(gone, good)
+        relay_server.close()
         for w in writers:
             w.close()
         await control.stop()
@@ -428,14 +440,16 @@
     run(body())
 
 
-def test_a_proxy_prefers_its_own_zone_where_crossing_has_a_price():
+def test_a_proxy_prefers_its_own_zone_if_crossing_zones_has_a_price():
     async def body() -> None:
         cluster = PublishedCluster(
-            tuple(PublishedEndpoint(f"s{i}", a, f"z{i}", Health.HEALTHY, 100) for i, a in enumerate(HERE)),
+            tuple(
+                PublishedEndpoint(f"s{i}", a, f"z{i}", Health.HEALTHY, 100) for i, a in enumerate(ADDRESSES)
+            ),
             7,
             True,
         )
-        control, address = await started(
+        control, address = await start_control_server(
             PublishedSnapshots(ResourceEncoder(adaptive_concurrency=True), {"svc": cluster})
         )
         async with grpc.aio.insecure_channel(address) as channel:
@@ -443,20 +457,20 @@
                 proxy = XdsProxy(channel, zone=zone).start()
                 await proxy.until(lambda proxy: len(proxy.endpoints("svc")) == 2)
                 assert [t.name for t in proxy.endpoints("svc") if t.priority == 0] == near
-                await gathered(proxy)
+                await stop_proxies(proxy)
         await control.stop()
 
     run(body())
 
 
-# ---- a client that is not ours ------------------------------------------------------------------------
+# ---- grpcio's xDS client ------------------------------------------------------------------------------
 
 
-def test_grpcs_own_client_follows_weights_drains_and_a_restart(tmp_path):
+def test_grpcios_xds_client_follows_weights_drains_and_a_restart(tmp_path):
     async def body() -> None:
         servers, addresses = zip(*[await start_backend(f"b{i}") for i in range(3)], strict=True)
         addresses = list(addresses)
-        control, address = await started(of(addresses, weights={0: 300}))
+        control, address = await start_control_server(svc_snapshot(addresses, weights={0: 300}))
         caller = await GrpcXdsClient.start(address, tmp_path)
         try:
             found = await caller.calls(500)
@@ -464,8 +478,8 @@
             assert found.total() == 500
             assert 0.5 < found["b0"] / 500 < 0.7
             assert abs(found["b1"] - found["b2"]) < 50
-            # A drained server gets nothing new, once the client has acknowledged what says so.
-            control.publish(of(addresses, drained=(1,)), urgent={"svc"})
+            # Once the client has acknowledged the drain, the drained server gets no new calls.
+            control.publish(svc_snapshot(addresses, drained=(1,)), urgent={"svc"})
             while not any(
                 s["types"][EDS]["acked"] == s["types"][EDS]["sent"] != "" for s in status_table(control)
             ):
@@ -473,29 +487,29 @@
             await asyncio.sleep(DRAIN_GRACE)
             found = await caller.calls(300)
             assert set(found) == {"b0", "b2"}
-            # The control service goes and comes back: no call fails while it is away, nor after.
+            # The control service stops and starts again. No call fails while it is down, nor afterwards.
             port = address.rpartition(":")[2]
             await control.stop()
             assert set(await caller.calls(100)) == {"b0", "b2"}
-            again = ControlServer()
-            await again.start(f"127.0.0.1:{port}")
-            again.publish(of(addresses, drained=(1,)))
+            restarted = ControlServer()
+            await restarted.start(f"127.0.0.1:{port}")
+            restarted.publish(svc_snapshot(addresses, drained=(1,)))
             assert set(await caller.calls(100)) == {"b0", "b2"}
-            while not again.proxies:
+            while not restarted.proxies:
                 await asyncio.sleep(0.02)
-            again.publish(of(addresses, drained=(0,)))
+            restarted.publish(svc_snapshot(addresses, drained=(0,)))
             while "b1" not in (found := await caller.calls(50)):
                 assert not any(n.startswith("error") for n in found)
-            # The cluster goes: calls fail at once and cleanly, and come again with it.
-            again.publish(snapshot({}))
+            # The cluster is removed: calls fail at once with UNAVAILABLE, and succeed again once it is back.
+            restarted.publish(snapshot({}))
             async with asyncio.timeout(30):
                 while set(found := await caller.calls(20)) != {"error_UNAVAILABLE"}:
                     assert not set(found) - {"b1", "b2", "error_UNAVAILABLE"}
-            again.publish(of(addresses))
+            restarted.publish(svc_snapshot(addresses))
             async with asyncio.timeout(60):
                 while any(n.startswith("error") for n in await caller.calls(20)):
                     pass
-            await again.stop()
+            await restarted.stop()
         finally:
             await caller.stop()
             for s in servers:
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -1,4 +1,7 @@
-"""Streams against a model of a client, checked after every step, and each hard case by itself."""
+"""Tests of the protocol state of streams.
+
+Single cases have a test each. A model of a client checks random interleavings of requests and updates.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 def snapshot(**types: dict[str, str]) -> Snapshot:
-    """Resources by type's short name, as name: content."""
+    """Builds a snapshot from the content of each resource, by the type's short name and the resource's name."""
     urls = {"cds": CDS, "eds": EDS, "lds": LDS, "rds": RDS}
     return Snapshot(
         {
@@ -42,24 +45,27 @@
 A3 = snapshot(cds={"a": "1"}, eds={"a": "e3"})
 
 
-def take_all(stream: Stream) -> list[Response]:
-    """All responses that are due now."""
+def due_responses(stream: Stream) -> list[Response]:
+    """Returns all responses that are due now."""
     responses = list(islice(iter(stream.next, None), 1000))
-    assert len(responses) < 1000, "an endless loop"
+    assert len(responses) < 1000, "the stream does not stop sending"
     return responses
 
 
-def ask(stream: Stream, *args, **more) -> list[Response]:
-    stream.request(*args, **more)
-    return take_all(stream)
+def send_request(stream: Stream, *args, **options) -> list[Response]:
+    """Sends a request and returns the responses that are due after it."""
+    stream.request(*args, **options)
+    return due_responses(stream)
 
 
 def push(stream: Stream, target: Snapshot) -> list[Response]:
+    """Publishes a snapshot and returns the responses that are due after it."""
     stream.push(target)
-    return take_all(stream)
+    return due_responses(stream)
 
 
-def only(responses: list[Response]) -> Response:
+def single(responses: list[Response]) -> Response:
+    """Returns the only response; fails if there is none or more than one."""
     (response,) = responses
     return response
 
@@ -67,27 +73,27 @@
 # ---- state of the world -----------------------------------------------------------------------------
 
 
-def test_an_ack_is_answered_with_silence_and_a_change_is_pushed():
+def test_an_ack_gets_no_response_and_a_change_is_pushed():
     stream = SotwStream(A1)
-    response = only(ask(stream, EDS, "", ["a"]))
+    response = single(send_request(stream, EDS, "", ["a"]))
     assert [resource.body for resource in response.resources] == [b"e1"]
-    assert ask(stream, EDS, response.nonce, ["a"]) == []
+    assert send_request(stream, EDS, response.nonce, ["a"]) == []
     assert stream.subscriptions[EDS].status.acked == response.version
-    assert only(push(stream, A2)).resources[0].body == b"e2"
+    assert single(push(stream, A2)).resources[0].body == b"e2"
     assert push(stream, A2) == []
 
 
-def test_a_nack_is_not_sent_again_until_there_is_something_new():
+def test_a_refused_version_is_not_sent_again_until_the_resource_changes():
     stream = SotwStream(A1)
-    first = only(ask(stream, EDS, "", ["a"]))
-    ask(stream, EDS, first.nonce, ["a"])
-    bad = only(push(stream, A2))
-    assert ask(stream, EDS, bad.nonce, ["a"], error="no such thing") == []
-    assert push(stream, A2) == []  # no loop
+    first = single(send_request(stream, EDS, "", ["a"]))
+    send_request(stream, EDS, first.nonce, ["a"])
+    bad = single(push(stream, A2))
+    assert send_request(stream, EDS, bad.nonce, ["a"], error="no such thing") == []
+    assert push(stream, A2) == []  # a refused version must not be sent in a loop
     status = stream.subscriptions[EDS].status
     assert (status.acked, status.refused, status.reason) == (first.version, bad.version, "no such thing")
-    good = only(push(stream, A3))
-    assert ask(stream, EDS, good.nonce, ["a"]) == []
+    good = single(push(stream, A3))
+    assert send_request(stream, EDS, good.nonce, ["a"]) == []
     assert (status.acked, status.refused) == (
         good.version,
         "",
@@ -96,102 +102,101 @@
 
 def test_an_ack_with_a_stale_nonce_is_ignored():
     stream = SotwStream(A1)
-    first = only(ask(stream, EDS, "", ["a"]))
-    second = only(push(stream, A2))  # two updates, the first without its ACK
-    assert ask(stream, EDS, first.nonce, ["a", "b"]) == []
+    first = single(send_request(stream, EDS, "", ["a"]))
+    second = single(push(stream, A2))  # the first of the two updates is not acknowledged yet
+    assert send_request(stream, EDS, first.nonce, ["a", "b"]) == []
     assert stream.subscriptions[EDS].names == {"a"}
     assert stream.subscriptions[EDS].status.acked == ""
-    ask(stream, EDS, second.nonce, ["a"])
+    send_request(stream, EDS, second.nonce, ["a"])
     assert stream.subscriptions[EDS].status.acked == second.version
 
 
-def test_a_subscription_changed_in_mid_update_is_answered_from_the_newest():
+def test_a_subscription_changed_during_an_update_gets_the_newest_content():
     stream = SotwStream(snapshot(eds={"a": "e1", "b": "f1"}))
-    ask(stream, EDS, "", ["a"])
-    response = only(push(stream, snapshot(eds={"a": "e2", "b": "f2"})))
-    more = only(ask(stream, EDS, response.nonce, ["a", "b"]))
-    assert [resource.body for resource in more.resources] == [b"f2"]  # "a" is on its way already
+    send_request(stream, EDS, "", ["a"])
+    response = single(push(stream, snapshot(eds={"a": "e2", "b": "f2"})))
+    more = single(send_request(stream, EDS, response.nonce, ["a", "b"]))
+    assert [resource.body for resource in more.resources] == [b"f2"]  # "a" is already on its way
 
 
-def test_what_does_not_exist_is_left_out_and_comes_when_it_does():
+def test_a_missing_resource_is_left_out_and_sent_once_it_exists():
     stream = SotwStream(A1)
-    assert ask(stream, EDS, "", ["nothing"]) == []
-    assert [resource.name for resource in only(push(stream, snapshot(eds={"nothing": "x"}))).resources] == [
+    assert send_request(stream, EDS, "", ["nothing"]) == []
+    assert [resource.name for resource in single(push(stream, snapshot(eds={"nothing": "x"}))).resources] == [
         "nothing"
     ]
-    # A type with a wildcard is answered even where it is empty: the proxy waits for it.
-    assert only(ask(SotwStream(snapshot()), CDS, "", [])).resources == []
+    # A wildcard request is answered even if the type has no resources, because the proxy waits for the answer.
+    assert single(send_request(SotwStream(snapshot()), CDS, "", [])).resources == []
 
 
-def test_what_a_stale_request_left_out_and_the_newest_names_again_is_sent_again():
+def test_a_resource_that_a_stale_request_omits_and_the_next_one_names_is_sent_again():
     stream = SotwStream(snapshot(eds={"a": "e1", "b": "f1"}))
-    first = only(ask(stream, EDS, "", ["a", "b"]))
-    second = only(push(stream, snapshot(eds={"a": "e2", "b": "f1"})))
-    # The proxy lets go of b before it has read the second response, and wants it again after.
-    assert ask(stream, EDS, first.nonce, ["a"]) == []
-    again = only(ask(stream, EDS, second.nonce, ["a", "b"]))
+    first = single(send_request(stream, EDS, "", ["a", "b"]))
+    second = single(push(stream, snapshot(eds={"a": "e2", "b": "f1"})))
+    # The proxy drops b before it has read the second response, and requests it again afterwards.
+    assert send_request(stream, EDS, first.nonce, ["a"]) == []
+    again = single(send_request(stream, EDS, second.nonce, ["a", "b"]))
     assert [resource.name for resource in again.resources] == ["b"]
-    assert ask(stream, EDS, again.nonce, ["a", "b"]) == []
+    assert send_request(stream, EDS, again.nonce, ["a", "b"]) == []
 
 
 def test_a_nonce_of_an_earlier_stream_is_a_first_request():
-    """A proxy that reconnects in mid-update, to this service or to another one with the same content."""
+    """A proxy may reconnect during an update, to this service or to another one with the same content."""
     old = SotwStream(A1)
-    before = only(ask(old, EDS, "", ["a"]))
+    before = single(send_request(old, EDS, "", ["a"]))
     new = SotwStream(A1)
-    again = only(ask(new, EDS, before.nonce, ["a"]))
+    again = single(send_request(new, EDS, before.nonce, ["a"]))
     assert again.version == before.version
 
 
 # ---- delta ------------------------------------------------------------------------------------------
 
 
-def test_a_proxy_that_comes_back_is_sent_only_what_differs():
+def test_a_reconnecting_proxy_is_sent_only_what_differs():
     held = {
         name: resource.version
         for name, resource in snapshot(eds={"a": "e1", "b": "f1", "gone": "g"}).get(EDS).items()
     }
     stream = DeltaStream(snapshot(eds={"a": "e1", "b": "f2"}))
-    response = only(ask(stream, EDS, subscribe=["a", "b", "gone"], initial=held))
+    response = single(send_request(stream, EDS, subscribe=["a", "b", "gone"], initial=held))
     assert [resource.name for resource in response.resources] == ["b"]
     assert response.removed == ["gone"]
 
 
-def test_a_delta_nack_is_not_sent_again_until_there_is_something_new():
+def test_a_version_refused_on_a_delta_stream_is_not_sent_again_until_the_resource_changes():
     stream = DeltaStream(A1)
-    response = only(ask(stream, EDS, subscribe=["a"]))
-    assert ask(stream, EDS, nonce=response.nonce, error="bad") == []
+    response = single(send_request(stream, EDS, subscribe=["a"]))
+    assert send_request(stream, EDS, nonce=response.nonce, error="bad") == []
     assert push(stream, A1) == []
-    assert only(push(stream, A2)).resources[0].body == b"e2"
+    assert single(push(stream, A2)).resources[0].body == b"e2"
 
 
-def test_a_name_that_does_not_exist_is_told_as_removed():
-    assert only(ask(DeltaStream(A1), EDS, subscribe=["none"])).removed == ["none"]
+def test_a_resource_that_does_not_exist_is_reported_as_removed():
+    assert single(send_request(DeltaStream(A1), EDS, subscribe=["none"])).removed == ["none"]
 
 
-def test_unsubscribing_ends_updates_and_subscribing_again_sends_anew():
+def test_unsubscribing_ends_updates_and_subscribing_again_resends():
     stream = DeltaStream(A1)
-    ask(stream, EDS, subscribe=["a"])
-    assert ask(stream, EDS, unsubscribe=["a"]) == []
+    send_request(stream, EDS, subscribe=["a"])
+    assert send_request(stream, EDS, unsubscribe=["a"]) == []
     assert push(stream, A2) == []
-    assert only(ask(stream, EDS, subscribe=["a"])).resources[0].body == b"e2"
-    assert (
-        only(ask(stream, EDS, subscribe=["a"])).resources[0].body == b"e2"
-    )  # asked for again while it is held
+    assert single(send_request(stream, EDS, subscribe=["a"])).resources[0].body == b"e2"
+    # A resource that is requested again while the proxy has it is sent again.
+    assert single(send_request(stream, EDS, subscribe=["a"])).resources[0].body == b"e2"
 
 
 def test_requests_that_cannot_be_served_end_the_stream():
     for stream in (SotwStream(A1), DeltaStream(A1)):
         with pytest.raises(BadRequestError, match="not served here"):
-            ask(stream, "type.googleapis.com/none", "", [])
+            send_request(stream, "type.googleapis.com/none", "", [])
         with pytest.raises(BadRequestError, match="more than 10000"):
-            ask(stream, EDS, "", [str(i) for i in range(10_001)])
+            send_request(stream, EDS, "", [str(i) for i in range(10_001)])
 
 
 # ---- versions and order -----------------------------------------------------------------------------
 
 
-def test_versions_are_those_of_the_content():
+def test_versions_depend_on_content_alone():
     assert combined_version(A1.get(EDS).values()) == combined_version(
         snapshot(eds={"a": "e1"}).get(EDS).values()
     )
@@ -200,13 +205,13 @@
     assert combined_version(both.values()) == combined_version(reversed(list(both.values())))
 
 
-def test_what_is_referred_to_goes_first_and_is_removed_last():
+def test_a_resource_is_sent_before_those_that_refer_to_it_and_removed_after_them():
     before = snapshot(cds={"a": "1"}, eds={"a": "e"}, lds={"l": "1"}, rds={"r": "to a"})
     after = snapshot(cds={"b": "1"}, eds={"b": "e"}, lds={"l": "1"}, rds={"r": "to b"})
     stream = SotwStream(before)
     for type_url, names in ((CDS, []), (EDS, ["a"]), (LDS, []), (RDS, ["r"])):
-        response = only(ask(stream, type_url, "", names))
-        ask(stream, type_url, response.nonce, names)
+        response = single(send_request(stream, type_url, "", names))
+        send_request(stream, type_url, response.nonce, names)
     sent = [
         (response.type_url, sorted(resource.name for resource in response.resources))
         for response in push(stream, after)
@@ -217,13 +222,20 @@
     assert update_steps(before, before) == (before,)
 
 
-# ---- any interleaving -------------------------------------------------------------------------------
+# ---- random interleavings ---------------------------------------------------------------------------
 
 NAMES = "abcd"
 
 
 class Client:
-    """A well-behaved proxy by the published rules, over a link that may break."""
+    """A model of a proxy that follows the xDS rules, on a connection that may break.
+
+    Attributes:
+        held: The accepted resources by type and name.
+        names: The names of the endpoint assignments that the proxy subscribes to.
+        inbox: The responses that the proxy has not read yet.
+        nonce: The nonce of the last response that was read, by type.
+    """
 
     def __init__(self, rng: Random, delta: bool, now: Snapshot) -> None:
         self.rng, self.delta = rng, delta
@@ -232,57 +244,60 @@
         self.connect(now)
 
     def connect(self, now: Snapshot) -> None:
-        """A new stream; what was on its way is lost."""
+        """Opens a new stream; responses that were on their way are lost."""
         self.inbox: list[Response] = []
         self.nonce: dict[str, str] = {}
         if self.delta:
             self.stream = DeltaStream(now)
             for type_url, names in ((CDS, []), (EDS, sorted(self.names))):
                 initial = {name: resource.version for name, resource in self.held[type_url].items()}
-                self.inbox += ask(self.stream, type_url, subscribe=names, initial=initial)
+                self.inbox += send_request(self.stream, type_url, subscribe=names, initial=initial)
         else:
             self.stream = SotwStream(now)
-            self.inbox += ask(self.stream, CDS, "", []) + ask(self.stream, EDS, "", sorted(self.names))
+            self.inbox += send_request(self.stream, CDS, "", []) + send_request(
+                self.stream, EDS, "", sorted(self.names)
+            )
 
     def read(self, refuse: bool) -> None:
-        """Takes the next response, and ACKs or refuses it."""
+        """Reads the next response, and acknowledges or refuses it."""
         if not self.inbox:
             return
         response = self.inbox.pop(0)
-        # A resource that came after it was no longer wanted is let fall.
-        kept = [
+        # The proxy ignores a resource that arrives after it has unsubscribed from it.
+        wanted = [
             resource
             for resource in response.resources
             if response.type_url == CDS or resource.name in self.names
         ]
         if not refuse:
             if self.delta:
-                for resource in kept:
+                for resource in wanted:
                     self.held[response.type_url][resource.name] = resource
                 for name in response.removed:
                     self.held[response.type_url].pop(name, None)
             elif response.type_url == CDS:
-                self.held[CDS] = {resource.name: resource for resource in kept}
+                self.held[CDS] = {resource.name: resource for resource in wanted}
             else:
-                self.held[EDS].update({resource.name: resource for resource in kept})
+                self.held[EDS].update({resource.name: resource for resource in wanted})
         self.nonce[response.type_url] = response.nonce
         error = "refused" if refuse else ""
         if self.delta:
-            self.inbox += ask(self.stream, response.type_url, nonce=response.nonce, error=error)
+            self.inbox += send_request(self.stream, response.type_url, nonce=response.nonce, error=error)
         else:
             names = sorted(self.names) if response.type_url == EDS else []
-            self.inbox += ask(self.stream, response.type_url, response.nonce, names, error)
+            self.inbox += send_request(self.stream, response.type_url, response.nonce, names, error)
 
     def resubscribe(self) -> None:
+        """Subscribes to another random set of names."""
         names = {name for name in NAMES if self.rng.random() < 0.5} or {"a"}
         added, dropped = names - self.names, self.names - names
         self.names = names
         for name in dropped:
             self.held[EDS].pop(name, None)
         if self.delta:
-            self.inbox += ask(self.stream, EDS, subscribe=sorted(added), unsubscribe=sorted(dropped))
+            self.inbox += send_request(self.stream, EDS, subscribe=sorted(added), unsubscribe=sorted(dropped))
         else:
-            self.inbox += ask(self.stream, EDS, self.nonce.get(EDS, ""), sorted(names))
+            self.inbox += send_request(self.stream, EDS, self.nonce.get(EDS, ""), sorted(names))
 
 
 @pytest.mark.parametrize("delta", [False, True], ids=["sotw", "delta"])
@@ -300,21 +315,22 @@
         now = draw()
         client = Client(rng, delta, now)
         for _ in range(60):
-            what = rng.random()
-            if what < 0.3:
+            action = rng.random()
+            if action < 0.3:
                 after = draw()
                 client.inbox += push(client.stream, after)
                 now = after
-            elif what < 0.75:
+            elif action < 0.75:
                 client.read(refuse=seed % 2 == 1 and rng.random() < 0.2)
-            elif what < 0.9:
+            elif action < 0.9:
                 client.resubscribe()
             else:
                 client.connect(now)
-            # At every step: nothing held that was never published under that name, no more than asked for.
+            # After every step the proxy holds only published names, and each resource under its own name.
             assert set(client.held[EDS]) <= set(NAMES)
             assert all(name == resource.name for name, resource in client.held[EDS].items())
-        # Where something was refused, a change after it; and time to read all of it.
+        # Refused versions are not sent again, so runs with refusals end with a change of every resource. Then the
+        # proxy reads all responses.
         after = now
         if seed % 2:
             after = snapshot(cds=dict.fromkeys("abc", "last"), eds=dict.fromkeys("abc", "last"))
@@ -322,20 +338,21 @@
         while client.inbox:
             client.read(refuse=False)
         if not delta:
-            # What a state-of-the-world proxy subscribed to with a stale nonce it asks for again with the newest.
-            client.inbox += ask(client.stream, EDS, client.nonce.get(EDS, ""), sorted(client.names))
+            # The server ignores a subscription that was sent with a stale nonce, so a state-of-the-world proxy sends
+            # it again with the newest nonce.
+            client.inbox += send_request(client.stream, EDS, client.nonce.get(EDS, ""), sorted(client.names))
             while client.inbox:
                 client.read(refuse=False)
         assert client.held[CDS] == dict(after.get(CDS)), seed
         wanted = {name: resource for name, resource in after.get(EDS).items() if name in client.names}
-        # By omission: what a state-of-the-world proxy holds of a cluster that has gone, it lets go with it.
+        # The state-of-the-world variant does not report removed assignments; a proxy drops them with their cluster.
         held = {
             name: resource for name, resource in client.held[EDS].items() if delta or name in after.get(CDS)
         }
         assert held == wanted, seed
 
 
-def test_what_is_urgent_overtakes_a_full_resend_and_an_update_without_its_ack():
+def test_an_urgent_change_overtakes_a_full_resend_and_an_unacknowledged_update():
     many = {f"c{i:03}": "x" * 5000 for i in range(100)}
     for stream in (SotwStream(snapshot(eds=many)), DeltaStream(snapshot(eds=many))):
         if isinstance(stream, SotwStream):
@@ -351,19 +368,19 @@
         assert urgent is not None
         assert [resource.name for resource in urgent.resources] == ["c099"]
         assert stream.next(urgent_only=True) is None
-        rest = [resource.name for response in take_all(stream) for resource in response.resources]
+        rest = [resource.name for response in due_responses(stream) for resource in response.resources]
         assert sorted([resource.name for resource in first.resources] + rest + ["c099"]) == sorted(many)
 
 
-def test_one_bad_resource_of_many_is_found_and_keeps_none_of_the_others():
+def test_one_invalid_resource_is_isolated_and_the_others_are_accepted():
     for stream in (SotwStream(snapshot()), DeltaStream(snapshot())):
         if isinstance(stream, SotwStream):
             stream.request(EDS, "", list("abc"))
         else:
             stream.request(EDS, subscribe=list("abc"))
-        take_all(stream)
+        due_responses(stream)
         stream.push(snapshot(eds={"a": "1", "b": "bad", "c": "1"}))
-        inbox, held, refused = take_all(stream), {}, 0
+        inbox, held, refused = due_responses(stream), {}, 0
         for response in inbox:
             bad = any(resource.body == b"bad" for resource in response.resources)
             refused += bad
@@ -373,33 +390,33 @@
                 stream.request(EDS, response.nonce, list("abc"), "bad" if bad else "")
             else:
                 stream.request(EDS, nonce=response.nonce, error="bad" if bad else "")
-            inbox += take_all(stream)
+            inbox += due_responses(stream)
             assert len(inbox) < 10, "sent in a loop"
         assert held == {"a": b"1", "c": b"1"}
         assert refused == 2
         assert stream.subscriptions[EDS].status.reason == "bad"
         assert [
             resource.name
-            for resource in only(push(stream, snapshot(eds={"a": "1", "b": "2", "c": "1"}))).resources
+            for resource in single(push(stream, snapshot(eds={"a": "1", "b": "2", "c": "1"}))).resources
         ] == ["b"]
 
 
-def test_what_is_withheld_is_neither_sent_nor_told_as_removed():
-    # A service that has restarted and does not know a cluster's list yet: proxies keep what they have.
+def test_a_withheld_resource_is_neither_sent_nor_reported_as_removed():
+    # A restarted service that does not know a cluster's endpoint list yet must not take the endpoints from proxies.
     unknown = Snapshot(snapshot(cds={"a": "1"}).resources_by_type, frozenset("a"))
     stream = DeltaStream(unknown)
-    assert ask(stream, EDS, subscribe=["a"], initial={"a": "old"}) == []
-    assert ask(DeltaStream(unknown), EDS, subscribe=["a"]) == []
-    assert only(push(stream, A1)).resources[0].body == b"e1"
+    assert send_request(stream, EDS, subscribe=["a"], initial={"a": "old"}) == []
+    assert send_request(DeltaStream(unknown), EDS, subscribe=["a"]) == []
+    assert single(push(stream, A1)).resources[0].body == b"e1"
 
 
-def test_a_proxy_that_comes_back_with_the_same_versions_is_sent_nothing():
-    version = only(ask(SotwStream(A1), EDS, "", ["a"])).version
-    assert ask(SotwStream(A1), EDS, "7", ["a"], version=version) == []
-    assert ask(SotwStream(A2), EDS, "7", ["a"], version=version) != []
-    assert ask(SotwStream(A1), EDS, "7", ["a", "b"], version=version) == []  # there is no b
+def test_a_proxy_that_reconnects_with_the_current_version_is_sent_nothing():
+    version = single(send_request(SotwStream(A1), EDS, "", ["a"])).version
+    assert send_request(SotwStream(A1), EDS, "7", ["a"], version=version) == []
+    assert send_request(SotwStream(A2), EDS, "7", ["a"], version=version) != []
+    assert send_request(SotwStream(A1), EDS, "7", ["a", "b"], version=version) == []  # b does not exist
     both = snapshot(eds={"a": "e1", "b": "f1"})
-    assert ask(SotwStream(both), EDS, "7", ["a", "b"], version=version) != []
+    assert send_request(SotwStream(both), EDS, "7", ["a", "b"], version=version) != []
 
 
 def test_the_order_of_types_is_make_before_break():
--- a/tests/xds_support.py
+++ b/tests/xds_support.py
@@ -1,4 +1,4 @@
-"""Snapshots; grpcio's own xDS client in a process of its own, and gRPC servers for it to call."""
+"""Test support: snapshots, grpcio's xDS client in a process of its own, and gRPC servers for it to call."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def snapshot(clusters: dict[str, tuple[list[PublishedEndpoint], int]]) -> Snapshot:
-    """Everything of all clusters, each with its endpoints and the limit on calls out."""
+    """Builds the snapshot of clusters, each given by its endpoints and its limit on concurrent calls."""
     return ResourceEncoder().snapshot(
         {name: PublishedCluster(tuple(endpoints), limit) for name, (endpoints, limit) in clusters.items()}
     )
 
 
-CALLER = """
+CLIENT_SCRIPT = """
 import grpc, sys
 channel = grpc.insecure_channel("xds:///svc")
 call = channel.unary_unary("/t.T/Who", request_serializer=bytes, response_deserializer=bytes)
@@ -40,6 +40,8 @@
 
 
 async def start_backend(name: str):
+    """Starts a gRPC server that answers every call with `name`; returns it and its address."""
+
     async def who(request: bytes, context) -> bytes:
         return name.encode()
 
@@ -52,7 +54,7 @@
 
 
 class GrpcXdsClient:
-    """grpcio's own xDS client, in a process of its own."""
+    """A gRPC client that resolves `xds:///svc` with grpcio's own xDS client, in a process of its own."""
 
     process: asyncio.subprocess.Process
 
@@ -70,12 +72,12 @@
         }
         path = folder / "bootstrap.json"
         path.write_text(json.dumps(bootstrap))
-        caller = cls()
-        caller.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", CALLER, stdin=subprocess.PIPE, stdout=subprocess.PIPE,
+        client = cls()
+        client.process = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", CLIENT_SCRIPT, stdin=subprocess.PIPE, stdout=subprocess.PIPE,
             env={**os.environ, "GRPC_XDS_BOOTSTRAP": str(path)},
         )  # fmt: skip
-        return caller
+        return client
 
     async def calls(self, n: int) -> Counter[str]:
         self.process.stdin.write(b"%d\n" % n)
