--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -13,10 +13,10 @@
 from harecross.platform.log import log_line
 from harecross.xds.access import allowed_clusters
 from harecross.xds.assembly import create_encoder, create_server, listen
+from harecross.xds.cached_lists import CachedLists
 from harecross.xds.config import ControlFile, read_control
 from harecross.xds.load_reports import LoadReports
 from harecross.xds.publisher_loop import PublisherLoop
-from harecross.xds.remembered_lists import RememberedLists
 from harecross.xds.server import ControlServer
 from harecross.xds.standalone_feed import StandaloneFeed
 from harecross.xds.worker_channel import WorkerSetup
@@ -46,7 +46,7 @@
         self.publisher_loop = PublisherLoop(
             self.server, create_encoder(self._setup), config.control.interval_s, self._on_step
         )
-        self.remembered_lists = RememberedLists(config.control.remember)
+        self.remembered_lists = CachedLists(config.control.remember)
         # Both times are those of the event loop's clock, in seconds.
         self._load_reports_forwarded_at = 0.0
         self._full_lists_deadline = 0.0
@@ -106,7 +106,7 @@
         self.publisher_loop.stop()
         for feed in self.publisher_loop.feeds.values():
             if isinstance(feed, StandaloneFeed):
-                await feed.closed()
+                await feed.wait_closed()
         self.remembered_lists.save(self.publisher_loop.feeds)
         await self.server.stop()
 
@@ -130,7 +130,7 @@
         if now >= self._load_reports_forwarded_at + self.config.control.load_reports_s:
             self._load_reports_forwarded_at = now
             for feed in self.publisher_loop.feeds.values():
-                feed.pass_load_reports_on()
+                feed.forward_load_reports()
         self.remembered_lists.save_if_due(self.publisher_loop.feeds)
 
     def _enable_if_ready(self, now: float) -> None:
--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -8,19 +8,27 @@
 import struct
 
 import pytest
-from crossing_support import KIND_NAMES, KINDS, HeldConnects, Plain, allowing, taken, turns
-from node_support import SETTINGS, World, with_node
+from node_support import SETTINGS, NodeEnvironment, run_with_node
+from race_support import (
+    REQUEST_KIND_NAMES,
+    REQUEST_KINDS,
+    BlockingClient,
+    DelayedConnects,
+    cancel_settings,
+    run_event_loop,
+    wait_until_accepted,
+)
 
 from harecross.downstream import connection_manager, request_receiver
 from harecross.node import shutdown_schedule
 
-every_request_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
+every_request_kind = pytest.mark.parametrize("kind", REQUEST_KINDS, ids=REQUEST_KIND_NAMES)
 SHORT_DEADLINES = {
     "classes": [{**each, "goal_time": 300_000, "hard_limit": 400_000} for each in SETTINGS["classes"]]
 }
 
 
-async def status(client: Plain) -> int:
+async def status(client: BlockingClient) -> int:
     """Returns the status of the answer; 0 if the connection is closed without one."""
     client.sock.setblocking(False)
     loop, text = asyncio.get_running_loop(), b""
@@ -35,9 +43,9 @@
     return int(text.split(b" ")[1])
 
 
-async def idle_client(world: World) -> Plain:
+async def idle_client(world: NodeEnvironment) -> BlockingClient:
     """Returns a client that has received an answer and keeps its connection open."""
-    client = Plain(world.node.address)
+    client = BlockingClient(world.node.address)
     client.send("/_health")
     assert await status(client) == 200
     assert world.node.client_connections.idle
@@ -65,8 +73,8 @@
     if path == "drains immediately":
         monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
 
-    async def test(world: World) -> None:
-        for origin in world.origins:
+    async def test(world: NodeEnvironment) -> None:
+        for origin in world.upstreams:
             origin.answer_all()
         client = await idle_client(world)
         run_before(world.node.client_connections, "close_idle", lambda: client.send(*kind))
@@ -74,15 +82,15 @@
         assert await status(client) == 200
         await world.task
 
-    with_node(test, settings=SHORT_DEADLINES if path == "serves before draining" else None)
+    run_with_node(test, settings=SHORT_DEADLINES if path == "serves before draining" else None)
 
 
-async def silent_client(world: World) -> Plain:
+async def silent_client(world: NodeEnvironment) -> BlockingClient:
     """Returns a client whose accepted connection has sent nothing; the servers answer all requests."""
-    for origin in world.origins:
+    for origin in world.upstreams:
         origin.answer_all()
-    client = Plain(world.node.address)
-    await taken(world, 1)
+    client = BlockingClient(world.node.address)
+    await wait_until_accepted(world, 1)
     return client
 
 
@@ -90,26 +98,26 @@
 def test_a_request_that_arrives_as_a_shutdown_closes_the_last_connections_is_answered(kind):
     """A connection without a request is kept open until the end; its first request arrives just before the close."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         client = await silent_client(world)
         run_before(world.node.client_connections, "has_open_requests", lambda: client.send(*kind))
         world.node.stop_requested.set()
         assert await status(client) == 200
         await world.task
 
-    with_node(test, settings=SHORT_DEADLINES)
+    run_with_node(test, settings=SHORT_DEADLINES)
 
 
 @every_request_kind
 def test_connections_in_the_backlog_as_the_listener_closes_are_answered(kind):
-    async def test(world: World) -> None:
-        for origin in world.origins:
+    async def test(world: NodeEnvironment) -> None:
+        for origin in world.upstreams:
             origin.answer_all()
         clients = []
 
         def connect_many() -> None:
             for _ in range(40):  # more than are accepted in one iteration
-                clients.append(Plain(world.node.address))
+                clients.append(BlockingClient(world.node.address))
                 clients[-1].send(*kind)
 
         run_before(world.node.client_connections, "drain_listener", connect_many)
@@ -118,7 +126,7 @@
         assert all([await status(client) in (200, 503) for client in clients])
         assert len(clients) == 40
 
-    with_node(test, settings=SHORT_DEADLINES)
+    run_with_node(test, settings=SHORT_DEADLINES)
 
 
 @every_request_kind
@@ -128,14 +136,14 @@
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 300_000)
 
-    async def test(world: World) -> None:
-        for origin in world.origins:
+    async def test(world: NodeEnvironment) -> None:
+        for origin in world.upstreams:
             origin.answer_all()
         if state == "idle":
             client = await idle_client(world)
         else:
-            client = Plain(world.node.address)
-            await taken(world, 1)
+            client = BlockingClient(world.node.address)
+            await wait_until_accepted(world, 1)
         if state == "incomplete head":
             messages = []
             client.sock, sock = type("RecordingSocket", (), {"sendall": messages.append})(), client.sock
@@ -152,7 +160,7 @@
         run_before(manager, "sweep", send, timed_out)
         sweep = world.node.sweeper.sweep
         while not timed_out():
-            await turns(2)
+            await run_event_loop(2)
             for since_us in (manager.silent, manager.receiving, manager.idle):
                 if connection in since_us:  # must not be swept before the race
                     since_us[connection] = max(since_us[connection], int((manager.loop.time() - 0.2) * 1e6))
@@ -162,13 +170,13 @@
         sweep()
         assert await status(client) == 200
 
-    with_node(test)
+    run_with_node(test)
 
 
 @every_request_kind
 def test_a_request_that_races_with_an_eviction_is_answered(kind):
-    async def test(world: World) -> None:
-        for origin in world.origins:
+    async def test(world: NodeEnvironment) -> None:
+        for origin in world.upstreams:
             origin.answer_all()
         client, other = await idle_client(world), await idle_client(world)
         client.send(*kind)
@@ -177,7 +185,7 @@
         assert await status(client) == 200
         assert await status(other) == 0
 
-    with_node(test)
+    run_with_node(test)
 
 
 @every_request_kind
@@ -186,51 +194,51 @@
     """The request is answered before the process would be killed, and is not sent to a server after its answer."""
     monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.0)
 
-    async def test(world: World) -> None:
-        client = Plain(world.node.address)
-        await taken(world, 1)
-        held = HeldConnects(world.node.pool)
+    async def test(world: NodeEnvironment) -> None:
+        client = BlockingClient(world.node.address)
+        await wait_until_accepted(world, 1)
+        held = DelayedConnects(world.node.pool)
         world.node.stop_requested.set()
-        await turns()
+        await run_event_loop()
         client.send(*kind)
-        await held.begun.get()
+        await held.started_connects.get()
         if state != "a connect is pending":
             held.release()
-            received = await world.origins[0].arrived.get()
+            received = await world.upstreams[0].received.get()
         if state == "a retry is pending":
             held.hold()
             received.answer(503, extra=b"X-Not-Processed: 1\r\nConnection: close\r\n")
-            await turns()
+            await run_event_loop()
         answered = await status(client)
         assert answered in (502, 503)
         held.release()
         await world.task
-        assert world.origins[0].arrived.empty()
+        assert world.upstreams[0].received.empty()
 
-    with_node(test, settings={**SHORT_DEADLINES, **allowing(False)})
+    run_with_node(test, settings={**SHORT_DEADLINES, **cancel_settings(False)})
 
 
 def test_a_client_that_resets_during_a_shutdown_does_not_delay_it():
-    async def test(world: World) -> None:
-        client = Plain(world.node.address)
-        await taken(world, 1)
+    async def test(world: NodeEnvironment) -> None:
+        client = BlockingClient(world.node.address)
+        await wait_until_accepted(world, 1)
 
         def reset() -> None:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            client.leave()
+            client.close()
 
         run_before(world.node.client_connections, "has_open_requests", reset)
         world.node.stop_requested.set()
         await world.task
 
-    with_node(test, settings=SHORT_DEADLINES)
+    run_with_node(test, settings=SHORT_DEADLINES)
 
 
 @every_request_kind
 def test_a_first_request_that_races_with_the_sweep_of_a_standby_is_answered(kind):
     """A standby closes silent connections early, but not one whose first request arrived and was not read yet."""
 
-    async def test(world: World) -> None:
+    async def test(world: NodeEnvironment) -> None:
         client = await silent_client(world)
         manager = world.node.client_connections
         (connection,) = manager.silent
@@ -241,4 +249,4 @@
         manager.sweep()
         assert await status(client) == 200
 
-    with_node(test)
+    run_with_node(test)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -21,7 +21,7 @@
     health,
     start_service_process,
 )
-from node_support import node_at, run  # noqa: E402
+from node_support import run, started_node  # noqa: E402
 
 from harecross.standins.discovery import StandinDiscovery, entry  # noqa: E402
 from harecross.standins.model import ServerCapacity  # noqa: E402
@@ -283,7 +283,7 @@
         for s in servers:
             discovery.put(entry(s.name, s.address))
         embedded = EmbeddedControlService("127.0.0.1:0", "mine", interval_s=0.1)
-        async with node_at(discovery.address, embedded_service=embedded) as node:
+        async with started_node(discovery.address, embedded_service=embedded) as node:
             assert node.options.embedded_service is embedded
             async with grpc.aio.insecure_channel(f"127.0.0.1:{embedded.server.port}") as channel:
                 proxy = XdsProxy(channel).start()
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -4,14 +4,14 @@
 import socket
 
 import pytest
-from crossing_support import KIND_NAMES, KINDS, HeldConnects, turns, warm
-from node_support import SETTINGS, World, first, until, with_node
+from node_support import SETTINGS, NodeEnvironment, first_received, run_with_node, wait_until
+from race_support import REQUEST_KIND_NAMES, REQUEST_KINDS, DelayedConnects, run_event_loop, warm_up
 
 from harecross.dispatch.close_reasons import CloseReason
 from harecross.interface import Outcome
 from harecross.upstream import connection
 
-every_request_kind = pytest.mark.parametrize("kind", KINDS, ids=KIND_NAMES)
+every_request_kind = pytest.mark.parametrize("kind", REQUEST_KINDS, ids=REQUEST_KIND_NAMES)
 
 
 def deduplication_window(ms: int) -> dict:
@@ -50,12 +50,12 @@
     """Runs a test on a node whose only server is a `RawServer`."""
     servers: list[RawServer] = []
 
-    async def body(world: World) -> None:
+    async def body(world: NodeEnvironment) -> None:
         servers.append(RawServer())
         world.node.pool.update(1, servers[0].address, 0)
         await test(world, servers[0])
 
-    with_node(body)
+    run_with_node(body)
 
 
 @every_request_kind
@@ -68,7 +68,7 @@
     in the same iteration of the event loop.
     """
 
-    async def test(world: World, server: RawServer) -> None:
+    async def test(world: NodeEnvironment, server: RawServer) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -86,7 +86,7 @@
 
         if order == "read":
             trigger()
-            await until(lambda: not process.idle)
+            await wait_until(lambda: not process.idle)
             client.send(kind[0], key=kind[1])
         else:
             original = world.node.dispatcher.balancer.request
@@ -113,7 +113,7 @@
     The connection would otherwise be reused for the next request; its reuse delay prevents that.
     """
 
-    async def test(world: World, server: RawServer) -> None:
+    async def test(world: NodeEnvironment, server: RawServer) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -126,7 +126,7 @@
         reused = asyncio.ensure_future(server.request(conn))
         await asyncio.wait([accepted, reused], return_when=asyncio.FIRST_COMPLETED)
         conn.sendall(answer(b"one"))  # the second response, a few milliseconds late
-        await turns()
+        await run_event_loop()
         if accepted.done():
             new_conn = accepted.result()
             await server.request(new_conn)
@@ -139,7 +139,7 @@
 
 
 def test_a_connection_is_reused_after_its_reuse_delay_which_is_short_for_a_fast_server():
-    async def test(world: World, server: RawServer) -> None:
+    async def test(world: NodeEnvironment, server: RawServer) -> None:
         client = await world.client()
         client.send("/pay/1")
         conn = await server.accept()
@@ -164,23 +164,23 @@
     After the window, servers no longer recognize the retry as a duplicate and would run the request again.
     """
 
-    async def test(world: World) -> None:
-        await warm(world)
+    async def test(world: NodeEnvironment) -> None:
+        await warm_up(world)
         for process in world.node.pool.processes.values():
             world.node.pool.close_idle_to_process(process, CloseReason.IDLE)
         client = await world.client()
         client.send("/put/1", key="k")
-        received = await first(*world.origins)
-        held = HeldConnects(world.node.pool)
+        received = await first_received(*world.upstreams)
+        held = DelayedConnects(world.node.pool)
         received.writer.transport.abort()  # the server may have run the request
-        await held.begun.get()  # the retry waits for its connection
+        await held.started_connects.get()  # the retry waits for its connection
         if late:
             await asyncio.sleep(0.45)
         held.release()
         if not late:
-            (await first(*world.origins)).answer(body=b"again")
+            (await first_received(*world.upstreams)).answer(body=b"again")
         status, _, body = await client.answer()
         assert (status, body) == ((502, b"") if late else (200, b"again"))
-        assert all(origin.arrived.empty() for origin in world.origins)
+        assert all(origin.received.empty() for origin in world.upstreams)
 
-    with_node(test, servers=2, settings=deduplication_window(400 if late else 20_000))
+    run_with_node(test, servers=2, settings=deduplication_window(400 if late else 20_000))
