--- a/harecross/xds/delta_stream.py
+++ b/harecross/xds/delta_stream.py
@@ -9,6 +9,7 @@
 from harecross.xds.streams import Stream
 from harecross.xds.subscription import REMOVED, Response, Subscription, check_count, check_names
 
+# The name with which a proxy subscribes to, or unsubscribes from, all resources of a type.
 WILDCARD = frozenset(("*",))
 
 
@@ -34,8 +35,8 @@
         added = check_names(type_url, subscribe, self.max_names)
         dropped = check_names(type_url, unsubscribe, self.max_names)
         subscription = self.subscriptions.get(type_url)
-        first = subscription is None
-        if first or error or added or dropped:
+        first_request = subscription is None
+        if first_request or error or added or dropped:
             self.up_to_date = False  # an ACK without changes makes no response due
         if subscription is None:
             subscription = self._begin(type_url, added, initial or {})
@@ -44,7 +45,7 @@
                 subscription.status.refused = nonce
             else:
                 subscription.status.acked = nonce
-        self._subscribe(type_url, subscription, added, dropped, first=first)
+        self._subscribe(type_url, subscription, added, dropped, first_request=first_request)
 
     def _begin(self, type_url: str, added: frozenset[str], initial: Mapping[str, str]) -> Subscription:
         """Creates the subscription for the first request of a type."""
@@ -62,7 +63,7 @@
         added: frozenset[str],
         dropped: frozenset[str],
         *,
-        first: bool,
+        first_request: bool,
     ) -> None:
         if added >= WILDCARD:
             subscription.wildcard = True
@@ -73,7 +74,7 @@
         for name in dropped:
             subscription.names.discard(name)
             subscription.forget(name)
-        if not first:
+        if not first_request:
             for name in added:
                 # A resource that is requested again is sent again, whatever version the proxy has.
                 subscription.forget(name)
@@ -87,10 +88,10 @@
         Requested resources that do not exist are reported as removed.
         """
         available = self.snapshot.get(type_url)
-        requested = self._requested(type_url, subscription)
+        requested = self._requested_names(type_url, subscription)
         due = subscription.outdated(available, requested)
         withheld = self.snapshot.withheld if type_url == EDS else frozenset()
-        gone = subscription.known.keys() - requested - withheld
+        removed = subscription.known.keys() - requested - withheld
         subscription.missing = {
             name
             for name in subscription.missing
@@ -98,21 +99,21 @@
         }
         self._forget_refused_removals(subscription, requested)
         # A refused removal makes no response due by itself; it is sent again with the next change.
-        new_removals = {name for name in gone if subscription.refused.get(name) != REMOVED}
+        new_removals = {name for name in removed if subscription.refused.get(name) != REMOVED}
         new_removals |= subscription.missing
         if not due and not new_removals and not subscription.response_due:
             return None
-        return self._send_difference(type_url, subscription, due, gone | new_removals)
+        return self._send_difference(type_url, subscription, due, removed | new_removals)
 
     def _respond_urgent(self, type_url: str, subscription: Subscription, names: set[str]) -> Response | None:
-        requested = self._requested(type_url, subscription)
+        requested = self._requested_names(type_url, subscription)
         due = subscription.outdated(self.snapshot.get(type_url), requested & names)
         if not due:
             return None
         self._forget_refused_removals(subscription, requested)
         return self._send_difference(type_url, subscription, due, set())
 
-    def _requested(self, type_url: str, subscription: Subscription) -> AbstractSet[str]:
+    def _requested_names(self, type_url: str, subscription: Subscription) -> AbstractSet[str]:
         """Returns the names of the requested resources that exist."""
         available = self.snapshot.get(type_url)
         return available.keys() if subscription.wildcard else subscription.names & available.keys()
--- a/harecross/xds/server.py
+++ b/harecross/xds/server.py
@@ -18,7 +18,7 @@
 
 
 def all_clusters(names: tuple[str, ...]) -> frozenset[str] | None:
-    """Allows every client all clusters."""
+    """Lets every client see all clusters."""
     return None
 
 
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -155,11 +155,11 @@
     def reload(self) -> None:
         """Reloads the clusters and the rules for clients (SIGHUP); other changes take effect at the next start."""
         try:
-            read = read_control(self._path)
+            loaded = read_control(self._path)
         except OperatorsFileError as error:
             log_line(f"control: configuration not reloaded: {error}")
             return
-        old, self.config = self.config, reloaded_config(self.config, read)
+        old, self.config = self.config, reloaded_config(self.config, loaded)
         removed = old.clusters.keys() - self.config.clusters.keys()
         for name in removed:
             self.publisher_loop.remove(name)
@@ -169,7 +169,7 @@
         if old.clients != self.config.clients:
             self._refresh_access()
         text = f"control: configuration reloaded: {len(changed)} clusters added or changed, {len(removed)} removed"
-        later = settings_needing_restart(self.config, read)
+        later = settings_needing_restart(self.config, loaded)
         if later:
             text += f"; {', '.join(later)} will take effect at the next start"
         log_line(text)
@@ -207,27 +207,27 @@
     )
 
 
-def reloaded_config(running: ControlFile, read: ControlFile) -> ControlFile:
+def reloaded_config(running: ControlFile, loaded: ControlFile) -> ControlFile:
     """Returns the configuration that is in effect after a reload.
 
-    If [tls] has changed, new rules for clients wait for the next start as [tls] does. Without the new [tls], clients
-    may not present a certificate yet, and the rules would take all clusters from them.
+    If [tls] has changed, new rules for clients wait for the next start as [tls] does. Until the new [tls] is in effect,
+    clients may not present certificates, and the rules would take all clusters from them.
     """
-    clients = read.clients if running.tls == read.tls else running.clients
+    clients = loaded.clients if running.tls == loaded.tls else running.clients
     return msgspec.structs.replace(
-        read, control=running.control, tls=running.tls, limits=running.limits, clients=clients
+        loaded, control=running.control, tls=running.tls, limits=running.limits, clients=clients
     )
 
 
-def settings_needing_restart(running: ControlFile, read: ControlFile) -> list[str]:
+def settings_needing_restart(running: ControlFile, loaded: ControlFile) -> list[str]:
     """Returns the names of the tables whose changes take effect only at the next start.
 
-    `running` is the configuration in effect and `read` the one that was read from the file.
+    `running` is the configuration in effect and `loaded` the one in the file.
     """
     later = []
-    if (running.control, running.tls, running.limits) != (read.control, read.tls, read.limits):
+    if (running.control, running.tls, running.limits) != (loaded.control, loaded.tls, loaded.limits):
         later = ["control", "tls", "limits"]
-    return [*later, "clients"] if running.clients != read.clients else later
+    return [*later, "clients"] if running.clients != loaded.clients else later
 
 
 def main(path: Path) -> None:
--- a/harecross/xds/stream_service.py
+++ b/harecross/xds/stream_service.py
@@ -36,6 +36,7 @@
 UNLIMITED_BYTES = 1 << 62
 
 ADS = "envoy.service.discovery.v3.AggregatedDiscoveryService"
+# The services for a single type, by its URL: the name of the service and the suffix of its methods' names.
 SERVICES = {
     CDS: ("envoy.service.cluster.v3.ClusterDiscoveryService", "Clusters"),
     EDS: ("envoy.service.endpoint.v3.EndpointDiscoveryService", "Endpoints"),
