--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -145,7 +145,7 @@
             await site.start_service(control="wait_s = 0.2")
             reconnected = XdsProxy(site.channel, delta=delta)
             reconnected.accepted, reconnected.versions = held
-            reconnected.version, reconnected.wanted = dict(proxy.version), set(proxy.wanted)
+            reconnected.version, reconnected.subscribed = dict(proxy.version), set(proxy.subscribed)
             reconnected.start()
             await reconnected.until(lambda proxy: proxy.streams >= 1)
             while not any(ASSIGNMENT in s.stream.subscriptions for s in site.service.server.proxies):
