--- a/harecross/xds/config.py
+++ b/harecross/xds/config.py
@@ -173,7 +173,9 @@
         """Checks that a cluster has a source, and that its SRV names are set in one place."""
         key, table = f"clusters.{name}", cluster.sources_table()
         self.require(
-            key, bool(cluster.discovery) or table.on, "at least one of discovery, srv and sources is required"
+            key,
+            bool(cluster.discovery) or table.has_additional_sources,
+            "at least one of discovery, srv and sources is required",
         )
         conflicting = bool(cluster.sources and (cluster.srv or cluster.resolvers))
         self.require(
