--- a/harecross/xds/sotw_stream.py
+++ b/harecross/xds/sotw_stream.py
@@ -1,52 +1,62 @@
-"""The state-of-the-world variant: listeners and clusters come whole, assignments and routes in parts."""
+"""The state-of-the-world variant of a stream.
+
+A response for listeners or clusters holds all of them. Endpoint assignments and routes may be sent in several
+responses.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from harecross.xds.cache import WILDCARD_TYPES, Resource, version_of
+from harecross.xds.cache import WILDCARD_TYPES, Resource, combined_version
 from harecross.xds.streams import Stream
 from harecross.xds.subscription import WHOLE_SET, Response, Subscription, check_names
 
 
 class SotwStream(Stream):
-    """A state-of-the-world stream."""
+    """The protocol state of one state-of-the-world stream."""
 
     variant = "sotw"
 
     def request(
         self, type_url: str, nonce: str, names: Iterable[str], error: str = "", version: str = ""
     ) -> None:
-        """A request of the proxy: its first of a type, an ACK, a NACK or another subscription."""
+        """Handles a request: the first one of a type, an ACK, a NACK or a changed subscription.
+
+        `error` is the message of a NACK; `version` is the version that the proxy has, which counts in a first request.
+        """
         requested = check_names(type_url, names, self.max_names)
-        subscription = self.types.get(type_url)
+        subscription = self.subscriptions.get(type_url)
         if subscription is None:
-            # A nonce of an earlier stream means nothing on this one: it is a first request all the same.
-            self.settled = False
+            # A nonce of an earlier stream has no meaning on this one, so this is a first request.
+            self.up_to_date = False
             self._begin(type_url, requested, version)
             return
-        if error or subscription.maybe_dropped or requested != subscription.names:
-            self.settled = False  # an ACK alone makes no response due
+        if error or subscription.possibly_dropped or requested != subscription.names:
+            self.up_to_date = False  # an ACK without changes makes no response due
         stale = nonce != subscription.last_nonce
-        # While parts are on their way the NACK of an earlier one counts; its subscription does not.
+        # While several responses are in flight, the NACK of an earlier one counts, but its list of names does not.
         if nonce and subscription.acknowledge(nonce, error):
             if error:
                 subscription.status.refused = subscription.status.sent
             elif not stale:
                 subscription.status.acked = subscription.status.sent
         if stale:
-            # Another request follows. By then the proxy may have dropped what it does not name here, and may ask
-            # for it again.
-            subscription.maybe_dropped |= subscription.names - requested
+            # A request with the newest nonce follows. By then the proxy may have dropped the resources that this one
+            # does not name, and may request them again.
+            subscription.possibly_dropped |= subscription.names - requested
         else:
             self._subscribe(type_url, subscription, requested)
 
     def _begin(self, type_url: str, requested: frozenset[str], version: str) -> None:
-        """Takes a first request. A proxy that reconnects with what it would get does not get it again."""
+        """Handles the first request of a type.
+
+        A proxy that reconnects with the version that it would be sent is not sent the resources again.
+        """
         wildcard = type_url in WILDCARD_TYPES and not requested
-        subscription = self.types[type_url] = Subscription(set(requested), wildcard)
+        subscription = self.subscriptions[type_url] = Subscription(set(requested), wildcard)
         resources = self._requested_resources(type_url, subscription)
-        if resources and version and version == version_of(resources):
+        if resources and version and version == combined_version(resources):
             for resource in resources:
                 subscription.set_known(resource.name, resource.version)
             subscription.status.sent = subscription.status.acked = version
@@ -55,13 +65,13 @@
 
     @staticmethod
     def _subscribe(type_url: str, subscription: Subscription, requested: frozenset[str]) -> None:
-        for name in subscription.maybe_dropped | (subscription.names - requested):
+        for name in subscription.possibly_dropped | (subscription.names - requested):
             subscription.forget(name)
-        subscription.maybe_dropped.clear()
+        subscription.possibly_dropped.clear()
         if type_url in WILDCARD_TYPES:
             added = bool(requested - subscription.names)
             subscription.response_due = subscription.response_due or added
-            # Names after a wildcard: from now on only these.
+            # A wildcard subscription becomes a subscription by name once the proxy names resources.
             subscription.wildcard = subscription.wildcard and not requested
         subscription.names = set(requested)
 
@@ -92,7 +102,7 @@
 
     def _respond_whole(self, type_url: str, subscription: Subscription) -> Response | None:
         resources = self._requested_resources(type_url, subscription)
-        version = version_of(resources)
+        version = combined_version(resources)
         unchanged = version in (subscription.known_version, subscription.refused.get(WHOLE_SET))
         if unchanged and not subscription.response_due:
             return None
