--- a/harecross/xds/wire.py
+++ b/harecross/xds/wire.py
@@ -1,7 +1,7 @@
-"""Responses as bytes: each resource is encoded once for all streams, and a response is put together from them.
+"""Encodes responses: each resource is encoded once for all streams, and a response is assembled from the encodings.
 
-Concatenating the encodings of two messages merges them (Protocol Buffers, "Last One Wins" and repeated fields), so
-a header and encoded resources make a whole response.
+Concatenating the encodings of two protobuf messages merges them: for a scalar field the last value wins, and repeated
+fields are joined. An encoded header followed by encoded resources is therefore a complete response.
 """
 
 from __future__ import annotations
@@ -13,38 +13,42 @@
 from harecross.xds.subscription import Response
 
 
-def sotw_frame(type_url: str, resource: Resource) -> bytes:
-    """A resource as a part of a state-of-the-world response."""
-    if "sotw" not in resource.frames:
+def encode_sotw_resource(type_url: str, resource: Resource) -> bytes:
+    """Returns a state-of-the-world response that holds only this resource; the encoding is cached."""
+    if "sotw" not in resource.encodings:
         body = AnyMessage(type_url=type_url, value=resource.body)
-        resource.frames["sotw"] = discovery_pb2.DiscoveryResponse(resources=[body]).SerializeToString()
-    return resource.frames["sotw"]
+        resource.encodings["sotw"] = discovery_pb2.DiscoveryResponse(resources=[body]).SerializeToString()
+    return resource.encodings["sotw"]
 
 
-def delta_frame(type_url: str, resource: Resource) -> bytes:
-    """A resource as a part of an incremental response."""
-    if "delta" not in resource.frames:
+def encode_delta_resource(type_url: str, resource: Resource) -> bytes:
+    """Returns an incremental response that holds only this resource; the encoding is cached."""
+    if "delta" not in resource.encodings:
         body = AnyMessage(type_url=type_url, value=resource.body)
         message = discovery_pb2.Resource(name=resource.name, version=resource.version, resource=body)
         response = discovery_pb2.DeltaDiscoveryResponse(resources=[message])
-        resource.frames["delta"] = response.SerializeToString()
-    return resource.frames["delta"]
+        resource.encodings["delta"] = response.SerializeToString()
+    return resource.encodings["delta"]
 
 
 def encode_sotw(response: Response) -> bytes:
-    """A state-of-the-world response."""
+    """Encodes a state-of-the-world response."""
     header: bytes = discovery_pb2.DiscoveryResponse(
         version_info=response.version, nonce=response.nonce, type_url=response.type_url
     ).SerializeToString()
-    return header + b"".join(sotw_frame(response.type_url, resource) for resource in response.resources)
+    return header + b"".join(
+        encode_sotw_resource(response.type_url, resource) for resource in response.resources
+    )
 
 
 def encode_delta(response: Response) -> bytes:
-    """An incremental response."""
+    """Encodes an incremental response."""
     header: bytes = discovery_pb2.DeltaDiscoveryResponse(
         system_version_info=response.version,
         nonce=response.nonce,
         type_url=response.type_url,
         removed_resources=response.removed,
     ).SerializeToString()
-    return header + b"".join(delta_frame(response.type_url, resource) for resource in response.resources)
+    return header + b"".join(
+        encode_delta_resource(response.type_url, resource) for resource in response.resources
+    )
--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -1,4 +1,4 @@
-"""Who may see what of the control service, its status command and its file."""
+"""Tests of the access rules of the control service, its status command and its configuration file."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 grpc = pytest.importorskip("grpc")
 
 from control_support import (  # noqa: E402
-    command,
     control_site,
+    fail_on_unexpected_child_signal,  # noqa: F401
     health,
-    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
+    run_command,
 )
 from node_support import run  # noqa: E402
 
@@ -24,20 +24,22 @@
 from harecross.standins.xds import ASSIGNMENT, CLUSTER, XdsProxy  # noqa: E402
 from harecross.xds.config import read_control  # noqa: E402
 
-# ---- security -------------------------------------------------------------------------------------------
+# ---- access rules ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("workers", [1, 2])
-def test_clients_see_what_their_certificate_allows_and_new_files_count_without_a_restart(tmp_path, workers):
+def test_clients_see_what_their_certificate_allows_and_changed_files_apply_without_a_restart(
+    tmp_path, workers
+):
     trustme = pytest.importorskip("trustme")
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.cluster("stock", 2)
+            await site.add_cluster("orders")
+            await site.add_cluster("stock", 2)
             ours, theirs = trustme.CA(), trustme.CA()
 
-            def put(ca) -> None:
+            def install_certificates(ca) -> None:
                 server = ca.issue_cert("127.0.0.1")
                 server.cert_chain_pems[0].write_to_path(tmp_path / "server.pem")
                 server.private_key_pem.write_to_path(tmp_path / "server.key")
@@ -48,19 +50,22 @@
                 if name is not None:
                     cert = ca.issue_cert(name)
                     pair = (cert.private_key_pem.bytes(), cert.cert_chain_pems[0].bytes())
-                made = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
+                credentials = grpc.ssl_channel_credentials(ca.cert_pem.bytes(), *pair)
                 options = [("grpc.use_local_subchannel_pool", 1)]
-                return grpc.aio.secure_channel(f"127.0.0.1:{site.service.server.port}", made, options=options)
+                return grpc.aio.secure_channel(
+                    f"127.0.0.1:{site.service.server.port}", credentials, options=options
+                )
 
-            put(ours)
+            install_certificates(ours)
             named = (("certificate", "server.pem"), ("key", "server.key"), ("client_ca", "ca.pem"))
             files = "\n".join(f'{k} = "{tmp_path / f}"' for k, f in named)
-            await site.serve(
+            await site.start_service(
                 more=f'[tls]\n{files}\n[clients]\n"*.partner.example" = ["orders"]\n"edge.example" = ["*"]',
                 control=f'status = ["edge.example"]\nworkers = {workers}',
             )
 
-            async def sees(ca, name: str | None) -> set[str] | str:
+            async def visible_clusters(ca, name: str | None) -> set[str] | str:
+                """Returns the clusters that a client with this certificate is sent, or the status of its stream."""
                 async with channel(ca, name) as c:
                     proxy = XdsProxy(c).start()
                     try:
@@ -75,33 +80,33 @@
                     finally:
                         await proxy.stop()
 
-            assert await sees(ours, "a.partner.example") == {"orders"}
-            assert await sees(ours, "edge.example") == {"orders", "stock"}
-            assert await sees(ours, "nobody.example") == "PERMISSION_DENIED"
-            assert await sees(ours, None) == "UNAVAILABLE"
-            assert await sees(theirs, "edge.example") == "UNAVAILABLE"
-            # Other rules reach the streams that are open.
+            assert await visible_clusters(ours, "a.partner.example") == {"orders"}
+            assert await visible_clusters(ours, "edge.example") == {"orders", "stock"}
+            assert await visible_clusters(ours, "nobody.example") == "PERMISSION_DENIED"
+            assert await visible_clusters(ours, None) == "UNAVAILABLE"
+            assert await visible_clusters(theirs, "edge.example") == "UNAVAILABLE"
+            # Changed rules apply to open streams.
             rules = site.path.read_text()
             async with channel(ours, "edge.example") as c:
-                open_one = XdsProxy(c).start()
-                await open_one.until(lambda proxy: len(proxy.accepted[CLUSTER]) == 2)
+                open_proxy = XdsProxy(c).start()
+                await open_proxy.until(lambda proxy: len(proxy.accepted[CLUSTER]) == 2)
                 site.path.write_text(rules.replace('"edge.example" = ["*"]', '"edge.example" = ["stock"]'))
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"stock"})
+                await open_proxy.until(lambda proxy: set(proxy.accepted[CLUSTER]) == {"stock"})
                 site.path.write_text(rules)
                 os.kill(os.getpid(), signal.SIGHUP)
-                await open_one.until(
-                    lambda proxy: len(proxy.accepted[CLUSTER]) == 2 and open_one.streams == 1
+                await open_proxy.until(
+                    lambda proxy: len(proxy.accepted[CLUSTER]) == 2 and open_proxy.streams == 1
                 )
-                await open_one.stop()
-            put(theirs)
-            assert await sees(theirs, "edge.example") == {"orders", "stock"}
-            assert await sees(ours, "edge.example") == "UNAVAILABLE"
+                await open_proxy.stop()
+            install_certificates(theirs)
+            assert await visible_clusters(theirs, "edge.example") == {"orders", "stock"}
+            assert await visible_clusters(ours, "edge.example") == "UNAVAILABLE"
             for name, word in (("edge.example", "streams"), ("a.partner.example", "PERMISSION_DENIED")):
                 cert = theirs.issue_cert(name)
                 cert.private_key_pem.write_to_path(tmp_path / "me.key")
                 cert.cert_chain_pems[0].write_to_path(tmp_path / "me.pem")
-                code, out = await command(
+                code, out = await run_command(
                     "control", "status", "--address", f"127.0.0.1:{site.service.server.port}",
                     "--ca", tmp_path / "ca.pem", "--cert", tmp_path / "me.pem", "--key", tmp_path / "me.key",
                 )  # fmt: skip
@@ -111,14 +116,14 @@
     run(body())
 
 
-# ---- the command ----------------------------------------------------------------------------------------
+# ---- commands and the configuration file ----------------------------------------------------------------
 
 
-def test_status_shows_who_holds_what_and_who_refused_and_why(tmp_path):
+def test_status_shows_what_each_proxy_accepted_or_refused_and_why(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders")
-            await site.serve()
+            await site.add_cluster("orders")
+            await site.start_service()
             good = XdsProxy(site.channel, node="good").start()
             bad = XdsProxy(site.channel, node="bad", delta=True)
             bad.rejection_reason = lambda t, names: "no such locality" if t == ASSIGNMENT else ""
@@ -127,7 +132,7 @@
             await bad.until(lambda proxy: any(t == ASSIGNMENT for t, _, _ in proxy.responses))
             address = f"127.0.0.1:{site.service.server.port}"
             while True:
-                code, out = await command("control", "status", "--address", address, "--json", "-")
+                code, out = await run_command("control", "status", "--address", address, "--json", "-")
                 rows = {r["node"]: r for r in json.loads(out)["proxies"]}
                 states = {n: {t["type"]: t for t in r["types"]} for n, r in rows.items()}
                 if "EDS" in states.get("bad", {}) and states["bad"]["EDS"]["reason"]:
@@ -136,14 +141,14 @@
             assert states["good"]["EDS"]["state"] == "SYNCED"
             assert states["bad"]["EDS"]["state"] == "ERROR"
             assert states["bad"]["EDS"]["reason"] == "no such locality"
-            code, out = await command("control", "status", "--address", address)
+            code, out = await run_command("control", "status", "--address", address)
             assert code == 0
             assert "no such locality" in out
             assert "SYNCED" in out
             await good.stop()
             await bad.stop()
-            await site.leave()
-            code, out = await command("control", "status", "--address", address)
+            await site.stop_service()
+            code, out = await run_command("control", "status", "--address", address)
             assert code == 1
             assert "UNAVAILABLE" in out
             assert len(out.splitlines()) <= 2
@@ -171,7 +176,7 @@
         ("[clusters", ["not TOML", "at end of document"]),
     ],
 )
-def test_a_file_that_cannot_be_is_one_line(tmp_path, text, words):
+def test_an_invalid_file_is_reported_in_one_line(tmp_path, text, words):
     path = tmp_path / "control.toml"
     path.write_text(text)
     with pytest.raises(OperatorsFileError) as e:
@@ -181,27 +186,27 @@
     assert "\n" not in str(e.value)
 
 
-def test_the_command_ends_with_status_2_on_a_bad_file_or_a_port_in_use(tmp_path):
+def test_the_command_exits_with_status_2_on_an_invalid_file_or_a_port_in_use(tmp_path):
     async def body() -> None:
         path = tmp_path / "control.toml"
-        assert await command("control", "--config", path) == (
+        assert await run_command("control", "--config", path) == (
             2,
             f"harecross: {path}: No such file or directory\n",
         )
-        code, out = await command("control")
+        code, out = await run_command("control")
         assert code == 2
         assert "--config" in out
-        taken = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        port = taken.sockets[0].getsockname()[1]
+        occupying_server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        port = occupying_server.sockets[0].getsockname()[1]
         path.write_text(f'[control]\nlisten = "127.0.0.1:{port}"\n[clusters.a]\ndiscovery = "127.0.0.1:1"')
-        code, out = await command("control", "--config", path)
+        code, out = await run_command("control", "--config", path)
         assert code == 2
         assert "control.listen" in out
         assert "Traceback" not in out
-        taken.close()
+        occupying_server.close()
 
     run(body())
 
 
-def test_the_shipped_file_is_good():
+def test_the_shipped_file_is_valid():
     assert set(read_control(Path(__file__).parent.parent / "deploy" / "control.toml").clusters) == {"orders"}
--- a/tests/test_control_rules.py
+++ b/tests/test_control_rules.py
@@ -15,11 +15,11 @@
     DRAIN_GRACE,
     UNHEALTHY,
     control_site,
+    fail_on_unexpected_child_signal,  # noqa: F401
     health,
-    no_child_dies_of_a_signal_that_nobody_sent,  # noqa: F401
 )
 from node_support import run  # noqa: E402
-from xds_support import Caller, backend  # noqa: E402
+from xds_support import GrpcXdsClient, start_backend  # noqa: E402
 
 from harecross.standins.discovery import entry  # noqa: E402
 from harecross.standins.model import ServerCapacity  # noqa: E402
@@ -34,8 +34,8 @@
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("orders", 4)
-            await site.serve(cluster="cold_s = 2.0\ncold_start = 0.2")
+            catalog = await site.add_cluster("orders", 4)
+            await site.start_service(cluster="cold_s = 2.0\ncold_start = 0.2")
             proxies = [XdsProxy(site.channel, delta=i % 2 == 1, node=f"p{i}").start() for i in range(8)]
             for proxy in proxies:
                 await proxy.until(lambda proxy: len(health(proxy)) == 4)
@@ -98,8 +98,8 @@
 
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            await site.cluster("orders", 5)
-            await site.serve(control=f"load_reports_s = 0.1\nworkers = {workers}")
+            await site.add_cluster("orders", 5)
+            await site.start_service(control=f"load_reports_s = 0.1\nworkers = {workers}")
             proxy = XdsProxy(site.channel).start()
             await proxy.until(lambda proxy: len(health(proxy)) == 5)
 
@@ -147,22 +147,22 @@
 def test_grpcs_own_client_is_served_from_discovery_and_reports_its_requests(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
-            catalog = await site.cluster("svc", 0)
-            backends = {f"b{i}": await backend(f"b{i}") for i in range(3)}
+            catalog = await site.add_cluster("svc", 0)
+            backends = {f"b{i}": await start_backend(f"b{i}") for i in range(3)}
             for name, (_, address) in backends.items():
                 catalog.put(entry(name, address))
-            service = await site.serve(control="load_reports_s = 0.1", probe="tcp")
+            service = await site.start_service(control="load_reports_s = 0.1", probe="tcp")
             reported: Counter[str] = Counter()
             feed = service.publisher_loop.feeds["svc"]
-            take_loads = feed.load_reports.take
+            collect_loads = feed.load_reports.collect
 
-            def take_and_count():
-                loads = take_loads()
-                reported.update({load.server: load.good for load in loads})
+            def collect_and_count():
+                loads = collect_loads()
+                reported.update({load.server: load.successes for load in loads})
                 return loads
 
-            feed.load_reports = SimpleNamespace(add=feed.load_reports.add, take=take_and_count)
-            caller = await Caller.start(f"127.0.0.1:{service.server.port}", tmp_path)
+            feed.load_reports = SimpleNamespace(add=feed.load_reports.add, collect=collect_and_count)
+            caller = await GrpcXdsClient.start(f"127.0.0.1:{service.server.port}", tmp_path)
             try:
                 assert set(await caller.calls(200)) == {"b0", "b1", "b2"}
                 catalog.put(entry("b1", backends["b1"][1], "terminating"))
