--- a/harecross/admin_client/cli.py
+++ b/harecross/admin_client/cli.py
@@ -107,7 +107,7 @@
     """Put servers into maintenance: no requests are sent to them until `back`."""
     nodes = checked_nodes(at)
     if within <= 0:
-        exit_with_error("--within: must be above 0")
+        exit_with_error(f"--within {within:g}: must be above 0")
     if not call_all(nodes, "/maintenance/enter", ids):
         raise typer.Exit(REFUSED_STATUS)
     if wait:
@@ -226,7 +226,7 @@
 def check_above_zero(option: str, value: float) -> None:
     """Exits if the value of an option is not above 0."""
     if value <= 0:
-        exit_with_error(f"{option}: must be above 0")
+        exit_with_error(f"{option} {value:g}: must be above 0")
 
 
 def release_ids(ids: list[str], file: Path | None) -> list[str]:
--- a/harecross/admin_client/release.py
+++ b/harecross/admin_client/release.py
@@ -280,7 +280,7 @@
             self.stop(f"{node}: {used} servers are in use and {self.min_in_use[node]} must stay in use")
 
     def check_drained(self, now: float, server: ServerRelease, actions: list[Action]) -> None:
-        """Restarts a drained server; ends its maintenance instead if the release stops or somebody else ended it."""
+        """Restarts a drained server; ends its maintenance instead if the release stops or others ended it."""
         if self.stop_reason:
             self.start_exit(now, server, actions)
             return
--- a/harecross/platform/system_errors.py
+++ b/harecross/platform/system_errors.py
@@ -21,8 +21,8 @@
         errno.ENETUNREACH,
     )
 )
-# accept(2) passes on pending errors of the new connection; they "should be treated like EAGAIN by retrying". A firewall
-# rule (EPERM) forbids one connection, but not necessarily the next one.
+# accept(2) passes on pending errors of the new connection. Its manual page says to treat them like EAGAIN, by retrying.
+# A firewall rule (EPERM) forbids one connection, but not necessarily the next one.
 CONNECTION_GONE_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -188,7 +188,7 @@
             self._answer_if_complete(number)
 
     async def stop(self) -> None:
-        """Closes the channels, upon which workers end their streams and exit, and waits for the workers."""
+        """Closes the channels, which makes the workers end their streams and exit, and waits for the workers."""
         self._stopping = True
         for worker in self.workers:
             worker.close_channel()
