--- a/harecross/replay/__init__.py
+++ b/harecross/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of a plan against real nodes: open-loop sending, the account of what became of it, reports."""
+"""Replay of request plans against real nodes: open-loop load generation, request accounting and reports."""
--- a/harecross/replay/accounting.py
+++ b/harecross/replay/accounting.py
@@ -1,8 +1,8 @@
-"""Accounting of a replay's requests, free of I/O.
+"""Accounting of a replay's requests.
 
-The service level is the priority weight answered in time over the weight that was offered. A client's retries count
-under its first attempt, and a request's time counts from when it was due, so that neither a retry nor a stalled system
-makes the figures better. Times are integer microseconds.
+The service level is the priority weight of the requests answered in time, divided by the weight of all requests that
+were due. A client's retries count as attempts of the same request, and latency is measured from when the request was
+due, so that neither retries nor a stalled system improve the results. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 
 from harecross.interface import Idempotency
 
-MAX_LATENESS_P99_US = 5_000  # a generator later than this measures itself and not the system
+# If the load generator is later than this, the results measure the generator instead of the system.
+MAX_LATENESS_P99_US = 5_000
 
 
 class Disposition(IntEnum):
-    """What became of a request."""
+    """The state of a request: open, or how it ended."""
 
     OPEN = 0
     IN_TIME = 1
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests as clients see it."""
+    """A request class with its priority weight and latency limits, as clients apply them."""
 
     name: str
     idempotency: Idempotency
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True)
 class DispositionTally:
-    """Counts of requests by disposition, and their priority weight."""
+    """Counts of requests by disposition, and sums of their priority weight."""
 
     counts: list[int] = field(default_factory=lambda: [0] * len(Disposition))
     offered_weight: float = 0.0
@@ -58,54 +59,55 @@
 
     @property
     def requests(self) -> int:
-        """All requests that were due."""
+        """The number of requests that were due."""
         return sum(self.counts)
 
     def report(self) -> dict[str, Any]:
-        """Returns the figures under the keys of the JSON report."""
-        service = round(self.weight_in_time / self.offered_weight, 6) if self.offered_weight else None
+        """Returns the counts and weights under the keys of the JSON report."""
+        service_level = round(self.weight_in_time / self.offered_weight, 6) if self.offered_weight else None
         return {
             "asked": self.requests,
             **{key: self.counts[disposition] for disposition, key in REPORT_KEYS.items()},
             "worth_asked": round(self.offered_weight, 6),
             "worth_in_time": round(self.weight_in_time, 6),
-            "service": service,
+            "service": service_level,
             "tries": self.attempts,
         }
 
 
 class RequestAccounting:
-    """All requests of one run: in total, by class, and by window of the time they were due."""
+    """Tallies of all requests of a run: in total, by class, and by the time window in which they were due."""
 
     def __init__(self, classes: Sequence[RequestClass], window_us: int) -> None:
-        """Raises ValueError for a window that is not above 0."""
+        """Starts with empty tallies. Raises ValueError if `window_us` is not above 0."""
         if window_us <= 0:
-            raise ValueError(f"window of {window_us} us: must be above 0")
+            raise ValueError(f"window_us is {window_us}: must be above 0")
         self.classes = classes
         self.window_us = window_us
         self.total = DispositionTally()
         self.by_class = [DispositionTally() for _ in classes]
         self.windows: list[DispositionTally] = []
-        self.open_requests: dict[int, tuple[int, int]] = {}  # by number: class index, due
+        self.open_requests: dict[int, tuple[int, int]] = {}  # request number -> (class index, due time)
 
     def request_due(self, number: int, class_index: int, due_us: int) -> None:
-        """Counts a request that falls due. Raises ValueError for one that is open already."""
+        """Counts a request that has become due. Raises ValueError if a request of this number is open already."""
         if number in self.open_requests:
-            raise ValueError(f"request {number} is started twice")
+            raise ValueError(f"request {number} is already open")
         self.open_requests[number] = class_index, due_us
         for tally in self._tallies_for(class_index, due_us):
             tally.counts[Disposition.OPEN] += 1
             tally.offered_weight += self.classes[class_index].priority_weight
 
     def attempt_sent(self, number: int) -> None:
-        """Counts one more attempt of an open request, the first or a client's retry."""
+        """Counts an attempt of an open request: the first one or a retry by the client."""
         for tally in self._tallies_for(*self.open_requests[number]):
             tally.attempts += 1
 
     def finish(self, number: int, now_us: int, disposition: Disposition) -> Disposition:
-        """Records the final disposition and returns it: a served request is in time or late by the clock.
+        """Records how a request ended and returns its final disposition.
 
-        Raises KeyError for a request that is not open.
+        If `disposition` is IN_TIME or LATE, `now_us` decides which of the two applies. Raises KeyError for a request
+        that is not open.
         """
         class_index, due_us = self.open_requests.pop(number)
         request_class = self.classes[class_index]
@@ -120,16 +122,18 @@
         return disposition
 
     def inconsistencies(self) -> list[str]:
-        """Returns each sum that does not hold; an empty list if all do."""
+        """Returns a description of each inconsistent count; an empty list if there are none."""
         found = []
         if self.total.counts[Disposition.OPEN] != len(self.open_requests):
-            found.append(f"{self.total.counts[Disposition.OPEN]} counted open, {len(self.open_requests)} are")
-        for what, tallies in (("classes", self.by_class), ("windows", self.windows)):
+            found.append(
+                f"{self.total.counts[Disposition.OPEN]} requests counted as open, {len(self.open_requests)} are"
+            )
+        for grouping, tallies in (("classes", self.by_class), ("windows", self.windows)):
             for disposition, key in REPORT_KEYS.items():
                 in_total = self.total.counts[disposition]
                 added = sum(tally.counts[disposition] for tally in tallies)
                 if added != in_total:
-                    found.append(f"{key}: {in_total} in total, {added} over {what}")
+                    found.append(f"{key}: {in_total} in total, {added} over {grouping}")
         return found
 
     def _tallies_for(
@@ -143,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """What clients do when an attempt is shed or fails."""
+    """When clients retry a request after an attempt that was shed or failed."""
 
     max_retries: int = 1
     backoff_us: int = 100_000
@@ -151,10 +155,10 @@
     def delay_us(
         self, disposition: Disposition, idempotency: Idempotency, attempts: int, retry_after_us: int | None
     ) -> int | None:
-        """Returns the time before the next attempt in microseconds; None if there is none.
+        """Returns the delay before the next attempt in microseconds; None if the request is not retried.
 
-        A shed request had no effect and may be repeated. After a failure only an idempotent request, or one with an
-        idempotency key, is sent again.
+        A shed request had no effect and can be repeated. After a failure, only an idempotent request or one with an
+        idempotency key is retried. The delay is never shorter than the server's Retry-After.
         """
         repeatable = disposition == Disposition.SHED or idempotency != Idempotency.NON_IDEMPOTENT
         if attempts > self.max_retries or not repeatable:
--- a/harecross/replay/cli.py
+++ b/harecross/replay/cli.py
@@ -1,4 +1,4 @@
-"""`harecross replay` and `harecross demo`: runs against real nodes and stand-in servers."""
+"""The commands `harecross replay` and `harecross demo`, which send requests to real nodes and stand-in servers."""
 
 from __future__ import annotations
 
@@ -18,29 +18,30 @@
     from harecross.replay.run import Observer, ReplayRun
 
 INTERRUPTED_STATUS = 130
-DRAIN_GRACE_MS = 250  # the drain rule's limit, beside the demo's figure
+DRAIN_GRACE_MS = 250  # how long a server may get requests after its drain is announced; shown with the result
 
 
 def demo(seed: Annotated[int, typer.Option(help="Of arrivals and works.")] = 1) -> None:
-    """Real nodes before stand-in servers, one of which slows down and one of which drains: ten seconds."""
-    from harecross import demo as scene
+    """Run nodes and stand-in servers, of which one slows down and another drains; takes about ten seconds."""
+    from harecross import demo as scenario
     from harecross.console import disposition_table, out
     from harecross.replay.report import replay_report
     from harecross.replay.run import run_replay
 
     out.print(
-        f"{scene.NODES} nodes, {len(scene.SERVERS)} stand-in servers, {scene.REQUESTS_PER_SECOND:g} requests a second "
-        "with a burst; s0 slows down eightfold at 1.5 s, s1 drains at 3 s, s0 recovers at 4.5 s."
+        f"{scenario.NODES} nodes, {len(scenario.SERVERS)} stand-in servers, "
+        f"{scenario.REQUESTS_PER_SECOND:g} requests a second with a burst; s0 slows down eightfold at 1.5 s, "
+        "s1 drains at 3 s, s0 recovers at 4.5 s."
     )
 
     def start(observer: Observer) -> Coroutine[Any, Any, ReplayRun]:
-        arrivals = scene.arrivals(seed)
-        servers = [scene.SERVERS]
+        arrivals = scenario.arrivals(seed)
+        servers = [scenario.SERVERS]
         return run_replay(
-            arrivals, scene.CLASSES, servers, scene.NODES, scene.EVENTS, seed=seed, observer=observer
+            arrivals, scenario.CLASSES, servers, scenario.NODES, scenario.EVENTS, seed=seed, observer=observer
         )
 
-    report = replay_report(_play_live(out, "", start))
+    report = replay_report(_run_with_live_table(out, "", start))
     out.print(disposition_table("Clients", report))
     after_ms = report["servers"]["s1"]["latest_after_told_us"] / 1000
     drained = (
@@ -85,14 +86,14 @@
 ) -> None:
     """Replay a trace against real nodes and stand-in servers, open loop."""
     from harecross.console import err, out
-    from harecross.replay.plan import ReplayOptions, plan_replay, read_event
+    from harecross.replay.plan import ReplayOptions, parse_event, plan_replay
     from harecross.replay.report import replay_report
     from harecross.traces.row_tally import TraceError
 
     options = ReplayOptions(speed, start, length, sample, servers, mean_work)
     _check_options(options, report_window)
     try:
-        events = [read_event(text) for text in event or []]
+        events = [parse_event(text) for text in event or []]
         plan = plan_replay(trace_opener(files, name, mapping, window, late, seed), options)
     except (TraceError, ValueError) as error:
         exit_with_error(str(error))
@@ -101,8 +102,8 @@
     title = f"Replay of {files[0].name} at {speed:g} times its rate"
     console = err if json_to == STANDARD_OUTPUT else out
     _print_plan(console, plan, nodes)
-    run = _play_plan(console, plan, nodes, events, retries, seed, report_window)
-    report = _plan_figures(plan, files, speed, seed) | replay_report(run)
+    run = _run_plan(console, plan, nodes, events, retries, seed, report_window)
+    report = _plan_report(plan, files, speed, seed) | replay_report(run)
     write_json(report, json_to)
     if html is not None:
         _write_html(html, report, title)
@@ -110,7 +111,7 @@
 
 
 def _check_options(options: ReplayOptions, report_window: float) -> None:
-    """Ends the command for an option that is out of range."""
+    """Exits with an error message if an option is out of range."""
     length, sample, work = options.length_s, options.sample, options.mean_work_ms
     checks = (
         ("--speed", 0 < options.speed <= 1e6, "above 0"),
@@ -122,10 +123,10 @@
     )
     for option, in_range, allowed in checks:
         if not in_range:
-            exit_with_error(f"{option}: {allowed}")
+            exit_with_error(f"{option}: must be {allowed}")
 
 
-def _play_plan(
+def _run_plan(
     console: Console,
     plan: ReplayPlan,
     nodes: int,
@@ -148,13 +149,16 @@
             arrivals, plan.classes, plan.servers, nodes, all_events, policy, seed, report_window, observer
         )
 
-    return _play_live(console, f" of {plan.due_us[-1] / 1e6:.1f}", start)
+    return _run_with_live_table(console, f" of {plan.due_us[-1] / 1e6:.1f}", start)
 
 
-def _play_live(
+def _run_with_live_table(
     console: Console, total: str, start: Callable[[Observer], Coroutine[Any, Any, ReplayRun]]
 ) -> ReplayRun:
-    """Plays a run to its end, with a live table on a terminal; `total` follows the seconds in its title."""
+    """Runs a replay to its end, and shows a live table if the output is a terminal.
+
+    The title of the table is the elapsed seconds, followed by `total`.
+    """
     import uvloop
     from rich.live import Live
 
@@ -187,11 +191,11 @@
         )
 
 
-def _plan_figures(plan: ReplayPlan, files: list[Path], speed: float, seed: int) -> dict[str, Any]:
-    """Returns the plan's part of the JSON report."""
-    from harecross.replay.plan import IDEMPOTENCY
+def _plan_report(plan: ReplayPlan, files: list[Path], speed: float, seed: int) -> dict[str, Any]:
+    """Returns the part of the JSON report that describes the plan."""
+    from harecross.replay.plan import IDEMPOTENCY_BY_EFFECT
 
-    words = {idempotency: word for word, idempotency in IDEMPOTENCY.items()}
+    effects = {idempotency: effect for effect, idempotency in IDEMPOTENCY_BY_EFFECT.items()}
     tally = plan.tally
     return {
         "format": plan.format,
@@ -207,7 +211,7 @@
         "machines_left_out": plan.machines_left_out,
         "class_settings": {
             c.name: {
-                "effect": words[c.idempotency],
+                "effect": effects[c.idempotency],
                 "worth": c.priority_weight,
                 "aim_ms": c.latency_objective_us / 1000,
                 "deadline_ms": c.deadline_us / 1000,
--- a/harecross/replay/clients.py
+++ b/harecross/replay/clients.py
@@ -1,6 +1,6 @@
-"""Open-loop clients: each request is sent when it is due, whatever became of those before it.
+"""Open-loop clients: each request is sent when it is due, even if earlier requests have no response yet.
 
-Times are integer microseconds, counted from the start of the run where nothing else is said.
+Times are integer microseconds since the start of the run, unless a comment says otherwise.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from harecross.standins.http import header
 from harecross.standins.servers import clock
 
-MAX_LATENCY_US = 3_600_000_000  # the histograms' range
-NODE_DOWN_US = 500_000  # for so long no connection is tried to a node that could not be reached
-NO_STATUS = 0  # in place of an HTTP status, of an attempt whose connection ended
+MAX_LATENCY_US = 3_600_000_000  # the upper limit of the histograms
+NODE_DOWN_US = 500_000  # how long clients avoid a node after a failed connection attempt
+NO_STATUS = 0  # takes the place of the HTTP status if the connection ended before a response
 SHED_STATUSES = (429, 503)
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request of the plan: when it is due, the index of its class, its work, and its tier."""
+    """A planned request: its due time, the index of its class, the work it costs a server, and its tier."""
 
     due_us: int
     class_index: int
@@ -35,7 +35,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to a node, and the one attempt that is in flight on it."""
+    """A connection to a node, which carries one attempt at a time."""
 
     __slots__ = ("buffer", "on_response", "pool", "transport")
 
@@ -46,16 +46,16 @@
         self.on_response: Callable[[int, bytes], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended; an attempt on it has no response."""
+        """Removes the connection from its pool, and ends an attempt in flight without a response."""
         self.pool.remove(self)
         self._finish_attempt(NO_STATUS, b"")
 
     def data_received(self, data: bytes) -> None:
-        """Collects the response; a complete one ends the attempt and frees the connection."""
+        """Buffers the response; once it is complete, the attempt ends and the connection is idle or closed."""
         self.buffer += data
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0:
@@ -83,23 +83,25 @@
 
 
 class NodePool:
-    """Connections to one node: the most recently used idle one goes first, more are opened when all are busy."""
+    """Connections to one node. The most recently used idle one is taken first; a new one is opened if none is idle."""
 
     def __init__(self, name: str, address: Callable[[], tuple[str, int]]) -> None:
         self.name = name
         self.address = address
         self.idle: deque[ClientConnection] = deque()
         self.connections: set[ClientConnection] = set()
-        self.down_until_us = 0  # of the process's clock: the front has noticed that the node is dead
+        # On the process's clock, not since the start of the run. Clients avoid the node until then, as a front end
+        # that has detected the failure would.
+        self.down_until_us = 0
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has ended."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def acquire_idle(self) -> ClientConnection | None:
-        """Takes an idle connection that is still up; None if there is none."""
+        """Removes and returns an idle connection that is still open; None if there is none."""
         while self.idle:
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -107,7 +109,7 @@
         return None
 
     async def open(self) -> ClientConnection | None:
-        """Opens a connection; None if the node cannot be reached, which is remembered for `NODE_DOWN_US`."""
+        """Opens a connection. Returns None if the node cannot be reached, and marks it as down for `NODE_DOWN_US`."""
         loop = asyncio.get_running_loop()
         try:
             _, connection = await loop.create_connection(lambda: ClientConnection(self), *self.address())
@@ -124,7 +126,7 @@
 
 
 class ClientRequest:
-    """A request and its attempts."""
+    """A request that is open, with the number of its attempts and the connection of the current one."""
 
     __slots__ = ("arrival", "attempts", "connection", "deadline_timer", "number")
 
@@ -137,7 +139,10 @@
 
 
 class OpenLoopGenerator:
-    """Sends a plan to the nodes of `pools`, one list a tier, and accounts for each request."""
+    """Sends planned requests to nodes and accounts for each request.
+
+    `pools` has one list for each tier, with a pool for each node.
+    """
 
     def __init__(
         self,
@@ -156,15 +161,15 @@
         self.latency = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.class_latency = [HdrHistogram(1, MAX_LATENCY_US, 3) for _ in classes]
         self.window_latency: list[HdrHistogram] = []
-        self.started_at_us = 0  # of the process's clock; 0 before the start
+        self.started_at_us = 0  # on the process's clock; 0 before the start
         self.next_number = 0
         self.all_finished = asyncio.Event()
         self.all_finished.set()
-        self.last_node = [0] * len(pools)  # by tier: the index of the node that got the last request
+        self.last_node = [0] * len(pools)  # for each tier, the index of the node that got the latest request
         self.connecting: set[asyncio.Task[None]] = set()
 
     async def run(self, plan: AsyncIterator[Arrival]) -> None:
-        """Sends all of the plan at its times and waits for the last request, at most its deadline."""
+        """Sends each request of the plan when it is due, and waits until all have ended or passed their deadlines."""
         self.started_at_us = clock()
         async for arrival in plan:
             wait_us = self.started_at_us + arrival.due_us - clock()
@@ -175,7 +180,7 @@
         await self.all_finished.wait()
 
     def now_us(self) -> int:
-        """Microseconds since the start."""
+        """Returns the microseconds since the start of the run."""
         return clock() - self.started_at_us
 
     def _start_request(self, arrival: Arrival) -> None:
@@ -184,7 +189,7 @@
         self.all_finished.clear()
         self.accounting.request_due(request.number, arrival.class_index, arrival.due_us)
         self.lateness.record_value(max(1, self.now_us() - arrival.due_us))
-        # The client's deadline counts from when the request was due, over all its attempts.
+        # The deadline counts from when the request was due and covers all its attempts.
         time_left_us = self._deadline_us(request) - self.now_us()
         request.deadline_timer = self.loop.call_later(max(0, time_left_us) / 1e6, self._expire, request)
         self._start_attempt(request)
@@ -196,7 +201,7 @@
         return request.number in self.accounting.open_requests
 
     def _pick_node(self, tier: int) -> NodePool:
-        """Returns the tier's next node in turn that is not known to be down; the last one tried if all are."""
+        """Returns the next node of a tier in round-robin order, without those that are down unless all are."""
         now_us = clock()
         pools = self.pools[tier]
         for _ in pools:
@@ -209,7 +214,7 @@
         if not self._is_open(request):
             return
         pool = self._pick_node(request.arrival.tier)
-        # Mostly an idle connection is at hand, and no task is needed.
+        # In most cases a connection is idle, so the attempt is sent without the cost of a task.
         connection = pool.acquire_idle()
         if connection is not None:
             self._send(request, connection)
@@ -241,19 +246,19 @@
     def _request_message(self, request: ClientRequest) -> bytes:
         request_class = self.classes[request.arrival.class_index]
         idempotency = request_class.idempotency
-        safe = idempotency == Idempotency.IDEMPOTENT
-        keyed = idempotency == Idempotency.IDEMPOTENCY_KEY
-        key = f"Idempotency-Key: k{request.number}\r\n" if keyed else ""
-        length = "" if safe else "Content-Length: 0\r\n"
+        is_idempotent = idempotency == Idempotency.IDEMPOTENT
+        has_key = idempotency == Idempotency.IDEMPOTENCY_KEY
+        key = f"Idempotency-Key: k{request.number}\r\n" if has_key else ""
+        length = "" if is_idempotent else "Content-Length: 0\r\n"
         timeout_us = max(1, self._deadline_us(request) - self.now_us())
         return (
-            f"{'GET' if safe else 'POST'} /{request_class.name}/{request.number} HTTP/1.1\r\nHost: backend.local\r\n"
-            f"X-Request-ID: q{request.number}-{request.attempts}\r\nX-Timeout: {timeout_us}u\r\n"
+            f"{'GET' if is_idempotent else 'POST'} /{request_class.name}/{request.number} HTTP/1.1\r\n"
+            f"Host: backend.local\r\nX-Request-ID: q{request.number}-{request.attempts}\r\nX-Timeout: {timeout_us}u\r\n"
             f"X-Cost: {request.arrival.work_us}\r\n{key}{length}\r\n"
         ).encode()
 
     def _attempt_ended(self, request: ClientRequest, status: int, head: bytes) -> None:
-        """Finishes the request, or starts the client's retry after its delay."""
+        """Finishes the request, or schedules a retry by the client."""
         request.connection = None
         if not self._is_open(request):
             return
@@ -274,7 +279,7 @@
             self.loop.call_later(delay_us / 1e6, self._start_attempt, request)
 
     def _expire(self, request: ClientRequest) -> None:
-        """The request's deadline has passed: the client closes its connection."""
+        """Fails a request whose deadline has passed, and closes the connection of its attempt."""
         if not self._is_open(request):
             return
         connection = request.connection
--- a/harecross/replay/html_report.py
+++ b/harecross/replay/html_report.py
@@ -1,4 +1,4 @@
-"""The report of a replay as one self-contained HTML page: plots are drawn as SVG; no script, nothing fetched."""
+"""Renders the report of a replay as a self-contained HTML page with SVG plots and no scripts or external resources."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from html import escape
 from typing import Any
 
-WIDTH, HEIGHT = 860, 200  # of a plot, in pixels
+WIDTH, HEIGHT = 860, 200  # the size of a plot in pixels
 LEFT_MARGIN, RIGHT_MARGIN, TOP_MARGIN, BOTTOM_MARGIN = 56, 10, 12, 26
 COLOURS = ("#1b6ca8", "#2a9d5c", "#c8553d", "#8a6fb0", "#d4a017")
 STYLE = """
@@ -20,12 +20,12 @@
 """
 COUNT_KEYS = ("asked", "served_in_time", "served_late", "refused", "failed")
 
-Points = Sequence[tuple[float, float]]  # seconds and values
+Points = Sequence[tuple[float, float]]  # pairs of a time in seconds and a value
 
 
 @dataclass(frozen=True, slots=True)
 class Plot:
-    """One plot over seconds; `marks` are events, drawn as dashed lines."""
+    """A line plot over time. `marks` are the times and names of events, which are drawn as dashed lines."""
 
     title: str
     unit: str
@@ -38,14 +38,14 @@
         values = [value for points in self.series.values() for _, value in points]
         if not values:
             return f"<h2>{escape(self.title)}</h2><p>No figures.</p>"
-        scale = axis_ticks(max(values))
+        ticks = axis_ticks(max(values))
         parts = [
             f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img" aria-label="{escape(self.title)}">',
-            *(self._grid_line(value, scale[-1]) for value in scale),
+            *(self._grid_line(value, ticks[-1]) for value in ticks),
             *(self._time_label(at) for at in axis_ticks(self.seconds) if at <= self.seconds),
             *(self._mark(at, text) for at, text in self.marks if at <= self.seconds),
             *(
-                self._line(colour, points, scale[-1])
+                self._line(colour, points, ticks[-1])
                 for colour, points in zip(COLOURS, self.series.values(), strict=False)
             ),
             "</svg>",
@@ -89,7 +89,7 @@
 
 
 def axis_ticks(highest: float) -> list[float]:
-    """Returns round values from 0 to the first one above `highest`, at most seven of them."""
+    """Returns at most seven evenly spaced round values, from 0 to the first one above `highest`."""
     if highest <= 0:
         return [0.0, 1.0]
     step = 10.0 ** len(str(int(highest))) / 100 if highest >= 1 else 0.01
@@ -101,7 +101,7 @@
 
 
 def html_report(report: dict[str, Any], title: str) -> str:
-    """Returns the page for a report as `replay.report` makes it."""
+    """Returns the HTML page for a report that `harecross.replay.report.replay_report` returned."""
     service = report["service"]
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{escape(title)}</title>'
--- a/harecross/replay/plan.py
+++ b/harecross/replay/plan.py
@@ -1,4 +1,4 @@
-"""From a trace to what a replay sends: the part and the sample, work scaled to the stand-ins, machine events."""
+"""Plans a replay: selects requests of a trace, scales their work, and derives servers and events from its machines."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 from harecross.traces.row_tally import RowTally, TraceError
 from harecross.traces.summary import SECOND_US, Trace
 
-MAX_REQUESTS = 5_000_000  # held in memory by one replay
-DEFAULT_MEAN_WORK_MS = 20.0  # hours of a batch task cannot be rehearsed, so work is scaled to this mean
+MAX_REQUESTS = 5_000_000  # limits memory: a replay holds all its requests
+# Work is scaled to this mean, because batch tasks of several hours cannot be replayed at their full length.
+DEFAULT_MEAN_WORK_MS = 20.0
 MIN_WORK_US, MAX_WORK_US = 100, 2_000_000
 SERVER_SLOTS = 8
-TARGET_LOAD = (
-    0.5  # of the servers' slots, on average, where the trace does not say how many servers there are
-)
+# The mean share of busy server slots for which the number of servers is chosen if the trace does not contain it.
+TARGET_LOAD = 0.5
 MIN_SERVERS, MAX_SERVERS = 2, 1024
-MAX_DURATION_FRAMES = 64  # after which the durations are combined by key
-RECORDED_WORK = "recorded_work"  # a column: the mean duration of the request's key
-IDEMPOTENCY = {
+# Durations are combined by key when there are more frames than this, which limits memory.
+MAX_DURATION_FRAMES = 64
+RECORDED_WORK = "recorded_work"  # the column with the mean recorded duration of a request's key
+IDEMPOTENCY_BY_EFFECT = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.IDEMPOTENCY_KEY,
     "unsafe": Idempotency.NON_IDEMPOTENT,
@@ -44,7 +45,7 @@
 
 
 class EventAction(StrEnum):
-    """What an event does to a server or node; the values are what operators type and what the report has."""
+    """What an event does to a server or a node. The values are used in the option --event and in the JSON report."""
 
     ADD = "add"
     REMOVE = "remove"
@@ -56,14 +57,13 @@
     STOP_NODE = "stop-node"
 
 
-EVENT_ACTIONS = [
-    action for action in EventAction if action is not EventAction.ADD
-]  # that operators may ask for
+# The actions that the option --event accepts; only machine events of a trace add servers.
+OPERATOR_ACTIONS = [action for action in EventAction if action is not EventAction.ADD]
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """An event of the replay, at its time since the start."""
+    """An event of the replay. `at_us` is its time since the start; `factor` is the slowdown of `EventAction.SLOW`."""
 
     at_us: int
     action: EventAction
@@ -71,18 +71,18 @@
     factor: float = 1.0
 
 
-def read_event(text: str) -> Event:
-    """Reads `SECONDS:WHAT:NAME[:FACTOR]`. Raises ValueError with what is allowed."""
+def parse_event(text: str) -> Event:
+    """Parses `SECONDS:WHAT:NAME[:FACTOR]`. Raises ValueError, with the allowed syntax, if `text` does not match."""
     parts = text.split(":")
     try:
         at_s = float(parts[0])
         action, name = EventAction(parts[1]), parts[2]
         factor = float(parts[3]) if len(parts) > 3 else 1.0
         fields = 4 if action is EventAction.SLOW else 3
-        if action not in EVENT_ACTIONS or at_s < 0 or factor <= 0 or len(parts) != fields:
+        if action not in OPERATOR_ACTIONS or at_s < 0 or factor <= 0 or len(parts) != fields:
             raise ValueError(text)
     except (IndexError, ValueError):
-        allowed = ", ".join(EVENT_ACTIONS)
+        allowed = ", ".join(OPERATOR_ACTIONS)
         raise ValueError(
             f"--event {text}: SECONDS:WHAT:NAME, or SECONDS:slow:NAME:FACTOR; WHAT is {allowed}"
         ) from None
@@ -91,10 +91,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayOptions:
-    """Which part of a trace is replayed, and how. Times are seconds of the trace."""
+    """Which requests of a trace are replayed, and how.
+
+    Attributes:
+        speed: The speed of the replay relative to the trace.
+        start_s: The start of the replayed part, in seconds of the trace after its first request.
+        length_s: The length of the replayed part in seconds of the trace; None for the rest of the trace.
+        sample: The share of requests that are replayed, above 0 and at most 1.
+        servers: The number of servers of a tier, and the maximum number of machines; None to derive it from the trace.
+        mean_work_ms: The mean to which the work of the requests is scaled, in milliseconds.
+    """
 
     speed: float = 1.0
-    start_s: float = 0.0  # after the first request
+    start_s: float = 0.0
     length_s: float | None = None
     sample: float = 1.0
     servers: int | None = None
@@ -103,37 +112,54 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayPlan:
-    """What is sent and played, at the replay's speed. The lists of requests are in order of their times."""
+    """The requests and events of a replay, with times at the speed of the replay.
+
+    Attributes:
+        due_us: The due time of each request, in ascending order.
+        class_index: The index in `classes` of each request's class.
+        work_us: The work of each request.
+        tier: The tier of each request.
+        classes: The request classes.
+        servers: The names of the servers of each tier.
+        events: The events from the trace's machines.
+        format: The name of the trace's format.
+        tally: The counts of the trace's rows.
+        work_scale: The replayed work in microseconds for one unit of work in the trace.
+        requests_left_out: The number of requests outside the replayed part or the sample.
+        machines_left_out: The number of machines of the trace that have no server in the replay.
+    """
 
     due_us: list[int]
     class_index: list[int]
     work_us: list[int]
     tier: list[int]
     classes: list[RequestClass]
-    servers: list[list[str]]  # names, by tier
+    servers: list[list[str]]
     events: list[Event]
     format: str
     tally: RowTally
-    work_scale: float  # microseconds of replayed work for one unit of the trace's
-    requests_left_out: int  # outside the part that is replayed, or not in the sample
+    work_scale: float
+    requests_left_out: int
     machines_left_out: int
 
 
 def tier_prefix(tier: int) -> str:
-    """What the names of a tier's servers and nodes begin with: nothing for the first tier."""
+    """Returns the prefix of the names of a tier's servers and nodes; it is empty for the first tier."""
     return f"t{tier}" if tier else ""
 
 
 def request_classes(classes: TraceClasses) -> list[RequestClass]:
-    """Returns the classes of a trace's mapping as clients see them."""
+    """Converts the request classes of a trace to those of the clients."""
     return [
-        RequestClass(name, IDEMPOTENCY[c.effect], c.worth, int(c.aim_ms * 1000), int(c.deadline_ms * 1000))
-        for name, c in zip(classes.names, classes.maps, strict=True)
+        RequestClass(
+            name, IDEMPOTENCY_BY_EFFECT[c.effect], c.worth, int(c.aim_ms * 1000), int(c.deadline_ms * 1000)
+        )
+        for name, c in zip(classes.names, classes.mappings, strict=True)
     ]
 
 
 def plan_replay(open_trace: Callable[[], Trace], options: ReplayOptions | None = None) -> ReplayPlan:
-    """Reads a trace into a plan. Raises BadTrace where that is not possible."""
+    """Reads a trace and returns the plan of its replay. Raises TraceError if there is none."""
     options = options or ReplayOptions()
     bounds = _part_bounds(open_trace, options)
     trace = open_trace()
@@ -168,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Bounds:
-    """The part of the trace that is replayed, in the trace's microseconds; None for no bound."""
+    """The time range of the trace that is replayed, in microseconds of the trace; None stands for no bound."""
 
     low: int | None = None
     high: int | None = None
@@ -182,20 +208,20 @@
 
 
 def _first_due(trace: Trace) -> int:
-    """Returns when the trace's first request is due; one pass over the files."""
+    """Returns the due time of the trace's first request. Reads all files once, since requests are not in order."""
     first = None
     for frame in trace.requests():
         due = frame[DUE].min()
         if isinstance(due, int):
             first = due if first is None else min(first, due)
     if first is None:
-        raise TraceError(f"{trace.reader.paths[0]}: no row makes a request")
+        raise TraceError(f"{trace.reader.paths[0]}: the trace contains no request")
     return first
 
 
 @dataclass(frozen=True, slots=True)
 class _Selection:
-    """The requests that are replayed, the durations recorded by key, and how many requests were read."""
+    """The requests that are replayed, their recorded durations by key, and the number of requests read."""
 
     requests: pl.DataFrame
     durations: pl.DataFrame | None
@@ -209,25 +235,31 @@
     for frame in trace.requests():
         assert trace.planner is not None
         read += frame.height
-        part = _select_from(frame, bounds, sample, kept, trace.seed)
+        part = _filter_frame(frame, bounds, sample, kept, trace.seed)
         kept += part.height
         if kept > MAX_REQUESTS:
             raise TraceError(
                 f"{trace.reader.paths[0]}: more than {MAX_REQUESTS:,} requests to replay; "
-                "choose a part with --from and --for, or --sample"
+                "select fewer with --from and --for, or with --sample"
             )
         selected.append(part)
         durations.extend(trace.planner.durations)
         if len(durations) > MAX_DURATION_FRAMES:
             durations = [_mean_by_key(durations)]
     if kept == 0:
-        raise TraceError(f"{trace.reader.paths[0]}: no request in the part that is to be replayed")
+        raise TraceError(
+            f"{trace.reader.paths[0]}: no request in the part of the trace that is to be replayed"
+        )
     requests = pl.concat(selected, how="vertical").select(*REQUEST_SCHEMA, TIER)
     return _Selection(requests, _mean_by_key(durations) if durations else None, read)
 
 
-def _select_from(frame: pl.DataFrame, bounds: _Bounds, sample: float, kept: int, seed: int) -> pl.DataFrame:
-    """Returns the frame's requests within the bounds and in the sample; `kept` were selected before it."""
+def _filter_frame(frame: pl.DataFrame, bounds: _Bounds, sample: float, kept: int, seed: int) -> pl.DataFrame:
+    """Returns the requests of a frame that are within the bounds and in the sample.
+
+    `kept` is the number of requests selected from earlier frames, and the position in the sequence of random draws at
+    which the draws of this frame start.
+    """
     if TIER not in frame.columns:
         frame = frame.with_columns(pl.lit(0, dtype=pl.UInt8).alias(TIER))
     if bounds.low is not None:
@@ -261,7 +293,11 @@
 def _tier_servers(
     machines: list[str], tier: pl.Series, work: pl.Series, last_due_us: int, servers: int | None
 ) -> list[list[str]]:
-    """Returns the names of each tier's servers: the trace's machines first, then as many as the work needs."""
+    """Returns the names of the servers of each tier.
+
+    The trace's machines, if it has any, are the servers of the first tier. A tier without machines has `servers`
+    servers, or a number derived from the work of its requests if that is None.
+    """
     tiers = int(tier.max()) + 1  # type: ignore[arg-type]
     pools = [machines] if machines else []
     for index in range(len(pools), tiers):
@@ -274,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MachineServers:
-    """The servers at the start, those that come and go by the trace's machines, and how many are left out."""
+    """The servers present at the start, the events that add and remove servers, and how many machines are left out."""
 
     names: list[str]
     events: list[Event]
@@ -284,13 +320,16 @@
 def _machine_servers(
     trace: Trace, begin: int, speed: float, last_due_us: int, servers: int | None
 ) -> _MachineServers:
-    """Raises BadTrace where the trace has machines and none is present at the start."""
+    """Converts the machine events of a trace to servers and events.
+
+    Raises TraceError if the trace has machines and none of them is present at the start.
+    """
     assert trace.planner is not None
     if not trace.planner.machines:
         return _MachineServers([], [], 0)
     rows = pl.concat(trace.planner.machines).sort(DUE, maintain_order=True)
     events, left_out = _machine_events(rows, begin, speed, servers or MAX_SERVERS)
-    # What happened before the part that is replayed holds at its start.
+    # The events before the replayed part determine which machines are present at its start.
     present: dict[str, bool] = {}
     for event in events:
         if event.at_us <= 0:
@@ -322,13 +361,13 @@
             present.discard(machine)
             action = EventAction.REMOVE
         else:
-            continue  # an UPDATE, or a state that holds already
+            continue  # an UPDATE event, or an event that changes nothing
         events.append(Event(max(0, int((due - begin) / speed)), action, f"m{machine}"))
     return events, len(left_out)
 
 
 def check_paths(paths: list[Path]) -> None:
-    """Raises BadTrace for a path that is not a file."""
+    """Raises TraceError for a path that is not a file."""
     for path in paths:
         if not path.is_file():
             raise TraceError(f"{path}: {'is a folder' if path.is_dir() else 'no such file'}")
--- a/harecross/replay/report.py
+++ b/harecross/replay/report.py
@@ -1,4 +1,4 @@
-"""The JSON report of a replay."""
+"""Builds the JSON report of a replay."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def replay_report(run: ReplayRun) -> dict[str, Any]:
     """Returns the report of a finished run.
 
-    Raises RuntimeError where its sums do not hold, which is a fault of the program.
+    Raises RuntimeError if the accounting is inconsistent, which is a bug.
     """
     generator = run.generator
     accounting = generator.accounting
--- a/harecross/replay/run.py
+++ b/harecross/replay/run.py
@@ -1,4 +1,4 @@
-"""One run: real nodes and stand-in servers, the plan sent open loop, and events played at their times."""
+"""Runs a replay: starts nodes and stand-in servers, sends requests open loop, and applies events at their times."""
 
 from __future__ import annotations
 
@@ -28,16 +28,27 @@
 
 @dataclass(slots=True)
 class ReplayRun:
-    """A run while it lasts, and what it came to."""
+    """The state and the results of a run.
+
+    Attributes:
+        generator: The load generator with its accounting and histograms.
+        clusters: The nodes and stand-in servers of each tier.
+        seconds: The length of the run.
+        samples: The periodic samples of the nodes' statistics, as rows of the JSON report.
+        events: The events so far, as rows of the JSON report.
+        servers: The statistics of each server by name.
+        effects: The number of idempotency keys that took effect at the servers.
+        nodes: The last statistics of each node, as rows of the JSON report.
+    """
 
     generator: OpenLoopGenerator
-    clusters: list[Cluster]  # one a tier
+    clusters: list[Cluster]
     seconds: float = 0.0
-    samples: list[dict[str, Any]] = field(default_factory=list)  # rows of the JSON report
-    events: list[dict[str, Any]] = field(default_factory=list)  # rows of the JSON report
-    servers: dict[str, Any] = field(default_factory=dict)  # figures by server
-    effects: int = 0  # idempotency keys that took effect at the servers
-    nodes: list[dict[str, Any]] = field(default_factory=list)  # rows of the JSON report
+    samples: list[dict[str, Any]] = field(default_factory=list)
+    events: list[dict[str, Any]] = field(default_factory=list)
+    servers: dict[str, Any] = field(default_factory=dict)
+    effects: int = 0
+    nodes: list[dict[str, Any]] = field(default_factory=list)
 
 
 Observer = Callable[[ReplayRun], None]
@@ -54,10 +65,10 @@
     window_s: float = 1.0,
     observer: Observer | None = None,
 ) -> ReplayRun:
-    """Starts everything, sends the plan and stops everything.
+    """Starts the nodes and servers, sends the requests, stops all processes and returns the results.
 
-    `servers` are the names of each tier's servers; each tier has so many nodes. Raises ClusterError if a part does not
-    start.
+    `servers` has the names of the servers of each tier, and `nodes` is the number of nodes of each tier. Raises
+    ClusterError if a node or the servers do not start.
     """
     async with contextlib.AsyncExitStack() as stack:
         clusters = await _start_clusters(stack, classes, servers, nodes, seed)
@@ -69,7 +80,7 @@
         finally:
             for pool in chain(*pools):
                 pool.close()
-        await _collect_figures(run)
+        await _collect_statistics(run)
         return run
 
 
@@ -84,14 +95,16 @@
     settings = _class_settings(classes)
     clusters = []
     for tier, names in enumerate(servers):
-        orders = [_server_order(name) for name in names]
-        cluster = Cluster(orders, nodes, settings, seed + tier, tier_prefix(tier), layers=layers, tier=tier)
+        server_commands = [_server_command(name) for name in names]
+        cluster = Cluster(
+            server_commands, nodes, settings, seed + tier, tier_prefix(tier), layers=layers, tier=tier
+        )
         clusters.append(await stack.enter_async_context(cluster))
     return clusters
 
 
 def _class_settings(classes: list[RequestClass]) -> list[dict[str, Any]]:
-    """Returns the classes under the keys of a node's settings."""
+    """Returns the request classes as a list for a node's settings."""
     return [
         {
             "name": c.name,
@@ -107,8 +120,8 @@
     ]
 
 
-def _server_order(name: str, *, cold: bool = False) -> dict[str, Any]:
-    """Returns the stand-ins' order for a server, `cold` where it is to begin with slow start."""
+def _server_command(name: str, *, cold: bool = False) -> dict[str, Any]:
+    """Returns the parameters of the stand-ins' command to add a server; a `cold` one begins with slow start."""
     shape = {"slots": SERVER_SLOTS, "queue": 8 * SERVER_SLOTS, "cold_share": 0.4, "cold_time": SLOW_START_US}
     return {"name": name, "shape": shape, "cold": cold}
 
@@ -116,32 +129,32 @@
 async def _send_plan(
     run: ReplayRun, arrivals: Iterable[Arrival], events: list[Event], observer: Observer | None
 ) -> None:
-    """Sends the plan while events are played and samples taken."""
+    """Sends the requests while events are applied and samples are taken."""
 
     async def plan() -> AsyncIterator[Arrival]:
         for arrival in arrivals:
             yield arrival
 
     background = [
-        asyncio.create_task(_play_events(run, events)),
+        asyncio.create_task(_apply_events(run, events)),
         asyncio.create_task(_sample_nodes(run, observer)),
     ]
     sending = asyncio.create_task(run.generator.run(plan()))
     try:
-        # The background tasks never end by themselves: an exception in one ends the run, whose figures would mislead.
+        # The background tasks end only by an exception, which then ends the run: its results would be misleading.
         done, _ = await asyncio.wait([sending, *background], return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             task.result()
         await sending
         run.seconds = run.generator.now_us() / 1e6
-        await asyncio.sleep(2 * SAMPLE_INTERVAL_S)  # for the nodes' last report line
+        await asyncio.sleep(2 * SAMPLE_INTERVAL_S)  # so that the nodes' last report lines arrive
     finally:
         for task in (sending, *background):
             task.cancel()
         await asyncio.gather(sending, *background, return_exceptions=True)
 
 
-async def _collect_figures(run: ReplayRun) -> None:
+async def _collect_statistics(run: ReplayRun) -> None:
     for cluster in run.clusters:
         statistics = await cluster.command(do="stats")
         run.servers |= statistics["servers"]
@@ -149,8 +162,8 @@
     run.nodes = [{"name": n.name, "alive": n.alive, **n.stats} for c in run.clusters for n in c.nodes]
 
 
-async def _play_events(run: ReplayRun, events: list[Event]) -> None:
-    """Plays each event at its time; one that fails is reported, not skipped."""
+async def _apply_events(run: ReplayRun, events: list[Event]) -> None:
+    """Applies each event at its time, and records failed events with their error."""
     while run.generator.started_at_us == 0:
         await asyncio.sleep(START_POLL_S)
     for event in sorted(events, key=lambda event: event.at_us):
@@ -164,7 +177,7 @@
             "done": True,
         }
         try:
-            await _play_event(run, event)
+            await _apply_event(run, event)
             if event.action is EventAction.SLOW:
                 row["factor"] = event.factor
         except ClusterError as error:
@@ -173,15 +186,15 @@
     await asyncio.Event().wait()
 
 
-async def _play_event(run: ReplayRun, event: Event) -> None:
-    """Raises ClusterError where the event cannot be played."""
+async def _apply_event(run: ReplayRun, event: Event) -> None:
+    """Applies an event to its server or node. Raises ClusterError if that is not possible."""
     if event.action in (EventAction.KILL_NODE, EventAction.STOP_NODE):
         nodes = [node for cluster in run.clusters for node in cluster.nodes if node.name == event.name]
         if not nodes:
             raise ClusterError(f"no node named {event.name!r}")
         nodes[0].signal(signal.SIGKILL if event.action is EventAction.KILL_NODE else signal.SIGTERM)
     elif event.action is EventAction.ADD:
-        await run.clusters[0].command(do="add", **_server_order(event.name, cold=True))
+        await run.clusters[0].command(do="add", **_server_command(event.name, cold=True))
     else:
         parameters = {"factor": event.factor} if event.action is EventAction.SLOW else {}
         cluster = _cluster_of_server(run, event.name)
@@ -189,7 +202,10 @@
 
 
 def _cluster_of_server(run: ReplayRun, name: str) -> Cluster:
-    """Returns the tier that has a server of that name; the first tier if none does, which then reports it."""
+    """Returns the cluster that has the server `name`.
+
+    If there is none, returns the first cluster, whose command then fails with an error for the unknown name.
+    """
     for cluster in run.clusters:
         if any(server["name"] == name for server in cluster.servers):
             return cluster
@@ -197,7 +213,7 @@
 
 
 async def _sample_nodes(run: ReplayRun, observer: Observer | None) -> None:
-    """Records the nodes' figures twice a second, for the plots and the observer."""
+    """Samples the nodes' statistics every `SAMPLE_INTERVAL_S` for the report, and calls the observer."""
     while True:
         await asyncio.sleep(SAMPLE_INTERVAL_S)
         if run.generator.started_at_us == 0:
--- a/harecross/traces/__init__.py
+++ b/harecross/traces/__init__.py
@@ -1,1 +1,1 @@
-"""Public cluster traces in CSV: recognising, reading, checking and planning. Pure but for the file itself."""
+"""Public cluster traces in CSV: format recognition, row parsing and validation, and conversion to requests."""
--- a/harecross/traces/cli.py
+++ b/harecross/traces/cli.py
@@ -1,4 +1,4 @@
-"""`harecross trace`: what a public cluster trace holds."""
+"""The command `harecross trace inspect`, which summarises a public cluster trace."""
 
 from __future__ import annotations
 
@@ -26,24 +26,33 @@
 Late = Annotated[str, typer.Option("--late", help="A row beyond the window: drop or clamp.")]
 JsonFile = Annotated[str | None, typer.Option("--json", help="A file, or - for standard output.")]
 
-Progress = Callable[[int], Any]  # told the bytes read
+Progress = Callable[[int], Any]  # called with the number of bytes of each read
 
 
 def trace_opener(
-    files: list[Path], name: str | None, mapping: Path | None, window: float, late: str, seed: int
+    files: list[Path],
+    format_name: str | None,
+    mapping_path: Path | None,
+    window_s: float,
+    late_mode: str,
+    seed: int,
 ) -> Callable[..., Trace]:
-    """Returns a function that opens the trace anew each time. Raises BadTrace for files that cannot be used."""
+    """Returns a function that opens the trace from its start on each call.
+
+    A `format_name` that ends in ".toml" is read as the path of a mapping file for the format `generic`. Raises
+    TraceError for a path that is not a file and for an invalid mapping file.
+    """
     from harecross.replay.plan import check_paths
     from harecross.traces.mapping import read_mapping
     from harecross.traces.summary import Trace
 
     check_paths(files)
-    if name is not None and name.endswith(".toml"):
-        mapping, name = Path(name), "generic"
-    mapped = read_mapping(mapping) if mapping is not None else None
+    if format_name is not None and format_name.endswith(".toml"):
+        mapping_path, format_name = Path(format_name), "generic"
+    mapping = read_mapping(mapping_path) if mapping_path is not None else None
 
     def open_trace(progress: Progress | None = None) -> Trace:
-        return Trace(files, name, mapped, window, late, seed, progress=progress)
+        return Trace(files, format_name, mapping, window_s, late_mode, seed, progress=progress)
 
     return open_trace
 
@@ -57,7 +66,7 @@
     late: Late = "drop",
     json_to: JsonFile = None,
 ) -> None:
-    """What a trace holds: rows kept and dropped by cause, requests, rates, classes."""
+    """Summarise a trace: rows kept and rows dropped by cause, requests, rates and request classes."""
     from harecross.traces.row_tally import TraceError
 
     try:
@@ -77,15 +86,15 @@
     from harecross.console import err
     from harecross.traces.summary import inspect
 
-    columns = (
+    progress_columns = (
         TextColumn("reading"),
         TextColumn("{task.completed:,.0f} bytes"),
         TransferSpeedColumn(),
         TimeElapsedColumn(),
     )
-    with Progress(*columns, console=err, transient=True, disable=not err.is_terminal) as progress:
+    with Progress(*progress_columns, console=err, transient=True, disable=not err.is_terminal) as progress:
         task = progress.add_task("reading", total=None)
-        return inspect(open_trace(lambda size: progress.advance(task, size)))
+        return inspect(open_trace(lambda read_bytes: progress.advance(task, read_bytes)))
 
 
 def _print_summary(summary: dict[str, Any]) -> None:
--- a/harecross/traces/formats.py
+++ b/harecross/traces/formats.py
@@ -1,7 +1,7 @@
-"""The formats of public traces: the columns that are read, and how a file is recognised.
+"""The supported formats of public traces: the columns that are read, and how the format of a file is recognised.
 
-Sources: Google ClusterData2011_2 (format and schema document), Alibaba clusterdata v2018 and
-microservices-2021 (their READMEs), Azure public dataset (functions 2019 and 2021).
+The formats follow the format and schema document of Google ClusterData2011_2, the READMEs of Alibaba clusterdata v2018
+and microservices-2021, and the Azure public dataset (functions 2019 and 2021).
 """
 
 from __future__ import annotations
@@ -14,35 +14,55 @@
 INTEGER, FLOAT, TEXT = "int", "float", "text"
 NUMBER_PATTERN = re.compile(r"\s*[+-]?(\d+\.?\d*([eE][+-]?\d+)?|\.\d+)\s*")
 RPC_ID_PATTERN = re.compile(r"\d+(\.\d+)*")
-AFTER_TRACE_TIME = (1 << 63) - 1  # google-2011: the event lies after the trace; 0 means before it
-MACHINE_EVENTS = ("0", "1", "2")  # of google-2011
+# The google-2011 time of an event after the end of the trace; a time of 0 means an event before its start.
+AFTER_TRACE_TIME = (1 << 63) - 1
+MACHINE_EVENTS = ("0", "1", "2")  # the google-2011 machine events ADD, REMOVE and UPDATE
 MINUTES_PER_DAY = 1440
-FIRST_MINUTE_AT = 4  # the position of minute 1 in azure-functions-2019
+FIRST_MINUTE_POSITION = 4  # the position of the column of minute 1 in azure-functions-2019
 
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A column that is read. `at` is its position, from 0, in a file without a header; `kind` the type of its cells."""
+    """A column that is read.
+
+    Attributes:
+        name: The column's name in the frames that the reader yields.
+        position: The column's position in a row, counted from 0.
+        kind: The type of the cells: `INTEGER`, `FLOAT` or `TEXT`.
+    """
 
     name: str
-    at: int
+    position: int
     kind: str = INTEGER
 
 
 @dataclass(frozen=True, slots=True)
 class Format:
-    """One kind of file. Every column in `columns` must hold a value in each row."""
+    """The format of one table of a trace.
+
+    Attributes:
+        name: The name of the trace's format, as reports show it.
+        table: The name of the table; a trace can have more than one.
+        columns: The columns that are read. Each must have a value in every row.
+        width: The number of columns in a row.
+        time_unit_us: The file's unit of time in microseconds.
+        time_column: The name of the column by which rows are ordered; empty if rows have no time.
+        header: The column names in the header line of such files; empty if they have none.
+        aliases: The header name of each of `columns`, in the same order.
+        drop_duplicates: Whether a row that is identical to an earlier one is dropped.
+        minutes: The minutes whose invocation counts a row holds (azure-functions-2019 only).
+    """
 
-    name: str  # as reports name it
+    name: str
     table: str
     columns: tuple[Column, ...]
-    width: int  # columns of a row
-    unit: int = 1  # microseconds in the file's unit of time
-    time: str = "time"  # the column that rows are ordered by; empty where there is none
-    header: tuple[str, ...] = ()  # names of the columns, where such files come with a header
-    aliases: tuple[str, ...] = ()  # other names for `columns`, by position in it
-    duplicates: bool = True  # a row that is the same to the letter is dropped
-    minutes: tuple[int, ...] = ()  # azure-functions-2019: the minutes whose counts the row holds
+    width: int
+    time_unit_us: int = 1
+    time_column: str = "time"
+    header: tuple[str, ...] = ()
+    aliases: tuple[str, ...] = ()
+    drop_duplicates: bool = True
+    minutes: tuple[int, ...] = ()
 
 
 GOOGLE_TASKS = Format(
@@ -70,7 +90,7 @@
         Column("end", 6),
     ),
     9,
-    unit=1_000_000,
+    time_unit_us=1_000_000,
     header=(
         "task_name", "instance_num", "job_name", "task_type", "status",
         "start_time", "end_time", "plan_cpu", "plan_mem",
@@ -88,7 +108,7 @@
         Column("rt", 7, FLOAT),
     ),
     8,
-    unit=1_000,
+    time_unit_us=1_000,
     header=("timestamp", "traceid", "rpcid", "um", "rpctype", "dm", "interface", "rt"),
     aliases=("timestamp", "traceid", "rpcid", "rpctype", "rt"),
 )
@@ -101,8 +121,8 @@
         Column("function", 2, TEXT),
         Column("trigger", 3, TEXT),
     ),
-    FIRST_MINUTE_AT + MINUTES_PER_DAY,
-    time="",
+    FIRST_MINUTE_POSITION + MINUTES_PER_DAY,
+    time_column="",
     header=("hashowner", "hashapp", "hashfunction", "trigger"),
     aliases=("hashowner", "hashapp", "hashfunction", "trigger"),
     minutes=tuple(range(1, MINUTES_PER_DAY + 1)),
@@ -118,7 +138,7 @@
         Column("count", 4),
     ),
     5,
-    time="",
+    time_column="",
     header=("hashowner", "hashapp", "hashfunction", "average", "count"),
     aliases=("hashowner", "hashapp", "hashfunction", "average", "count"),
 )
@@ -127,13 +147,16 @@
     "invocations",
     (Column("app", 0, TEXT), Column("time", 2, FLOAT), Column("duration", 3, FLOAT)),
     4,
-    unit=1_000_000,
+    time_unit_us=1_000_000,
     header=("app", "func", "end_timestamp", "duration"),
     aliases=("app", "end_timestamp", "duration"),
 )
-# It often has an unnamed index column before its own.
+# Files of MSCallGraph often have an unnamed index column before the documented ones.
 MS_CALLS_INDEXED = replace(
-    MS_CALLS, columns=tuple(replace(c, at=c.at + 1) for c in MS_CALLS.columns), width=9, header=()
+    MS_CALLS,
+    columns=tuple(replace(column, position=column.position + 1) for column in MS_CALLS.columns),
+    width=9,
+    header=(),
 )
 FORMATS = (
     GOOGLE_TASKS, GOOGLE_MACHINES, ALIBABA_BATCH, MS_CALLS, MS_CALLS_INDEXED, AZURE_2019_DURATIONS,
@@ -143,14 +166,14 @@
 
 
 def split_cells(line: str) -> list[str]:
-    """Returns the cells of a line without white space and quotes around them."""
+    """Returns the cells of a line, stripped of surrounding whitespace and quotes."""
     return [cell.strip().strip('"') for cell in line.split(",")]
 
 
 def format_from_header(trace_format: Format, cells: list[str]) -> Format | None:
-    """Returns the format with its positions as a header gives them; None if it is not this format's header.
+    """Returns the format with the column positions of a header line, or None if `cells` is not a header of the format.
 
-    Raises TraceError for a column that the header lacks, where most of the others are there.
+    Raises TraceError if the header has most of the format's names but lacks a required column.
     """
     names = [cell.lower() for cell in cells]
     if not _is_header_of(trace_format, names):
@@ -161,7 +184,7 @@
             f"{trace_format.name} {trace_format.table}: the header lacks the column {', '.join(missing)}"
         )
     columns = tuple(
-        replace(column, at=names.index(alias))
+        replace(column, position=names.index(alias))
         for column, alias in zip(trace_format.columns, trace_format.aliases, strict=True)
     )
     minute_columns = _minute_columns(trace_format, names)
@@ -174,28 +197,28 @@
 
 
 def _is_header_of(trace_format: Format, names: list[str]) -> bool:
-    """Returns whether most of the format's header names are there."""
+    """Returns whether `names` contains more than half of the format's header names."""
     header = trace_format.header
     if not header or sum(name in names for name in header) * 2 <= len(header):
         return False
     if trace_format.name == AZURE_2019.name:
-        # The two tables of azure-functions-2019 begin alike.
+        # The headers of both azure-functions-2019 tables start with the same names; only durations have `average`.
         return (trace_format.table == AZURE_2019_DURATIONS.table) == ("average" in names)
     return True
 
 
 def _minute_columns(trace_format: Format, names: list[str]) -> tuple[Column, ...]:
-    """Returns the columns of minutes that a header names; none for a format without them."""
+    """Returns the per-minute count columns in a header; an empty tuple for a format without such columns."""
     if not trace_format.minutes:
         return ()
     columns = tuple(
-        Column(f"m{int(name)}", at)
-        for at, name in enumerate(names)
+        Column(f"m{int(name)}", position)
+        for position, name in enumerate(names)
         if name.isdecimal() and 1 <= int(name) <= MINUTES_PER_DAY
     )
     if not columns:
         raise TraceError(
-            f"{trace_format.name} {trace_format.table}: the header names no minute (1 to {MINUTES_PER_DAY})"
+            f"{trace_format.name} {trace_format.table}: the header has no minute column (1 to {MINUTES_PER_DAY})"
         )
     return columns
 
@@ -205,14 +228,14 @@
     return cell.strip().lstrip("-").isdecimal()
 
 
-def count_fitting_rows(trace_format: Format, rows: list[list[str]]) -> int:
-    """Returns how many of a file's first rows can be rows of the format, by position."""
-    return sum(len(cells) == trace_format.width and _fits(trace_format, cells) for cells in rows)
+def count_matching_rows(trace_format: Format, rows: list[list[str]]) -> int:
+    """Returns how many of the rows have the format's width and valid cells at its column positions."""
+    return sum(len(cells) == trace_format.width and _matches(trace_format, cells) for cells in rows)
 
 
-def _fits(trace_format: Format, cells: list[str]) -> bool:
+def _matches(trace_format: Format, cells: list[str]) -> bool:
     for column in trace_format.columns:
-        cell = cells[column.at]
+        cell = cells[column.position]
         if column.kind == INTEGER and not is_integer(cell):
             return False
         if column.kind == FLOAT and NUMBER_PATTERN.fullmatch(cell) is None:
@@ -220,28 +243,28 @@
     if trace_format.table == GOOGLE_MACHINES.table:
         return cells[2] in MACHINE_EVENTS
     if trace_format.table == MS_CALLS.table:
-        trace, rpc = (cells[column.at] for column in trace_format.columns[1:3])
+        trace, rpc = (cells[column.position] for column in trace_format.columns[1:3])
         return RPC_ID_PATTERN.fullmatch(rpc) is not None and not is_integer(trace)
     return True
 
 
 def with_minute_columns(trace_format: Format) -> Format:
-    """Returns the format for a file without a header: minutes stand where the format's document has them."""
+    """Returns the format for a file without a header, with the minute columns at their documented positions."""
     minute_columns = tuple(
-        Column(f"m{minute}", FIRST_MINUTE_AT - 1 + minute) for minute in trace_format.minutes
+        Column(f"m{minute}", FIRST_MINUTE_POSITION - 1 + minute) for minute in trace_format.minutes
     )
     return replace(trace_format, columns=trace_format.columns + minute_columns)
 
 
-def recognise_format(name: str, sample: list[str], wanted: str | None = None) -> tuple[Format, bool]:
-    """Returns the format of a file by its first lines, and whether the first of them is a header.
+def recognise_format(name: str, sample: list[str], format_name: str | None = None) -> tuple[Format, bool]:
+    """Returns the format of the file `name`, and whether its first line is a header.
 
-    A header's names take precedence over positions. Raises TraceError if the format cannot be recognised, or is not the
-    one wanted.
+    `sample` is the first lines of the file. Names in a header take precedence over column positions. `format_name`
+    limits the search to that format. Raises TraceError if no format matches.
     """
-    candidates = [candidate for candidate in FORMATS if wanted in (None, candidate.name)]
+    candidates = [candidate for candidate in FORMATS if format_name in (None, candidate.name)]
     if not candidates:
-        raise TraceError(f"{name}: no format {wanted!r} (allowed: {', '.join(FORMAT_NAMES)})")
+        raise TraceError(f"{name}: unknown format {format_name!r} (allowed: {', '.join(FORMAT_NAMES)})")
     rows = [split_cells(text) for text in sample if text.strip()]
     if not rows:
         raise TraceError(f"{name}: the file has no row")
@@ -252,10 +275,10 @@
                 return found, True
     except TraceError as error:
         raise TraceError(f"{name}: {error}") from None
-    # The format that fits most rows: bad ones among the first must not hide what a file is.
-    best = max(candidates, key=lambda candidate: count_fitting_rows(candidate, rows))
-    if count_fitting_rows(best, rows) > 0:
+    # The format that most rows match is chosen, so that malformed rows at the start do not prevent recognition.
+    best = max(candidates, key=lambda candidate: count_matching_rows(candidate, rows))
+    if count_matching_rows(best, rows) > 0:
         return with_minute_columns(best), False
-    problem = f"is not {wanted}" if wanted else "cannot be told"
+    problem = f"do not match {format_name}" if format_name else "match no known format"
     allowed = ", ".join(FORMAT_NAMES)
-    raise TraceError(f"{name}: the format {problem} from its columns (name one with --format: {allowed})")
+    raise TraceError(f"{name}: the columns {problem} (choose a format with --format: {allowed})")
--- a/harecross/traces/mapping.py
+++ b/harecross/traces/mapping.py
@@ -1,4 +1,4 @@
-"""The classes of a trace's requests as clients see them: defaults of each format, or a mapping file (TOML)."""
+"""Request classes of a trace: the defaults of each format, and mapping files (TOML) that override them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,14 @@
 
 
 class ClassMapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[classes.NAME]`: `worth` is per answer in time; `aim_ms` and `deadline_ms` count from when a request is due."""
+    """The table `[classes.NAME]` of a mapping file.
+
+    Attributes:
+        effect: Whether a request is idempotent ("safe"), has an idempotency key ("keyed") or is neither ("unsafe").
+        worth: The priority weight of a request that is answered within `aim_ms`.
+        aim_ms: The latency objective, in milliseconds from when a request is due.
+        deadline_ms: The client's deadline, in milliseconds from when a request is due.
+    """
 
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     worth: Annotated[float, msgspec.Meta(gt=0)] = 1.0
@@ -28,7 +35,7 @@
 class GenericColumns(
     msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename={"request_class": "class"}
 ):
-    """`[columns]`: names in the header or positions from 0."""
+    """The table `[columns]` of a mapping file: each column is a name in the header or a position counted from 0."""
 
     time: str | int
     request_class: str | int | None = None
@@ -37,14 +44,14 @@
 
 
 class Units(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[units]`."""
+    """The table `[units]` of a mapping file."""
 
     time: Literal["s", "ms", "us"] = "s"
     work: Literal["s", "ms", "us"] = "ms"
 
 
 class Mapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file. `columns`, `units`, `header` and `width` count for the format `generic` only."""
+    """A mapping file. `columns`, `units`, `header`, `width` and `duplicates` apply to the format `generic` only."""
 
     classes: dict[str, ClassMapping] = {}
     columns: GenericColumns | None = None
@@ -85,84 +92,93 @@
 
 
 def read_mapping(path: Path) -> Mapping:
-    """Reads a mapping file. Raises TraceError with what is wrong with it."""
+    """Reads a mapping file. Raises TraceError, with the file and key at fault, if it is invalid."""
     try:
         mapping = read_toml(path, Mapping)
     except OperatorsFileError as error:
         raise TraceError(str(error)) from None
-    for name, mapped in mapping.classes.items():
+    for name, class_mapping in mapping.classes.items():
         if not name.replace("-", "").replace("_", "").isalnum() or len(name) > MAX_CLASS_NAME_LENGTH:
             raise TraceError(
-                f"{path}: classes.{name}: letters, digits, - and _ only, {MAX_CLASS_NAME_LENGTH} at most"
+                f"{path}: classes.{name}: a name has letters, digits, - and _ only, at most {MAX_CLASS_NAME_LENGTH}"
             )
-        if mapped.deadline_ms < mapped.aim_ms:
-            raise TraceError(f"{path}: classes.{name}: deadline_ms is not under aim_ms")
+        if class_mapping.deadline_ms < class_mapping.aim_ms:
+            raise TraceError(f"{path}: classes.{name}: deadline_ms must not be under aim_ms")
     return mapping
 
 
 @dataclass(frozen=True, slots=True)
 class TraceClasses:
-    """The classes of one run, in order; a name that is none of them belongs to the last."""
+    """The request classes of a trace, in order. A class name that is not listed counts as the last class."""
 
     names: tuple[str, ...]
-    maps: tuple[ClassMapping, ...]
+    mappings: tuple[ClassMapping, ...]
 
 
 def classes_for(format_name: str, mapping: Mapping | None) -> TraceClasses:
-    """Returns the defaults of the format, replaced by what the mapping says.
+    """Returns the default classes of the format with the overrides of the mapping.
 
-    Raises TraceError for a class that the format does not have: it would never get a request.
+    The classes of a mapping replace the defaults of the format `generic` altogether. Raises TraceError for a class that
+    the format does not have, since no request would ever belong to it.
     """
-    chosen = dict(DEFAULT_CLASSES[format_name])
+    classes = dict(DEFAULT_CLASSES[format_name])
     if mapping is not None and mapping.classes:
         if format_name == "generic":
-            chosen = dict(mapping.classes)
+            classes = dict(mapping.classes)
         else:
-            unknown = [name for name in mapping.classes if name not in chosen]
+            unknown = [name for name in mapping.classes if name not in classes]
             if unknown:
-                raise TraceError(f"classes.{unknown[0]}: {format_name} has {', '.join(chosen)}")
-            chosen.update(mapping.classes)
-    return TraceClasses(tuple(chosen), tuple(chosen.values()))
+                raise TraceError(
+                    f"classes.{unknown[0]}: {format_name} has no such class (it has {', '.join(classes)})"
+                )
+            classes.update(mapping.classes)
+    return TraceClasses(tuple(classes), tuple(classes.values()))
 
 
 def generic_format(path: Path, mapping: Mapping, first_line: str) -> tuple[Format, bool]:
     """Returns the format that a mapping describes, and whether the file has a header.
 
-    Positions are looked up in the header if there is one. Raises TraceError for a column that is not there.
+    Column names are looked up in `first_line`, the header. Raises TraceError for a column that does not exist.
     """
-    named = mapping.columns
-    if named is None:
-        raise TraceError(f"{path}: the format generic needs [columns] with time")
+    mapped_columns = mapping.columns
+    if mapped_columns is None:
+        raise TraceError(f"{path}: the format generic requires [columns] with the key time")
     cells = split_cells(first_line)
     width = mapping.width or len(cells)
-    wanted = (
-        ("time", named.time, FLOAT),
-        ("class", named.request_class, TEXT),
-        ("work", named.work, FLOAT),
-        ("count", named.count, INTEGER),
+    references = (
+        ("time", mapped_columns.time, FLOAT),
+        ("class", mapped_columns.request_class, TEXT),
+        ("work", mapped_columns.work, FLOAT),
+        ("count", mapped_columns.count, INTEGER),
     )
     columns = []
-    for name, place, kind in wanted:
-        if place is None:
+    for name, reference, kind in references:
+        if reference is None:
             continue
-        at = _header_position(path, mapping, name, place, cells) if isinstance(place, str) else place
-        if not 0 <= at < width:
-            raise TraceError(f"{path}: columns.{name}: {at} is not 0 to {width - 1}")
-        columns.append(Column("request_class" if name == "class" else name, at, kind))
+        position = (
+            _header_position(path, mapping, name, reference, cells)
+            if isinstance(reference, str)
+            else reference
+        )
+        if not 0 <= position < width:
+            raise TraceError(f"{path}: columns.{name}: position {position} is not in 0 to {width - 1}")
+        columns.append(Column("request_class" if name == "class" else name, position, kind))
     found = Format(
         "generic",
         "rows",
         tuple(columns),
         width,
-        unit=MICROSECONDS_PER_UNIT[mapping.units.time],
-        duplicates=mapping.duplicates == "drop",
+        time_unit_us=MICROSECONDS_PER_UNIT[mapping.units.time],
+        drop_duplicates=mapping.duplicates == "drop",
     )
     return found, mapping.header
 
 
-def _header_position(path: Path, mapping: Mapping, name: str, place: str, cells: list[str]) -> int:
+def _header_position(path: Path, mapping: Mapping, name: str, column_name: str, cells: list[str]) -> int:
     if not mapping.header:
-        raise TraceError(f"{path}: columns.{name}: a position, from 0, where header = false")
-    if place not in cells:
-        raise TraceError(f"{path}: columns.{name}: the header lacks {place!r}")
-    return cells.index(place)
+        raise TraceError(
+            f"{path}: columns.{name}: must be a position, counted from 0, because header = false"
+        )
+    if column_name not in cells:
+        raise TraceError(f"{path}: columns.{name}: the header lacks the column {column_name!r}")
+    return cells.index(column_name)
--- a/harecross/traces/request_planner.py
+++ b/harecross/traces/request_planner.py
@@ -1,8 +1,13 @@
-"""From kept rows to requests (when due, class, work), and machines that come and go.
+"""Converts the kept rows of a trace to requests (due time, class and work) and collects its machine events.
 
-One request is: of google-2011 a SUBMIT event; of alibaba-2018 each instance of a task at its start; of MSCallGraph a
-call (traceid, rpcid), its two records joined; of azure-functions-2019 each counted invocation, spread over its minute
-from a seed; of azure-functions-2021 a row, at its end minus its duration; of generic a row, or `count` of them.
+What counts as a request depends on the format:
+
+- google-2011: a SUBMIT event.
+- alibaba-2018: each instance of a task, due at the start of the task.
+- alibaba-microservices-2021: a call (traceid, rpcid), whose two records are joined.
+- azure-functions-2019: each counted invocation, spread over its minute by a seeded generator.
+- azure-functions-2021: a row, due at its end minus its duration.
+- generic: a row, repeated as often as its `count` says if it has one.
 """
 
 from __future__ import annotations
@@ -24,17 +29,20 @@
 from harecross.traces.mapping import MICROSECONDS_PER_UNIT, Mapping, TraceClasses
 from harecross.traces.reader import TIME_COLUMN
 
-SUBMIT_EVENT, SCHEDULE_EVENT, FINISH_EVENT = 0, 1, 4  # of a task, in google-2011
-ADD_EVENT, REMOVE_EVENT = 0, 1  # of a machine, in google-2011
+SUBMIT_EVENT, SCHEDULE_EVENT, FINISH_EVENT = 0, 1, 4  # task events of google-2011
+ADD_EVENT, REMOVE_EVENT = 0, 1  # machine events of google-2011
 MINUTE_US = 60_000_000
 DAY_US = 1440 * MINUTE_US
-MAX_OPEN_RECORDS = 2_000_000  # tasks and calls remembered while their other record has not come
+# Limits the memory for running tasks whose end has not been read, and for calls whose second record may follow.
+MAX_OPEN_RECORDS = 2_000_000
 MAX_TIERS = 3
 KEY_HASH_SEED = 7
-DRAWS_SEED_STEP = 1_000_003  # a prime, so that seeds of different minutes do not meet
+# The factor of the seed in the hash seed of a minute. It is a prime, so that the hash seeds of different seeds and
+# minutes do not coincide.
+HASH_SEED_FACTOR = 1_000_003
 
 DUE, CLASS, WORK, KEY = "due", "class", "work", "key"
-TIER = "tier"  # of a call, in formats that record calls between tiers
+TIER = "tier"  # present only in formats that record calls between tiers
 START = "start"
 REQUEST_SCHEMA: dict[str, pl.DataType] = {
     DUE: pl.Int64(),
@@ -47,24 +55,36 @@
 
 
 class RequestPlanner:
-    """Makes the requests of a trace from its kept frames; `machines` collects the events of machines.
-
-    Work is in microseconds, and null where a row does not tell it; `durations` then tells it by key, possibly later.
+    """Converts the kept rows of a trace to requests.
+
+    The work of a request is in microseconds, and null if its row does not contain it. The work is then the mean of the
+    request's key in `durations`, which a later frame may supply.
+
+    Attributes:
+        machines: Frames of machine events with the columns due, machine and event.
+        running_tasks: The keys and start times of tasks whose end has not been read.
+        seen_calls: The keys and times of the calls that became requests.
+        durations: Frames of keys and work from the latest planned frame only.
+        mean_work_us: The mean work of a function by owner, app and function.
+        minutes_planned: The number of minutes with invocations planned so far, part of each minute's hash seed.
     """
 
     def __init__(self, classes: TraceClasses, seed: int = 1, mapping: Mapping | None = None) -> None:
         self.classes = classes
         self.seed = seed
         self.work_unit_us = MICROSECONDS_PER_UNIT[mapping.units.work] if mapping is not None else 1
-        self.machines: list[pl.DataFrame] = []  # due, machine, event
+        self.machines: list[pl.DataFrame] = []
         self.running_tasks = pl.DataFrame(schema={KEY: pl.UInt64(), START: pl.Int64()})
         self.seen_calls = pl.DataFrame(schema={KEY: pl.UInt64(), TIME_COLUMN: pl.Int64()})
-        self.durations: list[pl.DataFrame] = []  # key, work; of the latest frame only
-        self.mean_work_us: dict[tuple[str, str, str], float] = {}  # by owner, app and function
+        self.durations: list[pl.DataFrame] = []
+        self.mean_work_us: dict[tuple[str, str, str], float] = {}
         self.minutes_planned = 0
 
     def plan(self, trace_format: Format, file_number: int, frame: pl.DataFrame) -> Iterator[pl.DataFrame]:
-        """Yields the requests of a frame, as frames of `REQUEST_SCHEMA` in no order."""
+        """Yields frames with the requests of a frame, in no particular order.
+
+        They have the columns of `REQUEST_SCHEMA`, and `TIER` if the format records tiers.
+        """
         self.durations = []
         if trace_format.table == GOOGLE_TASKS.table:
             yield self._task_requests(frame)
@@ -85,18 +105,20 @@
             yield self._generic_requests(frame)
 
     def _class_index(self, column: str) -> pl.Expr:
-        """Returns the index of the class that a column names; the last class for any other name."""
+        """Returns the index of the class named in a column, or of the last class for an unknown name."""
         names = [name.lower() for name in self.classes.names]
         indices = list(range(len(names)))
-        lowered = pl.col(column).str.to_lowercase()
-        return lowered.replace_strict(names, indices, default=len(names) - 1).cast(pl.UInt8)
+        lower_case = pl.col(column).str.to_lowercase()
+        return lower_case.replace_strict(names, indices, default=len(names) - 1).cast(pl.UInt8)
 
     def _task_requests(self, frame: pl.DataFrame) -> pl.DataFrame:
         keyed = frame.with_columns(pl.struct("job", "task").hash(KEY_HASH_SEED).alias(KEY))
         keyed = keyed.filter(pl.col(TIME_COLUMN).is_not_null())
-        begun = keyed.filter(pl.col("event") == SCHEDULE_EVENT).select(KEY, pl.col(TIME_COLUMN).alias(START))
+        started = keyed.filter(pl.col("event") == SCHEDULE_EVENT).select(
+            KEY, pl.col(TIME_COLUMN).alias(START)
+        )
         ended = keyed.filter(pl.col("event") == FINISH_EVENT).select(KEY, TIME_COLUMN)
-        running = pl.concat([self.running_tasks, begun])
+        running = pl.concat([self.running_tasks, started])
         spans = ended.join(running.unique(KEY, keep="last"), on=KEY)
         spans = spans.filter(pl.col(TIME_COLUMN) >= pl.col(START))
         duration = (pl.col(TIME_COLUMN) - pl.col(START)).cast(pl.Float64)
@@ -112,7 +134,7 @@
 
     @staticmethod
     def _instance_requests(frame: pl.DataFrame) -> pl.DataFrame:
-        # A task that waits has not started: its row is kept and makes no request.
+        # A waiting task has not started, so its row is kept but produces no request.
         started = frame.filter(pl.col("status").str.to_lowercase() != "waiting")
         work = pl.when(pl.col("end") > 0).then((pl.col("end") - pl.col("time")) * 1e6)
         requests = started.select(
@@ -128,11 +150,11 @@
         first = keyed.unique(KEY, keep="first", maintain_order=True)
         first = first.join(self.seen_calls, on=KEY, how="anti")
         self.seen_calls = pl.concat([self.seen_calls, first.select(KEY, TIME_COLUMN)]).tail(MAX_OPEN_RECORDS)
-        # The callee's own record (a negative rt) is closer to the work than the caller's, which holds the network too.
+        # The callee's record (a negative rt) is closer to the work than the caller's, which includes network time.
         spans = keyed.group_by(KEY).agg(pl.col("rt").min().alias("least"), pl.col("rt").max().alias("most"))
         duration = pl.when(pl.col("least") < 0).then(-pl.col("least")).otherwise(pl.col("most"))
-        self.durations.append(spans.select(KEY, (duration * trace_format.unit).alias(WORK)))
-        # "0" is a client's call, "0.1" one that its server makes, and so on down.
+        self.durations.append(spans.select(KEY, (duration * trace_format.time_unit_us).alias(WORK)))
+        # The rpcid "0" is a call of a client, "0.1" a call that the server of "0" makes, and so on.
         depth = pl.col("rpc").str.count_matches(".", literal=True)
         return first.select(
             pl.col(TIME_COLUMN).alias(DUE),
@@ -156,7 +178,7 @@
             if not total:
                 continue
             self.minutes_planned += 1
-            due = self._spread(file_number * DAY_US + (minute - 1) * MINUTE_US, total)
+            due = self._spread_over_minute(file_number * DAY_US + (minute - 1) * MINUTE_US, total)
             invocations = counts.select(pl.col(CLASS).repeat_by("n"), pl.col(WORK).repeat_by("n"))
             invocations = invocations.explode(CLASS, WORK)
             invocations = invocations.sample(
@@ -164,19 +186,19 @@
             )
             yield invocations.select(due.alias(DUE), CLASS, WORK, NO_KEY)
 
-    def _spread(self, start_us: int, total: int) -> pl.Series:
-        """Returns so many times within the minute: an even step and, within it, a draw of the seed's."""
+    def _spread_over_minute(self, start_us: int, total: int) -> pl.Series:
+        """Returns `total` times in the minute from `start_us`: one at a seeded offset in each of equal steps."""
         index = pl.int_range(0, total, eager=True)
-        hashed = index.hash(self.seed * DRAWS_SEED_STEP + self.minutes_planned)
-        draw = (hashed % 1_000_000).cast(pl.Float64) / 1e6
+        hashed = index.hash(self.seed * HASH_SEED_FACTOR + self.minutes_planned)
+        offset = (hashed % 1_000_000).cast(pl.Float64) / 1e6
         step_us = MINUTE_US / total
-        due = start_us + (index.cast(pl.Float64) + draw) * step_us
+        due = start_us + (index.cast(pl.Float64) + offset) * step_us
         return due.cast(pl.Int64).clip(start_us, start_us + MINUTE_US - 1)
 
     @staticmethod
     def _invocation_requests(trace_format: Format, frame: pl.DataFrame) -> pl.DataFrame:
-        # The row's time, by which it was put in order, is its end; the request arrived before.
-        work = pl.col("duration") * trace_format.unit
+        # Rows are ordered by the end of the invocation, and the request was due before that.
+        work = pl.col("duration") * trace_format.time_unit_us
         return frame.select(
             (pl.col(TIME_COLUMN) - work.cast(pl.Int64)).alias(DUE),
             pl.lit(0, dtype=pl.UInt8).alias(CLASS),
--- a/harecross/traces/row_checks.py
+++ b/harecross/traces/row_checks.py
@@ -1,4 +1,4 @@
-"""What makes a row unusable although its cells could be read."""
+"""Checks on the values of rows whose cells could be parsed."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 )
 from harecross.traces.row_tally import DropCause
 
-MAX_TASK_EVENT, MAX_MACHINE_EVENT, MAX_SCHEDULING_CLASS = 8, 2, 3  # of google-2011
+MAX_TASK_EVENT, MAX_MACHINE_EVENT, MAX_SCHEDULING_CLASS = 8, 2, 3  # the highest values of google-2011
 
 
 class RowCheck(NamedTuple):
-    """A condition on a row's cells, and the cause under which a row that fails it is dropped."""
+    """A check on a row: the cause for which a failing row is dropped, and an expression that is true if it fails."""
 
     cause: DropCause
     fails: pl.Expr
 
 
 def row_checks(trace_format: Format) -> list[RowCheck]:
-    """Returns the checks of a format, in the order in which they apply."""
+    """Returns the checks of a format in the order in which they apply."""
     column = pl.col
     negative_time = RowCheck(DropCause.NEGATIVE_TIME, column("time") < 0)
     if trace_format.table == GOOGLE_TASKS.table:
@@ -41,7 +41,7 @@
             RowCheck(DropCause.UNKNOWN, ~column("event").is_between(0, MAX_MACHINE_EVENT)),
         ]
     if trace_format.table == ALIBABA_BATCH.table:
-        # An end of 0 stands for a task that has not ended.
+        # An end time of 0 marks a task that has not ended.
         ends_early = (column("end") < column("time")) & (column("end") != 0)
         return [
             negative_time,
--- a/harecross/traces/summary.py
+++ b/harecross/traces/summary.py
@@ -1,4 +1,7 @@
-"""What a trace holds: rows by cause, requests by class, span and rates. Memory is bounded whatever its length."""
+"""Opens traces and summarises them: rows by cause, requests by class, time span and rates.
+
+Memory use is bounded, whatever the length of the files.
+"""
 
 from __future__ import annotations
 
@@ -19,20 +22,21 @@
 
 SECOND_US = 1_000_000
 DAY_S = 86_400
-MAX_SPAN_S = 40_000_000  # rates are counted by second: beyond a year the trace's times are wrong
+# Requests are counted for each second of the trace. A longer span than this, of over a year, means wrong times.
+MAX_SPAN_S = 40_000_000
 
 
 class RequestRates:
-    """Counts requests by second of the trace, so that the peak is exact whatever their order."""
+    """Counts the requests in each second of a trace, so that the peak rate is exact for any order of the requests."""
 
     def __init__(self) -> None:
         self.is_empty = True
         self.first_due_us = self.last_due_us = 0
         self.counts = np.zeros(0, dtype=np.uint32)
-        self.first_second = 0  # of counts[0]
+        self.first_second = 0  # the second that counts[0] covers
 
     def add(self, due: pl.Series) -> None:
-        """Counts requests by their times. Raises TraceError for a span beyond `MAX_SPAN_S`."""
+        """Counts requests by their due times. Raises TraceError for a span beyond `MAX_SPAN_S`."""
         if due.len() == 0:
             return
         due_us = due.to_numpy()
@@ -43,7 +47,7 @@
             self.first_second = low // SECOND_US
         self.first_due_us = min(self.first_due_us, low)
         self.last_due_us = max(self.last_due_us, high)
-        self._make_room(low // SECOND_US, high // SECOND_US)
+        self._extend_to(low // SECOND_US, high // SECOND_US)
         seconds = due_us // SECOND_US - self.first_second
         start = int(seconds.min())
         counted = np.bincount(seconds - start)
@@ -54,13 +58,13 @@
         """Seconds from the first request to the last."""
         return (self.last_due_us - self.first_due_us) / SECOND_US
 
-    def _make_room(self, low: int, high: int) -> None:
-        """Grows the counts so that they cover the seconds `low` to `high`."""
+    def _extend_to(self, low: int, high: int) -> None:
+        """Extends `counts` to cover the seconds from `low` to `high`."""
         begin = min(self.first_second, low)
         end = max(self.first_second + len(self.counts), high + 1)
         if end - begin > MAX_SPAN_S:
             raise TraceError(
-                f"the requests span {(end - begin) / DAY_S:.0f} days: times that far apart cannot be one trace"
+                f"the requests span {(end - begin) / DAY_S:.0f} days; the limit is {MAX_SPAN_S / DAY_S:.0f} days"
             )
         if begin < self.first_second or end > self.first_second + len(self.counts):
             grown = np.zeros(max(end - begin, 2 * len(self.counts)), dtype=np.uint32)
@@ -70,41 +74,43 @@
 
 
 class Trace:
-    """One trace's files, ready to be read: the reader, the planner and the classes."""
+    """The files of a trace with the reader, planner and request classes for them."""
 
     def __init__(
         self,
         paths: Sequence[Path],
-        wanted: str | None = None,
+        format_name: str | None = None,
         mapping: Mapping | None = None,
-        window: float = DEFAULT_WINDOW_S,
-        late: str = "drop",
+        window_s: float = DEFAULT_WINDOW_S,
+        late_mode: str = "drop",
         seed: int = 1,
-        block: int = BLOCK_BYTES,
+        block_bytes: int = BLOCK_BYTES,
         progress: Callable[[int], None] | None = None,
     ) -> None:
-        """`wanted` names the format in place of recognising it; `block` is in bytes.
+        """Opens no file yet, except to find the header of the format `generic`.
 
-        Raises TraceError for options that do not go together.
+        `format_name` replaces the recognition of the format. Raises TraceError for invalid options.
         """
         generic: tuple[Format | None, bool] = (None, False)
-        if wanted == "generic" or (wanted is None and mapping is not None and mapping.columns is not None):
+        if format_name == "generic" or (
+            format_name is None and mapping is not None and mapping.columns is not None
+        ):
             generic = _generic_format_of(paths[0], mapping)
         self.mapping = mapping
         self.seed = seed
-        self.reader = TraceReader(paths, wanted, window, late, *generic, block, progress)
+        self.reader = TraceReader(paths, format_name, window_s, late_mode, *generic, block_bytes, progress)
         self.classes: TraceClasses | None = None
         self.planner: RequestPlanner | None = None
 
     def requests(self) -> Iterator[pl.DataFrame]:
-        """Yields frames of requests; after each, `planner.durations` holds the work that the block tells by key."""
+        """Yields frames of requests; after each, `planner.durations` has the work by key that its block contains."""
         frames = self.reader.frames()
-        # The next block is put in order while this one is planned.
+        # The reader orders the next block in a thread while this one is planned.
         with ThreadPoolExecutor(1) as executor:
-            coming = executor.submit(next, frames, None)
-            while (found := coming.result()) is not None:
-                coming = executor.submit(next, frames, None)
-                trace_format, file_number, frame = found
+            pending = executor.submit(next, frames, None)
+            while (ordered := pending.result()) is not None:
+                pending = executor.submit(next, frames, None)
+                trace_format, file_number, frame = ordered
                 if self.planner is None:
                     self.classes = classes_for(trace_format.name, self.mapping)
                     self.planner = RequestPlanner(self.classes, self.seed, self.mapping)
@@ -113,14 +119,14 @@
 
 def _generic_format_of(path: Path, mapping: Mapping | None) -> tuple[Format, bool]:
     if mapping is None:
-        raise TraceError("the format generic needs --mapping FILE with [columns]")
+        raise TraceError("the format generic requires --mapping FILE with [columns]")
     _, block = next(read_blocks(path), (1, b""))
     first_line = block.split(b"\n", 1)[0].decode(errors="replace")
     return generic_format(path, mapping, first_line)
 
 
 class _RequestCounts:
-    """Requests by class, rates and work, added up over the frames of a trace."""
+    """Requests by class, request rates and work, summed over the frames of a trace."""
 
     def __init__(self) -> None:
         self.rates = RequestRates()
@@ -141,7 +147,7 @@
 
 
 def inspect(trace: Trace) -> dict[str, Any]:
-    """Returns the report of `trace inspect`. Raises TraceError for a trace that cannot be used."""
+    """Returns the report of `harecross trace inspect`. Raises TraceError for a trace that cannot be used."""
     counts = _RequestCounts()
     for frame in trace.requests():
         assert trace.classes is not None
@@ -177,7 +183,7 @@
 
 def _class_rows(classes: TraceClasses, counts: _RequestCounts) -> dict[str, dict[str, Any]]:
     rows = {}
-    for index, (name, mapping) in enumerate(zip(classes.names, classes.maps, strict=True)):
+    for index, (name, mapping) in enumerate(zip(classes.names, classes.mappings, strict=True)):
         requests = int(counts.by_class[index]) if len(counts.by_class) else 0
         rows[name] = {
             "requests": requests,
--- a/tests/replay_support.py
+++ b/tests/replay_support.py
@@ -1,4 +1,4 @@
-"""Request classes that the tests of replays share."""
+"""Request classes shared by the tests of replays."""
 
 from __future__ import annotations
 
--- a/tests/test_replay_accounting.py
+++ b/tests/test_replay_accounting.py
@@ -1,4 +1,4 @@
-"""The accounting of a replay: the service level, retries, and sums that hold whatever happens."""
+"""Tests of the request accounting of a replay: service level, retries and consistent counts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
     accounting = RequestAccounting([READ, PUT], 1_000_000)
     for number, class_index in enumerate((0, 0, 1, 1)):
         accounting.request_due(number, class_index, due_us=100)
-    assert accounting.finish(0, 1_000_100, Disposition.IN_TIME) == Disposition.IN_TIME  # to the microsecond
+    assert (
+        accounting.finish(0, 1_000_100, Disposition.IN_TIME) == Disposition.IN_TIME
+    )  # exactly at the objective
     assert accounting.finish(1, 1_000_101, Disposition.IN_TIME) == Disposition.LATE
     accounting.finish(2, 200, Disposition.IN_TIME)
     accounting.finish(3, 200, Disposition.SHED)
@@ -27,7 +29,7 @@
 
 
 def test_a_retry_counts_under_its_first_attempt():
-    """Counted as a new request, one that was shed once and then served would make two, half of them served."""
+    """If a retry counted as a request, one that is shed and then served would be two, of which half are served."""
     accounting = RequestAccounting([READ], 1_000_000)
     accounting.request_due(0, 0, 0)
     accounting.attempt_sent(0)
@@ -40,14 +42,14 @@
 def test_a_request_starts_once_and_finishes_once():
     accounting = RequestAccounting([READ], 1_000_000)
     accounting.request_due(0, 0, 0)
-    with pytest.raises(ValueError, match="request 0 is started twice"):
+    with pytest.raises(ValueError, match="request 0 is already open"):
         accounting.request_due(0, 0, 0)
     accounting.finish(0, 1, Disposition.FAILED)
     with pytest.raises(KeyError):
         accounting.finish(0, 2, Disposition.IN_TIME)
 
 
-def test_a_sum_that_does_not_hold_is_reported():
+def test_inconsistent_counts_are_reported():
     accounting = RequestAccounting([READ], 1_000_000)
     accounting.request_due(0, 0, 0)
     accounting.by_class[0].counts[Disposition.OPEN] -= 1
@@ -61,7 +63,7 @@
         max_size=60,
     )
 )
-def test_the_sums_hold_whatever_happens(requests):
+def test_counts_are_consistent_after_any_sequence_of_requests(requests):
     accounting = RequestAccounting([READ, PUT], 700_000)
     for number, (class_index, due_us, disposition, attempts) in enumerate(requests):
         accounting.request_due(number, class_index, due_us)
@@ -79,10 +81,16 @@
     ("disposition", "idempotency", "attempts", "retry_after_us", "delay_us"),
     [
         (Disposition.SHED, Idempotency.NON_IDEMPOTENT, 1, None, 100),
-        (Disposition.SHED, Idempotency.IDEMPOTENT, 1, 5000, 5000),  # not before the Retry-After
+        (
+            Disposition.SHED,
+            Idempotency.IDEMPOTENT,
+            1,
+            5000,
+            5000,
+        ),  # the Retry-After is longer than the backoff
         (Disposition.FAILED, Idempotency.NON_IDEMPOTENT, 1, None, None),
         (Disposition.FAILED, Idempotency.IDEMPOTENCY_KEY, 1, None, 100),
-        (Disposition.SHED, Idempotency.IDEMPOTENT, 2, None, None),  # its retries are used up
+        (Disposition.SHED, Idempotency.IDEMPOTENT, 2, None, None),  # all retries are used
     ],
 )
 def test_clients_retry_only_what_may_be_repeated(
--- a/tests/test_replay_clients.py
+++ b/tests/test_replay_clients.py
@@ -1,4 +1,4 @@
-"""Open-loop clients against one scripted node."""
+"""Tests of the open-loop clients against a scripted node."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def send_to(serve, arrivals: list[Arrival], request_class: RequestClass = READ) -> OpenLoopGenerator:
-    """Sends a plan to a node that `serve` plays."""
+    """Sends requests to a node that is simulated by `serve`."""
 
     async def body() -> OpenLoopGenerator:
         server, address = await listen(serve)
@@ -80,8 +80,8 @@
     assert generator.accounting.total.counts[Disposition.FAILED] == 1
 
 
-def test_a_silent_node_costs_the_deadline_and_delays_no_other_request():
-    """Open loop: the second request goes out while the first has no answer."""
+def test_a_request_without_a_response_fails_at_its_deadline_and_delays_no_other():
+    """An open-loop client sends the second request while the first has no response."""
     arrived = 0
 
     async def serve(reader, writer) -> None:
@@ -92,14 +92,14 @@
             writer.write(answer(200, b"ok"))
         await reader.read()
 
-    quick = RequestClass("read", Idempotency.IDEMPOTENT, 1.0, 200_000, 400_000)
-    generator = send_to(serve, [Arrival(0, 0, 1), Arrival(1000, 0, 1)], quick)
+    short_deadline_class = RequestClass("read", Idempotency.IDEMPOTENT, 1.0, 200_000, 400_000)
+    generator = send_to(serve, [Arrival(0, 0, 1), Arrival(1000, 0, 1)], short_deadline_class)
     counts = generator.accounting.total.counts
     assert arrived == 2
     assert (counts[Disposition.FAILED], counts[Disposition.IN_TIME]) == (1, 1)
 
 
-def test_a_node_that_cannot_be_reached_is_a_failure_and_not_a_hang():
+def test_a_request_to_an_unreachable_node_fails_without_blocking():
     async def body() -> OpenLoopGenerator:
         server, address = await listen(lambda reader, writer: None)
         server.close()
--- a/tests/test_replay_plan.py
+++ b/tests/test_replay_plan.py
@@ -1,4 +1,4 @@
-"""From a trace to the plan of a replay."""
+"""Tests of planning a replay from a trace."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from harecross.replay.plan import Event, EventAction, ReplayOptions, plan_replay, read_event
+from harecross.replay.plan import Event, EventAction, ReplayOptions, parse_event, plan_replay
 from harecross.traces.row_tally import TraceError
 from harecross.traces.summary import Trace
 
@@ -21,13 +21,13 @@
     return plan_replay(opener(*names), ReplayOptions(**options))
 
 
-def test_without_options_the_whole_trace_is_sent_at_its_own_rate():
+def test_by_default_the_whole_trace_is_sent_at_its_own_rate():
     whole = plan("google_tasks.csv")
     assert whole.due_us == [0, 100_000, 300_000, 500_000, 900_000]
     assert whole.class_index == [3, 0, 0, 2, 3]
 
 
-def test_twice_the_speed_halves_the_times_and_leaves_the_work():
+def test_twice_the_speed_halves_the_times_and_keeps_the_work():
     whole, twice = plan("google_tasks.csv"), plan("google_tasks.csv", speed=2)
     assert twice.due_us == [due_us // 2 for due_us in whole.due_us]
     assert twice.work_us == whole.work_us
@@ -36,17 +36,24 @@
 def test_a_part_is_chosen_by_start_and_length():
     part = plan("google_tasks.csv", start_s=0.1, length_s=0.4)
     assert part.due_us == [0, 200_000]
-    assert part.requests_left_out == 3  # the request at 0.5 s is just beyond the part
+    assert part.requests_left_out == 3  # the end of the part, 0.5 s, is exclusive, and a request is due then
 
 
 def test_a_task_without_a_duration_has_the_mean_of_its_class_or_of_all():
-    """SCHEDULE to FINISH of job 2 are 400 ms, the only one known: its class has that, and all others the mean."""
+    """The only known duration is that of job 2, 400 ms from SCHEDULE to FINISH, so every class has this mean."""
     assert plan("google_tasks.csv", mean_work_ms=10).work_us == [10_000] * 5
 
 
 def test_a_calls_work_is_that_of_the_callee():
     calls = plan("ms_calls.csv", mean_work_ms=22.5)
-    assert sorted(calls.work_us) == [8000, 9000, 10_000, 33_000, 35_000, 40_000]  # the callee's 10 ms, not 12
+    assert sorted(calls.work_us) == [
+        8000,
+        9000,
+        10_000,
+        33_000,
+        35_000,
+        40_000,
+    ]  # the callee's record has 10 ms, the caller's 12 ms
 
 
 def test_a_functions_work_is_the_mean_duration_of_its_key():
@@ -72,7 +79,7 @@
     ("name", "start_s", "message"),
     [
         ("google_tasks.csv", 100, "no request in the part"),
-        ("google_machines.csv", 1, "no row makes a request"),
+        ("google_machines.csv", 1, "the trace contains no request"),
     ],
 )
 def test_a_part_without_a_request_is_an_error(name, start_s, message):
@@ -80,14 +87,14 @@
         plan(name, start_s=start_s)
 
 
-def test_an_event_is_read():
-    assert read_event("1.5:slow:s0:8") == Event(1_500_000, EventAction.SLOW, "s0", 8.0)
-    assert read_event("2:kill-node:n1") == Event(2_000_000, EventAction.KILL_NODE, "n1")
+def test_an_event_is_parsed():
+    assert parse_event("1.5:slow:s0:8") == Event(1_500_000, EventAction.SLOW, "s0", 8.0)
+    assert parse_event("2:kill-node:n1") == Event(2_000_000, EventAction.KILL_NODE, "n1")
 
 
 @pytest.mark.parametrize(
     "text", ["x:kill:s0", "1:burn:s0", "1:add:s0", "1:slow:s0", "1:kill:s0:2", "-1:kill:s0", "1:kill", ""]
 )
-def test_an_event_of_another_form_is_an_error(text):
+def test_an_event_with_invalid_syntax_is_an_error(text):
     with pytest.raises(ValueError, match="WHAT is remove, kill, drain, slow, hang, kill-node, stop-node"):
-        read_event(text)
+        parse_event(text)
--- a/tests/test_replay_runs.py
+++ b/tests/test_replay_runs.py
@@ -1,4 +1,4 @@
-"""Whole replays on real nodes in which something goes wrong: the sums hold in each."""
+"""Replays on real nodes with faults; the counts of the report must be consistent in each."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return [Arrival(int(i * 1e6 / rate), i % 2, WORK_US) for i in range(int(rate * seconds))]
 
 
-def play(*events: Event) -> dict:
-    """Plays events on two nodes and three servers, and checks that the report's sums hold."""
+def replay(*events: Event) -> dict:
+    """Runs a replay with events on two nodes and three servers, and checks that the report's counts are consistent."""
     arrivals = steady_arrivals(REQUESTS_PER_SECOND, SECONDS)
     run = uvloop.run(run_replay(arrivals, [READ, PUT], [["s0", "s1", "s2"]], 2, list(events)))
     report = replay_report(run)
@@ -30,22 +30,22 @@
         for key in ("asked", *DISPOSITION_KEYS):
             assert sum(row[key] for row in rows) == report[key]
     assert report["worth_asked"] == 900
-    # A key takes effect at most once, and at least as often as its requests were served.
+    # Each idempotency key takes effect at most once, and at least for every request that was served.
     put = report["by_class"]["put"]
     assert put["served_in_time"] + put["served_late"] <= run.effects <= put["asked"]
     return report
 
 
-def test_a_node_that_is_killed_leaves_sums_that_hold():
-    report = play(Event(500_000, EventAction.KILL_NODE, "n0"))
+def test_the_counts_are_consistent_after_a_node_is_killed():
+    report = replay(Event(500_000, EventAction.KILL_NODE, "n0"))
     assert [(node["name"], node["alive"]) for node in report["nodes"]] == [("n0", False), ("n1", True)]
     assert report["events"] == [{"at_s": 0.5, "what": "kill-node", "name": "n0", "done": True}]
     assert report["served_in_time"] >= 200
     assert report["samples"][-1]["nodes"] == 1
 
 
-def test_a_slow_server_and_one_that_drains_are_reported_and_the_drain_is_kept():
-    report = play(Event(300_000, EventAction.SLOW, "s0", 20.0), Event(800_000, EventAction.DRAIN, "s1"))
+def test_a_slow_and_a_draining_server_are_reported_and_the_drain_takes_effect():
+    report = replay(Event(300_000, EventAction.SLOW, "s0", 20.0), Event(800_000, EventAction.DRAIN, "s1"))
     assert [event["what"] for event in report["events"]] == ["slow", "drain"]
     assert report["events"][0]["factor"] == 20.0
     assert report["servers"]["s1"]["latest_after_told_us"] <= 250_000
@@ -56,14 +56,14 @@
     assert "drain s1" in page
 
 
-def test_a_server_that_is_killed_and_one_that_hangs():
-    report = play(Event(300_000, EventAction.KILL, "s0"), Event(600_000, EventAction.HANG, "s1"))
+def test_most_requests_are_served_after_a_server_is_killed_and_another_hangs():
+    report = replay(Event(300_000, EventAction.KILL, "s0"), Event(600_000, EventAction.HANG, "s1"))
     assert report["served_in_time"] >= 200
     assert all(event["done"] for event in report["events"])
 
 
-def test_an_event_that_cannot_be_played_is_reported_and_the_run_goes_on():
-    report = play(Event(100_000, EventAction.DRAIN, "s9"), Event(200_000, EventAction.KILL_NODE, "n9"))
+def test_an_event_that_fails_is_reported_and_the_run_continues():
+    report = replay(Event(100_000, EventAction.DRAIN, "s9"), Event(200_000, EventAction.KILL_NODE, "n9"))
     assert [(event["done"], event["error"]) for event in report["events"]] == [
         (False, "\"no server named 's9'\""),
         (False, "no node named 'n9'"),
