--- a/benchmarks/node_start.py
+++ b/benchmarks/node_start.py
@@ -1,4 +1,4 @@
-"""Start time and resident memory of a node, this checkout against another one, in turn.
+"""Measures the start time and resident memory of a node, alternating between this checkout and another one.
 
 python benchmarks/node_start.py [--other FOLDER] [--runs 15]
 """
@@ -18,23 +18,23 @@
 CLASSES = [{"name": "read", "effect": "free", "goal_time": 1_000_000, "hard_limit": 2_500_000, "worth": 1}]
 
 
-def start(folder: Path, config: Path) -> tuple[float, float]:
-    """Milliseconds until it listens, and resident megabytes then."""
+def measure_start(folder: Path, config: Path) -> tuple[float, float]:
+    """Starts a node; returns the milliseconds until it listens, and its resident megabytes at that time."""
     env = {**os.environ, "LB_CONFIG": str(config), "PYTHONPATH": str(folder)}
     env.pop("HARECROSS_CONFIG", None)
-    began = time.perf_counter()
+    started = time.perf_counter()
     node = subprocess.Popen(
         [sys.executable, "-m", "harecross.node"], cwd=folder, env=env, stderr=subprocess.PIPE, text=True
     )
     assert node.stderr is not None
     while "listening on" not in node.stderr.readline():
         pass
-    took = (time.perf_counter() - began) * 1000
+    elapsed_ms = (time.perf_counter() - started) * 1000
     status = Path(f"/proc/{node.pid}/status").read_text()
-    resident = int(status.split("VmRSS:")[1].split()[0]) / 1024
+    resident_mb = int(status.split("VmRSS:")[1].split()[0]) / 1024
     node.kill()
     node.wait()
-    return took, resident
+    return elapsed_ms, resident_mb
 
 
 def main() -> None:
@@ -46,7 +46,7 @@
 
     here = Path(__file__).resolve().parent.parent
     folders = {"this": here, **({"other": args.other.resolve()} if args.other else {})}
-    found: dict[str, list[tuple[float, float]]] = {name: [] for name in folders}
+    samples: dict[str, list[tuple[float, float]]] = {name: [] for name in folders}
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "c.json"
         config.write_text(
@@ -59,9 +59,9 @@
         )  # fmt: skip
         for _ in range(args.runs):
             for name, path in folders.items():
-                found[name].append(start(path, config))
+                samples[name].append(measure_start(path, config))
     print(f"{os.cpu_count()} cores, {args.runs} runs each, in turn; medians")
-    for name, runs in found.items():
+    for name, runs in samples.items():
         print(
             f"{name}: listens after {statistics.median(r[0] for r in runs):.0f} ms "
             f"({min(r[0] for r in runs):.0f} to {max(r[0] for r in runs):.0f}), "
--- a/benchmarks/replay_rate.py
+++ b/benchmarks/replay_rate.py
@@ -1,8 +1,8 @@
-"""How late the load generator is at a rate, and the highest rate at which a replay stays valid.
+"""Measures how late the load generator is at a given rate, and searches for the highest rate with a valid replay.
 
     python benchmarks/replay_rate.py [--rate 1000] [--seconds 60] [--search]
 
-The nodes, the servers and the generator share this machine's cores, as they do in a replay.
+The nodes, the servers and the load generator share the cores of this machine, as they do in any replay.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 def arrivals(rate: float, seconds: float) -> Iterator[Arrival]:
-    rng, at = Random(1), 0.0
-    while (at := at + rng.expovariate(rate)) < seconds:
-        yield Arrival(int(at * 1e6), 0, WORK_US)
+    rng, due_s = Random(1), 0.0
+    while (due_s := due_s + rng.expovariate(rate)) < seconds:
+        yield Arrival(int(due_s * 1e6), 0, WORK_US)
 
 
-def play(rate: float, seconds: float, nodes: int) -> dict[str, Any]:
+def replay(rate: float, seconds: float, nodes: int) -> dict[str, Any]:
     servers = [f"s{i}" for i in range(max(4, int(rate * WORK_US / 1e6 / 8 / 0.5) + 1))]
     return replay_report(uvloop.run(run_replay(arrivals(rate, seconds), CLASSES, [servers], nodes, [])))
 
@@ -48,13 +48,14 @@
     print(f"{os.cpu_count()} cores, {args.nodes} nodes")
     rate = args.rate
     while True:
-        told = play(rate, args.seconds, args.nodes)
+        report = replay(rate, args.seconds, args.nodes)
         print(
-            f"{rate:,.0f} a second for {args.seconds:g} s: lateness p99 {told['lateness_ms']['p99']} ms, p99.9 "
-            f"{told['lateness_ms']['p999']} ms, service {told['service']}, {'valid' if told['valid'] else 'NOT valid'}",
+            f"{rate:,.0f} a second for {args.seconds:g} s: lateness p99 {report['lateness_ms']['p99']} ms, p99.9 "
+            f"{report['lateness_ms']['p999']} ms, service {report['service']}, "
+            f"{'valid' if report['valid'] else 'NOT valid'}",
             flush=True,
         )
-        if not args.search or not told["valid"]:
+        if not args.search or not report["valid"]:
             return
         rate *= 1.5
 
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -1,12 +1,13 @@
-"""What several sources cost, and how soon a change counts.
+"""Measures the cost of several membership sources, and the delay until a change takes effect.
 
     python benchmarks/sources.py [--names 500] [--boxes 200] [--instances 1000]
 
-Three measurements, each in this process and on loopback or a virtual clock:
-- `ledger`: `--names` SRV names of `--boxes` boxes each, beside a watch that lists every box; CPU for the first list,
-  for one name that changes a tenth of its boxes, and for a step in which nothing changes; memory.
-- `change`: from the moment a DNS server's record changes to the node's decision module having the box, beside the TTL.
-- `evenness`: `--instances` resolvers with the same set, questions a second over an hour of virtual time.
+All measurements run in this process, on loopback or with a virtual clock:
+- `ledger`: the CPU time and memory for `--names` SRV names with `--boxes` endpoints each and a watch that lists all
+  endpoints. CPU time is measured for the first list, for a change of a tenth of one name's endpoints, and for a step
+  without changes.
+- `change`: the delay from a change of a DNS record until the node's endpoint registry has the endpoint, for each TTL.
+- `evenness`: the queries per second of `--instances` resolvers of the same name over an hour of virtual time.
 """
 
 from __future__ import annotations
@@ -37,12 +38,12 @@
 
 
 class CountingHost:
-    """A host that counts the lines it gets."""
+    """A host that counts the instances in the updates it receives."""
 
-    lines = 0
+    instances = 0
 
     def apply(self, update: dict, *, cached: bool = False, full: bool = False) -> None:
-        self.lines += len(update["instances"])
+        self.instances += len(update["instances"])
 
     def unhealthy(self) -> set[str]:
         return set()
@@ -54,62 +55,62 @@
         pass
 
 
-def ledger(names: int, boxes: int) -> dict[str, float]:
-    """CPU seconds and megabytes; the host is told, and does nothing with it."""
+def measure_publisher(names: int, endpoints: int) -> dict[str, float]:
+    """Returns the CPU times and the memory of a publisher whose host only counts the instances it receives."""
     host = CountingHost()
-    base = memory_mb()
+    base_mb = memory_mb()
     publisher = MembershipPublisher(host)
-    sets = []
+    endpoint_lists = []
     for n in range(names):
         publisher.reconciler.add_source(f"srv:{n}", 1)
-        sets.append(
+        endpoint_lists.append(
             [
                 SrvEndpoint(0, f"b{b}.n{n}.", f"10.{n >> 8}.{n & 255}.{b & 255}", 1000 + (b >> 8), 1)
-                for b in range(boxes)
+                for b in range(endpoints)
             ]
         )
     watch = [
         {"instanceId": f"{n}-{b}", "hostPort": f"{e.address}:{e.port}", "lifecycle": "in_service"}
-        for n, found in enumerate(sets)
-        for b, e in enumerate(found)
+        for n, listed in enumerate(endpoint_lists)
+        for b, e in enumerate(listed)
     ]
-    began = time.process_time()
+    started_at = time.process_time()
     publisher.update_watch(0.0, 0.0, {"reset": True, "instances": watch}, cached=False, full=True)
-    for n, found in enumerate(sets):
-        publisher.update_source(0.0, f"srv:{n}", srv_statements(found))
+    for n, listed in enumerate(endpoint_lists):
+        publisher.update_source(0.0, f"srv:{n}", srv_statements(listed))
     publisher.publish_changes(0.0, 0.0)
-    first = time.process_time() - began
-    held = memory_mb() - base
-    changes = []
+    first_s = time.process_time() - started_at
+    used_mb = memory_mb() - base_mb
+    change_times = []
     for i in range(20):
-        found = sets[i % names]
-        kept = found[boxes // 10 :] if i % 2 else found
-        began = time.process_time()
+        listed = endpoint_lists[i % names]
+        kept = listed[endpoints // 10 :] if i % 2 else listed
+        started_at = time.process_time()
         publisher.update_source(100.0 + i, f"srv:{i % names}", srv_statements(kept))
         publisher.publish_changes(100.0 + i, 100.0)
-        changes.append(time.process_time() - began)
-    began = time.process_time()
+        change_times.append(time.process_time() - started_at)
+    started_at = time.process_time()
     for i in range(100):
         publisher.publish_changes(200.0 + i / 100, 200.0)
-    idle = (time.process_time() - began) / 100
+    idle_s = (time.process_time() - started_at) / 100
     return {
-        "boxes": names * boxes, "first_s": round(first, 3), "one_name_ms": round(1000 * median(changes), 2),
-        "nothing_ms": round(1000 * idle, 3), "memory_mb": round(held, 1), "lines_told": host.lines,
+        "boxes": names * endpoints, "first_s": round(first_s, 3), "one_name_ms": round(1000 * median(change_times), 2),
+        "nothing_ms": round(1000 * idle_s, 3), "memory_mb": round(used_mb, 1), "lines_told": host.instances,
     }  # fmt: skip
 
 
-def evenness(instances: int, ttl: float = 60.0) -> dict[str, float]:
-    """Questions a second over an hour, all instances started in one second; the first ten minutes left out."""
-    rng, asked = Random(1), Counter[int]()
+def measure_query_evenness(instances: int, ttl: float = 60.0) -> dict[str, float]:
+    """Returns the queries per second of instances that start in the same second, without the first ten minutes."""
+    rng, queries = Random(1), Counter[int]()
     names = [CachedName(CacheLimits(), rng, 0.0) for _ in range(instances)]
-    found = SrvAnswer((SrvEndpoint(0, "a.", "10.0.0.1", 80, 1),), ttl)
+    answer = SrvAnswer((SrvEndpoint(0, "a.", "10.0.0.1", 80, 1),), ttl)
     for now in range(3600):
         for name in names:
             if name.due(now):
                 name.refresh_started()
-                name.receive_answer(float(now), found)
-                asked[now] += 1
-    counts = [asked[t] for t in range(600, 3600)]
+                name.receive_answer(float(now), answer)
+                queries[now] += 1
+    counts = [queries[t] for t in range(600, 3600)]
     mean = sum(counts) / len(counts)
     return {
         "ttl_s": ttl,
@@ -119,8 +120,8 @@
     }
 
 
-async def change(ttl: int, rounds: int) -> dict[str, float]:
-    """Seconds from a changed record to the box in the decision module of a real node."""
+async def measure_change_delay(ttl: int, rounds: int) -> dict[str, float]:
+    """Returns the seconds from a change of an SRV record until the endpoint is in the registry of a running node."""
     from node_support import config_dict
 
     from harecross.node.config import config_from
@@ -141,26 +142,26 @@
     )
     task = asyncio.create_task(node.run())
     await node.started.wait()
-    took, loop, rng = [], asyncio.get_running_loop(), Random(2)
+    delays, loop, rng = [], asyncio.get_running_loop(), Random(2)
     while not node.registry.listed:
         await asyncio.sleep(0.01)
     for i in range(rounds):
         await asyncio.sleep(rng.uniform(0, ttl))
-        began = loop.time()
+        started_at = loop.time()
         server.set_records(
             f"{name}.", "SRV", "0 1 1000 box.example.org.", f"0 1 {1001 + i} box.example.org.", ttl=ttl
         )
         while f"127.0.0.1:{1001 + i}" not in node.registry.numbers:
             await asyncio.sleep(0.002)
-        took.append(loop.time() - began)
+        delays.append(loop.time() - started_at)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     await node.membership.additional_sources.stop()
     server.stop()
     return {
         "ttl_s": ttl,
-        "median_s": round(median(took), 2),
-        "most_s": round(max(took), 2),
+        "median_s": round(median(delays), 2),
+        "most_s": round(max(delays), 2),
         "changes": rounds,
     }
 
@@ -171,10 +172,10 @@
     parser.add_argument("--boxes", type=int, default=200)
     parser.add_argument("--instances", type=int, default=1000)
     options = parser.parse_args()
-    print("ledger", json.dumps(ledger(options.names, options.boxes)), flush=True)
-    print("evenness", json.dumps(evenness(options.instances)), flush=True)
+    print("ledger", json.dumps(measure_publisher(options.names, options.boxes)), flush=True)
+    print("evenness", json.dumps(measure_query_evenness(options.instances)), flush=True)
     for ttl in (1, 5):
-        print("change", json.dumps(asyncio.run(change(ttl, 8))), flush=True)
+        print("change", json.dumps(asyncio.run(measure_change_delay(ttl, 8))), flush=True)
     print("peak memory of this process", resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024, "MB")
 
 
