--- a/harecross/replay/accounting.py
+++ b/harecross/replay/accounting.py
@@ -14,7 +14,7 @@
 
 from harecross.interface import Idempotency
 
-# If the load generator is later than this, the results measure the generator instead of the system.
+# If the load generator is later than this at the 99th percentile, the results measure it instead of the system.
 MAX_LATENESS_P99_US = 5_000
 
 
--- a/harecross/replay/run.py
+++ b/harecross/replay/run.py
@@ -19,6 +19,7 @@
 SAMPLE_INTERVAL_S = 0.5
 START_POLL_S = 0.001
 SLOW_START_US = 5_000_000
+# The names of the effects in a node's settings.
 WIRE_EFFECTS = {
     Idempotency.IDEMPOTENT: "free",
     Idempotency.IDEMPOTENCY_KEY: "guarded",
--- a/harecross/traces/reader.py
+++ b/harecross/traces/reader.py
@@ -141,7 +141,7 @@
         self.progress = progress
         self.tally = RowTally()
         self.formats: list[Format] = []  # the format of each file opened so far
-        self.order_states: dict[str, OrderState] = {}  # by table
+        self.order_states: dict[str, OrderState] = {}  # the order state of each table, by its name
 
     @property
     def name(self) -> str:
--- a/tests/test_hand_count.py
+++ b/tests/test_hand_count.py
@@ -126,9 +126,8 @@
     ]
     report = replay(*arguments)
     assert [(e["what"], e["name"], e["done"]) for e in report["events"]] == [("remove", "m2", True)]
-    assert (
-        abs(report["events"][0]["at_s"] - 0.2) < 0.001
-    )  # 1.4 s in the trace: 0.4 s after its first request, at twice the rate
+    # The event is at 1.4 s in the trace, which is 0.4 s after its first request and 0.2 s at twice the rate.
+    assert abs(report["events"][0]["at_s"] - 0.2) < 0.001
     assert set(report["servers"]) == {"m1", "m2", "m3"}
     assert report["asked"] == 5
     assert report["servers"]["m2"]["latest_after_told_us"] <= 250_000
--- a/tests/test_replay_accounting.py
+++ b/tests/test_replay_accounting.py
@@ -15,9 +15,8 @@
     accounting = RequestAccounting([READ, PUT], 1_000_000)
     for number, class_index in enumerate((0, 0, 1, 1)):
         accounting.request_due(number, class_index, due_us=100)
-    assert (
-        accounting.finish(0, 1_000_100, Disposition.IN_TIME) == Disposition.IN_TIME
-    )  # exactly at the objective
+    # A latency exactly at the objective is in time; one microsecond more is late.
+    assert accounting.finish(0, 1_000_100, Disposition.IN_TIME) == Disposition.IN_TIME
     assert accounting.finish(1, 1_000_101, Disposition.IN_TIME) == Disposition.LATE
     accounting.finish(2, 200, Disposition.IN_TIME)
     accounting.finish(3, 200, Disposition.SHED)
@@ -81,16 +80,12 @@
     ("disposition", "idempotency", "attempts", "retry_after_us", "delay_us"),
     [
         (Disposition.SHED, Idempotency.NON_IDEMPOTENT, 1, None, 100),
-        (
-            Disposition.SHED,
-            Idempotency.IDEMPOTENT,
-            1,
-            5000,
-            5000,
-        ),  # the Retry-After is longer than the backoff
+        # The delay is the server's Retry-After if that is longer than the backoff.
+        (Disposition.SHED, Idempotency.IDEMPOTENT, 1, 5000, 5000),
         (Disposition.FAILED, Idempotency.NON_IDEMPOTENT, 1, None, None),
         (Disposition.FAILED, Idempotency.IDEMPOTENCY_KEY, 1, None, 100),
-        (Disposition.SHED, Idempotency.IDEMPOTENT, 2, None, None),  # all retries are used
+        # The only retry has been used.
+        (Disposition.SHED, Idempotency.IDEMPOTENT, 2, None, None),
     ],
 )
 def test_clients_retry_only_what_may_be_repeated(
--- a/tests/test_replay_plan.py
+++ b/tests/test_replay_plan.py
@@ -36,7 +36,8 @@
 def test_a_part_is_chosen_by_start_and_length():
     part = plan("google_tasks.csv", start_s=0.1, length_s=0.4)
     assert part.due_us == [0, 200_000]
-    assert part.requests_left_out == 3  # the end of the part, 0.5 s, is exclusive, and a request is due then
+    # The end of the part is exclusive, so the request that is due at 0.5 s is left out.
+    assert part.requests_left_out == 3
 
 
 def test_a_task_without_a_duration_has_the_mean_of_its_class_or_of_all():
@@ -46,14 +47,8 @@
 
 def test_a_calls_work_is_that_of_the_callee():
     calls = plan("ms_calls.csv", mean_work_ms=22.5)
-    assert sorted(calls.work_us) == [
-        8000,
-        9000,
-        10_000,
-        33_000,
-        35_000,
-        40_000,
-    ]  # the callee's record has 10 ms, the caller's 12 ms
+    # One call has a callee's record of 10 ms and a caller's record of 12 ms.
+    assert sorted(calls.work_us) == [8000, 9000, 10_000, 33_000, 35_000, 40_000]
 
 
 def test_a_functions_work_is_the_mean_duration_of_its_key():
