--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -37,8 +37,8 @@
         return int(f.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-class CountingHost:
-    """A host that counts the instances in the updates it receives."""
+class CountingConsumer:
+    """A consumer that counts the instances in the updates it receives."""
 
     instances = 0
 
@@ -56,10 +56,10 @@
 
 
 def measure_publisher(names: int, endpoints: int) -> dict[str, float]:
-    """Returns the CPU times and the memory of a publisher whose host only counts the instances it receives."""
-    host = CountingHost()
+    """Returns the CPU times and the memory of a publisher whose consumer only counts the instances it receives."""
+    consumer = CountingConsumer()
     base_mb = memory_mb()
-    publisher = MembershipPublisher(host)
+    publisher = MembershipPublisher(consumer)
     endpoint_lists = []
     for n in range(names):
         publisher.reconciler.add_source(f"srv:{n}", 1)
@@ -95,7 +95,7 @@
     idle_s = (time.process_time() - started_at) / 100
     return {
         "boxes": names * endpoints, "first_s": round(first_s, 3), "one_name_ms": round(1000 * median(change_times), 2),
-        "nothing_ms": round(1000 * idle_s, 3), "memory_mb": round(used_mb, 1), "lines_told": host.instances,
+        "nothing_ms": round(1000 * idle_s, 3), "memory_mb": round(used_mb, 1), "lines_told": consumer.instances,
     }  # fmt: skip
 
 
--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -32,7 +32,7 @@
 from harecross.xds.release import ReleaseSchedule
 from harecross.xds.resources import PublishedSnapshots, ResourceEncoder
 from harecross.xds.server import ControlServer
-from harecross.xds.wire import sotw_frame
+from harecross.xds.wire import encode_sotw_resource
 from harecross.xds.worker_channel import WorkerSetup
 from harecross.xds.worker_pool import WorkerPool
 
@@ -183,7 +183,7 @@
                 )
             elif command == "frames":
                 assignments = PublishedSnapshots(encoder, release.released).for_zone("").get(EDS)
-                pipe.send(b"".join(sotw_frame(EDS, assignments[name]) for name in args[0]))
+                pipe.send(b"".join(encode_sotw_resource(EDS, assignments[name]) for name in args[0]))
             else:
                 await control.stop()
                 return
--- a/harecross/xds/delta_stream.py
+++ b/harecross/xds/delta_stream.py
@@ -1,4 +1,4 @@
-"""The incremental variant: only what differs is sent, and removals are named."""
+"""The incremental (delta) variant of a stream: a response holds the changed resources and the names of removed ones."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from harecross.xds.streams import Stream
 from harecross.xds.subscription import REMOVED, Response, Subscription, check_count, check_names
 
+# The name with which a proxy subscribes to, or unsubscribes from, all resources of a type.
 WILDCARD = frozenset(("*",))
 
 
 class DeltaStream(Stream):
-    """An incremental stream."""
+    """The protocol state of one incremental stream."""
 
     variant = "delta"
 
@@ -26,13 +27,17 @@
         initial: Mapping[str, str] | None = None,
         error: str = "",
     ) -> None:
-        """A request of the proxy: subscriptions, an ACK or NACK, or both. `initial` are versions that it has."""
+        """Handles a request: changed subscriptions, an ACK or NACK, or both.
+
+        `error` is the message of a NACK. `initial` holds the versions, by resource name, that a reconnecting proxy
+        already has.
+        """
         added = check_names(type_url, subscribe, self.max_names)
         dropped = check_names(type_url, unsubscribe, self.max_names)
-        subscription = self.types.get(type_url)
-        first = subscription is None
-        if first or error or added or dropped:
-            self.settled = False  # an ACK alone makes no response due
+        subscription = self.subscriptions.get(type_url)
+        first_request = subscription is None
+        if first_request or error or added or dropped:
+            self.up_to_date = False  # an ACK without changes makes no response due
         if subscription is None:
             subscription = self._begin(type_url, added, initial or {})
         if nonce and subscription.acknowledge(nonce, error):
@@ -40,15 +45,15 @@
                 subscription.status.refused = nonce
             else:
                 subscription.status.acked = nonce
-        self._subscribe(type_url, subscription, added, dropped, first=first)
+        self._subscribe(type_url, subscription, added, dropped, first_request=first_request)
 
     def _begin(self, type_url: str, added: frozenset[str], initial: Mapping[str, str]) -> Subscription:
-        """Takes the first request of a type."""
+        """Creates the subscription for the first request of a type."""
         subscription = Subscription(wildcard=type_url in WILDCARD_TYPES and not added)
         subscription.response_due = subscription.wildcard
         for name, version in initial.items():
             subscription.set_known(name, version)
-        self.types[type_url] = subscription
+        self.subscriptions[type_url] = subscription
         return subscription
 
     def _subscribe(
@@ -58,7 +63,7 @@
         added: frozenset[str],
         dropped: frozenset[str],
         *,
-        first: bool,
+        first_request: bool,
     ) -> None:
         if added >= WILDCARD:
             subscription.wildcard = True
@@ -69,49 +74,53 @@
         for name in dropped:
             subscription.names.discard(name)
             subscription.forget(name)
-        if not first:
+        if not first_request:
             for name in added:
-                subscription.forget(name)  # asked for again: sent again, whatever the proxy has
+                # A resource that is requested again is sent again, whatever version the proxy has.
+                subscription.forget(name)
         subscription.names |= added
         available = self.snapshot.get(type_url)
         subscription.missing |= {name for name in added if name not in available}
 
     def _respond(self, type_url: str, subscription: Subscription) -> Response | None:
-        """What differs from what the proxy has; names that do not exist are reported as removed."""
+        """Returns a response with what differs from the proxy's resources, or None if nothing is due.
+
+        Requested resources that do not exist are reported as removed.
+        """
         available = self.snapshot.get(type_url)
-        requested = self._requested(type_url, subscription)
+        requested = self._requested_names(type_url, subscription)
         due = subscription.outdated(available, requested)
         withheld = self.snapshot.withheld if type_url == EDS else frozenset()
-        gone = subscription.known.keys() - requested - withheld
+        removed = subscription.known.keys() - requested - withheld
         subscription.missing = {
             name
             for name in subscription.missing
             if name in subscription.names and name not in available and name not in withheld
         }
         self._forget_refused_removals(subscription, requested)
-        # A removal that was refused goes out again with the next thing that is new.
-        new_removals = {name for name in gone if subscription.refused.get(name) != REMOVED}
+        # A refused removal makes no response due by itself; it is sent again with the next change.
+        new_removals = {name for name in removed if subscription.refused.get(name) != REMOVED}
         new_removals |= subscription.missing
         if not due and not new_removals and not subscription.response_due:
             return None
-        return self._send_difference(type_url, subscription, due, gone | new_removals)
+        return self._send_difference(type_url, subscription, due, removed | new_removals)
 
     def _respond_urgent(self, type_url: str, subscription: Subscription, names: set[str]) -> Response | None:
-        requested = self._requested(type_url, subscription)
+        requested = self._requested_names(type_url, subscription)
         due = subscription.outdated(self.snapshot.get(type_url), requested & names)
         if not due:
             return None
         self._forget_refused_removals(subscription, requested)
         return self._send_difference(type_url, subscription, due, set())
 
-    def _requested(self, type_url: str, subscription: Subscription) -> AbstractSet[str]:
-        """The names of those resources that exist and that the proxy asked for."""
+    def _requested_names(self, type_url: str, subscription: Subscription) -> AbstractSet[str]:
+        """Returns the names of the requested resources that exist."""
         available = self.snapshot.get(type_url)
         return available.keys() if subscription.wildcard else subscription.names & available.keys()
 
     @staticmethod
     def _forget_refused_removals(subscription: Subscription, requested: AbstractSet[str]) -> None:
-        """Those of resources that are there again: their next removal is a new one."""
+        """Forgets the refused removals of resources that exist again, so that their next removal counts as new."""
         for name in [n for n, version in subscription.refused.items() if version == REMOVED]:
             if name in requested:
                 del subscription.refused[name]
--- a/harecross/xds/embedded.py
+++ b/harecross/xds/embedded.py
@@ -9,7 +9,7 @@
 from harecross.xds.publisher_loop import PublisherLoop
 from harecross.xds.resources import ResourceEncoder
 from harecross.xds.server import ControlServer
-from harecross.xds.status import rows_of, status_handler
+from harecross.xds.status import local_status_rows, status_handler
 
 
 class EmbeddedControlService:
@@ -24,7 +24,7 @@
             interval_s: The minimum time between two releases of weights, in seconds.
         """
         self.server = ControlServer(log=log_line)
-        self.server.add_handler(status_handler(rows_of(self.server), lambda names: True))
+        self.server.add_handler(status_handler(local_status_rows(self.server), lambda names: True))
         self._listen = listen
         self._cluster = cluster
         self._interval_s = interval_s
