--- a/harecross/traces/summary.py
+++ b/harecross/traces/summary.py
@@ -64,7 +64,7 @@
         end = max(self.first_second + len(self.counts), high + 1)
         if end - begin > MAX_SPAN_S:
             raise TraceError(
-                f"the requests span {(end - begin) / DAY_S:.0f} days; the limit is {MAX_SPAN_S / DAY_S:.0f} days"
+                f"the requests span {(end - begin) / DAY_S:.0f} days: these times are too far apart for one trace"
             )
         if begin < self.first_second or end > self.first_second + len(self.counts):
             grown = np.zeros(max(end - begin, 2 * len(self.counts)), dtype=np.uint32)
