--- a/harecross/soak/__main__.py
+++ b/harecross/soak/__main__.py
@@ -16,8 +16,8 @@
 from harecross.soak.planner import make_plan
 from harecross.soak.records import ClientOutcome, Records
 from harecross.soak.report import report
-from harecross.soak.run import soak
-from harecross.soak.shim import build
+from harecross.soak.run import run_soak
+from harecross.soak.shim import build_shim
 
 MAX_DELAY_S = 0.25  # of the recording process; above it a run shows nothing, since its records are too late
 VOID = -1
@@ -31,13 +31,13 @@
     lines: list[str]  # the report
 
 
-def play(seed: int, seconds: float, nodes: int, shim: Path | None) -> SeedResult:
+def run_seed(seed: int, seconds: float, nodes: int, shim: Path | None) -> SeedResult:
     """Plays one seed, with so many seconds of load on at most so many nodes."""
-    records, breaches = uvloop.run(soak(make_plan(seed, seconds, nodes), shim))
-    return judge(seed, records, breaches)
+    records, breaches = uvloop.run(run_soak(make_plan(seed, seconds, nodes), shim))
+    return summarize(seed, records, breaches)
 
 
-def judge(seed: int, records: Records, breaches: list[Breach]) -> SeedResult:
+def summarize(seed: int, records: Records, breaches: list[Breach]) -> SeedResult:
     """The result of a seed by its records and the rules that it broke."""
     requests = len(records.clients)
     counts = Counter(client.outcome for client in records.clients.values())
@@ -61,13 +61,13 @@
 def main() -> int:
     """0 if no rule was broken, 1 otherwise, 2 for bad arguments."""
     options = parse_arguments()
-    shim = build()
+    shim = build_shim()
     if shim is None:
         print("no C compiler here: system calls and clocks are left alone", flush=True)
     failed = void = 0
     with ProcessPoolExecutor(options.side_by_side) as pool:
         runs = [
-            pool.submit(play, seed, options.seconds, options.nodes, shim)
+            pool.submit(run_seed, seed, options.seconds, options.nodes, shim)
             for seed in range(options.first, options.first + options.seeds)
         ]
         for seed, run in enumerate(runs, options.first):
--- a/harecross/soak/node.py
+++ b/harecross/soak/node.py
@@ -12,9 +12,9 @@
 from harecross.soak.clients import NodeClients
 from harecross.soak.discoveries import SoakDiscovery
 from harecross.soak.plan import Plan
-from harecross.soak.records import Records, SignalRecord
+from harecross.soak.records import NodeEventRecord, Records
 from harecross.soak.servers import own_host
-from harecross.soak.shim import environment
+from harecross.soak.shim import shim_environment
 from harecross.soak.slow_start import SlowStartRules
 from harecross.standins.cluster import NodeProcess, node_settings
 
@@ -52,9 +52,9 @@
         """The present discovery."""
         return self.discoveries[-1]
 
-    def record_signal(self, text: str) -> None:
+    def record_event(self, text: str) -> None:
         """Records that something was done to the node."""
-        self._records.signals.append(SignalRecord(self.process_name, time.monotonic(), text))
+        self._records.node_events.append(NodeEventRecord(self.process_name, time.monotonic(), text))
 
     # ---- its process --------------------------------------------------------------------------------------
 
@@ -66,7 +66,7 @@
         variables = {**self._fault_variables(), "TMPDIR": str(folder)}
         self._process = NodeProcess(self.name, folder, self._config(), variables)
         self._exit_expected = False
-        self.record_signal("started")
+        self.record_event("started")
         self.discovery.begin_process(self.process_name)
         self.clients.process_name = self.process_name
         await self._process.start(None)
@@ -81,7 +81,7 @@
         if self._process_count > 1:
             # Times count from the process's start; a restarted one has the faults of the whole run alone.
             calls, clock_steps = tuple(fault for fault in calls if fault.start == 0), ()
-        return environment(self._shim, self._plan.seed, calls, clock_steps)
+        return shim_environment(self._shim, self._plan.seed, calls, clock_steps)
 
     def _config(self) -> dict[str, object]:
         return {
@@ -140,7 +140,7 @@
             process = self._process.process if self._process is not None else None
             code = process.returncode if process is not None else None
             if code is not None and not self._exit_expected:
-                crash = SignalRecord(self.process_name, time.monotonic(), f"ended by itself: {code}")
+                crash = NodeEventRecord(self.process_name, time.monotonic(), f"ended by itself: {code}")
                 self._records.crashes.append(crash)
                 return
             await asyncio.sleep(EXIT_POLL_INTERVAL_S)
@@ -160,7 +160,7 @@
         self.discoveries.append(new)
         process.path.write_text(json.dumps({**process.config, "discovery": new.address}))
         process.signal(signal.SIGHUP)
-        self.record_signal(
+        self.record_event(
             f"SIGHUP to {new.address}, {plan.delay:g} s behind until {plan.caught_up_after:.1f} s"
         )
         new.active_from = time.monotonic()
@@ -171,7 +171,7 @@
         if self._process is None or not self._process.alive:
             return
         self._process.signal(signal.SIGSTOP)
-        self.record_signal(f"held {seconds:.3f} s")
+        self.record_event(f"held {seconds:.3f} s")
         await asyncio.sleep(seconds)
         self._process.signal(signal.SIGCONT)
 
@@ -183,11 +183,11 @@
         self._exit_expected = True
         if graceful:
             process.signal(signal.SIGTERM)
-            self.record_signal("SIGTERM")
+            self.record_event("SIGTERM")
             self.clients.reconnect_for(RECONNECT_S)
             max_deadline = max(request_class.max_deadline for request_class in self._plan.classes)
             await asyncio.sleep(max_deadline + KILL_AFTER_S)
-        self.record_signal("SIGKILL")
+        self.record_event("SIGKILL")
         await process.end()
         self._store_log()
         await asyncio.sleep(RESTART_AFTER_S)
--- a/harecross/soak/oracle.py
+++ b/harecross/soak/oracle.py
@@ -104,7 +104,7 @@
     def _kill_between(self, node: str, start: float, end: float) -> float | None:
         """For a SIGKILL between two times: when SIGTERM came before, 0 if it did not. None without a SIGKILL."""
         terminated_at = 0.0
-        for signal in self._records.signals:
+        for signal in self._records.node_events:
             if signal.node != node or signal.at > end + self._slack:
                 continue
             if signal.text == "SIGTERM":
--- a/harecross/soak/records.py
+++ b/harecross/soak/records.py
@@ -92,7 +92,7 @@
     reason: str  # written by which discovery, or which term of the protocol holds
 
 
-class SignalRecord(NamedTuple):
+class NodeEventRecord(NamedTuple):
     """Something was done to a node's process, or happened to it."""
 
     node: str
@@ -108,10 +108,10 @@
     attempts: list[AttemptRecord] = field(default_factory=list)
     changes: list[EndpointChange] = field(default_factory=list)
     notifications: list[NotificationRecord] = field(default_factory=list)
-    signals: list[SignalRecord] = field(default_factory=list)
+    node_events: list[NodeEventRecord] = field(default_factory=list)
     max_delay: float = 0.0  # by which the recording process was late at most
     logs: dict[str, list[str]] = field(default_factory=dict)  # by node process
-    crashes: list[SignalRecord] = field(default_factory=list)
+    crashes: list[NodeEventRecord] = field(default_factory=list)
 
     def notified_at(self) -> dict[tuple[str, int], float]:
         """From when on each node process counts as notified of each change, by process and the change's number."""
--- a/harecross/soak/report.py
+++ b/harecross/soak/report.py
@@ -55,7 +55,7 @@
 
 def node_lines(records: Records, node: str, zero: float) -> list[str]:
     """What was done to a node, of what it was notified, and its log."""
-    signals = [signal for signal in records.signals if signal.node == node]
+    signals = [signal for signal in records.node_events if signal.node == node]
     lines = [f"signals of {node}:", *(f"  {signal.at - zero:.3f} {signal.text}" for signal in signals)]
     lines.append(f"told to {node}:")
     for notification in records.notifications:
--- a/harecross/soak/run.py
+++ b/harecross/soak/run.py
@@ -13,7 +13,7 @@
 from harecross.soak.node import SoakNode
 from harecross.soak.oracle import Breach, Oracle
 from harecross.soak.plan import ListChange, NodeAction, NodeEvent, Plan
-from harecross.soak.records import EndpointChange, Lifecycle, Records, SignalRecord
+from harecross.soak.records import EndpointChange, Lifecycle, NodeEventRecord, Records
 from harecross.soak.servers import SoakServer
 from harecross.standins.cluster import ClusterError
 
@@ -119,13 +119,13 @@
             case NodeAction.SUSPEND:
                 await node.suspend(event.duration)
             case NodeAction.SILENCE_WATCHES:
-                node.record_signal("watches muted")
+                node.record_event("watches muted")
                 node.discovery.silence_watches()
             case NodeAction.RESET_WATCHES:
-                node.record_signal("watches reset")
+                node.record_event("watches reset")
                 node.discovery.reset_watches()
             case NodeAction.DISCOVERY_DOWN:
-                node.record_signal(f"discovery down {event.duration:.1f} s")
+                node.record_event(f"discovery down {event.duration:.1f} s")
                 await node.discovery.go_down(event.duration)
             case NodeAction.STOP | NodeAction.KILL:
                 await node.restart(graceful=event.action is NodeAction.STOP)
@@ -143,12 +143,12 @@
             self.records.max_delay = max(self.records.max_delay, time.monotonic() - due)
 
 
-async def soak(plan: Plan, shim: Path | None) -> tuple[Records, list[Breach]]:
+async def run_soak(plan: Plan, shim: Path | None) -> tuple[Records, list[Breach]]:
     """Plays a plan and judges it. A node that does not start is a breach."""
     with tempfile.TemporaryDirectory(prefix="harecross-soak-") as folder:
         run = Soak(plan, Path(folder), shim)
         try:
             await run.run()
         except ClusterError as error:
-            run.records.crashes.append(SignalRecord("", time.monotonic(), str(error)))
+            run.records.crashes.append(NodeEventRecord("", time.monotonic(), str(error)))
     return run.records, Oracle(run.records).breaches()
--- a/harecross/soak/shim.py
+++ b/harecross/soak/shim.py
@@ -50,7 +50,7 @@
     return shutil.which("cc") or shutil.which("gcc")
 
 
-def build(folder: Path | None = None) -> Path | None:
+def build_shim(folder: Path | None = None) -> Path | None:
     """The compiled shim, None where it cannot be built. `folder` is a new temporary one by default."""
     command = compiler()
     if command is None or not os.path.exists("/proc/self/fd"):
@@ -64,7 +64,7 @@
     return target if compilation.returncode == 0 else None
 
 
-def environment(
+def shim_environment(
     shim: Path, seed: int, calls: Iterable[CallFault] = (), clock: Iterable[ClockStep] = ()
 ) -> dict[str, str]:
     """The environment variables of a process that is to have these faults."""
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -46,9 +46,9 @@
     ClientRecord,
     EndpointChange,
     Idempotency,
+    NodeEventRecord,
     NotificationRecord,
     Records,
-    SignalRecord,
 )
 from harecross.sources.cache_file import CachedSet, write_cache_file
 from harecross.store.store import Store
@@ -336,7 +336,7 @@
         EndpointChange(100.65, "s0", "terminating", 0),
     ]
     records.notifications.append(NotificationRecord("n0", 2, 100.75, "written by 10.0.0.1:8500"))
-    records.signals.append(SignalRecord("n0", 100.25, "held 0.050 s"))
+    records.node_events.append(NodeEventRecord("n0", 100.25, "held 0.050 s"))
     records.logs["n0"] = ["harecross: listening on 127.0.0.1:8081"]
     records.max_delay = 0.004
     return records
@@ -348,8 +348,8 @@
         return records, Oracle(records).breaches()
 
     with monkeypatch.context() as patch:
-        patch.setattr(soak_main, "soak", play)
+        patch.setattr(soak_main, "run_soak", play)
         patch.setattr(time, "strftime", lambda form: "20231114T221320")
-        result = soak_main.play(SEED, 8.0, 1, None)
+        result = soak_main.run_seed(SEED, 8.0, 1, None)
         assert result.breaches > 0
         soak_main.store_report(folder, SEED, result.lines)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,12 +19,12 @@
     EndpointChange,
     Idempotency,
     Lifecycle,
+    NodeEventRecord,
     NotificationRecord,
     Records,
-    SignalRecord,
 )
 from harecross.soak.report import report
-from harecross.soak.run import soak
+from harecross.soak.run import run_soak
 
 SEEDS = [1, 4, 5, 12, 17, 36]
 
@@ -32,12 +32,12 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_short_soak_breaks_no_rule(seed, tmp_path):
     """A seed gives the same plan every time; which request meets which fault is the machine's."""
-    records, breaches = uvloop.run(soak(make_plan(seed), shim_module.build(tmp_path)))
+    records, breaches = uvloop.run(run_soak(make_plan(seed), shim_module.build_shim(tmp_path)))
     assert not breaches, "\n".join(report(records, breaches))
     answered = sum(client.outcome is ClientOutcome.ANSWERED for client in records.clients.values())
     assert answered > 0.5 * len(records.clients) > 50
     assert records.notifications
-    assert records.signals
+    assert records.node_events
 
 
 def test_a_seed_gives_the_same_plan_every_time_and_plans_keep_to_the_protocol():
@@ -112,7 +112,9 @@
     ],
 )
 def test_a_request_without_an_answer_in_time_is_lost_unless_a_kill_ended_it(client, signals, broken):
-    rules = broken_rules(client=client, signals=[SignalRecord("n.1", at, text) for text, at in signals])
+    rules = broken_rules(
+        client=client, node_events=[NodeEventRecord("n.1", at, text) for text, at in signals]
+    )
     assert rules == ([Rule.LOST] if broken else [])
 
 
@@ -157,7 +159,7 @@
 
 def test_bounds_are_wider_by_the_records_delay_and_a_crash_is_a_breach():
     assert broken_rules(replace(ATTEMPT, timeout=1.11), max_delay=0.02) == []
-    crash = SignalRecord("n.1", 3.0, "ended by itself: 1")
+    crash = NodeEventRecord("n.1", 3.0, "ended by itself: 1")
     assert broken_rules(ATTEMPT, crashes=[crash]) == [Rule.CRASH]
 
 
@@ -165,7 +167,7 @@
     drain = EndpointChange(5.0, "s", "terminating", 0)
     notification, signal = (
         NotificationRecord("n.1", 1, 9.0, "written, d:1"),
-        SignalRecord("n.1", 8.0, "SIGHUP to d:1"),
+        NodeEventRecord("n.1", 8.0, "SIGHUP to d:1"),
     )
     records = Records(
         {"r": CLIENT}, [ATTEMPT], [IN_SERVICE, drain], [notification], [signal], logs={"n.1": ["a line"]}
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,7 +12,7 @@
 import pytest
 from node_support import Client, ScriptedServer, config_dict, entry, run
 
-from harecross.soak.shim import CUT_SHORT, DELAYED, CallFault, build, environment
+from harecross.soak.shim import CUT_SHORT, DELAYED, CallFault, build_shim, shim_environment
 from harecross.standins.cluster import NodeProcess
 from harecross.standins.discovery import StandinDiscovery
 from harecross.standins.http import answer, read_message
@@ -23,7 +23,7 @@
 
 @pytest.fixture(scope="session")
 def shim(tmp_path_factory) -> Path:
-    built = build(tmp_path_factory.mktemp("shim"))
+    built = build_shim(tmp_path_factory.mktemp("shim"))
     if built is None:
         pytest.skip("no C compiler here: the fault shim cannot be built")
     return built
@@ -101,7 +101,7 @@
     config = config_dict(
         catalog.address, {"classes": classes}, limits={"sockets": 1024}, known=catalog.full_list(), **more
     )
-    node = NodeProcess("n0", folder, config, environment(shim, seed, faults))
+    node = NodeProcess("n0", folder, config, shim_environment(shim, seed, faults))
     try:
         await node.start(None)
         yield FaultyNode(node, origins, catalog)
@@ -218,7 +218,7 @@
         config = config_dict(catalog.address, admin="127.0.0.1:0", known=catalog.full_list())
         state_folder = tmp_path / "lasting"
         state_folder.mkdir()
-        faults = environment(shim, 1, [CallFault(call, error, 1.0, 1.5, ALWAYS)])
+        faults = shim_environment(shim, 1, [CallFault(call, error, 1.0, 1.5, ALWAYS)])
         first = NodeProcess("n0", tmp_path, config, {**faults, "TMPDIR": str(state_folder)})
         second = NodeProcess("n0", tmp_path, config, {"TMPDIR": str(state_folder)})
         try:
