--- a/benchmarks/soak_mutations.py
+++ b/benchmarks/soak_mutations.py
@@ -1,8 +1,8 @@
-"""Which known faults the soak finds: each is put into a copy of the program, and the first seeds are played on it.
+"""Measures which known faults the soak detects: runs the first seeds on a copy of the program with each fault injected.
 
     python benchmarks/soak_mutations.py [--seeds 10] [--side-by-side 4] [--only WORD]
 
-Prints a row for each fault: how many seeds broke a rule, and which rules. It takes some minutes.
+Prints a row for each fault: the number of seeds that broke a rule, and the rules. A run takes several minutes.
 """
 
 from __future__ import annotations
@@ -21,18 +21,25 @@
 
 
 class Mutation(NamedTuple):
-    """One fault: a text of a file that is replaced by another."""
+    """One fault: a source text that is replaced by another one.
+
+    Attributes:
+        file: Path of the file below the package `harecross`.
+        original: The text to replace; it occurs exactly once in the file.
+        mutated: The replacement.
+        other_changes: Further replacements of the same fault, each as file, original and mutated text.
+    """
 
     name: str
     file: str
     original: str
     mutated: str
-    further: tuple[tuple[str, str, str], ...] = ()  # further ones of the same fault
+    other_changes: tuple[tuple[str, str, str], ...] = ()
 
     @property
     def changes(self) -> list[tuple[str, str, str]]:
-        """Each as file, text, text in its place."""
-        return [(self.file, self.original, self.mutated), *self.further]
+        """All replacements of the fault, each as file, original and mutated text."""
+        return [(self.file, self.original, self.mutated), *self.other_changes]
 
 
 MUTATIONS = [
@@ -155,8 +162,11 @@
 ]
 
 
-def play(mutation: Mutation | None, seeds: int, side_by_side: int) -> tuple[str, Counter[str]]:
-    """The soak's last line on a copy with that fault, and the rules that were broken. ValueError if it does not fit."""
+def run_soak(mutation: Mutation | None, seeds: int, side_by_side: int) -> tuple[str, Counter[str]]:
+    """Runs the soak on a copy of the program with a fault; returns its last output line and the broken rules.
+
+    Raises ValueError if the original text of the fault is not in its file.
+    """
     with tempfile.TemporaryDirectory(prefix="harecross-mutation-") as folder:
         copy = Path(folder)
         shutil.copytree(ROOT / "harecross", copy / "harecross", ignore=shutil.ignore_patterns("__pycache__"))
@@ -165,27 +175,27 @@
                 path = copy / "harecross" / file
                 text = path.read_text()
                 if original not in text:
-                    raise ValueError(f"{mutation.name}: {file} does not hold the text to replace")
+                    raise ValueError(f"{mutation.name}: {file} does not contain the text to replace")
                 path.write_text(text.replace(original, mutated, 1))
         command = [sys.executable, "-m", "harecross.soak", "--seeds", str(seeds)]
         command += ["--side-by-side", str(side_by_side)]
-        soak = subprocess.run(command, cwd=copy, capture_output=True, text=True)
-        lines = soak.stdout.splitlines()
-        rules = Counter(re.findall(r"^rule ([a-z ]+):", soak.stdout, re.MULTILINE))
-        return (lines[-1] if lines else f"no result: {soak.stderr[-200:]}"), rules
+        process = subprocess.run(command, cwd=copy, capture_output=True, text=True)
+        lines = process.stdout.splitlines()
+        rules = Counter(re.findall(r"^rule ([a-z ]+):", process.stdout, re.MULTILINE))
+        return (lines[-1] if lines else f"no result: {process.stderr[-200:]}"), rules
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--side-by-side", type=int, default=4)
-    parser.add_argument("--only", default="", help="faults whose name holds this")
+    parser.add_argument("--only", default="", help="run only faults whose name contains this text")
     options = parser.parse_args()
     for mutation in (None, *MUTATIONS):
         name = "no fault" if mutation is None else mutation.name
         if options.only not in name:
             continue
-        result, rules = play(mutation, options.seeds, options.side_by_side)
+        result, rules = run_soak(mutation, options.seeds, options.side_by_side)
         print(
             f"{name}: {result}; {', '.join(f'{rule} {count}' for rule, count in rules.items()) or 'nothing'}",
             flush=True,
--- a/harecross/soak/__init__.py
+++ b/harecross/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real nodes on loopback under seeded faults, judged by what servers, clients and discoveries saw."""
+"""Soak test: real nodes on loopback under seeded faults, checked by records of servers, clients and discoveries."""
--- a/harecross/soak/__main__.py
+++ b/harecross/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m harecross.soak`: plays seeds and prints the timeline of each that breaks a rule."""
+"""`python -m harecross.soak`: runs a soak for each seed and prints a timeline of each seed that breaks a rule."""
 
 from __future__ import annotations
 
@@ -19,51 +19,59 @@
 from harecross.soak.run import run_soak
 from harecross.soak.shim import build_shim
 
-MAX_DELAY_S = 0.25  # of the recording process; above it a run shows nothing, since its records are too late
+# Longest acceptable delay of the recording process. A run with a longer one proves nothing, since the times in its
+# records are too late.
+MAX_RECORDING_DELAY_S = 0.25
+# Value of `SeedResult.breaches` for a run whose records are too late to be checked.
 VOID = -1
 
 
 class SeedResult(NamedTuple):
-    """The result of one seed."""
+    """The result of one seed.
 
-    breaches: int  # VOID where the machine was too busy to tell
+    Attributes:
+        breaches: Number of broken rules, or `VOID` if the machine was too busy for a verdict.
+        lines: The report.
+    """
+
+    breaches: int
     requests: int
-    lines: list[str]  # the report
+    lines: list[str]
 
 
 def run_seed(seed: int, seconds: float, nodes: int, shim: Path | None) -> SeedResult:
-    """Plays one seed, with so many seconds of load on at most so many nodes."""
+    """Runs the soak of one seed, with `seconds` of load on at most `nodes` nodes."""
     records, breaches = uvloop.run(run_soak(make_plan(seed, seconds, nodes), shim))
     return summarize(seed, records, breaches)
 
 
 def summarize(seed: int, records: Records, breaches: list[Breach]) -> SeedResult:
-    """The result of a seed by its records and the rules that it broke."""
+    """Returns the result of a seed, from its records and the rules that it broke."""
     requests = len(records.clients)
     counts = Counter(client.outcome for client in records.clients.values())
     outcomes = ", ".join(f"{outcome.value} {counts[outcome]}" for outcome in ClientOutcome if counts[outcome])
     served = sum(client.status == 200 for client in records.clients.values())
-    head = f"seed {seed}: {requests} requests, {outcomes}, served {served}, lag {records.max_delay:.3f} s"
-    if records.max_delay > MAX_DELAY_S and not breaches:
-        return SeedResult(VOID, requests, [f"{head}: void, this process was held up"])
+    summary = f"seed {seed}: {requests} requests, {outcomes}, served {served}, lag {records.max_delay:.3f} s"
+    if records.max_delay > MAX_RECORDING_DELAY_S and not breaches:
+        return SeedResult(VOID, requests, [f"{summary}: void, the recording process was delayed"])
     verdict = f"{len(breaches)} broken" if breaches else "no rule broken"
-    return SeedResult(len(breaches), requests, [f"{head}: {verdict}", *report(records, breaches)])
+    return SeedResult(len(breaches), requests, [f"{summary}: {verdict}", *report(records, breaches)])
 
 
 def store_report(folder: Path, seed: int, lines: list[str]) -> None:
-    """Writes the report of a seed that broke a rule to a file, since the output may be lost."""
+    """Writes the report of a seed that broke a rule to a file, since the standard output may be lost."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"soak-seed-{seed}-{time.strftime('%Y%m%dT%H%M%S')}.txt"
     path.write_text("\n".join(lines) + "\n")
-    print(f"report kept: {path}", flush=True)
+    print(f"report written to {path}", flush=True)
 
 
 def main() -> int:
-    """0 if no rule was broken, 1 otherwise, 2 for bad arguments."""
+    """Runs the command; returns 0 if no rule was broken and 1 otherwise. Bad arguments exit with status 2."""
     options = parse_arguments()
     shim = build_shim()
     if shim is None:
-        print("no C compiler here: system calls and clocks are left alone", flush=True)
+        print("no C compiler found: running without system call faults and clock steps", flush=True)
     failed = void = 0
     with ProcessPoolExecutor(options.side_by_side) as pool:
         runs = [
@@ -82,19 +90,23 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """The command's options."""
+    """Parses the command line; exits with status 2 if an option is out of range."""
     parser = argparse.ArgumentParser(prog="python -m harecross.soak", description=__doc__)
-    parser.add_argument("--seeds", type=int, default=5, help="how many (5)")
+    parser.add_argument("--seeds", type=int, default=5, help="number of seeds to run (5)")
     parser.add_argument("--first", type=int, default=1, help="the first seed (1)")
-    parser.add_argument("--seconds", type=float, default=14.0, help="of load in each (14)")
-    parser.add_argument("--nodes", type=int, default=3, help="at most, 1 to 14 (3)")
-    parser.add_argument("--side-by-side", type=int, default=2, help="runs at once (2)")
     parser.add_argument(
-        "--reports", type=Path, default=Path("logs"), help="folder of failed seeds' reports (logs)"
+        "--seconds", type=float, default=14.0, help="seconds of load for each seed, at least 8 (14)"
+    )
+    parser.add_argument("--nodes", type=int, default=3, help="maximum number of nodes of a run, 1 to 14 (3)")
+    parser.add_argument("--side-by-side", type=int, default=2, help="number of runs in parallel (2)")
+    parser.add_argument(
+        "--reports", type=Path, default=Path("logs"), help="folder for the reports of failed seeds (logs)"
     )
     options = parser.parse_args()
     if options.seeds < 1 or options.seconds < 8 or not 1 <= options.nodes <= 14 or options.side_by_side < 1:
-        parser.error("seeds from 1, seconds from 8, nodes 1 to 14, side by side from 1")
+        parser.error(
+            "--seeds and --side-by-side must be at least 1, --seconds at least 8, --nodes from 1 to 14"
+        )
     return options
 
 
--- a/harecross/soak/clients.py
+++ b/harecross/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one node: they reuse connections, disconnect early, come in a burst, and record each request's outcome."""
+"""Clients of one node: they reuse connections, disconnect early, arrive in bursts and record request outcomes."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from harecross.soak.records import ClientOutcome, ClientRecord, Idempotency, Records
 from harecross.standins.http import read_message
 
-PATIENCE_S = 0.8  # after a request's deadline, to see that nothing comes
+# Time after the deadline of a request for which a client waits before the request counts as unanswered.
+ANSWER_WAIT_S = 0.8
 BURST_CONNECTIONS = 150
-BURST_IDLE_S = 2.0  # for which connections without a request stay
+# Time for which connections of a burst stay open without a request.
+BURST_IDLE_S = 2.0
 MAX_RESENDS = 1
 RECONNECT_INTERVAL_S = 0.008
 
@@ -22,10 +24,15 @@
 
 
 class NodeClients:
-    """All clients of one node."""
+    """All clients of one node.
+
+    Attributes:
+        process_name: Name of the current process of the node, for the records.
+        address: Where the node listens.
+    """
 
     def __init__(self, plan: Plan, name: str, records: Records) -> None:
-        self.process_name = name  # of the node's present process, in the records
+        self.process_name = name
         self.address = ("127.0.0.1", 0)
         self._plan = plan
         self._name = name
@@ -36,13 +43,13 @@
         self._count = 0
 
     async def run(self, end: float) -> None:
-        """Sends until that monotonic time, and waits for the requests in flight."""
+        """Sends requests until the monotonic time `end`, then waits for the requests in flight."""
         burst_at = self._plan.burst_at
-        began = time.monotonic()
+        started_at = time.monotonic()
         while (now := time.monotonic()) < end:
             await asyncio.sleep(self._rng.expovariate(self._plan.requests_per_second))
-            self._start(self._send(self._rng.choice(self._plan.classes)))
-            if 0 <= burst_at < now - began:
+            self._start_task(self._send(self._rng.choice(self._plan.classes)))
+            if 0 <= burst_at < now - started_at:
                 burst_at = -1.0
                 self._start_burst()
         if self._tasks:
@@ -52,19 +59,19 @@
 
     def _start_burst(self) -> None:
         for _ in range(BURST_CONNECTIONS):
-            self._start(self._connect_without_request())
-            self._start(self._send(self._plan.classes[0]))
+            self._start_task(self._connect_without_request())
+            self._start_task(self._send(self._plan.classes[0]))
 
     def reconnect_for(self, seconds: float) -> None:
-        """Sends requests on new connections, as clients do that were sent away and come back at once."""
-        self._start(self._reconnect(time.monotonic() + seconds))
+        """Sends requests on new connections, like clients that reconnect as soon as their connection is closed."""
+        self._start_task(self._reconnect(time.monotonic() + seconds))
 
     async def _reconnect(self, end: float) -> None:
         while time.monotonic() < end:
-            self._start(self._send(self._rng.choice(self._plan.classes), new_connection=True))
+            self._start_task(self._send(self._rng.choice(self._plan.classes), new_connection=True))
             await asyncio.sleep(RECONNECT_INTERVAL_S)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -80,7 +87,7 @@
     # ---- a request ----------------------------------------------------------------------------------------
 
     async def _send(self, request_class: ClassPlan, *, new_connection: bool = False) -> None:
-        """Sends one request, on an idle connection if there is one, and records its outcome."""
+        """Sends one request, on an idle connection if the plan allows it and one exists, and records its outcome."""
         record = self._new_record(request_class)
         disconnect_after = None
         if self._rng.random() < self._plan.disconnect_probability:
@@ -99,7 +106,7 @@
             await self._receive(record, connection, disconnect_after)
             if record.outcome is not ClientOutcome.CLOSED or record.new_connection:
                 return
-            # An idle connection that ended before an answer: the node may have closed it as the request was sent.
+            # The node may have closed an idle connection at the moment the request was sent: send it again.
             connection, record.new_connection, record.resent = None, True, True
 
     def _new_record(self, request_class: ClassPlan) -> ClientRecord:
@@ -126,9 +133,9 @@
     async def _receive(
         self, record: ClientRecord, connection: Connection, disconnect_after: float | None
     ) -> None:
-        """Waits for the answer, or disconnects before it."""
+        """Waits for the response, or disconnects before it if the client is to disconnect."""
         reader, writer = connection
-        wait_s = disconnect_after if disconnect_after is not None else record.timeout + PATIENCE_S
+        wait_s = disconnect_after if disconnect_after is not None else record.timeout + ANSWER_WAIT_S
         try:
             async with asyncio.timeout(wait_s):
                 head, _ = await read_message(reader)
@@ -149,7 +156,7 @@
 
 
 def request_bytes(record: ClientRecord, request_class: ClassPlan) -> bytes:
-    """A request as it is sent."""
+    """Encodes a request."""
     idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
     method, length, body = ("GET", "", "") if idempotent else ("POST", "Content-Length: 4\r\n", "body")
--- a/harecross/soak/discoveries.py
+++ b/harecross/soak/discoveries.py
@@ -1,4 +1,4 @@
-"""Stand-in discoveries that lag, repeat, omit, fall silent and fail, and record when nodes count as notified."""
+"""Stand-in discoveries that lag, repeat or omit changes, fall silent and fail; they record when nodes are notified."""
 
 from __future__ import annotations
 
@@ -13,17 +13,29 @@
 from harecross.standins.discovery import chunk, entry, update
 from harecross.standins.http import answer, read_message, write_open
 
-POLL_INTERVAL_S = 0.01  # between two looks at the records
-HEARTBEAT_INTERVAL_S = 1.8  # without a change; the protocol has 2
-LISTED_NOTIFIED_S = 6.0  # after a polled list has a change, and can be reached, nodes count as notified of it
-MIGRATION_NOTIFIED_S = 4.0  # after SIGHUP, a node counts as notified of all changes
-SILENT_NOTIFIED_S = 6.0  # after a watch fell silent, its node counts as notified of what it missed
-RETIRED_WATCH_S = 1.5  # for which a discovery keeps its watches open after a migration
-PIECE_INTERVAL_S = 0.004  # between two writes of one line
+# Interval at which a discovery checks the records for new changes.
+POLL_INTERVAL_S = 0.01
+# Time without a change after which a watch sends a heartbeat; the protocol has 2 s.
+HEARTBEAT_INTERVAL_S = 1.8
+# Time from when a polled list has a change, and the service can be reached, until the node counts as notified of it.
+LISTED_NOTIFIED_S = 6.0
+# Time from SIGHUP until a node counts as notified of all changes.
+MIGRATION_NOTIFIED_S = 4.0
+# Time from when a watch fell silent until its node counts as notified of the changes that it missed.
+SILENT_NOTIFIED_S = 6.0
+# Time for which a discovery keeps its watches open after the node has migrated away from it.
+RETIRED_WATCH_S = 1.5
+# Pause between two writes of one line.
+WRITE_INTERVAL_S = 0.004
 
 
 class OpenWatch:
-    """One watch that a node has open."""
+    """One open watch of a node.
+
+    Attributes:
+        sent_changes: Number of changes that have been sent on the watch.
+        silent_since: Monotonic time since which the watch sends nothing; None if it works.
+    """
 
     def __init__(self, writer: asyncio.StreamWriter, sent_changes: int) -> None:
         self.writer = writer
@@ -32,7 +44,18 @@
 
 
 class SoakDiscovery:
-    """One discovery of one node: an agent on the node's machine, or a service that the node polls."""
+    """One discovery of one node: an agent on the node's machine, or a service that the node polls.
+
+    Attributes:
+        known_changes: Number of changes that the discovery has learned of.
+        notified_changes: Number of changes of which the current process of the node counts, or will count, as
+            notified.
+        pending: For a polled service: when the node will count as notified, by the index of each change whose
+            notification is not recorded yet.
+        active_from: When SIGHUP told the node to migrate to this discovery, in monotonic seconds; early enough for the
+            time limit of a migration to have passed if the process started with this discovery.
+        address_of: Returns the address of a server by its name.
+    """
 
     def __init__(
         self,
@@ -44,16 +67,15 @@
         *,
         polled: bool = False,
     ) -> None:
-        """`node` is the node's process, `address_of` a server's address by its name.
+        """Creates a discovery for the node's process `node`.
 
-        `known_changes` are known from the beginning. `polled`: it is a service, otherwise an agent.
+        It knows the first `known_changes` changes from the beginning. If `polled`, it is a service that the node
+        polls, otherwise an agent that pushes changes.
         """
         self.known_changes = known_changes
-        self.notified_changes = 0  # of which the present process counts, or will count, as notified
-        self.pending: dict[
-            int, float
-        ] = {}  # polled: when the node counts as notified, by change not yet written
-        self.active_from = time.monotonic()  # when SIGHUP named it
+        self.notified_changes = 0
+        self.pending: dict[int, float] = {}
+        self.active_from = time.monotonic()
         self.address_of = address_of
         self._plan = plan
         self._polled = polled
@@ -69,11 +91,11 @@
 
     @property
     def address(self) -> str:
-        """Where the node connects."""
+        """The address that the node connects to."""
         return f"127.0.0.1:{self._port}"
 
     async def open(self) -> None:
-        """Listens, and begins to learn of changes."""
+        """Starts to listen and to learn of changes."""
         self._listener = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
         self._port = self._listener.sockets[0].getsockname()[1]
         task = asyncio.create_task(self._learn_regularly())
@@ -81,7 +103,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _learn_regularly(self) -> None:
-        """A node counts as notified whether or not it has a watch open."""
+        """Learns of changes all the time, since a node counts as notified whether or not it has a watch open."""
         while True:
             self.learn()
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -89,7 +111,7 @@
     # ---- known changes and notifications ------------------------------------------------------------------
 
     def learn(self) -> None:
-        """Learns of changes, unless it is down, and records from when on the node counts as notified."""
+        """Learns of changes unless the discovery is down, and records when the node counts as notified of them."""
         now = time.monotonic()
         if self._down:
             return
@@ -104,7 +126,10 @@
             self.record_pushed_notifications(now)
 
     def record_pushed_notifications(self, now: float) -> None:
-        """A node counts as notified of what its agent has, and of what a silent watch misses some time after."""
+        """Records that a node is notified of the changes that its agent has.
+
+        If a watch is silent, the node counts as notified `SILENT_NOTIFIED_S` after it fell silent.
+        """
         migrated = self._is_first or now >= self.active_from + MIGRATION_NOTIFIED_S
         if self._retired or not migrated:
             return
@@ -117,14 +142,14 @@
         self.notified_changes = self.known_changes
 
     def record_polled_notifications(self, now: float) -> None:
-        """A node counts as notified of a change some time after it could be polled."""
+        """Records that a node is notified of a change `LISTED_NOTIFIED_S` after the change could be polled."""
         if self._retired:
             return
         migrated_at = 0.0 if self._is_first else self.active_from + MIGRATION_NOTIFIED_S
         for number in range(self.notified_changes, self.known_changes):
             self.pending[number] = max(now + LISTED_NOTIFIED_S, migrated_at)
         self.notified_changes = self.known_changes
-        for number in [number for number, due in self.pending.items() if due <= now]:
+        for number in [number for number, due_at in self.pending.items() if due_at <= now]:
             self._record(number, self.pending.pop(number), f"{LISTED_NOTIFIED_S:g} s after it was listed")
 
     def _record(self, number: int, at: float, reason: str) -> None:
@@ -137,7 +162,11 @@
             self._record(number, now, "written")
 
     def begin_process(self, node: str) -> None:
-        """Another process of the node starts: it counts as notified of what was notified to a node before."""
+        """Starts to record for a new process of the node, which counts as notified of all earlier changes.
+
+        If the node polls, this holds for each change from `LISTED_NOTIFIED_S` after the change. The time limit after a
+        migration does not apply to a process that starts with this discovery.
+        """
         now = time.monotonic()
         self._node, self.notified_changes = node, self.known_changes
         self.active_from = min(self.active_from, now - MIGRATION_NOTIFIED_S)
@@ -148,16 +177,16 @@
                 self._record(number, now, "agent has it at the start")
 
     def _record_listed_before(self, number: int, now: float) -> None:
-        due = self.records.changes[number].at + LISTED_NOTIFIED_S
-        if due <= now:
+        due_at = self.records.changes[number].at + LISTED_NOTIFIED_S
+        if due_at <= now:
             self._record(number, now, f"listed {LISTED_NOTIFIED_S:g} s before the start")
         else:
-            self.pending[number] = due
+            self.pending[number] = due_at
 
     # ---- lists and watch events ---------------------------------------------------------------------------
 
     def full_list(self, end: int) -> dict[str, Any]:
-        """The list after so many changes."""
+        """Returns the full list after the first `end` changes."""
         last = {change.server: change for change in self.records.changes[:end]}
         listed = {Lifecycle.IN_SERVICE}
         if not self._plan.omits_draining:
@@ -173,7 +202,7 @@
         return update(self._plan.first_generation + end, *(self._entry(change) for change in changes))
 
     def _group_end(self, start: int) -> int:
-        """The end of the changes that happened at the same time as that one."""
+        """Returns the index after the last change that happened at the same time as the change `start`."""
         changes, end = self.records.changes, start
         while end < self.known_changes and changes[end].at == changes[start].at:
             end += 1
@@ -189,14 +218,14 @@
             while await self._serve_call(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # the node is gone, or this discovery closes
+            pass  # the node has closed the connection, or this discovery is closing
         finally:
             self._tasks.discard(task)
             self._watches = [watch for watch in self._watches if watch.writer is not writer]
             writer.close()
 
     async def _serve_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Answers one call; False where no other may follow on the connection."""
+        """Answers one call; returns whether another call may follow on the connection."""
         head, _ = await read_message(reader)
         await asyncio.sleep(self._plan.answer_delay)
         if self._down and self._polled:
@@ -215,7 +244,10 @@
         return True
 
     async def _serve_watch(self, writer: asyncio.StreamWriter, after: int) -> None:
-        """Sends what changes after so many changes, one line for all changes of one time."""
+        """Serves a watch of a node that has the first `after` changes.
+
+        All changes that happened at the same time are sent in one line.
+        """
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         watch = OpenWatch(writer, after)
         self._watches.append(watch)
@@ -232,7 +264,10 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _send_first_line(self, writer: asyncio.StreamWriter, after: int) -> int:
-        """Sends a full list, all later changes in one line, or a heartbeat; returns how many changes are sent."""
+        """Sends a full list, all later changes in one line, or a heartbeat.
+
+        Returns the number of changes that the node has afterwards.
+        """
         end = self.known_changes
         if not 0 <= after <= end:
             await self._send(writer, self.full_list(end))
@@ -246,7 +281,7 @@
         return end
 
     async def _send_changes(self, watch: OpenWatch) -> bool:
-        """Sends the changes that the watch does not have; whether there were any."""
+        """Sends the changes that the watch does not have yet; returns whether there were any."""
         sent = False
         while watch.sent_changes < self.known_changes and watch.silent_since is None:
             start, end = watch.sent_changes, self._group_end(watch.sent_changes)
@@ -257,19 +292,19 @@
         return sent
 
     async def _send(self, writer: asyncio.StreamWriter, document: dict[str, Any]) -> None:
-        """Sends one line, in as many pieces as the plan has."""
+        """Sends one line, in as many writes as the plan says."""
         data = chunk(json.dumps(document).encode())
-        piece_bytes = -(-len(data) // self._plan.line_pieces)
-        for start in range(0, len(data), piece_bytes):
+        write_bytes = -(-len(data) // self._plan.writes_per_line)
+        for start in range(0, len(data), write_bytes):
             if start:
-                await asyncio.sleep(PIECE_INTERVAL_S)
-            write_open(writer, data[start : start + piece_bytes])
+                await asyncio.sleep(WRITE_INTERVAL_S)
+            write_open(writer, data[start : start + write_bytes])
         await writer.drain()
 
     # ---- faults -------------------------------------------------------------------------------------------
 
     def silence_watches(self) -> None:
-        """The open watches stay open and send nothing more."""
+        """Makes the open watches send nothing more while they stay open."""
         for watch in self._watches:
             if watch.silent_since is None:
                 watch.silent_since = time.monotonic()
@@ -280,7 +315,10 @@
             watch.writer.transport.abort()
 
     async def retire(self) -> None:
-        """The node has migrated: no new connections, and the open ones end some time later."""
+        """Closes the discovery after the node has migrated away from it.
+
+        New connections are refused at once; the open ones are closed after `RETIRED_WATCH_S`.
+        """
         self._retired = True
         if self._listener is not None:
             self._listener.close()
@@ -288,18 +326,21 @@
         self.close()
 
     async def go_down(self, seconds: float) -> None:
-        """Learns nothing for a while. An agent is silent; a service that is polled ends watches and fails calls."""
+        """Stops learning of changes for a while.
+
+        Meanwhile an agent sends nothing; a polled service resets its watches and answers calls with status 503.
+        """
         self._down = True
         if self._polled:
             self.reset_watches()
         await asyncio.sleep(seconds)
         self._down = False
-        reachable = time.monotonic() + LISTED_NOTIFIED_S
-        self.pending = {number: max(due, reachable) for number, due in self.pending.items()}
+        earliest = time.monotonic() + LISTED_NOTIFIED_S
+        self.pending = {number: max(due_at, earliest) for number, due_at in self.pending.items()}
         self.learn()
 
     def close(self) -> None:
-        """Ends everything at once."""
+        """Closes the listener and all connections at once."""
         if self._listener is not None:
             self._listener.close()
         for task in self._tasks:
--- a/harecross/soak/faults.c
+++ b/harecross/soak/faults.c
@@ -1,13 +1,17 @@
-/* System calls that fail, end short, or tell another wall clock: loaded into one process by LD_PRELOAD.
+/* A shim that makes system calls fail, transfers fewer bytes than asked for, and steps the wall clock. It is loaded into
+   one process by LD_PRELOAD and configured by environment variables:
 
-   FAULT_RULES holds rules separated by ';', each 'call errno probability from to': a call of that name fails with
-   that errno with that probability, from so many to so many seconds after the process loaded this library. Two
-   numbers mean no failure: -1 on read or write cuts the count to at most 7 bytes, and -2 on close_listener holds the
-   process up for 50 ms just before it closes a listening socket, as a scheduler may. FAULT_CLOCK holds steps of the wall
-   clock, 'at seconds' separated by ';'. FAULT_SEED seeds the draws. Monotonic clocks are never touched.
+   FAULT_RULES: rules separated by ';', each of the form 'call errno probability from to'. A call of that name fails with
+   that errno and probability between 'from' and 'to', in seconds after the process loaded this library. Two values in the
+   place of an errno do not make the call fail: -1 on read or write limits the count to 7 bytes (on write_file, it halves
+   the count), and -2 on close_listener delays the process by 50 ms just before it closes a listening socket, as a
+   scheduler may do.
+   FAULT_CLOCK: steps of the wall clock separated by ';', each of the form 'at seconds'. Monotonic clocks are unchanged.
+   FAULT_SEED: the seed of the random draws.
 
-   read and write rules hold for stream sockets that the process itself has connected or accepted, fsync and write_file
-   rules for regular files. Only calls through the dynamic linker are seen. Linux, public interfaces only. */
+   read and write rules apply to IPv4 stream sockets, which the process itself has connected or accepted, but not to its
+   socket pairs; fsync and write_file rules apply to regular files. Only calls that go through the dynamic linker are
+   intercepted. The shim works on Linux and uses public interfaces only. */
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,11 +28,11 @@
 #include <time.h>
 #include <unistd.h>
 
-#define RULES_MOST 32
+#define MAX_RULES 32
 #define SHORT_BYTES 7
-#define CUT -1
-#define HELD_UP -2
-#define HELD_UP_MICROSECONDS 50000
+#define CUT_SHORT -1
+#define DELAYED -2
+#define DELAY_MICROSECONDS 50000
 
 struct rule {
     char call[16];
@@ -40,10 +44,10 @@
     double at, seconds;
 };
 
-static struct rule rules[RULES_MOST];
-static struct step steps[RULES_MOST];
+static struct rule rules[MAX_RULES];
+static struct step steps[MAX_RULES];
 static int rule_count, step_count;
-static uint64_t draws = 1;
+static uint64_t random_state = 1;
 static double loaded_at;
 static pthread_mutex_t draw_lock = PTHREAD_MUTEX_INITIALIZER;
 
@@ -62,35 +66,35 @@
 __attribute__((constructor)) static void load(void) {
     real_clock_gettime = (typeof(real_clock_gettime))dlsym(RTLD_NEXT, "clock_gettime");
     loaded_at = monotonic();
-    const char *seed = getenv("FAULT_SEED"), *told = getenv("FAULT_RULES"), *clock = getenv("FAULT_CLOCK");
-    draws = seed ? strtoull(seed, NULL, 10) * 2654435761u + 1 : 1;
-    while (told && *told && rule_count < RULES_MOST) {
+    const char *seed = getenv("FAULT_SEED"), *rule_text = getenv("FAULT_RULES"), *clock_text = getenv("FAULT_CLOCK");
+    random_state = seed ? strtoull(seed, NULL, 10) * 2654435761u + 1 : 1;
+    while (rule_text && *rule_text && rule_count < MAX_RULES) {
         struct rule *r = &rules[rule_count];
-        if (sscanf(told, "%15s %d %lf %lf %lf", r->call, &r->error, &r->probability, &r->from, &r->to) == 5)
+        if (sscanf(rule_text, "%15s %d %lf %lf %lf", r->call, &r->error, &r->probability, &r->from, &r->to) == 5)
             rule_count++;
-        told = strchr(told, ';');
-        told = told ? told + 1 : NULL;
+        rule_text = strchr(rule_text, ';');
+        rule_text = rule_text ? rule_text + 1 : NULL;
     }
-    while (clock && *clock && step_count < RULES_MOST) {
-        if (sscanf(clock, "%lf %lf", &steps[step_count].at, &steps[step_count].seconds) == 2)
+    while (clock_text && *clock_text && step_count < MAX_RULES) {
+        if (sscanf(clock_text, "%lf %lf", &steps[step_count].at, &steps[step_count].seconds) == 2)
             step_count++;
-        clock = strchr(clock, ';');
-        clock = clock ? clock + 1 : NULL;
+        clock_text = strchr(clock_text, ';');
+        clock_text = clock_text ? clock_text + 1 : NULL;
     }
 }
 
 static double draw(void) {
     pthread_mutex_lock(&draw_lock);
-    draws ^= draws << 13;
-    draws ^= draws >> 7;
-    draws ^= draws << 17;
-    uint64_t drawn = draws;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    uint64_t value = random_state;
     pthread_mutex_unlock(&draw_lock);
-    return (drawn >> 11) / 9007199254740992.0;
+    return (value >> 11) / 9007199254740992.0;
 }
 
-/* The errno with which the call is to fail, CUT, or 0. */
-static int fault(const char *call) {
+/* Draws the fault of a call: the errno to fail with, CUT_SHORT, DELAYED, or 0 for no fault. */
+static int draw_fault(const char *call) {
     if (!rule_count) return 0;
     double now = monotonic() - loaded_at;
     for (int i = 0; i < rule_count; i++) {
@@ -100,8 +104,8 @@
     return 0;
 }
 
-static int fails(const char *call) {
-    int error = fault(call);
+static int should_fail(const char *call) {
+    int error = draw_fault(call);
     if (error <= 0) return 0;
     errno = error;
     return 1;
@@ -128,47 +132,47 @@
 }
 
 static int is_file(int fd) {
-    struct stat told;
+    struct stat status;
     int saved = errno;
-    int found = !fstat(fd, &told) && S_ISREG(told.st_mode);
+    int found = !fstat(fd, &status) && S_ISREG(status.st_mode);
     errno = saved;
     return found;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     REAL(accept4);
-    return fails("accept") ? -1 : real(fd, address, size, flags);
+    return should_fail("accept") ? -1 : real(fd, address, size, flags);
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *size) {
     REAL(accept);
-    return fails("accept") ? -1 : real(fd, address, size);
+    return should_fail("accept") ? -1 : real(fd, address, size);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    return domain == AF_INET && fails("socket") ? -1 : real(domain, type, protocol);
+    return domain == AF_INET && should_fail("socket") ? -1 : real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
     REAL(connect);
-    return address->sa_family == AF_INET && fails("connect") ? -1 : real(fd, address, size);
+    return address->sa_family == AF_INET && should_fail("connect") ? -1 : real(fd, address, size);
 }
 
 int close(int fd) {
     REAL(close);
-    if (rule_count && is_listener(fd) && fault("close_listener") == HELD_UP) usleep(HELD_UP_MICROSECONDS);
+    if (rule_count && is_listener(fd) && draw_fault("close_listener") == DELAYED) usleep(DELAY_MICROSECONDS);
     return real(fd);
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t size) {
     REAL(setsockopt);
-    return fails("setsockopt") ? -1 : real(fd, level, name, value, size);
+    return should_fail("setsockopt") ? -1 : real(fd, level, name, value, size);
 }
 
-static int moves(int fd, const char *call, size_t *count) {
-    int error = rule_count && is_stream(fd) ? fault(call) : 0;
-    if (error == CUT && *count > SHORT_BYTES) *count = SHORT_BYTES;
+static int may_transfer(int fd, const char *call, size_t *count) {
+    int error = rule_count && is_stream(fd) ? draw_fault(call) : 0;
+    if (error == CUT_SHORT && *count > SHORT_BYTES) *count = SHORT_BYTES;
     if (error <= 0) return 1;
     errno = error;
     return 0;
@@ -176,77 +180,77 @@
 
 ssize_t read(int fd, void *data, size_t count) {
     REAL(read);
-    return moves(fd, "read", &count) ? real(fd, data, count) : -1;
+    return may_transfer(fd, "read", &count) ? real(fd, data, count) : -1;
 }
 
 ssize_t recv(int fd, void *data, size_t count, int flags) {
     REAL(recv);
-    return moves(fd, "read", &count) ? real(fd, data, count, flags) : -1;
+    return may_transfer(fd, "read", &count) ? real(fd, data, count, flags) : -1;
 }
 
 ssize_t write(int fd, const void *data, size_t count) {
     REAL(write);
     if (rule_count && is_file(fd)) {
-        int error = fault("write_file");
-        if (error == CUT && count > 1) count /= 2;
+        int error = draw_fault("write_file");
+        if (error == CUT_SHORT && count > 1) count /= 2;
         if (error > 0) {
             errno = error;
             return -1;
         }
     }
-    return moves(fd, "write", &count) ? real(fd, data, count) : -1;
+    return may_transfer(fd, "write", &count) ? real(fd, data, count) : -1;
 }
 
 ssize_t send(int fd, const void *data, size_t count, int flags) {
     REAL(send);
-    return moves(fd, "write", &count) ? real(fd, data, count, flags) : -1;
+    return may_transfer(fd, "write", &count) ? real(fd, data, count, flags) : -1;
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev);
-    size_t first = count ? parts[0].iov_len : 0, had = first;
-    if (!moves(fd, "write", &first)) return -1;
-    if (first == had) return real(fd, parts, count);
-    struct iovec cut = {parts[0].iov_base, first};
-    return real(fd, &cut, 1);
+    size_t allowed = count ? parts[0].iov_len : 0, requested = allowed;
+    if (!may_transfer(fd, "write", &allowed)) return -1;
+    if (allowed == requested) return real(fd, parts, count);
+    struct iovec shortened = {parts[0].iov_base, allowed};
+    return real(fd, &shortened, 1);
 }
 
 int fsync(int fd) {
     REAL(fsync);
-    return fails("fsync") ? -1 : real(fd);
+    return should_fail("fsync") ? -1 : real(fd);
 }
 
 int fdatasync(int fd) {
     REAL(fdatasync);
-    return fails("fsync") ? -1 : real(fd);
+    return should_fail("fsync") ? -1 : real(fd);
 }
 
-static double stepped(void) {
+static double clock_offset(void) {
     double now = monotonic() - loaded_at, sum = 0;
     for (int i = 0; i < step_count; i++)
         if (now >= steps[i].at) sum += steps[i].seconds;
     return sum;
 }
 
-int clock_gettime(clockid_t id, struct timespec *told) {
+int clock_gettime(clockid_t id, struct timespec *result) {
     if (!real_clock_gettime)
         real_clock_gettime = (typeof(real_clock_gettime))dlsym(RTLD_NEXT, "clock_gettime");
-    int found = real_clock_gettime(id, told);
+    int found = real_clock_gettime(id, result);
     if (!found && step_count && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE))
-        told->tv_sec += (time_t)stepped();
+        result->tv_sec += (time_t)clock_offset();
     return found;
 }
 
-int gettimeofday(struct timeval *restrict told, void *restrict zone) {
+int gettimeofday(struct timeval *restrict result, void *restrict zone) {
     REAL(gettimeofday);
-    int found = real(told, zone);
-    if (!found && step_count) told->tv_sec += (time_t)stepped();
+    int found = real(result, zone);
+    if (!found && step_count) result->tv_sec += (time_t)clock_offset();
     return found;
 }
 
-time_t time(time_t *told) {
+time_t time(time_t *result) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
-    if (told) *told = now.tv_sec;
+    if (result) *result = now.tv_sec;
     return now.tv_sec;
 }
--- a/harecross/soak/node.py
+++ b/harecross/soak/node.py
@@ -1,4 +1,4 @@
-"""One node of a soak: its present process, its discoveries and its clients."""
+"""One node of a soak: its current process, its discoveries and its clients."""
 
 from __future__ import annotations
 
@@ -13,24 +13,32 @@
 from harecross.soak.discoveries import SoakDiscovery
 from harecross.soak.plan import Plan
 from harecross.soak.records import NodeEventRecord, Records
-from harecross.soak.servers import own_host
+from harecross.soak.servers import process_loopback_host
 from harecross.soak.shim import shim_environment
 from harecross.soak.slow_start import SlowStartRules
 from harecross.standins.cluster import NodeProcess, node_settings
 
-KILL_AFTER_S = 0.7  # after SIGTERM and the longest deadline
-RESTART_AFTER_S = 0.3  # after SIGKILL
-RECONNECT_S = 1.2  # after SIGTERM, for which clients open new connections all the time
+# Time from SIGTERM until SIGKILL, in addition to the longest deadline.
+KILL_AFTER_S = 0.7
+# Time from SIGKILL until the next process starts.
+RESTART_AFTER_S = 0.3
+# Time after SIGTERM for which clients keep opening new connections.
+RECONNECT_S = 1.2
 EXIT_POLL_INTERVAL_S = 0.05
-MAX_POLL_INTERVAL_US = 10_000_000  # of a node without a watch
+# Longest interval between two polls of a node without a watch.
+MAX_POLL_INTERVAL_US = 10_000_000
 
 
 class SoakNode:
-    """One node."""
+    """One node.
+
+    Attributes:
+        discoveries: All discoveries that the node has had; the last one is the current one.
+    """
 
     def __init__(self, plan: Plan, name: str, folder: Path, records: Records, shim: Path | None) -> None:
         self.name = name
-        self.discoveries: list[SoakDiscovery] = []  # the present one last
+        self.discoveries: list[SoakDiscovery] = []
         self.clients = NodeClients(plan, name, records)
         self._plan = plan
         self._folder = folder
@@ -39,27 +47,27 @@
         self._rng = Random(f"{plan.seed}/{name}/node")
         self._process: NodeProcess | None = None
         self._process_count = 0
-        self._listen = f"{own_host()}:0"
-        self._exit_expected = False  # the soak itself ends the process
+        self._listen = f"{process_loopback_host()}:0"
+        self._exit_expected = False  # whether the soak itself ends the process
 
     @property
     def process_name(self) -> str:
-        """The present process, as the records name it."""
+        """The name of the current process in the records."""
         return f"{self.name}.{self._process_count}"
 
     @property
     def discovery(self) -> SoakDiscovery:
-        """The present discovery."""
+        """The current discovery."""
         return self.discoveries[-1]
 
     def record_event(self, text: str) -> None:
-        """Records that something was done to the node."""
+        """Records an event of the current process."""
         self._records.node_events.append(NodeEventRecord(self.process_name, time.monotonic(), text))
 
-    # ---- its process --------------------------------------------------------------------------------------
+    # ---- the process --------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Starts a process. ClusterError if it does not become healthy."""
+        """Starts a process. Raises ClusterError if it does not become healthy."""
         self._process_count += 1
         folder = self._folder / self.process_name
         folder.mkdir()
@@ -74,12 +82,12 @@
         self._listen, self.clients.address = f"{host}:{port}", (host, port)
 
     def _fault_variables(self) -> dict[str, str]:
-        """The environment variables of the shim."""
+        """Returns the environment variables that configure the shim; empty without a shim."""
         if self._shim is None:
             return {}
         calls, clock_steps = self._plan.call_faults[self.name], self._plan.clock_steps[self.name]
         if self._process_count > 1:
-            # Times count from the process's start; a restarted one has the faults of the whole run alone.
+            # Times count from the start of the process, so a restarted process has only the faults of the whole run.
             calls, clock_steps = tuple(fault for fault in calls if fault.start == 0), ()
         return shim_environment(self._shim, self._plan.seed, calls, clock_steps)
 
@@ -117,12 +125,12 @@
         return settings
 
     def _configured_changes(self) -> int:
-        """How many changes are in the configuration's list, which may be old."""
+        """Draws how many changes the list in the configuration includes; it may lack the latest ones."""
         missing = self._rng.choice([0, 0, 2, 5, 10])
         return max(len(self._plan.servers), self.discovery.known_changes - missing)
 
     async def close(self) -> None:
-        """Ends the process and the discoveries."""
+        """Ends the process and closes the discoveries."""
         self._exit_expected = True
         if self._process is not None:
             await self._process.end()
@@ -135,7 +143,7 @@
             self._records.logs[self.process_name] = self._process.log_lines
 
     async def watch_process(self) -> None:
-        """Records a crash."""
+        """Records a crash if the process ends although the soak did not end it."""
         while True:
             process = self._process.process if self._process is not None else None
             code = process.returncode if process is not None else None
@@ -145,10 +153,10 @@
                 return
             await asyncio.sleep(EXIT_POLL_INTERVAL_S)
 
-    # ---- what is done to it -------------------------------------------------------------------------------
+    # ---- actions of the plan ------------------------------------------------------------------------------
 
     async def migrate(self) -> None:
-        """Sends SIGHUP with another discovery."""
+        """Writes another discovery to the configuration and sends SIGHUP."""
         process, old = self._process, self.discovery
         plan = self._plan.discoveries[self.name][len(self.discoveries)]
         if process is None or not process.alive:
@@ -167,7 +175,7 @@
         await old.retire()
 
     async def suspend(self, seconds: float) -> None:
-        """Suspends the process, as a busy machine does."""
+        """Suspends the process for a while, like a busy machine that does not schedule it."""
         if self._process is None or not self._process.alive:
             return
         self._process.signal(signal.SIGSTOP)
@@ -176,7 +184,7 @@
         self._process.signal(signal.SIGCONT)
 
     async def restart(self, *, graceful: bool) -> None:
-        """Kills the process, at once or as early after SIGTERM as the protocol allows, and starts another."""
+        """Sends SIGKILL, at once or as soon after SIGTERM as the protocol allows, and starts another process."""
         process = self._process
         if process is None or not process.alive:
             return
--- a/harecross/soak/oracle.py
+++ b/harecross/soak/oracle.py
@@ -1,6 +1,7 @@
-"""Judges a soak by the protocol's rules, from what clients, servers and discoveries recorded, and by nothing of a node.
+"""Checks a soak against the rules of the protocol.
 
-Every bound is widened by the longest delay of the recording process, since its times are late by as much.
+The only input is the records of clients, servers and discoveries; nothing that a node reports is used. Every bound is
+widened by the longest delay of the recording process, since recorded times may be late by as much.
 """
 
 from __future__ import annotations
@@ -23,15 +24,21 @@
 )
 from harecross.soak.slow_start import SlowStartOracle, SlowStartRules
 
-DRAIN_GRACE_S = 0.3  # after a node is notified: the protocol's 250 ms, and 50 for its sockets
-DISCONNECT_GRACE_S = 0.1  # after a client has closed its connection
-DEADLINE_SLACK_S = 0.15  # of the time that a server is given
-ANSWER_GRACE_S = 0.5  # after a request's deadline
-STOP_INTAKE_S = 0.7  # after SIGTERM; a later request that SIGKILL ends is lost
+# Time after a node is notified in which it may still send to a server that drains or is gone: the 250 ms of the
+# protocol, and 50 ms for the node's sockets.
+DRAIN_GRACE_S = 0.3
+# Time after a client has closed its connection in which an attempt for it may still begin.
+DISCONNECT_GRACE_S = 0.1
+# Tolerance by which the time given to a server may exceed the time that the client has left.
+DEADLINE_SLACK_S = 0.15
+# Time after the deadline of a request in which its final answer may still come.
+ANSWER_GRACE_S = 0.5
+# Time after SIGTERM in which SIGKILL may end a request that was sent; one that was sent later counts as lost.
+STOP_INTAKE_S = 0.7
 
 
 class Rule(Enum):
-    """The rules. The values are those of the reports."""
+    """The rules of the protocol. The values are those of the reports."""
 
     LOST = "lost"
     DUPLICATE = "duplicate"
@@ -43,30 +50,36 @@
 
 
 class Breach(NamedTuple):
-    """One broken rule, with the times that show it."""
+    """One broken rule.
+
+    Attributes:
+        text: What happened, with the times that show it.
+        id: Identifier of the request; empty if the breach belongs to none.
+    """
 
     rule: Rule
     at: float
     text: str
-    id: str = ""  # of the request
+    id: str = ""
 
 
 class Oracle:
-    """The evidence of one run, indexed."""
+    """Checks the records of one run, indexed by request and by server."""
 
     def __init__(self, records: Records) -> None:
         self._records = records
         self._slack = records.max_delay
-        self._attempts: dict[str, list[AttemptRecord]] = defaultdict(list)  # by request
+        self._attempts: dict[str, list[AttemptRecord]] = defaultdict(list)
         for attempt in records.attempts:
             self._attempts[attempt.id].append(attempt)
-        self._changes: dict[str, list[int]] = defaultdict(list)  # numbers by server
+        # The indexes of each server's changes in `Records.changes`.
+        self._changes: dict[str, list[int]] = defaultdict(list)
         for number, change in enumerate(records.changes):
             self._changes[change.server].append(number)
         self._notified_at = records.notified_at()
 
     def breaches(self) -> list[Breach]:
-        """All broken rules, in order of time."""
+        """Returns all broken rules, in order of time."""
         breaches = [Breach(Rule.CRASH, c.at, f"{c.node} {c.text}") for c in self._records.crashes]
         for client in self._records.clients.values():
             attempts = self._attempts[client.id]
@@ -82,9 +95,9 @@
     # ---- the rules ----------------------------------------------------------------------------------------
 
     def _check_answer(self, client: ClientRecord) -> Iterator[Breach]:
-        """Each request gets one final answer in time, unless SIGKILL ends it."""
+        """Checks that each request gets one final answer in time, unless SIGKILL ended it."""
         if client.outcome in (ClientOutcome.CLOSED, ClientOutcome.UNANSWERED):
-            text = self._why_lost(client, client.outcome)
+            text = self._lost_reason(client, client.outcome)
             if text:
                 yield Breach(Rule.LOST, client.ended_at, text, client.id)
         elif client.outcome is ClientOutcome.ANSWERED:
@@ -92,8 +105,8 @@
             if late > ANSWER_GRACE_S + self._slack:
                 yield Breach(Rule.LOST, client.ended_at, f"answered {late:.3f} s after its time", client.id)
 
-    def _why_lost(self, client: ClientRecord, outcome: ClientOutcome) -> str:
-        """Why a request without an answer is lost; empty where SIGKILL ended it as the protocol allows."""
+    def _lost_reason(self, client: ClientRecord, outcome: ClientOutcome) -> str:
+        """Returns why a request without an answer is lost; empty if SIGKILL ended it as the protocol allows."""
         terminated_at = self._kill_between(client.node, client.sent_at, client.ended_at)
         if terminated_at is None:
             return f"{outcome.value}, sent {client.sent_at:.3f}"
@@ -102,22 +115,25 @@
         return ""
 
     def _kill_between(self, node: str, start: float, end: float) -> float | None:
-        """For a SIGKILL between two times: when SIGTERM came before, 0 if it did not. None without a SIGKILL."""
+        """Returns the time of the SIGTERM before a SIGKILL of the process between two times.
+
+        It is 0 if there was a SIGKILL without a SIGTERM, and None if there was no SIGKILL.
+        """
         terminated_at = 0.0
-        for signal in self._records.node_events:
-            if signal.node != node or signal.at > end + self._slack:
+        for event in self._records.node_events:
+            if event.node != node or event.at > end + self._slack:
                 continue
-            if signal.text == "SIGTERM":
-                terminated_at = signal.at
-            elif signal.text == "SIGKILL" and signal.at >= start - self._slack:
+            if event.text == "SIGTERM":
+                terminated_at = event.at
+            elif event.text == "SIGKILL" and event.at >= start - self._slack:
                 return terminated_at
-            elif signal.text == "started":
+            elif event.text == "started":
                 terminated_at = 0.0
         return None
 
     @staticmethod
     def _check_duplicates(client: ClientRecord, attempts: list[AttemptRecord]) -> Iterator[Breach]:
-        """A non-idempotent request that may have been processed is not sent again."""
+        """Checks that a non-idempotent request that may have been processed is not sent again."""
         if client.idempotency is not Idempotency.NON_IDEMPOTENT:
             return
         for before, after in pairwise(sorted(attempts, key=lambda attempt: attempt.first_byte_at)):
@@ -126,7 +142,10 @@
                 yield Breach(Rule.DUPLICATE, after.first_byte_at, text, client.id)
 
     def _check_drain(self, client: ClientRecord, attempt: AttemptRecord) -> Iterator[Breach]:
-        """A server that drains or is gone gets nothing new once the node is notified and the grace is over."""
+        """Checks that a node sends nothing new to a server that drains or is gone.
+
+        The rule holds from `DRAIN_GRACE_S` after the node was notified.
+        """
         leaving = self._leaving_changes(attempt.server, attempt.first_byte_at)
         keys = [(client.node, number) for number in leaving]
         notified_at = min((self._notified_at[key] for key in keys if key in self._notified_at), default=None)
@@ -138,7 +157,7 @@
             yield Breach(Rule.DRAIN, attempt.first_byte_at, text, client.id)
 
     def _leaving_changes(self, server: str, at: float) -> list[int]:
-        """The changes by which the server drains or is gone at that time; none if it is in service."""
+        """Returns the indexes of the changes by which the server drains or is gone at a time; none if in service."""
         numbers = self._changes[server]
         times = [self._records.changes[number].at for number in numbers]
         leaving: list[int] = []
@@ -149,7 +168,7 @@
         return leaving
 
     def _check_disconnect(self, client: ClientRecord, attempt: AttemptRecord) -> Iterator[Breach]:
-        """No attempt begins for a client that has closed its connection."""
+        """Checks that no attempt begins for a client that has closed its connection."""
         late = attempt.first_byte_at - client.ended_at
         limit = client.ended_at + DISCONNECT_GRACE_S + self._slack
         if client.outcome is ClientOutcome.DISCONNECTED and attempt.first_byte_at > limit:
@@ -157,14 +176,14 @@
             yield Breach(Rule.CLIENT_GONE, attempt.first_byte_at, text, client.id)
 
     def _check_deadline(self, client: ClientRecord, attempt: AttemptRecord) -> Iterator[Breach]:
-        """A server is given no more time than the client has left."""
+        """Checks that a server is given no more time than the client has left."""
         excess = attempt.first_byte_at + attempt.timeout - client.sent_at - client.timeout
         if excess > DEADLINE_SLACK_S + self._slack:
             text = f"{excess:.3f} s more than its client has"
             yield Breach(Rule.DEADLINE, attempt.first_byte_at, text, client.id)
 
     def _check_slow_start(self) -> Iterator[Breach]:
-        """No server that warms up is overloaded."""
+        """Checks that no server is overloaded during its slow start."""
         for overload in SlowStartOracle(self._records, SlowStartRules()).overloads():
             text = (
                 f"{overload.server} got {overload.requests} requests of at most {overload.limit:.1f},"
--- a/harecross/soak/plan.py
+++ b/harecross/soak/plan.py
@@ -11,50 +11,78 @@
 
 
 class ClassPlan(NamedTuple):
-    """One request class."""
+    """One request class.
+
+    Attributes:
+        max_deadline: Longest deadline of a request of the class, in seconds.
+    """
 
     name: str
     idempotency: Idempotency
-    max_deadline: float  # seconds
+    max_deadline: float
 
 
 class ServerPlan(NamedTuple):
-    """How one server behaves. Probabilities are of each request."""
+    """How one server behaves. Each probability applies to each request.
+
+    Attributes:
+        mean_work: Mean processing time of a request, in seconds.
+        slow_probability: Probability that a request takes ten times its processing time.
+        error_probability: Probability of a response with status 500.
+        reset_probability: Probability that the server resets the connection instead of responding.
+        silent_probability: Probability that the server never responds.
+        close_probability: Probability that the server closes the connection after the response.
+        half_close_probability: Probability that the server closes its sending side instead of responding.
+    """
 
     name: str
-    mean_work: float  # seconds
-    slow_probability: float  # of ten times as much work
-    error_probability: float  # of status 500
-    reset_probability: float  # of a reset connection in place of the answer
-    silent_probability: float  # of no answer
-    close_probability: float  # of a connection that is closed after the answer
-    half_close_probability: float  # of an end of sending in place of the answer
+    mean_work: float
+    slow_probability: float
+    error_probability: float
+    reset_probability: float
+    silent_probability: float
+    close_probability: float
+    half_close_probability: float
 
 
 class LinkFaultKind(Enum):
-    """What goes wrong between nodes and a server."""
+    """A kind of network fault between nodes and a server.
+
+    Attributes:
+        DELAY: Both directions are delayed by `LinkFault.delay`.
+        REQUESTS_HELD: Requests arrive only when the fault ends.
+        ANSWERS_HELD: Responses arrive only when the fault ends.
+        RESET: The connection is reset in the middle of a response.
+        HALF_CLOSE: The sending side is closed instead of a response.
+        PIECES: A response arrives a few bytes at a time.
+    """
 
-    DELAY = "delay"  # of each direction, by `delay`
-    REQUESTS_HELD = "requests held"  # requests arrive at the end of the fault
-    ANSWERS_HELD = "answers held"  # answers arrive at the end of the fault
-    RESET = "reset"  # within an answer
-    HALF_CLOSE = "half-close"  # an end of sending in place of an answer
-    PIECES = "pieces"  # an answer arrives some bytes at a time
+    DELAY = "delay"
+    REQUESTS_HELD = "requests held"
+    ANSWERS_HELD = "answers held"
+    RESET = "reset"
+    HALF_CLOSE = "half-close"
+    PIECES = "pieces"
 
 
 class LinkFault(NamedTuple):
-    """One fault between nodes and a server. Times in seconds from the run's start."""
+    """One fault between nodes and a server. Times are seconds from the start of the run.
+
+    Attributes:
+        probability: Probability that the fault affects a response; 0 for faults that delay or hold bytes.
+        delay: Delay of each direction in seconds, for `LinkFaultKind.DELAY`.
+    """
 
     server: str
     kind: LinkFaultKind
     start: float
     end: float
-    probability: float = 0.0  # of each answer
+    probability: float = 0.0
     delay: float = 0.0
 
 
 class ListChange(NamedTuple):
-    """The state of some servers changes at once."""
+    """A change of the state of several servers at the same time, in seconds from the start of the run."""
 
     at: float
     servers: tuple[str, ...]
@@ -62,30 +90,49 @@
 
 
 class DiscoveryPlan(NamedTuple):
-    """How one discovery of a node behaves. Times in seconds."""
-
-    delay: float  # with which it learns of changes until it has caught up
-    caught_up_after: float  # from SIGHUP on; 0 for a node's first discovery
-    omits_draining: bool  # its full lists do not name servers that drain
+    """How one discovery of a node behaves. Times are seconds.
+
+    Attributes:
+        delay: Delay with which it learns of changes until it has caught up.
+        caught_up_after: Time from SIGHUP until it has caught up; 0 for the first discovery of a node.
+        omits_draining: Whether its full lists leave out draining servers.
+        first_generation: Generation of its list before any change.
+        writes_per_line: Number of writes in which it sends one line of a watch.
+        answer_delay: Delay before it answers a call.
+    """
+
+    delay: float
+    caught_up_after: float
+    omits_draining: bool
     first_generation: int
-    line_pieces: int  # in so many writes it sends a line
+    writes_per_line: int
     answer_delay: float
 
 
 class NodeAction(Enum):
-    """What is done to a node or its discovery."""
-
-    MIGRATE = "move"  # to another discovery, by SIGHUP
-    SUSPEND = "hold"  # the process, for a while
+    """An action on a node or its discovery.
+
+    Attributes:
+        MIGRATE: Migrate the node to another discovery, by SIGHUP.
+        SUSPEND: Suspend the process for a while.
+        SILENCE_WATCHES: Keep the open watches open, but send nothing more on them.
+        RESET_WATCHES: Reset the connections of the open watches.
+        DISCOVERY_DOWN: Take the discovery down for a while.
+        STOP: Send SIGTERM, later SIGKILL, and restart the process.
+        KILL: Send SIGKILL and restart the process.
+    """
+
+    MIGRATE = "move"
+    SUSPEND = "hold"
     SILENCE_WATCHES = "mute"
     RESET_WATCHES = "reset"
-    DISCOVERY_DOWN = "down"  # for a while
-    STOP = "stop"  # SIGTERM, then SIGKILL and a restart
-    KILL = "kill"  # SIGKILL and a restart
+    DISCOVERY_DOWN = "down"
+    STOP = "stop"
+    KILL = "kill"
 
 
 class NodeEvent(NamedTuple):
-    """Something that is done to one node."""
+    """A planned action on one node. Times are seconds; `at` counts from the start of the run."""
 
     at: float
     node: str
@@ -95,21 +142,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One soak. Times in seconds from the run's start."""
+    """One soak. Times are seconds from the start of the run.
+
+    Attributes:
+        duration: Duration of the load.
+        polled: Whether nodes poll their lists from a service; otherwise an agent on their machine pushes them.
+        requests_per_second: Rate of requests to each node.
+        disconnect_probability: Probability that a client disconnects before it has its response.
+        new_connection_probability: Probability that a request uses a new connection although one is idle.
+        burst_at: Start of a burst of clients; negative for no burst.
+        discoveries: Discoveries of each node, in the order in which the node migrates to them.
+        call_faults: Faults of system calls of each node; not applied without a C compiler.
+        clock_steps: Steps of the wall clock of each node; not applied without a C compiler.
+        link_faults: Network faults; a server that one of them names is behind a proxy.
+    """
 
     seed: int
-    duration: float  # of the load
+    duration: float
     classes: tuple[ClassPlan, ...]
     nodes: tuple[str, ...]
-    polled: bool  # nodes poll their lists from a service; otherwise an agent on their machine pushes them
-    requests_per_second: float  # to one node
-    disconnect_probability: float  # that a client closes before its answer
-    new_connection_probability: float  # that a request uses a new connection though one is idle
-    burst_at: float  # when a burst of clients comes; negative for never
+    polled: bool
+    requests_per_second: float
+    disconnect_probability: float
+    new_connection_probability: float
+    burst_at: float
     servers: tuple[ServerPlan, ...]
     changes: tuple[ListChange, ...]
-    discoveries: dict[str, tuple[DiscoveryPlan, ...]]  # by node, in the order of its migrations
+    discoveries: dict[str, tuple[DiscoveryPlan, ...]]
     events: tuple[NodeEvent, ...]
-    call_faults: dict[str, tuple[CallFault, ...]]  # by node; left out without a compiler
-    clock_steps: dict[str, tuple[ClockStep, ...]]  # by node; left out without a compiler
-    link_faults: tuple[LinkFault, ...]  # a server that one names stands behind a proxy
+    call_faults: dict[str, tuple[CallFault, ...]]
+    clock_steps: dict[str, tuple[ClockStep, ...]]
+    link_faults: tuple[LinkFault, ...]
--- a/harecross/soak/planner.py
+++ b/harecross/soak/planner.py
@@ -1,4 +1,4 @@
-"""Draws the plan of one soak from its seed: a seed gives the same plan every time."""
+"""Draws the plan of one soak from its seed; the same seed always gives the same plan."""
 
 from __future__ import annotations
 
@@ -20,37 +20,48 @@
 from harecross.soak.records import Idempotency, Lifecycle
 from harecross.soak.shim import CUT_SHORT, DELAYED, CallFault, ClockStep
 
-# Times are seconds.
-QUIET_END_S = 3.0  # at the end of a run, without new faults
-MAX_CAUGHT_UP_S = 3.6  # from SIGHUP until a new discovery has all changes; the protocol allows 4
-POLLED_FRACTION = 0.3  # of the runs
-QUIET_EVENT_BY_S = 1.5  # by which the one fault of a quiet run has begun
-WHOLE_RUN_S = 1000.0  # longer than any run
-FIRST_MIGRATION_S = 1.5  # SIGHUP never comes in a node's first second
-MAX_LINK_FAULTS = 4  # of one run
-MAX_HELD_S = 1.5  # for which a direction of a link is held
+# Time at the end of a run for which no faults are drawn, except for clock steps and the rest of a series of events that
+# began earlier.
+QUIET_END_S = 3.0
+# Longest time from SIGHUP until a new discovery has all changes; the protocol allows 4 s.
+MAX_CAUGHT_UP_S = 3.6
+# Fraction of the runs in which nodes poll their lists.
+POLLED_FRACTION = 0.3
+# Latest start of the single fault of each node in a quiet run.
+QUIET_EVENT_BY_S = 1.5
+# Longer than any run.
+WHOLE_RUN_S = 1000.0
+# Earliest time of a migration: SIGHUP never comes in the first second of a node.
+FIRST_MIGRATION_S = 1.5
+# Maximum number of link faults in a run.
+MAX_LINK_FAULTS = 4
+# Longest time for which one direction of a link is held.
+MAX_HELD_S = 1.5
 MAX_LINK_DELAY_S = 0.06
 ACCEPT_ERRORS = [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO]
 CONNECT_ERRORS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH]
 
 
 class Emphasis(Enum):
-    """What most faults of a run are."""
+    """The kind of most faults of a run.
+
+    Attributes:
+        SILENT_WATCHES: Watches fall silent. Changes are few, so that a missed change lasts past the staleness limit.
+        DISCOVERY_DOWN: Discoveries are down for several seconds. Changes are few, for the same reason.
+    """
 
     MIGRATIONS = "moves"
-    SILENT_WATCHES = (
-        "watches fall silent"  # with few changes: one that is missed lasts past the staleness limit
-    )
-    DISCOVERY_DOWN = "discoveries are down for long"  # with few changes, for the same reason
+    SILENT_WATCHES = "watches fall silent"
+    DISCOVERY_DOWN = "discoveries are down for long"
     RESTARTS = "restarts"
 
     @property
     def quiet(self) -> bool:
-        """Whether nodes stay with their discovery, and changes are few."""
+        """Whether nodes keep their discovery and changes of servers are few."""
         return self in (Emphasis.SILENT_WATCHES, Emphasis.DISCOVERY_DOWN)
 
 
-# Of consecutive seeds.
+# Consecutive seeds take these in turn.
 EMPHASES = (
     Emphasis.MIGRATIONS,
     Emphasis.SILENT_WATCHES,
@@ -63,8 +74,8 @@
 
 
 def make_plan(seed: int, duration: float = 14.0, max_nodes: int = 3) -> Plan:
-    """The plan of one seed, with so many seconds of load on 1 to `max_nodes` nodes."""
-    # The order of the draws, also among the arguments of Plan, is part of what a seed means.
+    """Returns the plan of one seed, with `duration` seconds of load on 1 to `max_nodes` nodes."""
+    # A seed gives the same plan only as long as the order of the draws stays, also among the arguments of Plan.
     rng = Random(seed)
     nodes = tuple(f"n{i}" for i in range(rng.randint(1, max_nodes)))
     max_deadline = rng.choice([0.6, 1.0, 2.0])
@@ -102,7 +113,7 @@
 
 
 def request_classes(max_deadline: float) -> tuple[ClassPlan, ...]:
-    """One class of each idempotency."""
+    """Returns one request class for each kind of idempotency."""
     return (
         ClassPlan("read", Idempotency.IDEMPOTENT, max_deadline),
         ClassPlan("put", Idempotency.IDEMPOTENCY_KEY, max_deadline * 0.8),
@@ -111,25 +122,25 @@
 
 
 def draw_server(rng: Random, number: int) -> ServerPlan:
-    """How one server behaves."""
+    """Draws the behaviour of one server."""
 
-    def rare(most: float) -> float:
-        return rng.choice([0.0, 0.0, rng.uniform(0, most)])
+    def draw_rare(maximum: float) -> float:
+        return rng.choice([0.0, 0.0, rng.uniform(0, maximum)])
 
     return ServerPlan(
         f"s{number}",
         mean_work=rng.uniform(0.004, 0.03),
-        slow_probability=rare(0.05),
-        error_probability=rare(0.03),
-        reset_probability=rare(0.04),
-        silent_probability=rare(0.02),
+        slow_probability=draw_rare(0.05),
+        error_probability=draw_rare(0.03),
+        reset_probability=draw_rare(0.04),
+        silent_probability=draw_rare(0.02),
         close_probability=rng.choice([0.0, 0.1, 1.0]) if rng.random() < 0.5 else 0.0,
-        half_close_probability=rare(0.03),
+        half_close_probability=draw_rare(0.03),
     )
 
 
 class ChangeDraw:
-    """Draws groups of servers that drain, are recalled, drain again, go, and come back as new processes."""
+    """Draws changes of groups of servers: drains, recalls to service, ends and restarts as new processes."""
 
     def __init__(self, rng: Random, names: list[str], duration: float, emphasis: Emphasis) -> None:
         self._rng = rng
@@ -139,7 +150,7 @@
         self._changes: list[ListChange] = []
 
     def draw(self) -> list[ListChange]:
-        """All changes, in order."""
+        """Draws all changes, in order of time."""
         pauses = [8.0, 10.0] if self._quiet else [0.2, 0.3, 0.6, 1.0, 2.0, 4.0]
         at = self._rng.uniform(QUIET_EVENT_BY_S if self._quiet else 1.0, 3.0)
         while at < self._duration - QUIET_END_S:
@@ -159,7 +170,7 @@
             self._change(at, group, lifecycle)
 
     def _bring_back(self, at: float, away: list[str]) -> None:
-        """Restarts servers that are gone; recalls, restarts or ends those that drain."""
+        """Restarts servers that are gone; returns draining ones to service, restarts them or ends them."""
         group = self._rng.sample(away, self._rng.randint(1, len(away)))
         gone = [name for name in group if self._lifecycles[name] == Lifecycle.GONE]
         draining = [name for name in group if self._lifecycles[name] == Lifecycle.DRAINING]
@@ -178,7 +189,7 @@
 
 
 class NodeEventDraw:
-    """Draws what is done to one node."""
+    """Draws the events of one node."""
 
     def __init__(
         self, rng: Random, node: str, duration: float, max_deadline: float, emphasis: Emphasis
@@ -191,7 +202,7 @@
         self._events: list[NodeEvent] = []
 
     def draw(self) -> list[NodeEvent]:
-        """All events of the node, in no order."""
+        """Draws all events of the node, in no particular order."""
         at = self._rng.uniform(FIRST_MIGRATION_S, 4.0)
         if self._emphasis.quiet:
             return [self._quiet_event()]
@@ -207,7 +218,10 @@
         self._events.append(NodeEvent(at, self._node, action, duration))
 
     def _quiet_event(self) -> NodeEvent:
-        """The one event of a quiet run: nothing else opens a watch, and a drain lasts past the staleness limit."""
+        """Draws the single event of a quiet run.
+
+        Nothing else makes the node open a watch, so a drain that it misses lasts past the staleness limit.
+        """
         at = self._rng.uniform(0.5, QUIET_EVENT_BY_S)
         if self._emphasis is Emphasis.SILENT_WATCHES:
             return NodeEvent(at, self._node, NodeAction.SILENCE_WATCHES)
@@ -230,10 +244,10 @@
             self._add(at, NodeAction.DISCOVERY_DOWN, self._rng.uniform(0.5, 4.0))
 
     def _draw_restart(self) -> None:
-        """A restart without other events near it, in half of the cases while the discovery is down."""
+        """Draws a restart and removes other events near it; in half of the cases the discovery is down meanwhile."""
         action = self._rng.choice([NodeAction.STOP, NodeAction.KILL])
         at = self._rng.uniform(3, self._end)
-        # Clients send on until the kill; a node is not migrated while it stops and in its first second.
+        # Clients keep sending until SIGKILL. A node is not migrated while it shuts down or in its first second.
         ended_at = at + (self._max_deadline + 0.7 if action is NodeAction.STOP else 0.0)
         self._events = [event for event in self._events if not at - 0.2 < event.at < ended_at + 2.0]
         self._add(at, action)
@@ -242,20 +256,20 @@
 
 
 def draw_discoveries(rng: Random, node: str, events: tuple[NodeEvent, ...]) -> tuple[DiscoveryPlan, ...]:
-    """A node's first discovery, and one for each migration."""
+    """Draws the first discovery of a node, and one for each of its migrations."""
     migrations = sum(event.node == node and event.action is NodeAction.MIGRATE for event in events)
     first = DiscoveryPlan(0.0, 0.0, rng.random() < 0.3, rng.randint(1, 90), rng.choice([1, 1, 3]), 0.0)
     return (first, *(draw_discovery(rng) for _ in range(migrations)))
 
 
 def draw_discovery(rng: Random) -> DiscoveryPlan:
-    """A discovery that a node migrates to."""
+    """Draws a discovery that a node migrates to."""
     return DiscoveryPlan(
         delay=rng.choice([0.0, 0.3, 1.0, 3.0]),
         caught_up_after=rng.uniform(0.5, MAX_CAUGHT_UP_S),
         omits_draining=rng.random() < 0.3,
         first_generation=rng.randint(1, 90),
-        line_pieces=rng.choice([1, 1, 1, 3]),
+        writes_per_line=rng.choice([1, 1, 1, 3]),
         answer_delay=rng.choice([0.0, 0.0, 0.05, 0.6]),
     )
 
@@ -263,13 +277,13 @@
 def draw_call_faults(
     rng: Random, seed: int, node: str, duration: float, emphasis: Emphasis
 ) -> tuple[CallFault, ...]:
-    """All faults of one node's system calls."""
+    """Draws all system call faults of one node."""
     faults = draw_failing_calls(rng, duration, emphasis)
     return (*faults, *draw_delayed_close(Random(f"{seed}/{node}/closing"), emphasis))
 
 
 def draw_failing_calls(rng: Random, duration: float, emphasis: Emphasis) -> list[CallFault]:
-    """System calls that fail for a while, and reads and writes that are cut short in the whole run."""
+    """Draws system calls that fail for a while, and reads or writes that are cut short during the whole run."""
     faults = []
 
     def add(call: str, error: int, probability: float) -> None:
@@ -292,14 +306,14 @@
 
 
 def draw_delayed_close(rng: Random, emphasis: Emphasis) -> tuple[CallFault, ...]:
-    """Some nodes that stop are delayed just before they close their listening socket."""
+    """Draws a delay just before a node closes its listening socket, for half of the nodes in runs with restarts."""
     if emphasis is Emphasis.RESTARTS and rng.random() < 0.5:
         return (CallFault("close_listener", DELAYED, 1.0, 0.0, WHOLE_RUN_S),)
     return ()
 
 
 def draw_clock_steps(rng: Random, duration: float) -> tuple[ClockStep, ...]:
-    """A step of the wall clock in four of ten runs."""
+    """Draws a step of the wall clock, for 40% of the nodes."""
     if rng.random() < 0.6:
         return ()
     step = rng.choice([-3600.0, -5.0, 5.0, 3600.0])
@@ -307,19 +321,19 @@
 
 
 def draw_link_faults(rng: Random, names: list[str], duration: float) -> tuple[LinkFault, ...]:
-    """Faults between nodes and some of the servers, in every second run."""
+    """Draws faults between nodes and some of the servers, in half of the runs."""
     if rng.random() < 0.5:
         return ()
     return tuple(draw_link_fault(rng, names, duration) for _ in range(rng.randint(1, MAX_LINK_FAULTS)))
 
 
 def draw_link_fault(rng: Random, names: list[str], duration: float) -> LinkFault:
-    """One fault between nodes and a server."""
+    """Draws one fault between nodes and a server."""
     kind = rng.choice(list(LinkFaultKind))
     start = rng.uniform(1, duration - QUIET_END_S)
     held = kind in (LinkFaultKind.REQUESTS_HELD, LinkFaultKind.ANSWERS_HELD)
-    lasts = rng.uniform(0.2, MAX_HELD_S) if held else rng.uniform(0.5, 4.0)
+    fault_duration = rng.uniform(0.2, MAX_HELD_S) if held else rng.uniform(0.5, 4.0)
     probability = rng.choice([0.1, 0.5]) if not held and kind is not LinkFaultKind.DELAY else 0.0
     delay = rng.uniform(0.005, MAX_LINK_DELAY_S) if kind is LinkFaultKind.DELAY else 0.0
-    end = min(start + lasts, duration)
+    end = min(start + fault_duration, duration)
     return LinkFault(rng.choice(names), kind, start, end, probability, delay)
--- a/harecross/soak/records.py
+++ b/harecross/soak/records.py
@@ -1,4 +1,4 @@
-"""What a soak's clients, servers and discoveries saw: the oracle's only evidence. Times are monotonic seconds."""
+"""Records of a soak's clients, servers and discoveries, the only input of the oracle. Times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request does. The values are those of the settings."""
+    """Whether a request may be sent again. The values are those of the settings."""
 
     IDEMPOTENT = "free"
     IDEMPOTENCY_KEY = "guarded"
@@ -16,13 +16,21 @@
 
 
 class ClientOutcome(Enum):
-    """How a request ended for its client. The values are those of the reports."""
+    """How a request ended for its client. The values are those of the reports.
+
+    Attributes:
+        ANSWERED: The client received a complete response.
+        DISCONNECTED: The client closed its connection before it had a response.
+        CLOSED: The node closed the connection without a complete response.
+        NOT_ACCEPTED: The client could not open a connection.
+        UNANSWERED: No response came until some time after the deadline, when the client stopped waiting.
+    """
 
     ANSWERED = "answered"
-    DISCONNECTED = "left"  # the client closed its connection first
-    CLOSED = "closed"  # the node closed the connection without a complete answer
-    NOT_ACCEPTED = "not taken"  # no connection could be made
-    UNANSWERED = "unanswered"  # nothing came within the client's patience after its deadline
+    DISCONNECTED = "left"
+    CLOSED = "closed"
+    NOT_ACCEPTED = "not taken"
+    UNANSWERED = "unanswered"
 
 
 class AttemptOutcome(Enum):
@@ -37,63 +45,92 @@
 
 
 class Lifecycle(StrEnum):
-    """The state of a server. The values are those of discovery, but for RESTARTED, which a plan alone has."""
+    """The state of a server. The values are those of discovery, except for RESTARTED, which only plans use.
+
+    Attributes:
+        RESTARTED: The server starts a new process, which is in service.
+    """
 
     IN_SERVICE = "in_service"
     DRAINING = "terminating"
     GONE = "terminated"
-    RESTARTED = "restarted"  # a new process, in service
+    RESTARTED = "restarted"
 
 
 @dataclass(slots=True)
 class ClientRecord:
-    """One request, as its client saw it."""
+    """One request, as its client saw it.
+
+    Attributes:
+        node: Name of the node's process that the request was sent to.
+        sent_at: When the last byte was written.
+        timeout: Seconds from `sent_at` until the deadline.
+        new_connection: Whether it was the first request on its connection.
+        outcome: None while the request is in flight.
+        resent: Whether its idle connection was closed before a response, so that it was sent again on a new one.
+    """
 
     id: str
-    node: str  # the node's process
+    node: str
     idempotency: Idempotency
-    sent_at: float  # when its last byte was written
+    sent_at: float
     timeout: float
-    new_connection: bool  # it is the first on its connection
+    new_connection: bool
     outcome: ClientOutcome | None = None
     status: int = 0
     ended_at: float = 0.0
-    resent: bool = False  # its connection ended between requests, and it was sent once more on a new one
+    resent: bool = False
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt, as its server saw it."""
+    """One attempt, as its server saw it.
+
+    Attributes:
+        id: Identifier of the request.
+        received_at: When the last byte arrived.
+        timeout: Value of the X-Timeout header, in seconds.
+    """
 
-    id: str  # of the request
+    id: str
     server: str
     first_byte_at: float
-    received_at: float  # when its last byte came
-    timeout: float  # X-Timeout, in seconds
+    received_at: float
+    timeout: float
     outcome: AttemptOutcome = AttemptOutcome.UNFINISHED
     ended_at: float = 0.0
 
 
 class EndpointChange(NamedTuple):
-    """The state of one server changed."""
+    """A change of the state of one server.
+
+    Attributes:
+        started_ms: Start of the server's process in Unix time; 0 if it started long before the run.
+    """
 
     at: float
     server: str
     lifecycle: str
-    started_ms: int  # of the process, Unix time; 0 for long ago
+    started_ms: int
 
 
 class NotificationRecord(NamedTuple):
-    """From when on a node counts as notified of a change."""
+    """The time from which a node counts as notified of a change.
+
+    Attributes:
+        change: Index of the change in `Records.changes`.
+        reason: Why the node counts as notified: a discovery wrote the change to it, or a time limit of the protocol
+            has passed.
+    """
 
     node: str
-    change: int  # its number
+    change: int
     at: float
-    reason: str  # written by which discovery, or which term of the protocol holds
+    reason: str
 
 
 class NodeEventRecord(NamedTuple):
-    """Something was done to a node's process, or happened to it."""
+    """An event of a node's process: an action of the soak, such as a signal, or a crash."""
 
     node: str
     at: float
@@ -102,19 +139,28 @@
 
 @dataclass(slots=True)
 class Records:
-    """All records of one run."""
+    """All records of one run.
 
-    clients: dict[str, ClientRecord] = field(default_factory=dict)  # by request
+    Attributes:
+        clients: Requests by their identifier.
+        max_delay: Longest delay of the event loop of the recording process; recorded times may be late by as much.
+        logs: Log lines of each process of a node, by its name.
+    """
+
+    clients: dict[str, ClientRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
     changes: list[EndpointChange] = field(default_factory=list)
     notifications: list[NotificationRecord] = field(default_factory=list)
     node_events: list[NodeEventRecord] = field(default_factory=list)
-    max_delay: float = 0.0  # by which the recording process was late at most
-    logs: dict[str, list[str]] = field(default_factory=dict)  # by node process
+    max_delay: float = 0.0
+    logs: dict[str, list[str]] = field(default_factory=dict)
     crashes: list[NodeEventRecord] = field(default_factory=list)
 
     def notified_at(self) -> dict[tuple[str, int], float]:
-        """From when on each node process counts as notified of each change, by process and the change's number."""
+        """Returns the time from which each process of a node counts as notified of each change.
+
+        The keys are the name of the process and the index of the change.
+        """
         earliest: dict[tuple[str, int], float] = {}
         for notification in self.notifications:
             key = (notification.node, notification.change)
--- a/harecross/soak/run.py
+++ b/harecross/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: real node processes, stand-in servers, discoveries and clients, and the faults of a plan, in real time."""
+"""Runs one soak in real time: node processes, stand-in servers, discoveries and clients, with the faults of a plan."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 from harecross.standins.cluster import ClusterError
 
 DELAY_CHECK_INTERVAL_S = 0.005
-SETTLE_S = 0.5  # from the end of the load until the records are closed
+# Time from the end of the load until the records are complete.
+SETTLE_S = 0.5
 
 
-class Soak:
+class SoakRun:
     """One run of a plan."""
 
     def __init__(self, plan: Plan, folder: Path, shim: Path | None) -> None:
@@ -33,16 +34,16 @@
             self._servers[server.name] = SoakServer(server, plan.seed, self.records, faults)
         self._nodes = {name: SoakNode(plan, name, folder, self.records, shim) for name in plan.nodes}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._began = 0.0
+        self._started_at = 0.0
 
     async def run(self) -> Records:
-        """Plays the plan. ClusterError where a node does not start."""
+        """Runs the plan. Raises ClusterError if a node does not start."""
         watchers: list[asyncio.Task[None]] = []
         try:
             await self._start()
-            watchers = [asyncio.create_task(self._measure_delay())]
+            watchers = [asyncio.create_task(self._measure_loop_delay())]
             watchers += [asyncio.create_task(node.watch_process()) for node in self._nodes.values()]
-            await self._play()
+            await self._run_plan()
         finally:
             for task in watchers:
                 task.cancel()
@@ -73,14 +74,14 @@
     def _address_of(self, server: str) -> str:
         return self._servers[server].address
 
-    async def _play(self) -> None:
-        """Runs the load and all faults to their end."""
-        self._began = time.monotonic()
+    async def _run_plan(self) -> None:
+        """Runs the load and all faults until they end."""
+        self._started_at = time.monotonic()
         for server in self._servers.values():
-            server.begin(self._began)
-        end = self._began + self._plan.duration
+            server.set_run_start(self._started_at)
+        end = self._started_at + self._plan.duration
         clients = [asyncio.create_task(node.clients.run(end)) for node in self._nodes.values()]
-        await self._play_events()
+        await self._run_events()
         await asyncio.gather(*clients)
         await asyncio.sleep(SETTLE_S)
         if self._tasks:
@@ -94,15 +95,15 @@
 
     # ---- events -------------------------------------------------------------------------------------------
 
-    async def _play_events(self) -> None:
-        """All changes and events in order of time."""
+    async def _run_events(self) -> None:
+        """Applies all changes and events in order of time."""
         events: list[ListChange | NodeEvent] = [*self._plan.changes, *self._plan.events]
         for event in sorted(events, key=lambda event: event.at):
-            await asyncio.sleep(max(0.0, self._began + event.at - time.monotonic()))
+            await asyncio.sleep(max(0.0, self._started_at + event.at - time.monotonic()))
             if isinstance(event, ListChange):
                 await self._change_servers(event)
             else:
-                self._start_task(self._act(event))
+                self._start_task(self._apply_event(event))
 
     async def _change_servers(self, change: ListChange) -> None:
         at = time.monotonic()
@@ -111,7 +112,7 @@
             lifecycle = await server.change(change.lifecycle)
             self.records.changes.append(EndpointChange(at, name, lifecycle, server.started_ms))
 
-    async def _act(self, event: NodeEvent) -> None:
+    async def _apply_event(self, event: NodeEvent) -> None:
         node = self._nodes[event.node]
         match event.action:
             case NodeAction.MIGRATE:
@@ -135,18 +136,18 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _measure_delay(self) -> None:
-        """Measures how late this process's own records may be."""
+    async def _measure_loop_delay(self) -> None:
+        """Measures the longest delay of the event loop, by which the recorded times may be late."""
         while True:
-            due = time.monotonic() + DELAY_CHECK_INTERVAL_S
+            due_at = time.monotonic() + DELAY_CHECK_INTERVAL_S
             await asyncio.sleep(DELAY_CHECK_INTERVAL_S)
-            self.records.max_delay = max(self.records.max_delay, time.monotonic() - due)
+            self.records.max_delay = max(self.records.max_delay, time.monotonic() - due_at)
 
 
 async def run_soak(plan: Plan, shim: Path | None) -> tuple[Records, list[Breach]]:
-    """Plays a plan and judges it. A node that does not start is a breach."""
+    """Runs a plan and returns its records and breaches. A node that does not start is a breach."""
     with tempfile.TemporaryDirectory(prefix="harecross-soak-") as folder:
-        run = Soak(plan, Path(folder), shim)
+        run = SoakRun(plan, Path(folder), shim)
         try:
             await run.run()
         except ClusterError as error:
--- a/harecross/soak/servers.py
+++ b/harecross/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers that fail as their plan says, and record every attempt."""
+"""Stand-in servers that fail according to their plan and record every attempt."""
 
 from __future__ import annotations
 
@@ -14,62 +14,70 @@
 from harecross.soak.records import AttemptOutcome, AttemptRecord, Lifecycle, Records
 from harecross.standins.http import answer, header
 
-SLOW_FACTOR = 10.0  # of the work of a slow request
+# Factor by which a slow request takes longer.
+SLOW_FACTOR = 10.0
 TIMEOUT_UNITS_S = {b"m": 1e-3, b"u": 1e-6}
 
 
-def own_host() -> str:
-    """A loopback address of this process alone: a port of its own stays its own while nothing listens there."""
+def process_loopback_host() -> str:
+    """Returns a loopback address that only this process uses.
+
+    No other process can take a port of it while nothing listens there, for instance during a restart.
+    """
     return f"127.77.{os.getpid() >> 8 & 0xFF}.{os.getpid() & 0xFF or 1}"
 
 
 def timeout_seconds(value: bytes) -> float:
-    """An X-Timeout in seconds; 0 for one that cannot be read."""
+    """Returns the value of an X-Timeout header in seconds; 0 if it is malformed."""
     unit_s = TIMEOUT_UNITS_S.get(value[-1:])
     return float(value[:-1]) * unit_s if unit_s is not None and value[:-1].isdigit() else 0.0
 
 
 class SoakServer:
-    """One server: its present process and its listener, at one address in the whole run."""
+    """One server: its current process and its listener, at the same address for the whole run.
+
+    Attributes:
+        started_ms: Start of the process in Unix time; 0 if it started long before the run.
+    """
 
     def __init__(
         self, plan: ServerPlan, seed: int, records: Records, faults: Sequence[LinkFault] = ()
     ) -> None:
-        """`faults` are those of its link; without any there is no proxy before it."""
+        """Creates a server with the given faults of its link; without any, there is no proxy in front of it."""
         self.plan = plan
         self.rng = Random(f"{seed}/{plan.name}")
         self.records = records
         self.lifecycle: str = Lifecycle.IN_SERVICE
-        self.started_ms = 0  # Unix time, 0 for long ago
+        self.started_ms = 0
         self.connections: set[ServerConnection] = set()
         self.proxy: FaultProxy | None = None
         self._listener: asyncio.Server | None = None
         self._port = 0
         if faults:
-            self.proxy = FaultProxy(own_host(), faults, Random(f"{seed}/{plan.name}/link"))
+            self.proxy = FaultProxy(process_loopback_host(), faults, Random(f"{seed}/{plan.name}/link"))
 
     @property
     def address(self) -> str:
-        """Where nodes connect."""
-        return f"{own_host()}:{self.proxy.port if self.proxy is not None else self._port}"
+        """The address that nodes connect to."""
+        return f"{process_loopback_host()}:{self.proxy.port if self.proxy is not None else self._port}"
 
-    def begin(self, at: float) -> None:
-        """The run began at that monotonic time."""
+    def set_run_start(self, at: float) -> None:
+        """Sets the monotonic time of the start of the run."""
         if self.proxy is not None:
-            self.proxy.begin(at)
+            self.proxy.set_run_start(at)
 
     async def open(self) -> None:
-        """Listens."""
+        """Starts to listen."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
-            lambda: ServerConnection(self), own_host(), self._port, reuse_address=True
+            lambda: ServerConnection(self), process_loopback_host(), self._port, reuse_address=True
         )
         self._port = self._listener.sockets[0].getsockname()[1]
         if self.proxy is not None:
             await self.proxy.open(self._port)
 
     def close(self) -> None:
-        """The process dies: its connections are reset, new ones refused."""
+        """Ends the process: resets its connections and refuses new ones."""
         if self.proxy is not None:
             self.proxy.close()
         if self._listener is not None:
@@ -79,7 +87,7 @@
             connection.abort()
 
     async def change(self, lifecycle: Lifecycle) -> str:
-        """Carries out a change, and returns the state that discovery has for it."""
+        """Applies a change and returns the resulting state as discovery names it."""
         if lifecycle == Lifecycle.RESTARTED:
             self.close()
             self.started_ms = time.time_ns() // 1_000_000
@@ -92,7 +100,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection from a node. It carries one request at a time."""
+    """One connection from a node, which carries one request at a time."""
 
     def __init__(self, server: SoakServer) -> None:
         self._server = server
@@ -103,12 +111,12 @@
         self._work_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Registers the open connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, and the work with it."""
+        """Cancels the work when the connection has ended."""
         self._server.connections.discard(self)
         self._transport = None
         if self._work_timer is not None:
@@ -121,7 +129,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Begins the work of a request that is complete."""
+        """Buffers received bytes, and handles a request once it is complete."""
         if not self._buffer:
             self._first_byte_at = self._sent_at()
         self._buffer += data
@@ -132,22 +140,25 @@
         self._receive(head)
 
     def _relay(self) -> Relay | None:
-        """The proxy's side of this connection."""
+        """Returns the proxy's relay of this connection, or None without a proxy."""
         if self._server.proxy is None or self._transport is None:
             return None
         return self._server.proxy.relays.get(self._transport.get_extra_info("peername")[1])
 
     def _sent_at(self) -> float:
-        """When the node sent the byte that comes now: at the proxy if there is one, since a link may hold it."""
+        """Returns when the node sent the byte that has just arrived.
+
+        With a proxy, it is the time when the byte reached the proxy, since the link may hold it.
+        """
         relay = self._relay()
-        request_began = relay.request_began if relay is not None else None
-        return time.monotonic() if request_began is None else request_began
+        request_started_at = relay.request_started_at if relay is not None else None
+        return time.monotonic() if request_started_at is None else request_started_at
 
     def _receive(self, head: bytes) -> None:
-        """Records a complete request, and rejects it or begins its work."""
+        """Records a complete request, and rejects it or starts its work."""
         relay = self._relay()
         if relay is not None:
-            relay.request_began = None
+            relay.request_started_at = None
         self._record = AttemptRecord(
             header(head, b"X-Request-ID").decode("latin-1"),
             self._server.plan.name,
@@ -157,20 +168,20 @@
         )
         self._server.records.attempts.append(self._record)
         if self._server.lifecycle == Lifecycle.IN_SERVICE:
-            self._begin_work()
+            self._start_work()
         else:
             self._answer(AttemptOutcome.REJECTED, answer(503, b"", b"X-Not-Processed: 1\r\n"))
 
-    def _begin_work(self) -> None:
+    def _start_work(self) -> None:
         plan, rng = self._server.plan, self._server.rng
         draw = rng.random()
         work_s = plan.mean_work * rng.expovariate(1.0)
         if rng.random() < plan.slow_probability:
             work_s *= SLOW_FACTOR
-        self._work_timer = asyncio.get_running_loop().call_later(work_s, self._end_of_work(draw))
+        self._work_timer = asyncio.get_running_loop().call_later(work_s, self._action_after_work(draw))
 
-    def _end_of_work(self, draw: float) -> Callable[[], None]:
-        """What the server does after the work, by a draw from 0 to 1."""
+    def _action_after_work(self, draw: float) -> Callable[[], None]:
+        """Returns the action of the server after the work, selected by a draw between 0 and 1."""
         plan = self._server.plan
         for probability, action in (
             (plan.reset_probability, self._reset),
@@ -194,9 +205,9 @@
             self._transport.write(data)
 
     def _succeed(self) -> None:
-        closes = self._server.rng.random() < self._server.plan.close_probability
-        self._answer(AttemptOutcome.OK, answer(200, b"ok", b"Connection: close\r\n" if closes else b""))
-        if closes and self._transport is not None:
+        close = self._server.rng.random() < self._server.plan.close_probability
+        self._answer(AttemptOutcome.OK, answer(200, b"ok", b"Connection: close\r\n" if close else b""))
+        if close and self._transport is not None:
             self._transport.close()
 
     def _fail(self) -> None:
--- a/harecross/soak/shim.py
+++ b/harecross/soak/shim.py
@@ -1,4 +1,4 @@
-"""The fault shim (`faults.c`): rules for system calls that fail, and its build where there is a C compiler."""
+"""The fault shim (`faults.c`): its configuration, and its build if there is a C compiler."""
 
 from __future__ import annotations
 
@@ -12,16 +12,21 @@
 from typing import NamedTuple
 
 SOURCE = Path(__file__).with_name("faults.c")
-# In the place of an errno.
-CUT_SHORT = -1  # the call transfers a few bytes only
-DELAYED = -2  # the process sleeps for 50 ms before the call
+# Value of `CallFault.error` for a call that transfers only a few bytes instead of failing.
+CUT_SHORT = -1
+# Value of `CallFault.error` for a call before which the process sleeps for 50 ms.
+DELAYED = -2
 
 
 class CallFault(NamedTuple):
-    """A system call that fails with `error`, with that probability, between two times after the process started.
-
-    `call` is one of accept, socket, connect, setsockopt, read, write, fsync, write_file, close_listener. Times in
-    seconds.
+    """A system call that fails with some probability during an interval.
+
+    Attributes:
+        call: One of accept, socket, connect, setsockopt, read, write, fsync, write_file, close_listener.
+        error: The errno of the failure, `CUT_SHORT` or `DELAYED`.
+        probability: Probability that a call in the interval fails.
+        start: Start of the interval, in seconds from the start of the process.
+        end: End of the interval, in seconds from the start of the process.
     """
 
     call: str
@@ -32,27 +37,35 @@
 
     @property
     def name(self) -> str:
-        """For a report: the call and the name of its errno."""
+        """A description for reports: the call, its effect or the name of its errno, and the interval."""
         effect = {CUT_SHORT: "cut short", DELAYED: "held up"}.get(self.error)
         effect = effect or errno.errorcode[self.error]
         return f"{self.call} {effect} {self.probability:g} from {self.start:g} to {self.end:g} s"
 
 
 class ClockStep(NamedTuple):
-    """The wall clock is set forward or back, both in seconds; `at` counts from the process's start."""
+    """A step of the wall clock.
+
+    Attributes:
+        at: Time of the step, in seconds from the start of the process.
+        seconds: Size of the step in seconds; negative for a step backwards.
+    """
 
     at: float
     seconds: float
 
 
-def compiler() -> str | None:
-    """The C compiler of this machine, if it has one."""
+def find_compiler() -> str | None:
+    """Returns the path of the C compiler, or None if there is none."""
     return shutil.which("cc") or shutil.which("gcc")
 
 
 def build_shim(folder: Path | None = None) -> Path | None:
-    """The compiled shim, None where it cannot be built. `folder` is a new temporary one by default."""
-    command = compiler()
+    """Compiles the shim into `folder`, by default a new temporary one.
+
+    Returns the path of the library, or None if it cannot be built.
+    """
+    command = find_compiler()
     if command is None or not os.path.exists("/proc/self/fd"):
         return None
     target = (folder or Path(tempfile.mkdtemp(prefix="harecross-shim-"))) / "faults.so"
@@ -67,7 +80,7 @@
 def shim_environment(
     shim: Path, seed: int, calls: Iterable[CallFault] = (), clock: Iterable[ClockStep] = ()
 ) -> dict[str, str]:
-    """The environment variables of a process that is to have these faults."""
+    """Returns the environment variables that load the shim with these faults into a process."""
     rules = ";".join(
         f"{fault.call} {fault.error} {fault.probability} {fault.start} {fault.end}" for fault in calls
     )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of fixed seeds, and the oracle that judges it."""
+"""Runs short soaks of fixed seeds, and checks the plans, the oracle and the report of the soak."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_short_soak_breaks_no_rule(seed, tmp_path):
-    """A seed gives the same plan every time; which request meets which fault is the machine's."""
+    """A seed always gives the same plan, but which request meets which fault depends on the machine's timing."""
     records, breaches = uvloop.run(run_soak(make_plan(seed), shim_module.build_shim(tmp_path)))
     assert not breaches, "\n".join(report(records, breaches))
     answered = sum(client.outcome is ClientOutcome.ANSWERED for client in records.clients.values())
@@ -40,7 +40,7 @@
     assert records.node_events
 
 
-def test_a_seed_gives_the_same_plan_every_time_and_plans_keep_to_the_protocol():
+def test_a_seed_always_gives_the_same_plan_and_plans_follow_the_protocol():
     migrations = recalls = 0
     for seed in range(200):
         plan = make_plan(seed, max_nodes=14)
@@ -71,14 +71,14 @@
 IN_SERVICE = EndpointChange(0.0, "s", "in_service", 0)
 
 
-def broken_rules(*attempts: AttemptRecord, client: ClientRecord = CLIENT, **further) -> list[Rule]:
+def broken_rules(*attempts: AttemptRecord, client: ClientRecord = CLIENT, **other_records) -> list[Rule]:
     records = Records(
-        {client.id: client}, [replace(attempt) for attempt in attempts], [IN_SERVICE], **further
+        {client.id: client}, [replace(attempt) for attempt in attempts], [IN_SERVICE], **other_records
     )
     return [breach.rule for breach in Oracle(records).breaches()]
 
 
-def broken_after(*changes: EndpointChange, notified: tuple[NotificationRecord, ...]) -> list[Rule]:
+def broken_rules_after(*changes: EndpointChange, notified: tuple[NotificationRecord, ...]) -> list[Rule]:
     records = Records({"r": CLIENT}, [ATTEMPT], [IN_SERVICE, *changes], list(notified))
     return [breach.rule for breach in Oracle(records).breaches()]
 
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ("client", "signals", "broken"),
+    ("client", "signals", "is_lost"),
     [
         (replace(CLIENT, outcome=ClientOutcome.CLOSED), [], True),
         (replace(CLIENT, outcome=ClientOutcome.UNANSWERED, ended_at=11.8), [], True),
@@ -111,11 +111,11 @@
         (replace(CLIENT, outcome=ClientOutcome.CLOSED, ended_at=10.3), [("SIGKILL", 10.4)], True),
     ],
 )
-def test_a_request_without_an_answer_in_time_is_lost_unless_a_kill_ended_it(client, signals, broken):
+def test_a_request_without_an_answer_in_time_is_lost_unless_sigkill_ended_it(client, signals, is_lost):
     rules = broken_rules(
         client=client, node_events=[NodeEventRecord("n.1", at, text) for text, at in signals]
     )
-    assert rules == ([Rule.LOST] if broken else [])
+    assert rules == ([Rule.LOST] if is_lost else [])
 
 
 @pytest.mark.parametrize("outcome", list(AttemptOutcome))
@@ -129,48 +129,48 @@
     )
 
 
-def test_an_attempt_at_a_draining_server_is_a_breach_after_the_grace_and_not_after_a_recall():
+def test_an_attempt_at_a_draining_server_is_a_breach_after_the_grace_time_but_not_after_a_recall():
     drain, recall = EndpointChange(5.0, "s", "terminating", 0), EndpointChange(6.0, "s", "in_service", 0)
     late, in_time = NotificationRecord("n.1", 1, 9.74, ""), NotificationRecord("n.1", 1, 9.76, "")
-    assert broken_after(drain, notified=(late,)) == [Rule.DRAIN]
-    assert broken_after(drain, notified=(in_time,)) == [] == broken_after(drain, notified=())
-    assert broken_after(drain, notified=(NotificationRecord("n.2", 1, 5.0, ""),)) == [], (
+    assert broken_rules_after(drain, notified=(late,)) == [Rule.DRAIN]
+    assert broken_rules_after(drain, notified=(in_time,)) == [] == broken_rules_after(drain, notified=())
+    assert broken_rules_after(drain, notified=(NotificationRecord("n.2", 1, 5.0, ""),)) == [], (
         "another node was notified"
     )
-    assert broken_after(drain, recall, notified=(late,)) == []
-    again = EndpointChange(7.0, "s", "terminating", 0)
-    assert broken_after(drain, recall, again, notified=(late,)) == [], (
+    assert broken_rules_after(drain, recall, notified=(late,)) == []
+    second_drain = EndpointChange(7.0, "s", "terminating", 0)
+    assert broken_rules_after(drain, recall, second_drain, notified=(late,)) == [], (
         "it was not notified of the second drain"
     )
-    assert broken_after(drain, recall, again, notified=(NotificationRecord("n.1", 3, 9.0, ""),)) == [
-        Rule.DRAIN
-    ]
+    assert broken_rules_after(
+        drain, recall, second_drain, notified=(NotificationRecord("n.1", 3, 9.0, ""),)
+    ) == [Rule.DRAIN]
     gone = EndpointChange(8.0, "s", "terminated", 0)
-    assert broken_after(drain, gone, notified=(late,)) == [Rule.DRAIN]
+    assert broken_rules_after(drain, gone, notified=(late,)) == [Rule.DRAIN]
 
 
-def test_no_attempt_for_a_disconnected_client_and_no_more_time_for_a_server_than_is_left():
-    left = replace(CLIENT, outcome=ClientOutcome.DISCONNECTED, ended_at=9.9)
-    assert broken_rules(ATTEMPT, client=left) == [Rule.CLIENT_GONE]
-    assert broken_rules(ATTEMPT, client=replace(left, ended_at=9.96)) == []
+def test_an_attempt_for_a_disconnected_client_or_with_more_time_than_the_client_has_is_a_breach():
+    disconnected = replace(CLIENT, outcome=ClientOutcome.DISCONNECTED, ended_at=9.9)
+    assert broken_rules(ATTEMPT, client=disconnected) == [Rule.CLIENT_GONE]
+    assert broken_rules(ATTEMPT, client=replace(disconnected, ended_at=9.96)) == []
     assert broken_rules(replace(ATTEMPT, timeout=1.09)) == []
     assert broken_rules(replace(ATTEMPT, timeout=1.11)) == [Rule.DEADLINE]
 
 
-def test_bounds_are_wider_by_the_records_delay_and_a_crash_is_a_breach():
+def test_bounds_are_widened_by_the_delay_of_the_records_and_a_crash_is_a_breach():
     assert broken_rules(replace(ATTEMPT, timeout=1.11), max_delay=0.02) == []
     crash = NodeEventRecord("n.1", 3.0, "ended by itself: 1")
     assert broken_rules(ATTEMPT, crashes=[crash]) == [Rule.CRASH]
 
 
-def test_a_report_has_the_request_its_attempts_the_signals_and_the_notifications():
+def test_a_report_has_the_request_its_attempts_the_node_events_and_the_notifications():
     drain = EndpointChange(5.0, "s", "terminating", 0)
-    notification, signal = (
+    notification, event = (
         NotificationRecord("n.1", 1, 9.0, "written, d:1"),
         NodeEventRecord("n.1", 8.0, "SIGHUP to d:1"),
     )
     records = Records(
-        {"r": CLIENT}, [ATTEMPT], [IN_SERVICE, drain], [notification], [signal], logs={"n.1": ["a line"]}
+        {"r": CLIENT}, [ATTEMPT], [IN_SERVICE, drain], [notification], [event], logs={"n.1": ["a line"]}
     )
     text = "\n".join(report(records, Oracle(records).breaches()))
     for part in (
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -1,4 +1,4 @@
-"""The soak's proxy between nodes and a server: each fault does what its name says, and the server's times stay true."""
+"""Tests the soak's proxy between nodes and a server: the effect of each fault, and the times that are recorded."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     fault: LinkFault,
     test: Callable[[SoakServer, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
 ) -> None:
-    """Runs a test on a connection through the proxy of one server; the fault holds from now on."""
+    """Runs a test on a connection through the proxy of one server; the times of the fault count from now."""
 
     async def body() -> None:
         server = SoakServer(QUICK, 1, Records(), [fault])
         await server.open()
-        server.begin(time.monotonic())
+        server.set_run_start(time.monotonic())
         host, _, port = server.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
@@ -45,26 +45,26 @@
     run(body())
 
 
-def test_a_held_request_arrives_after_its_node_has_closed_with_the_time_at_which_it_was_sent():
+def test_a_held_request_arrives_after_its_node_has_closed_and_is_recorded_with_the_time_it_was_sent():
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         writer.write(REQUEST)
         await asyncio.sleep(0.05)
         writer.close()
         await wait_until(lambda: server.records.attempts)
         (record,) = server.records.attempts
-        assert record.received_at > sent + HELD_S - 0.01
-        assert record.first_byte_at < sent + 0.05, "it is judged by when it left its node"
+        assert record.received_at > sent_at + HELD_S - 0.01
+        assert record.first_byte_at < sent_at + 0.05, "the record has the time at which the node sent it"
 
     with_link(LinkFault("s0", LinkFaultKind.REQUESTS_HELD, 0, HELD_S), test)
 
 
-def test_a_held_answer_arrives_complete_at_the_end():
+def test_a_held_response_arrives_complete_when_the_fault_ends():
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         writer.write(REQUEST)
         _head, body = await read_message(reader)
-        assert time.monotonic() > began + HELD_S - 0.01
+        assert time.monotonic() > started_at + HELD_S - 0.01
         assert body == b"ok"
         assert server.records.attempts[0].outcome is AttemptOutcome.OK
 
@@ -73,31 +73,31 @@
 
 def test_a_delay_applies_to_each_direction():
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         writer.write(REQUEST)
         await read_message(reader)
-        assert time.monotonic() >= began + 0.2
+        assert time.monotonic() >= started_at + 0.2
 
     with_link(LinkFault("s0", LinkFaultKind.DELAY, 0, 100, delay=0.1), test)
 
 
 @pytest.mark.parametrize(
-    ("kind", "most"), [(LinkFaultKind.RESET, RESET_AFTER_BYTES), (LinkFaultKind.HALF_CLOSE, 0)]
+    ("kind", "max_bytes"), [(LinkFaultKind.RESET, RESET_AFTER_BYTES), (LinkFaultKind.HALF_CLOSE, 0)]
 )
-def test_a_request_whose_answer_is_cut_off_was_processed(kind, most):
+def test_a_request_whose_response_is_cut_off_was_processed(kind, max_bytes):
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(REQUEST)
         try:
-            came = await reader.read()
+            received = await reader.read()
         except ConnectionError:
-            came = b""
-        assert len(came) <= most
+            received = b""
+        assert len(received) <= max_bytes
         assert server.records.attempts[0].outcome is AttemptOutcome.OK
 
     with_link(LinkFault("s0", kind, 0, 100, probability=1.0), test)
 
 
-def test_an_answer_in_pieces_is_complete_and_the_connection_stays_usable():
+def test_a_response_in_pieces_is_complete_and_the_connection_stays_usable():
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for _ in range(2):
             writer.write(REQUEST)
@@ -110,17 +110,17 @@
     with_link(LinkFault("s0", LinkFaultKind.PIECES, 0, 100, probability=1.0), test)
 
 
-def test_a_dead_server_refuses_connections_behind_its_proxy_and_keeps_its_address():
+def test_a_stopped_server_behind_a_proxy_refuses_connections_and_keeps_its_address():
     async def test(server: SoakServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         host, _, port = server.address.rpartition(":")
         await server.change(Lifecycle.GONE)
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(host, int(port))
         await server.change(Lifecycle.RESTARTED)
-        again, to = await asyncio.open_connection(host, int(port))
-        to.write(REQUEST)
-        assert (await read_message(again))[1] == b"ok"
-        to.close()
+        new_reader, new_writer = await asyncio.open_connection(host, int(port))
+        new_writer.write(REQUEST)
+        assert (await read_message(new_reader))[1] == b"ok"
+        new_writer.close()
 
     with_link(LinkFault("s0", LinkFaultKind.DELAY, 50, 100, delay=0.1), test)
 
--- a/tests/test_soak_slow_start.py
+++ b/tests/test_soak_slow_start.py
@@ -1,4 +1,4 @@
-"""The soak's judge of slow start."""
+"""Tests the slow start rule of the soak's oracle."""
 
 from __future__ import annotations
 
@@ -17,20 +17,22 @@
     NotificationRecord,
     Records,
 )
-from harecross.soak.slow_start import SlowStartOracle, SlowStartRules, allowed_requests, with_slack
+from harecross.soak.slow_start import SlowStartOracle, SlowStartRules, allowed_requests, overload_threshold
 
 RULES = SlowStartRules(window=5.0, start_capacity=0.2, overload_multiple=2.0, overload_duration=2.0)
-START = 10.0  # the process under test
-FULL_RATE = 20  # requests a second at each server of full capacity
+# Start of the process under test, in seconds.
+START = 10.0
+# Requests per second to each server at full capacity.
+FULL_RATE = 20
 
 
-def test_the_slack_is_that_of_the_protocol():
-    assert with_slack(16) == 16 + 3 * 4 + 3
-    assert with_slack(100) == 100 + 2 * 10 + 2
-    assert with_slack(29.9) == pytest.approx(29.9 + 3 * sqrt(29.9) + 3)
+def test_the_overload_threshold_has_the_tolerance_of_the_protocol():
+    assert overload_threshold(16) == 16 + 3 * 4 + 3
+    assert overload_threshold(100) == 100 + 2 * 10 + 2
+    assert overload_threshold(29.9) == pytest.approx(29.9 + 3 * sqrt(29.9) + 3)
 
 
-def test_a_process_is_allowed_more_as_it_warms_up():
+def test_a_process_is_allowed_more_requests_as_it_warms_up():
     at_start, later = (allowed_requests(RULES, 40.0, age) for age in (0.0, 2.0))
     assert at_start == pytest.approx(2.0 * (0.2 + 0.8 * 1.0 / 5.0) * 40)
     assert later == pytest.approx(2.0 * (0.2 + 0.8 * 3.0 / 5.0) * 40)
@@ -39,14 +41,17 @@
 def records_of(
     rate: float, notified_at: float | None = START, restarts: bool = True, full_from: float = 0.0
 ) -> Records:
-    """Two servers at full capacity, and one that gets so many requests a second from its start on."""
+    """Returns records of two servers at full capacity and one that gets `rate` requests per second from its start.
+
+    If `full_from` is set, the second server starts at that time and gets no requests.
+    """
     records = Records()
-    started = 7 if restarts else 0
+    started_ms = 7 if restarts else 0
     records.changes = [
         EndpointChange(0.0, "s0", "in_service", 0),
         EndpointChange(full_from, "s1", "in_service", 5 if full_from else 0),
         EndpointChange(0.0, "s2", "in_service", 0),
-        EndpointChange(START, "s2", "in_service", started),
+        EndpointChange(START, "s2", "in_service", started_ms),
     ]
     if notified_at is not None:
         records.notifications.append(NotificationRecord("n", 3, notified_at, ""))
@@ -67,11 +72,11 @@
     return records
 
 
-def test_a_server_within_its_slow_start_is_not_overloaded():
+def test_a_server_that_gets_few_requests_in_slow_start_is_not_overloaded():
     assert SlowStartOracle(records_of(rate=4), RULES).overloads() == []
 
 
-def test_a_server_without_slow_start_is_overloaded():
+def test_a_server_that_gets_three_times_the_full_rate_in_slow_start_is_overloaded():
     (overload,) = SlowStartOracle(records_of(rate=3 * FULL_RATE), RULES).overloads()
     assert overload.server == "s2"
     assert START < overload.at < START + 2.0
@@ -86,13 +91,13 @@
         records_of(3 * FULL_RATE, notified_at=START + 100),
         records_of(3 * FULL_RATE, restarts=False),
     ],
-    ids=["never notified", "notified later", "the process went on"],
+    ids=["never notified", "notified later", "the process did not restart"],
 )
-def test_nodes_that_were_not_notified_of_a_start_are_not_judged(records):
+def test_requests_of_nodes_that_were_not_notified_of_a_start_are_not_an_overload(records):
     assert SlowStartOracle(records, RULES).overloads() == []
 
 
-def test_without_a_server_at_full_capacity_nothing_is_judged():
+def test_the_rule_is_not_checked_without_a_server_at_full_capacity():
     records = records_of(3 * FULL_RATE, full_from=START - 1)
     records.changes[0] = EndpointChange(START - 1, "s0", "in_service", 6)
     assert SlowStartOracle(records, RULES).overloads() == []
