--- a/harecross/soak/discoveries.py
+++ b/harecross/soak/discoveries.py
@@ -11,7 +11,7 @@
 from harecross.soak.plan import DiscoveryPlan
 from harecross.soak.records import EndpointChange, Lifecycle, NotificationRecord, Records
 from harecross.standins.discovery import chunk, entry, update
-from harecross.standins.http import answer, read_message, write_open
+from harecross.standins.http import answer, read_message, write_or_raise
 
 # Interval at which a discovery checks the records for new changes.
 POLL_INTERVAL_S = 0.01
@@ -298,7 +298,7 @@
         for start in range(0, len(data), write_bytes):
             if start:
                 await asyncio.sleep(WRITE_INTERVAL_S)
-            write_open(writer, data[start : start + write_bytes])
+            write_or_raise(writer, data[start : start + write_bytes])
         await writer.drain()
 
     # ---- faults -------------------------------------------------------------------------------------------
--- a/harecross/soak/proxy.py
+++ b/harecross/soak/proxy.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from harecross.soak.plan import LinkFault, LinkFaultKind
-from harecross.standins.http import write_open
+from harecross.standins.http import write_or_raise
 
 MAX_READ_BYTES = 1 << 16
 # Size of the pieces of a response that arrives in pieces, and the pause between two of them.
@@ -53,7 +53,7 @@
                 if self.request_started_at is None:
                     self.request_started_at = time.monotonic()
                 await self._proxy.wait_for_link(LinkFaultKind.REQUESTS_HELD)
-                write_open(writer, data)
+                write_or_raise(writer, data)
         except ConnectionError:
             pass
         # The node has closed the connection, since nodes never half-close; closing this one ends the server's work.
@@ -65,7 +65,7 @@
             while data := await reader.read(MAX_READ_BYTES):
                 await self._proxy.wait_for_link(LinkFaultKind.ANSWERS_HELD)
                 if self._proxy.draw_fault(LinkFaultKind.RESET):
-                    write_open(writer, data[:RESET_AFTER_BYTES])
+                    write_or_raise(writer, data[:RESET_AFTER_BYTES])
                     writer.transport.abort()
                     return
                 if self._proxy.draw_fault(LinkFaultKind.HALF_CLOSE):
@@ -79,10 +79,10 @@
     async def _write_answer(self, data: bytes, writer: asyncio.StreamWriter) -> None:
         """Writes a response, in pieces if that fault is drawn."""
         if not self._proxy.draw_fault(LinkFaultKind.PIECES):
-            write_open(writer, data)
+            write_or_raise(writer, data)
             return
         for start in range(0, len(data), PIECE_BYTES):
-            write_open(writer, data[start : start + PIECE_BYTES])
+            write_or_raise(writer, data[start : start + PIECE_BYTES])
             await asyncio.sleep(PIECE_INTERVAL_S)
 
 
