--- a/harecross/soak/planner.py
+++ b/harecross/soak/planner.py
@@ -159,19 +159,19 @@
         return self._changes
 
     def _draw_change(self, at: float) -> None:
-        away = [name for name in self._lifecycles if self._lifecycles[name] != Lifecycle.IN_SERVICE]
+        unavailable = [name for name in self._lifecycles if self._lifecycles[name] != Lifecycle.IN_SERVICE]
         in_service = [name for name in self._lifecycles if self._lifecycles[name] == Lifecycle.IN_SERVICE]
         half = len(self._lifecycles) // 2
-        if away and (self._rng.random() < 0.55 or len(in_service) <= half):
-            self._bring_back(at, away)
+        if unavailable and (self._rng.random() < 0.55 or len(in_service) <= half):
+            self._change_unavailable(at, unavailable)
         else:
             group = self._rng.sample(in_service, self._rng.randint(1, max(1, len(in_service) - half)))
             lifecycle = Lifecycle.DRAINING if self._rng.random() < 0.9 else Lifecycle.GONE
             self._change(at, group, lifecycle)
 
-    def _bring_back(self, at: float, away: list[str]) -> None:
+    def _change_unavailable(self, at: float, unavailable: list[str]) -> None:
         """Restarts servers that are gone; returns draining ones to service, restarts them or ends them."""
-        group = self._rng.sample(away, self._rng.randint(1, len(away)))
+        group = self._rng.sample(unavailable, self._rng.randint(1, len(unavailable)))
         gone = [name for name in group if self._lifecycles[name] == Lifecycle.GONE]
         draining = [name for name in group if self._lifecycles[name] == Lifecycle.DRAINING]
         if gone:
