--- a/harecross/discovery/discovery_client.py
+++ b/harecross/discovery/discovery_client.py
@@ -34,10 +34,10 @@
 class DiscoveryClient:
     """Manages the current watch and, during a migration to another address, the pending watch there.
 
-    Each watch reconnects according to its `SubscriptionSchedule`. If lists are polled, the module is notified when the
-    current watch's call ends. The old watch stays current until the pending one has received its first list. The old
-    watch is then retired: it stays open until its connection ends, so that servers that it reports as draining or gone
-    are still taken out of service.
+    Each watch reconnects according to its `SubscriptionSchedule`. If lists are polled, the balancer is notified when
+    the current watch's call ends. The old watch stays current until the pending one has received its first list. The
+    old watch is then retired: it stays open until its connection ends, so that servers that it reports as draining or
+    gone are still taken out of service.
 
     Attributes:
         on_current_list: Called when discovery has sent a list, or confirmed that the current one is unchanged.
@@ -79,8 +79,6 @@
         self.source_sequence = 0
         self.table = ProcessTable(self.sources[0])
 
-    # ---- operations called by the node ------------------------------------------------------------------
-
     def use_configured_list(self, configured: Any) -> None:
         """Applies the configured list, an earlier list of the same address. Raises ValueError if it is malformed."""
         self.table.receive(self.monotonic(), self.sources[0], configured, full=True)
@@ -116,7 +114,8 @@
             self.pending.close()
             self.pending = None
         if self.current is not None and address == self.current.address:
-            self.epoch = self.current.epoch  # returns to the old address before the pending watch was ready
+            # The address has changed back before the pending watch received a list.
+            self.epoch = self.current.epoch
             return True
         self.epoch = max(self.epoch, *self.sources) + 1
         self.migrated_at = self.monotonic()
@@ -127,8 +126,6 @@
             self.pending = Watch(self, address, None, schedule, self.epoch)
         return True
 
-    # ---- events of watches ------------------------------------------------------------------------------
-
     def update_received(self, watch: Watch, update: Any, *, full: bool, restarted: bool) -> None:
         """Applies a list or change. Raises ValueError if it is neither."""
         now = self.monotonic()
@@ -217,8 +214,6 @@
             for transition in result.transitions:
                 tracer.process_changed(transition, now)
 
-    # ---- retired watches --------------------------------------------------------------------------------
-
     def retire(self, watch: Watch) -> None:
         """Keeps the previous watch open until its connection ends, so that a drain sent until then is not missed."""
         watch.retired = True
@@ -242,8 +237,6 @@
             watch.close()
         self.retired.clear()
 
-    # ---- polls ------------------------------------------------------------------------------------------
-
     def poll(self) -> None:
         """Requests the full list from the current discovery, in parallel with the watch."""
         task = self.loop.create_task(self.poll_once())
@@ -251,7 +244,7 @@
         task.add_done_callback(self.poll_tasks.discard)
 
     async def poll_once(self) -> None:
-        """Makes one poll and notifies the module if it fails."""
+        """Makes one poll and notifies the balancer if it fails."""
         watch = self.current
         if watch is None:
             return self.notify_failure()
@@ -262,5 +255,5 @@
             self.notify_failure()
 
     def notify_failure(self) -> None:
-        """Notifies the module that a call delivered no list."""
+        """Notifies the balancer that a call delivered no list."""
         self.registry.dispatcher.endpoint_update(EndpointUpdateKind.FAILED, [])
--- a/harecross/discovery/subscription_schedule.py
+++ b/harecross/discovery/subscription_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules a node's calls to discovery: subscription state, backoff, and slots in staggered rounds. Performs no I/O.
+"""Schedules a node's calls to discovery: subscription state, backoff, and slots in staggered rounds.
 
 If lists are pushed, an agent on the node's own machine responds at negligible cost, and is called again after a short
 backoff. If lists are polled, discovery is a single service that serves the calls of all nodes in turn. An event that
@@ -228,10 +228,11 @@
     def poll_delay(self, end: CallEnd) -> float:
         """Returns the seconds until this node's slot in the current round.
 
-        A call that failed in the queue shows that more calls are waiting than discovery can serve in time. Further
-        calls would also fail and lengthen the queue, so a node whose call failed there pauses first. A call that was
-        refused, reset or never answered says nothing about the queue. In that case discovery is or was down, and the
-        node must not pause, because a change that discovery lists on its return reaches the staleness limit 6 s later.
+        A call that failed in the queue shows that more calls are waiting than discovery can serve in time. While the
+        queue counts as long, a node whose call failed pauses first, because further calls would also fail and lengthen
+        the queue. A call that was refused, reset or never answered does not make the queue count as long. In that case
+        discovery is or was down, and the node must not pause, because a change that discovery lists on its return
+        reaches the staleness limit 6 s later.
         """
         self.wait_count += 1
         if end is CallEnd.FAILED and self.long_queue_calls:
@@ -258,8 +259,6 @@
         slot = (settings.instance_index + self.rng.random()) / max(1, settings.instance_count)
         return (slot + self.wait_count * GOLDEN_RATIO_FRACTION) % 1.0
 
-    # ---- the age of the list ----------------------------------------------------------------------------
-
     def response_deadline(self) -> float:
         """Returns when the open call or watch must be closed unless it receives data before."""
         if self.state is SubscriptionState.CALLING:
--- a/harecross/discovery/wire_format.py
+++ b/harecross/discovery/wire_format.py
@@ -43,9 +43,6 @@
 }
 
 
-# ---- lists and changes ----------------------------------------------------------------------------------
-
-
 def entries_of(update: Any) -> list[Any]:
     """Returns the entries of a list or change. Raises ValueError if `update` is neither."""
     found = update.get(INSTANCES) if isinstance(update, dict) else None
@@ -74,9 +71,6 @@
     return {INSTANCES: list(entries)}
 
 
-# ---- entries that have not been validated ---------------------------------------------------------------
-
-
 def server_name(entry: object) -> str | None:
     """Returns the name of the server that an entry describes; None if `entry` is not a valid entry."""
     if not isinstance(entry, dict) or INSTANCE_ID not in entry:
@@ -98,11 +92,6 @@
     return LIFECYCLES.get(word, Lifecycle.DRAINING) if isinstance(word, str) else Lifecycle.DRAINING
 
 
-# ---- parsing of entries ---------------------------------------------------------------------------------
-# One call parses all fields of an entry, because a list of the largest fleet has a thousand entries and a node has only
-# a tenth of a core.
-
-
 class InServiceEntry(NamedTuple):
     """The fields of a server that is in service.
 
@@ -131,7 +120,8 @@
 def parse_in_service(entry: Any, *, uses_weight: bool) -> InServiceEntry:
     """Parses the fields of a server in service. Raises KeyError, TypeError or ValueError for an invalid field.
 
-    Unless `uses_weight`, the weight is 1 and the entry's weight is ignored.
+    Unless `uses_weight`, the weight is 1 and the entry's weight is ignored. One call parses all fields, because a list
+    of the largest fleet has a thousand entries and a node has only a tenth of a core.
     """
     return InServiceEntry(
         int(entry.get(STARTED_AT_MS) or 0),
--- a/harecross/http/response_parser.py
+++ b/harecross/http/response_parser.py
@@ -1,4 +1,4 @@
-"""Parses one server response and the load report that it may carry. Does no I/O."""
+"""Parses one server response and the load report that it may carry."""
 
 from __future__ import annotations
 
@@ -218,8 +218,6 @@
             return Outcome.REJECTED
         return Outcome.ERROR
 
-    # ---- httptools callbacks -------------------------------------------------------------------------------
-
     def on_message_begin(self) -> None:
         """See `HttpResponseParser`."""
         if self.complete:
--- a/harecross/standins/servers.py
+++ b/harecross/standins/servers.py
@@ -192,8 +192,6 @@
         for connection in list(self.connections):
             connection.abort()
 
-    # ---- requests -----------------------------------------------------------------------------------------
-
     def receive(self, connection: NodeConnection, head: bytes) -> None:
         """Starts processing a request, or answers a health check or a call for the load report."""
         _, path, _ = head.split(b"\r\n", 1)[0].split(b" ", 2)
@@ -270,7 +268,7 @@
             self._key_cache.undo(request.key)
 
     def stats(self) -> dict[str, Any]:
-        """Returns the server's statistics for the world's `stats` command."""
+        """Returns the server's statistics for the `stats` command of `world.py`."""
         model = self.model
         return {
             "arrived": self._received,
