--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -35,7 +35,7 @@
 from harecross.shifts.eprocess import PoolCounts
 from harecross.shifts.judge import FirstAttempt
 from harecross.shifts.plan import read_plan
-from harecross.shifts.shift import Order
+from harecross.shifts.shift import OperatorCommand
 from harecross.soak import __main__ as soak_main
 from harecross.soak.oracle import Breach, Oracle
 from harecross.soak.plan import Plan
@@ -46,9 +46,9 @@
     ClientRecord,
     EndpointChange,
     Idempotency,
+    NodeEventRecord,
     NotificationRecord,
     Records,
-    SignalRecord,
 )
 from harecross.sources.cache_file import CachedSet, write_cache_file
 from harecross.store.store import Store
@@ -104,15 +104,15 @@
     """Writes a shift that was started, recorded some failures, and was paused and resumed by an operator."""
     store = Store(str(path))
     controller = shift_controller(store)
-    controller.order(0.0, START_UNIX_S, Order.START)
+    controller.execute(0.0, START_UNIX_S, OperatorCommand.START)
     for second in range(1, 5):
         attempts = [
             FirstAttempt(unit, "read", unit >= 20, 0.05, failed=unit == 20 + second, late=unit == second)
             for unit in range(30)
         ]
         controller.close_window(float(second), START_UNIX_S + second, attempts, PoolCounts(5, 5), 0)
-    controller.order(5.0, START_UNIX_S + 5, Order.PAUSE)
-    controller.order(6.0, START_UNIX_S + 6, Order.RESUME)
+    controller.execute(5.0, START_UNIX_S + 5, OperatorCommand.PAUSE)
+    controller.execute(6.0, START_UNIX_S + 6, OperatorCommand.RESUME)
     store.close()
 
 
@@ -336,7 +336,7 @@
         EndpointChange(100.65, "s0", "terminating", 0),
     ]
     records.notifications.append(NotificationRecord("n0", 2, 100.75, "written by 10.0.0.1:8500"))
-    records.signals.append(SignalRecord("n0", 100.25, "held 0.050 s"))
+    records.node_events.append(NodeEventRecord("n0", 100.25, "held 0.050 s"))
     records.logs["n0"] = ["harecross: listening on 127.0.0.1:8081"]
     records.max_delay = 0.004
     return records
@@ -348,8 +348,8 @@
         return records, Oracle(records).breaches()
 
     with monkeypatch.context() as patch:
-        patch.setattr(soak_main, "soak", play)
+        patch.setattr(soak_main, "run_soak", play)
         patch.setattr(time, "strftime", lambda form: "20231114T221320")
-        result = soak_main.play(SEED, 8.0, 1, None)
+        result = soak_main.run_seed(SEED, 8.0, 1, None)
         assert result.breaches > 0
         soak_main.store_report(folder, SEED, result.lines)
