--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -61,9 +61,6 @@
     return {"cpu_s": round(cpu, 2), "rss_mb": round(rss, 1)}
 
 
-# ---- the service's process ------------------------------------------------------------------------------
-
-
 class ClusterContents:
     """The published content of all clusters, which is changed endpoint by endpoint."""
 
@@ -191,9 +188,6 @@
     uvloop.run(body())
 
 
-# ---- the bare server ------------------------------------------------------------------------------------
-
-
 def run_bare_server(pipe: Connection) -> None:
     """Runs a server that sends prepared bytes to all streams, and executes the commands on the pipe."""
     import uvloop
@@ -249,9 +243,6 @@
     uvloop.run(body())
 
 
-# ---- the proxies' processes -----------------------------------------------------------------------------
-
-
 def run_proxies(
     pipe: Connection, port: int, count: int, each: int, clusters: int, delta: bool, seed: int
 ) -> None:
--- a/harecross/soak/clients.py
+++ b/harecross/soak/clients.py
@@ -84,8 +84,6 @@
         except OSError:
             pass
 
-    # ---- a request ----------------------------------------------------------------------------------------
-
     async def _send(self, request_class: ClassPlan, *, new_connection: bool = False) -> None:
         """Sends one request, on an idle connection if the plan allows it and one exists, and records its outcome."""
         record = self._new_record(request_class)
--- a/harecross/soak/discoveries.py
+++ b/harecross/soak/discoveries.py
@@ -108,8 +108,6 @@
             self.learn()
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    # ---- known changes and notifications ------------------------------------------------------------------
-
     def learn(self) -> None:
         """Learns of changes unless the discovery is down, and records when the node counts as notified of them."""
         now = time.monotonic()
@@ -183,8 +181,6 @@
         else:
             self.pending[number] = due_at
 
-    # ---- lists and watch events ---------------------------------------------------------------------------
-
     def full_list(self, end: int) -> dict[str, Any]:
         """Returns the full list after the first `end` changes."""
         last = {change.server: change for change in self.records.changes[:end]}
@@ -208,8 +204,6 @@
             end += 1
         return end
 
-    # ---- connections --------------------------------------------------------------------------------------
-
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
@@ -301,8 +295,6 @@
             write_or_raise(writer, data[start : start + write_bytes])
         await writer.drain()
 
-    # ---- faults -------------------------------------------------------------------------------------------
-
     def silence_watches(self) -> None:
         """Makes the open watches send nothing more while they stay open."""
         for watch in self._watches:
--- a/harecross/soak/node.py
+++ b/harecross/soak/node.py
@@ -64,8 +64,6 @@
         """Records an event of the current process."""
         self._records.node_events.append(NodeEventRecord(self.process_name, time.monotonic(), text))
 
-    # ---- the process --------------------------------------------------------------------------------------
-
     async def start(self) -> None:
         """Starts a process. Raises ClusterError if it does not become healthy."""
         self._process_count += 1
@@ -153,8 +151,6 @@
                 return
             await asyncio.sleep(EXIT_POLL_INTERVAL_S)
 
-    # ---- actions of the plan ------------------------------------------------------------------------------
-
     async def migrate(self) -> None:
         """Writes another discovery to the configuration and sends SIGHUP."""
         process, old = self._process, self.discovery
--- a/harecross/soak/oracle.py
+++ b/harecross/soak/oracle.py
@@ -92,8 +92,6 @@
         breaches += self._check_slow_start()
         return sorted(breaches, key=lambda breach: breach.at)
 
-    # ---- the rules ----------------------------------------------------------------------------------------
-
     def _check_answer(self, client: ClientRecord) -> Iterator[Breach]:
         """Checks that each request gets one final answer in time, unless SIGKILL ended it."""
         if client.outcome in (ClientOutcome.CLOSED, ClientOutcome.UNANSWERED):
--- a/harecross/soak/proxy.py
+++ b/harecross/soak/proxy.py
@@ -140,8 +140,6 @@
             self.relays.pop(port, None)
             self._tasks.discard(task)
 
-    # ---- faults -------------------------------------------------------------------------------------------
-
     def _active_fault(self, kind: LinkFaultKind) -> LinkFault | None:
         at = time.monotonic() - self._run_started_at
         active = (fault for fault in self._faults if fault.kind is kind and fault.start <= at < fault.end)
--- a/harecross/soak/run.py
+++ b/harecross/soak/run.py
@@ -93,8 +93,6 @@
         for server in self._servers.values():
             server.close()
 
-    # ---- events -------------------------------------------------------------------------------------------
-
     async def _run_events(self) -> None:
         """Applies all changes and events in order of time."""
         events: list[ListChange | NodeEvent] = [*self._plan.changes, *self._plan.events]
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -64,8 +64,6 @@
         feed = self.publisher_loop.feeds.get(cluster)
         return feed.load_reports if feed is not None else None
 
-    # ---- start and stop -----------------------------------------------------------------------------------
-
     async def run(self) -> None:
         """Serves until SIGTERM, SIGINT or `stop`; SIGHUP reloads the configuration.
 
@@ -117,8 +115,6 @@
         self.publisher_loop.add(feed, table.cross_zone_price, table.calls_per_server)
         feed.start(remembered)
 
-    # ---- periodic work ------------------------------------------------------------------------------------
-
     def _on_change(self, name: str) -> None:
         self.remembered_lists.mark_changed()
         self.publisher_loop.mark_changed(name)
@@ -150,8 +146,6 @@
             wait_s = self.config.control.wait_s
             log_line(f"control: no endpoint list for cluster {name} after {wait_s:g} s: {action}")
 
-    # ---- reload -------------------------------------------------------------------------------------------
-
     def reload(self) -> None:
         """Reloads the clusters and the rules for clients (SIGHUP); other changes take effect at the next start."""
         try:
--- a/harecross/xds/stream_service.py
+++ b/harecross/xds/stream_service.py
@@ -105,8 +105,6 @@
         """Returns the resources that a proxy should have now."""
         return self._publication.snapshot_for(proxy.zone, proxy.allowed_clusters)
 
-    # ---- calls --------------------------------------------------------------------------------------------
-
     async def _admit(self, context: Any, *, delta: bool) -> ProxyStream:
         """Waits for the first publication and returns the state of a new stream.
 
@@ -173,8 +171,6 @@
         assert response is not None
         return encode_sotw(response)
 
-    # ---- reading ------------------------------------------------------------------------------------------
-
     async def _read(self, proxy: ProxyStream, requests: AsyncIterator[Any], only_type: str) -> None:
         async for request in requests:
             proxy.last_request_at = time.time()
@@ -211,8 +207,6 @@
         else:
             stream.request(type_url, nonce, request.resource_names, error, request.version_info)
 
-    # ---- writing ------------------------------------------------------------------------------------------
-
     async def _write(self, proxy: ProxyStream, context: Any, encode: Callable[[Response], bytes]) -> None:
         stream = proxy.stream
         while True:
