--- a/harecross/xds/access.py
+++ b/harecross/xds/access.py
@@ -1,4 +1,4 @@
-"""Rules on which clusters a client may see, by the names in its certificate. This module does no I/O."""
+"""Rules on which clusters a client may see, by the names in its certificate."""
 
 from __future__ import annotations
 
--- a/harecross/xds/cache.py
+++ b/harecross/xds/cache.py
@@ -1,4 +1,4 @@
-"""Resources, their versions and the order in which changes are sent. This module does no I/O.
+"""Resources, their versions and the order in which changes are sent.
 
 A version is a hash of the content. Two services with the same content, or one service before and after a restart,
 therefore publish the same versions, and a proxy that reconnects is sent only what differs.
--- a/harecross/xds/load_reports.py
+++ b/harecross/xds/load_reports.py
@@ -1,4 +1,4 @@
-"""Combines the load reports of all proxies (LRS) for the balancer. This module does no I/O.
+"""Combines the load reports of all proxies (LRS) for the balancer.
 
 Source: `envoy.service.load_stats.v3`. Each server is published as a locality of its own, so that the figures of a
 locality are those of one server.
--- a/harecross/xds/subscription.py
+++ b/harecross/xds/subscription.py
@@ -1,7 +1,6 @@
 """The state of one resource type on one stream: what the proxy requested, has, was sent and refused.
 
-This module does no I/O. Source: the xDS REST and gRPC protocol page of Envoy's documentation (versions, nonces, ACK
-and NACK).
+Source: the xDS REST and gRPC protocol page of Envoy's documentation (versions, nonces, ACK and NACK).
 """
 
 from __future__ import annotations
