--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -32,7 +32,7 @@
         config: The configuration that is in effect.
         server: The gRPC server, or the pool of worker processes that have one each.
         publisher_loop: Publishes the changes of the clusters.
-        remembered_lists: The endpoint lists that are saved for the next start.
+        cached_lists: The endpoint lists that are saved for the next start.
     """
 
     def __init__(self, path: Path, config: ControlFile, seed: int = 1) -> None:
@@ -46,7 +46,7 @@
         self.publisher_loop = PublisherLoop(
             self.server, create_encoder(self._setup), config.control.interval_s, self._on_step
         )
-        self.remembered_lists = CachedLists(config.control.remember)
+        self.cached_lists = CachedLists(config.control.remember)
         # Both times are those of the event loop's clock, in seconds.
         self._load_reports_forwarded_at = 0.0
         self._full_lists_deadline = 0.0
@@ -85,7 +85,7 @@
         await self._stop()
 
     def _start_clusters(self) -> None:
-        remembered = self.remembered_lists.load()
+        remembered = self.cached_lists.load()
         for name in self.config.clusters:
             try:
                 self.start_cluster(name, remembered.get(name))
@@ -105,7 +105,7 @@
         for feed in self.publisher_loop.feeds.values():
             if isinstance(feed, StandaloneFeed):
                 await feed.wait_closed()
-        self.remembered_lists.save(self.publisher_loop.feeds)
+        self.cached_lists.save(self.publisher_loop.feeds)
         await self.server.stop()
 
     def start_cluster(self, name: str, remembered: Any = None) -> None:
@@ -116,7 +116,7 @@
         feed.start(remembered)
 
     def _on_change(self, name: str) -> None:
-        self.remembered_lists.mark_changed()
+        self.cached_lists.mark_changed()
         self.publisher_loop.mark_changed(name)
 
     def _on_step(self) -> None:
@@ -127,7 +127,7 @@
             self._load_reports_forwarded_at = now
             for feed in self.publisher_loop.feeds.values():
                 feed.forward_load_reports()
-        self.remembered_lists.save_if_due(self.publisher_loop.feeds)
+        self.cached_lists.save_if_due(self.publisher_loop.feeds)
 
     def _enable_if_ready(self, now: float) -> None:
         """Enables publishing once every cluster has its full list, or after the configured wait."""
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -308,7 +308,7 @@
         service.start_cluster("orders")
         feeds = service.publisher_loop.feeds
         feeds["orders"].endpoints_updated(CONTROL_LIST, True, False)
-        service.remembered_lists.save(feeds)
+        service.cached_lists.save(feeds)
         await stop_control(service)
 
     asyncio.run(body())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -455,7 +455,7 @@
 
     async def body() -> None:
         service = states.control_service(path)
-        service.start_cluster("orders", service.remembered_lists.load()["orders"])
+        service.start_cluster("orders", service.cached_lists.load()["orders"])
         feed = service.publisher_loop.feeds["orders"]
         assert feed.listed_endpoints.has_cached_list
         assert not feed.listed_endpoints.has_full_list
@@ -474,7 +474,7 @@
         assert list(feed.registry.listed) == [number]
         assert list(feed.registry.draining) == ["s2"]
         # The lists are written again with the same bytes.
-        service.remembered_lists.save(service.publisher_loop.feeds)
+        service.cached_lists.save(service.publisher_loop.feeds)
         await states.stop_control(service)
 
     asyncio.run(body())
