--- a/harecross/replay/cli.py
+++ b/harecross/replay/cli.py
@@ -21,7 +21,9 @@
 DRAIN_GRACE_MS = 250  # how long a server may get requests after its drain is announced; shown with the result
 
 
-def demo(seed: Annotated[int, typer.Option(help="Of arrivals and works.")] = 1) -> None:
+def demo(
+    seed: Annotated[int, typer.Option(help="Seed of the arrival times and of the work of the requests.")] = 1,
+) -> None:
     """Run nodes and stand-in servers, of which one slows down and another drains; takes about ten seconds."""
     from harecross import demo as scenario
     from harecross.console import disposition_table, out
@@ -58,31 +60,63 @@
 
 def replay(
     files: Files,
-    speed: Annotated[float, typer.Option(help="Times the trace's own rate.")] = 1.0,
+    speed: Annotated[float, typer.Option(help="Speed of the replay relative to the trace.")] = 1.0,
     servers: Annotated[
-        int | None, typer.Option(min=1, max=10_000, help="Stand-in servers; sized from the trace.")
+        int | None,
+        typer.Option(
+            min=1,
+            max=10_000,
+            help="Number of stand-in servers of a tier, and maximum number of machines of the trace; derived from "
+            "the trace if not given.",
+        ),
     ] = None,
-    nodes: Annotated[int, typer.Option(min=1, max=1024, help="Real nodes before them.")] = 2,
+    nodes: Annotated[int, typer.Option(min=1, max=1024, help="Number of real nodes of a tier.")] = 2,
     start: Annotated[
-        float, typer.Option("--from", help="Seconds of the trace after its first request.")
+        float,
+        typer.Option(
+            "--from", help="Start of the replayed part, in seconds of the trace after its first request."
+        ),
     ] = 0.0,
-    length: Annotated[float | None, typer.Option("--for", help="Seconds of the trace.")] = None,
-    sample: Annotated[float, typer.Option(help="Share of the requests, drawn from the seed.")] = 1.0,
+    length: Annotated[
+        float | None,
+        typer.Option(
+            "--for",
+            help="Length of the replayed part, in seconds of the trace; the rest of the trace if not given.",
+        ),
+    ] = None,
+    sample: Annotated[
+        float, typer.Option(help="Share of the requests that are replayed, drawn with the seed.")
+    ] = 1.0,
     retries: Annotated[
-        int, typer.Option(min=0, max=10, help="A client's own, of a refused or failed try.")
+        int,
+        typer.Option(
+            min=0,
+            max=10,
+            help="Maximum number of times that a client retries a request after a shed or failed attempt.",
+        ),
     ] = 1,
-    mean_work: Annotated[float, typer.Option(help="Milliseconds the trace's mean work is scaled to.")] = 20.0,
+    mean_work: Annotated[
+        float,
+        typer.Option(
+            help="Mean work of a request in milliseconds, to which the work in the trace is scaled."
+        ),
+    ] = 20.0,
     event: Annotated[
-        list[str] | None, typer.Option(help="SECONDS:WHAT:NAME[:FACTOR], more than once.")
+        list[str] | None,
+        typer.Option(
+            help="An event, as SECONDS:WHAT:NAME or SECONDS:slow:NAME:FACTOR; the option can be repeated."
+        ),
     ] = None,
-    report_window: Annotated[float, typer.Option(help="Seconds of one window of the report.")] = 1.0,
-    seed: Annotated[int, typer.Option()] = 1,
+    report_window: Annotated[
+        float, typer.Option(help="Length of a time window of the report, in seconds.")
+    ] = 1.0,
+    seed: Annotated[int, typer.Option(help="Seed of all random draws.")] = 1,
     name: FormatName = None,
     mapping: MappingFile = None,
     window: Window = 60.0,
     late: Late = "drop",
     json_to: JsonFile = None,
-    html: Annotated[Path | None, typer.Option(help="A page with plots.")] = None,
+    html: Annotated[Path | None, typer.Option(help="File for an HTML page with plots.")] = None,
 ) -> None:
     """Replay a trace against real nodes and stand-in servers, open loop."""
     from harecross.console import err, out
@@ -187,7 +221,7 @@
     )
     if plan.machines_left_out:
         console.print(
-            f"{plan.machines_left_out} machines of the trace are left out (--servers sets how many are played)"
+            f"{plan.machines_left_out} machines of the trace are left out (--servers sets how many are replayed)"
         )
 
 
--- a/harecross/replay/clients.py
+++ b/harecross/replay/clients.py
@@ -90,8 +90,8 @@
         self.address = address
         self.idle: deque[ClientConnection] = deque()
         self.connections: set[ClientConnection] = set()
-        # On the process's clock, not since the start of the run. Clients avoid the node until then, as a front end
-        # that has detected the failure would.
+        # Clients avoid the node until this time on the process's clock (not since the start of the run), as a front
+        # end that has detected the failure would.
         self.down_until_us = 0
 
     def remove(self, connection: ClientConnection) -> None:
@@ -201,7 +201,7 @@
         return request.number in self.accounting.open_requests
 
     def _pick_node(self, tier: int) -> NodePool:
-        """Returns the next node of a tier in round-robin order, without those that are down unless all are."""
+        """Returns the next node of a tier in round-robin order, skipping nodes that are down unless all of them are."""
         now_us = clock()
         pools = self.pools[tier]
         for _ in pools:
--- a/harecross/replay/plan.py
+++ b/harecross/replay/plan.py
@@ -30,7 +30,7 @@
 # Work is scaled to this mean, because batch tasks of several hours cannot be replayed at their full length.
 DEFAULT_MEAN_WORK_MS = 20.0
 MIN_WORK_US, MAX_WORK_US = 100, 2_000_000
-SERVER_SLOTS = 8
+SERVER_SLOTS = 8  # how many requests a stand-in server processes at once
 # The mean share of busy server slots for which the number of servers is chosen if the trace does not contain it.
 TARGET_LOAD = 0.5
 MIN_SERVERS, MAX_SERVERS = 2, 1024
@@ -159,7 +159,7 @@
 
 
 def plan_replay(open_trace: Callable[[], Trace], options: ReplayOptions | None = None) -> ReplayPlan:
-    """Reads a trace and returns the plan of its replay. Raises TraceError if there is none."""
+    """Reads a trace and returns the plan of its replay. Raises TraceError if it cannot be replayed."""
     options = options or ReplayOptions()
     bounds = _part_bounds(open_trace, options)
     trace = open_trace()
@@ -278,7 +278,10 @@
 
 
 def _with_work(selection: _Selection) -> pl.DataFrame:
-    """Returns the requests in order, each with work: its own, its key's, or the mean of its class or of all."""
+    """Returns the requests in the order of their due times, each with its work.
+
+    A request without work of its own gets the mean of its key, else that of its class, else that of all requests.
+    """
     requests = selection.requests
     if selection.durations is not None:
         recorded = selection.durations.rename({WORK: RECORDED_WORK})
--- a/harecross/traces/cli.py
+++ b/harecross/traces/cli.py
@@ -15,16 +15,33 @@
 
 trace_app = typer.Typer(no_args_is_help=True, help="Public cluster traces.")
 
-Files = Annotated[list[Path], typer.Argument(help="The trace's files, plain, .gz or .zst, in order.")]
-FormatName = Annotated[str | None, typer.Option("--format", help="In place of recognising it.")]
+Files = Annotated[list[Path], typer.Argument(help="Files of the trace in their order: plain, .gz or .zst.")]
+FormatName = Annotated[
+    str | None,
+    typer.Option(
+        "--format",
+        help="Name of the trace's format, or a mapping file (.toml); recognised from the files if not given.",
+    ),
+]
 MappingFile = Annotated[
-    Path | None, typer.Option("--mapping", help="A TOML file: classes; columns of `generic`.")
+    Path | None,
+    typer.Option(
+        "--mapping", help="TOML file with request classes and, for the format `generic`, its columns."
+    ),
 ]
 Window = Annotated[
-    float, typer.Option("--window", help="Seconds of the trace within which order is put right.")
+    float,
+    typer.Option(
+        "--window", help="Time by which a row may be earlier than a row before it, in seconds of the trace."
+    ),
+]
+Late = Annotated[
+    str,
+    typer.Option("--late", help="What to do with a row that is late by more than the window: drop or clamp."),
+]
+JsonFile = Annotated[
+    str | None, typer.Option("--json", help="File for the JSON report, or - for standard output.")
 ]
-Late = Annotated[str, typer.Option("--late", help="A row beyond the window: drop or clamp.")]
-JsonFile = Annotated[str | None, typer.Option("--json", help="A file, or - for standard output.")]
 
 Progress = Callable[[int], Any]  # called with the number of bytes of each read
 
--- a/harecross/traces/reader.py
+++ b/harecross/traces/reader.py
@@ -88,11 +88,11 @@
     Blocks can be parsed concurrently because parsing depends on a single block; only ordering needs earlier blocks.
     """
     source = iter(blocks)
-    with ThreadPoolExecutor(BLOCKS_AHEAD) as parsers, ThreadPoolExecutor(1) as disk:
+    with ThreadPoolExecutor(BLOCKS_AHEAD) as parsers, ThreadPoolExecutor(1) as block_reader:
         pending: deque[tuple[int, Future[ParsedBlock]]] = deque()
-        reading = disk.submit(next, source, None)
+        reading = block_reader.submit(next, source, None)
         while (block := reading.result()) is not None:
-            reading = disk.submit(next, source, None)
+            reading = block_reader.submit(next, source, None)
             first_line, data = block
             pending.append((first_line, parsers.submit(parse_block, data, trace_format)))
             if len(pending) > BLOCKS_AHEAD:
@@ -262,7 +262,7 @@
     def _drop_duplicates(
         self, path: Path, first_line: int, frame: pl.DataFrame, state: OrderState
     ) -> pl.DataFrame:
-        """Drops rows that are identical to a row kept within the window."""
+        """Drops rows that are identical to a row kept within the window, and counts the early rows that remain."""
         hashes = pl.concat([state.recent_rows[HASH_COLUMN], frame[HASH_COLUMN]])
         duplicate = ~hashes.is_first_distinct()[state.recent_rows.height :]
         if duplicate.any():
--- a/harecross/traces/request_planner.py
+++ b/harecross/traces/request_planner.py
@@ -35,7 +35,7 @@
 DAY_US = 1440 * MINUTE_US
 # Limits the memory for running tasks whose end has not been read, and for calls whose second record may follow.
 MAX_OPEN_RECORDS = 2_000_000
-MAX_TIERS = 3
+MAX_TIERS = 3  # calls at a greater depth are assigned to the last tier
 KEY_HASH_SEED = 7
 # The factor of the seed in the hash seed of a minute. It is a prime, so that the hash seeds of different seeds and
 # minutes do not coincide.
--- a/harecross/traces/row_checks.py
+++ b/harecross/traces/row_checks.py
@@ -17,7 +17,8 @@
 )
 from harecross.traces.row_tally import DropCause
 
-MAX_TASK_EVENT, MAX_MACHINE_EVENT, MAX_SCHEDULING_CLASS = 8, 2, 3  # the highest values of google-2011
+# The highest valid values of the columns in google-2011.
+MAX_TASK_EVENT, MAX_MACHINE_EVENT, MAX_SCHEDULING_CLASS = 8, 2, 3
 
 
 class RowCheck(NamedTuple):
--- a/harecross/traces/summary.py
+++ b/harecross/traces/summary.py
@@ -1,6 +1,6 @@
 """Opens traces and summarises them: rows by cause, requests by class, time span and rates.
 
-Memory use is bounded, whatever the length of the files.
+Memory use has a bound that does not depend on the length of the files.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 
 SECOND_US = 1_000_000
 DAY_S = 86_400
-# Requests are counted for each second of the trace. A longer span than this, of over a year, means wrong times.
+# Requests are counted for each second of the trace, so the span must be limited. A trace that spans more than this,
+# which is over a year, has wrong times.
 MAX_SPAN_S = 40_000_000
 
 
