--- a/harecross/fleet/cli.py
+++ b/harecross/fleet/cli.py
@@ -30,7 +30,8 @@
 Waits = Annotated[
     str,
     typer.Option(
-        help="The schedule of calls: turns (staggered rounds, as in real nodes), former, even, jitter or together."
+        help="The schedule of calls: turns (staggered rounds, as in real nodes), together (rounds that are not "
+        "staggered), former (exponential backoff), jitter (backoff with full jitter) or even (uniform delays)."
     ),
 ]
 Servers = Annotated[int | None, typer.Option(min=1, max=20_000, help="Servers of the tier.")]
--- a/harecross/fleet/rehearsal.py
+++ b/harecross/fleet/rehearsal.py
@@ -1,10 +1,10 @@
 """A discrete-event simulation of nodes with watches, one discovery service and a trigger, in virtual time.
 
-At the trigger, either every watch falls silent, ends, or ends within a message, or stopped nodes restart with the list
-that they last had, or every watch ends and discovery is down for a while. Discovery lists drains at fixed times; they
-reach the nodes whose watch is open. The result counts the drains that a node had not received within the staleness
-limit, and the time during which restarted nodes could send by a list past that limit. The same seed gives the same
-events.
+At the trigger, either every watch falls silent, ends, or ends in the middle of a message, or stopped nodes restart with
+the list that they last had, or every watch ends and discovery is down for a while. Discovery lists drains at fixed
+times; they reach the nodes whose watch is open. The result counts the drains that a node had not received within the
+staleness limit, and the time during which restarted nodes could send without a change of which they count as notified.
+The same seed gives the same events.
 """
 
 from __future__ import annotations
--- a/harecross/fleet/report.py
+++ b/harecross/fleet/report.py
@@ -79,13 +79,13 @@
 
 
 def print_start_times(results: list[RehearsalResult]) -> None:
-    """Prints how long restarted nodes took until they could send, and how long they could send by a stale list."""
+    """Prints how long restarted nodes took until they could send, and how long they could send with a stale list."""
     slowest = max(result.ready_times[-1] for result in results)
     stale = sum(result.stale_send_s for result in results)
     half = max(result.ready_time(0.5) for result in results)
     out.print(
         f"from a start to the first send: half of the nodes {half:.1f} s, all {slowest:.1f} s; they might send by a "
-        f"list that was binding-old for {stale:.1f} s, all together",
+        f"stale list for {stale:.1f} s, all together",
         highlight=False, style="red" if stale else "",
     )  # fmt: skip
 
@@ -100,7 +100,7 @@
     )
     failed = sum(not result.recovered for result in results)
     if failed:
-        out.print(f"{failed} of {len(results)} days: nodes were still without a list at the end", style="red")
+        out.print(f"{failed} of {len(results)} runs: nodes were still without a list at the end", style="red")
 
 
 def print_plot(result: RehearsalResult) -> None:
--- a/harecross/fleet/result.py
+++ b/harecross/fleet/result.py
@@ -26,7 +26,8 @@
         answers: The number of full lists that nodes received in each second after the trigger.
         backlog_s: The work in discovery's queue in each second after the trigger.
         late_drains: The number of drains received after the staleness limit or never, summed over the nodes.
-        stale_send_s: How long nodes could send by a list past the staleness limit, summed over the nodes.
+        stale_send_s: How long restarted nodes could send without a change of which they count as notified, summed over
+            the nodes.
         start_wait_s: How long restarted nodes could not send yet, summed over the nodes.
         ready_times: The sorted times from each node's restart until it could send.
         wasted_calls: The number of calls that discovery processed after they had failed.
--- a/harecross/fleet/scenario.py
+++ b/harecross/fleet/scenario.py
@@ -14,7 +14,7 @@
 
     SILENT = "silent"  # every watch stops sending heartbeats
     ENDED = "ended"  # every watch ends
-    BROKEN = "broken"  # every watch ends within a message
+    BROKEN = "broken"  # every watch ends in the middle of a message
     RESTART = "restart"  # nodes restart with the list that they last had
     DOWN = "down"  # every watch ends, and discovery refuses calls for a while
 
--- a/harecross/fleet/schedules.py
+++ b/harecross/fleet/schedules.py
@@ -32,7 +32,7 @@
 
 
 class FullJitterSchedule(SubscriptionSchedule):
-    """Exponential backoff with full jitter, from half a second to the longest poll interval."""
+    """Exponential backoff with full jitter: the bound of the random delay doubles up to the longest poll interval."""
 
     __slots__ = ()
 
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -33,7 +33,7 @@
         "--nodes", "40", "--discovery-rate", "6", "--waits", "former", "--no-plot", "--seeds", "2"
     )
     assert result.exit_code == 1
-    assert "2 of 2 days: nodes were still without a list" in result.output
+    assert "2 of 2 runs: nodes were still without a list" in result.output
 
 
 def test_json_has_a_row_for_each_seed(tmp_path):
