--- a/harecross/shifts/controller.py
+++ b/harecross/shifts/controller.py
@@ -31,6 +31,9 @@
 class Controller:
     """Controls a shift while it holds the lease. Without the lease, it only tries to acquire it.
 
+    `now` is always in seconds of a monotonic clock. `wall` is the Unix time, which the store uses for leases and
+    records.
+
     Attributes:
         plan: The plan of the shift.
         classes: The names of the request classes that the plan covers.
--- a/harecross/shifts/plan.py
+++ b/harecross/shifts/plan.py
@@ -1,7 +1,7 @@
 """The plan of a shift, a TOML file: the pools, the steps, how the pools are compared, and the affected requests.
 
-The field names are the keys of the file. `Plan.digest` is computed from them, so renaming a field would pause every
-stored shift that has not ended. Unknown keys and values out of range are errors.
+The field names are the keys of the file. `Plan.digest` is computed from them, so renaming a field would make
+every stored shift that is running or paused wait for an operator. Unknown keys and values out of range are errors.
 """
 
 from __future__ import annotations
--- a/harecross/shifts/simulation.py
+++ b/harecross/shifts/simulation.py
@@ -1,8 +1,9 @@
 """A seeded simulation of shifts between two pools, fast enough for thousands of shifts per minute.
 
 It exercises the judge and the state machine. Requests arrive in bursts. The request rates of the units are
-heavy-tailed: some units send a hundred times more often than others. Latencies are lognormal with a heavy tail, servers
-that are warming up are slow, and clients retry. A fault changes one or both pools from a given share or time on.
+heavy-tailed: some units send a hundred times more often than others. Latencies are lognormal with a heavy tail, and
+servers that are warming up are slow. Retries by clients are not simulated, since the judge only gets first attempts. A
+fault changes one or both pools from a given share or time on.
 """
 
 from __future__ import annotations
@@ -148,7 +149,7 @@
         expected = self._current_rate * self._plan.judge.window_s
         count = max(0, int(self._rng.gauss(expected, expected**0.5)))
         self._warmup_s = max(0.0, self._warmup_s - self._plan.judge.window_s)
-        # Clients also retry, usually with success, but the judge only gets first attempts.
+        # Retries by clients are not drawn, since the judge only gets first attempts.
         return [self._draw_attempt(unit) for unit in self._rng.choices(range(UNITS), self._weights, k=count)]
 
     def _draw_attempt(self, unit: int) -> FirstAttempt:
