--- a/harecross/xds/access.py
+++ b/harecross/xds/access.py
@@ -6,7 +6,7 @@
 from fnmatch import fnmatchcase
 from ipaddress import ip_address
 
-# In a rule or a list of patterns: every cluster or every client.
+# Stands for every cluster in a rule, and for every client in a list of patterns.
 ALL = "*"
 
 
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -85,10 +85,10 @@
         await self._stop()
 
     def _start_clusters(self) -> None:
-        remembered = self.cached_lists.load()
+        cached_lists = self.cached_lists.load()
         for name in self.config.clusters:
             try:
-                self.start_cluster(name, remembered.get(name))
+                self.start_cluster(name, cached_lists.get(name))
             except ValueError as error:
                 raise OperatorsFileError(f"{self._path}: clusters.{name}: {error}") from None
 
@@ -108,12 +108,12 @@
         self.cached_lists.save(self.publisher_loop.feeds)
         await self.server.stop()
 
-    def start_cluster(self, name: str, remembered: Any = None) -> None:
-        """Starts a cluster of the configuration, with its remembered endpoint list if there is one."""
+    def start_cluster(self, name: str, cached_list: Any = None) -> None:
+        """Starts a cluster of the configuration, with its cached endpoint list if there is one."""
         table = self.config.clusters[name]
         feed = StandaloneFeed(name, table, self._seed, self._on_change)
         self.publisher_loop.add(feed, table.cross_zone_price, table.calls_per_server)
-        feed.start(remembered)
+        feed.start(cached_list)
 
     def _on_change(self, name: str) -> None:
         self.cached_lists.mark_changed()
@@ -139,7 +139,7 @@
         for name in waiting:
             known = feeds[name].listed_endpoints.is_publishable()
             action = (
-                "publishing the remembered list, which may be out of date"
+                "publishing the cached list, which may be out of date"
                 if known
                 else "publishing nothing, proxies keep their endpoints"
             )
@@ -174,11 +174,11 @@
         A changed cluster starts with its previous endpoint list, so that its endpoints stay published meanwhile.
         """
         feed = self.publisher_loop.feeds.get(name)
-        remembered = None
+        cached_list = None
         if feed is not None:
-            remembered = feed.listed_endpoints.snapshot()
+            cached_list = feed.listed_endpoints.snapshot()
             feed.close()
-        self.start_cluster(name, remembered)
+        self.start_cluster(name, cached_list)
 
     def _refresh_access(self) -> None:
         if isinstance(self.server, WorkerPool):
--- a/harecross/xds/sotw_stream.py
+++ b/harecross/xds/sotw_stream.py
@@ -23,7 +23,7 @@
     ) -> None:
         """Handles a request: the first one of a type, an ACK, a NACK or a changed subscription.
 
-        `error` is the message of a NACK; `version` is the version that the proxy has, which counts in a first request.
+        `error` is the message of a NACK; `version` is the version that the proxy has; only a first request uses it.
         """
         requested = check_names(type_url, names, self.max_names)
         subscription = self.subscriptions.get(type_url)
--- a/harecross/xds/streams.py
+++ b/harecross/xds/streams.py
@@ -1,4 +1,4 @@
-"""What the two xDS variants of a proxy's stream have in common.
+"""The protocol state of a stream that the two xDS variants have in common.
 
 A stream is pulled: requests and pushes change which responses are due, and `next` returns one response at a time, as
 fast as the proxy reads them. Nothing is queued for a slow proxy; it is sent the newest content.
