--- a/harecross/soak/discoveries.py
+++ b/harecross/soak/discoveries.py
@@ -52,8 +52,8 @@
             notified.
         pending: For a polled service: when the node will count as notified, by the index of each change whose
             notification is not recorded yet.
-        active_from: When SIGHUP told the node to migrate to this discovery, in monotonic seconds; early enough for the
-            time limit of a migration to have passed if the process started with this discovery.
+        active_from: When SIGHUP told the node to migrate to this discovery, in monotonic seconds. If the process
+            started with this discovery, it is at least `MIGRATION_NOTIFIED_S` before that start.
         address_of: Returns the address of a server by its name.
     """
 
--- a/harecross/soak/oracle.py
+++ b/harecross/soak/oracle.py
@@ -33,7 +33,7 @@
 DEADLINE_SLACK_S = 0.15
 # Time after the deadline of a request in which its final answer may still come.
 ANSWER_GRACE_S = 0.5
-# Time after SIGTERM in which SIGKILL may end a request that was sent; one that was sent later counts as lost.
+# SIGKILL may end a request sent up to this time after SIGTERM; one sent later and not answered counts as lost.
 STOP_INTAKE_S = 0.7
 
 
--- a/harecross/soak/planner.py
+++ b/harecross/soak/planner.py
@@ -61,7 +61,7 @@
         return self in (Emphasis.SILENT_WATCHES, Emphasis.DISCOVERY_DOWN)
 
 
-# Consecutive seeds take these in turn.
+# Consecutive seeds use these emphases in turn.
 EMPHASES = (
     Emphasis.MIGRATIONS,
     Emphasis.SILENT_WATCHES,
--- a/harecross/soak/proxy.py
+++ b/harecross/soak/proxy.py
@@ -56,7 +56,7 @@
                 write_or_raise(writer, data)
         except ConnectionError:
             pass
-        # The node has closed the connection, since nodes never half-close; closing this one ends the server's work.
+        # Nodes never half-close, so the node has closed its connection. Closing the other one ends the server's work.
         writer.close()
 
     async def _relay_answers(self) -> None:
--- a/harecross/soak/slow_start.py
+++ b/harecross/soak/slow_start.py
@@ -1,4 +1,4 @@
-"""Checks slow start: compares the requests of all nodes to a process that has just started with what it may get.
+"""Checks slow start: whether a process that has just started gets more requests from all nodes than it may get.
 
 The rules are those of the protocol. Let N be the number of requests that the settings allow a server in slow start
 within one overload duration. More than N + 2 * sqrt(N) + 2 requests (N + 3 * sqrt(N) + 3 if N is below 30) in such a
@@ -58,8 +58,9 @@
 
 
 def allowed_requests(rules: SlowStartRules, capacity: float, age: float) -> float:
-    """Returns the number of requests that the settings allow in the overload duration from an age of a process on.
+    """Returns the number of requests that the settings allow in one overload duration.
 
+    `age` is the age of the process at the beginning of that time, in seconds.
     `capacity` is the number of requests that a server at full capacity gets in the same time.
     """
     middle = min(rules.window, age + rules.overload_duration / 2)
