--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -4,7 +4,7 @@
 
 All watches fall silent at the same moment, with about the backlog of a fleet whose nodes have all started at once. Each
 line shows when 50 %, 90 % and all of the nodes are subscribed again, in seconds after the trigger, as means over the
-seeds. "-" means that with some seed, they were not after 300 s.
+seeds. "-" means that with at least one seed, they were not subscribed after 300 s.
 """
 
 from __future__ import annotations
--- a/benchmarks/replay_rate.py
+++ b/benchmarks/replay_rate.py
@@ -42,7 +42,7 @@
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--nodes", type=int, default=3)
     parser.add_argument(
-        "--search", action="store_true", help="go on by half as much again until it is not valid"
+        "--search", action="store_true", help="raise the rate by half until a replay is not valid"
     )
     args = parser.parse_args()
     print(f"{os.cpu_count()} cores, {args.nodes} nodes")
--- a/benchmarks/shifts.py
+++ b/benchmarks/shifts.py
@@ -145,6 +145,7 @@
             ("ours, stated 5%", 0.05, False),
             ("fixed", 0.01, True),
         ):
+            # FAULTS has no entry "like", so the pools of these shifts are equal.
             results = run(partial(run_shift, alarms, "like", fixed), options.shifts, 100_000)
             print("A/A", name, json.dumps(Counter(str(result.state) for result in results)), flush=True)
         for fault_name in FAULTS:
