--- a/harecross/platform/system_errors.py
+++ b/harecross/platform/system_errors.py
@@ -1,4 +1,4 @@
-"""Classifies errors of socket system calls by cause: this machine or a single connection. Performs no I/O.
+"""Classifies errors of socket system calls by cause: this machine or a single connection.
 
 The classification follows the Linux manual pages accept(2), socket(2) and connect(2).
 """
@@ -21,8 +21,8 @@
         errno.ENETUNREACH,
     )
 )
-# accept(2) passes on pending errors of the new connection; they "should be treated like EAGAIN by retrying". A firewall
-# rule (EPERM) forbids one connection, but not necessarily the next one.
+# accept(2) passes on pending errors of the new connection. Its manual page says to treat them like EAGAIN, by retrying.
+# A firewall rule (EPERM) forbids one connection, but not necessarily the next one.
 CONNECTION_GONE_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
--- a/harecross/xds/published.py
+++ b/harecross/xds/published.py
@@ -1,4 +1,4 @@
-"""What is known about a cluster's servers, and what is published about them. Performs no I/O."""
+"""What is known about a cluster's servers, and what is published about them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """The decision module's view of one server.
+    """The balancer's view of one server.
 
     Attributes:
         slow_start_factor: The fraction of its full capacity that the server has now, in (0, 1].
--- a/harecross/xds/worker_pool.py
+++ b/harecross/xds/worker_pool.py
@@ -34,8 +34,9 @@
     frame,
 )
 
-# The delay before a worker that has exited is restarted doubles with each restart, up to the maximum. It is reset
-# to the first value if the worker ran for longer than the maximum.
+# A worker that has exited is restarted after `FIRST_BACKOFF_S` if it ran for longer than `MAX_BACKOFF_S`. Otherwise
+# the delay is twice the previous one, at most `MAX_BACKOFF_S`; before the first restart, the previous delay counts as
+# `FIRST_BACKOFF_S`.
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 START_TIMEOUT_S = 20.0  # how long a new worker may take until it listens
@@ -99,8 +100,6 @@
         """Returns how many streams the workers have open, as last reported, at most a quarter of a second ago."""
         return sum(worker.count.streams for worker in self.workers)
 
-    # ---- workers ------------------------------------------------------------------------------------------
-
     async def start(self) -> int:
         """Starts all workers and returns the port. Raises OSError if they cannot listen."""
         host, port = parse_address(self._setup.listen)
@@ -189,7 +188,7 @@
             self._answer_if_complete(number)
 
     async def stop(self) -> None:
-        """Closes the channels, upon which workers end their streams and exit, and waits for the workers."""
+        """Closes the channels, which makes the workers end their streams and exit, and waits for the workers."""
         self._stopping = True
         for worker in self.workers:
             worker.close_channel()
@@ -208,8 +207,6 @@
             process.kill()
             await process.wait()
 
-    # ---- to workers ---------------------------------------------------------------------------------------
-
     def publish(self, source: PublishedSnapshots, urgent: Collection[str] = ()) -> None:
         """Sends each worker what has changed since the previous call, encoded once for all workers."""
         before, now = self._published or {}, source.clusters
@@ -229,8 +226,6 @@
             if worker.channel is not None:
                 worker.channel.send_frame(framed)
 
-    # ---- from workers -------------------------------------------------------------------------------------
-
     def _receive(self, worker: WorkerHandle, message: Message) -> None:
         if isinstance(message, StreamCount):
             worker.count = message
