--- a/benchmarks/xds_fanout.py
+++ b/benchmarks/xds_fanout.py
@@ -61,9 +61,6 @@
     return {"cpu_s": round(cpu, 2), "rss_mb": round(rss, 1)}
 
 
-# ---- the service's process ------------------------------------------------------------------------------
-
-
 class ClusterContents:
     """The published content of all clusters, which is changed endpoint by endpoint."""
 
@@ -191,9 +188,6 @@
     uvloop.run(body())
 
 
-# ---- the bare server ------------------------------------------------------------------------------------
-
-
 def run_bare_server(pipe: Connection) -> None:
     """Runs a server that sends prepared bytes to all streams, and executes the commands on the pipe."""
     import uvloop
@@ -249,9 +243,6 @@
     uvloop.run(body())
 
 
-# ---- the proxies' processes -----------------------------------------------------------------------------
-
-
 def run_proxies(
     pipe: Connection, port: int, count: int, each: int, clusters: int, delta: bool, seed: int
 ) -> None:
@@ -472,11 +463,11 @@
     parser.add_argument("--streams", default="100,1000")
     parser.add_argument("--clusters", type=int, default=100)
     parser.add_argument("--endpoints", type=int, default=10_000)
-    parser.add_argument("--each", type=int, default=10, help="clusters that one proxy follows")
-    parser.add_argument("--churn", type=float, default=100.0, help="weight changes a second")
+    parser.add_argument("--each", type=int, default=10, help="clusters that each proxy subscribes to")
+    parser.add_argument("--churn", type=float, default=100.0, help="weight changes per second")
     parser.add_argument("--interval", type=float, default=1.0, help="seconds between releases of weights")
-    parser.add_argument("--seconds", type=float, default=10.0, help="of churn that are measured")
-    parser.add_argument("--workers", type=int, default=1, help="processes of the service")
+    parser.add_argument("--seconds", type=float, default=10.0, help="how many seconds of churn are measured")
+    parser.add_argument("--workers", type=int, default=1, help="number of processes of the service")
     parser.add_argument("--variants", default="sotw,delta")
     options = parser.parse_args()
     with open("/proc/meminfo") as f:
--- a/harecross/soak/oracle.py
+++ b/harecross/soak/oracle.py
@@ -33,7 +33,7 @@
 DEADLINE_SLACK_S = 0.15
 # Time after the deadline of a request in which its final answer may still come.
 ANSWER_GRACE_S = 0.5
-# Time after SIGTERM in which SIGKILL may end a request that was sent; one that was sent later counts as lost.
+# SIGKILL may end a request sent up to this time after SIGTERM; one sent later and not answered counts as lost.
 STOP_INTAKE_S = 0.7
 
 
@@ -92,8 +92,6 @@
         breaches += self._check_slow_start()
         return sorted(breaches, key=lambda breach: breach.at)
 
-    # ---- the rules ----------------------------------------------------------------------------------------
-
     def _check_answer(self, client: ClientRecord) -> Iterator[Breach]:
         """Checks that each request gets one final answer in time, unless SIGKILL ended it."""
         if client.outcome in (ClientOutcome.CLOSED, ClientOutcome.UNANSWERED):
--- a/harecross/soak/proxy.py
+++ b/harecross/soak/proxy.py
@@ -56,7 +56,7 @@
                 write_or_raise(writer, data)
         except ConnectionError:
             pass
-        # The node has closed the connection, since nodes never half-close; closing this one ends the server's work.
+        # Nodes never half-close, so the node has closed its connection. Closing the other one ends the server's work.
         writer.close()
 
     async def _relay_answers(self) -> None:
@@ -140,8 +140,6 @@
             self.relays.pop(port, None)
             self._tasks.discard(task)
 
-    # ---- faults -------------------------------------------------------------------------------------------
-
     def _active_fault(self, kind: LinkFaultKind) -> LinkFault | None:
         at = time.monotonic() - self._run_started_at
         active = (fault for fault in self._faults if fault.kind is kind and fault.start <= at < fault.end)
--- a/harecross/xds/service.py
+++ b/harecross/xds/service.py
@@ -32,7 +32,7 @@
         config: The configuration that is in effect.
         server: The gRPC server, or the pool of worker processes that have one each.
         publisher_loop: Publishes the changes of the clusters.
-        remembered_lists: The endpoint lists that are saved for the next start.
+        cached_lists: The endpoint lists that are saved for the next start.
     """
 
     def __init__(self, path: Path, config: ControlFile, seed: int = 1) -> None:
@@ -46,7 +46,7 @@
         self.publisher_loop = PublisherLoop(
             self.server, create_encoder(self._setup), config.control.interval_s, self._on_step
         )
-        self.remembered_lists = CachedLists(config.control.remember)
+        self.cached_lists = CachedLists(config.control.remember)
         # Both times are those of the event loop's clock, in seconds.
         self._load_reports_forwarded_at = 0.0
         self._full_lists_deadline = 0.0
@@ -64,8 +64,6 @@
         feed = self.publisher_loop.feeds.get(cluster)
         return feed.load_reports if feed is not None else None
 
-    # ---- start and stop -----------------------------------------------------------------------------------
-
     async def run(self) -> None:
         """Serves until SIGTERM, SIGINT or `stop`; SIGHUP reloads the configuration.
 
@@ -87,10 +85,10 @@
         await self._stop()
 
     def _start_clusters(self) -> None:
-        remembered = self.remembered_lists.load()
+        cached_lists = self.cached_lists.load()
         for name in self.config.clusters:
             try:
-                self.start_cluster(name, remembered.get(name))
+                self.start_cluster(name, cached_lists.get(name))
             except ValueError as error:
                 raise OperatorsFileError(f"{self._path}: clusters.{name}: {error}") from None
 
@@ -107,20 +105,18 @@
         for feed in self.publisher_loop.feeds.values():
             if isinstance(feed, StandaloneFeed):
                 await feed.wait_closed()
-        self.remembered_lists.save(self.publisher_loop.feeds)
+        self.cached_lists.save(self.publisher_loop.feeds)
         await self.server.stop()
 
-    def start_cluster(self, name: str, remembered: Any = None) -> None:
-        """Starts a cluster of the configuration, with its remembered endpoint list if there is one."""
+    def start_cluster(self, name: str, cached_list: Any = None) -> None:
+        """Starts a cluster of the configuration, with its cached endpoint list if there is one."""
         table = self.config.clusters[name]
         feed = StandaloneFeed(name, table, self._seed, self._on_change)
         self.publisher_loop.add(feed, table.cross_zone_price, table.calls_per_server)
-        feed.start(remembered)
-
-    # ---- periodic work ------------------------------------------------------------------------------------
+        feed.start(cached_list)
 
     def _on_change(self, name: str) -> None:
-        self.remembered_lists.mark_changed()
+        self.cached_lists.mark_changed()
         self.publisher_loop.mark_changed(name)
 
     def _on_step(self) -> None:
@@ -131,7 +127,7 @@
             self._load_reports_forwarded_at = now
             for feed in self.publisher_loop.feeds.values():
                 feed.forward_load_reports()
-        self.remembered_lists.save_if_due(self.publisher_loop.feeds)
+        self.cached_lists.save_if_due(self.publisher_loop.feeds)
 
     def _enable_if_ready(self, now: float) -> None:
         """Enables publishing once every cluster has its full list, or after the configured wait."""
@@ -143,15 +139,13 @@
         for name in waiting:
             known = feeds[name].listed_endpoints.is_publishable()
             action = (
-                "publishing the remembered list, which may be out of date"
+                "publishing the cached list, which may be out of date"
                 if known
                 else "publishing nothing, proxies keep their endpoints"
             )
             wait_s = self.config.control.wait_s
             log_line(f"control: no endpoint list for cluster {name} after {wait_s:g} s: {action}")
 
-    # ---- reload -------------------------------------------------------------------------------------------
-
     def reload(self) -> None:
         """Reloads the clusters and the rules for clients (SIGHUP); other changes take effect at the next start."""
         try:
@@ -180,11 +174,11 @@
         A changed cluster starts with its previous endpoint list, so that its endpoints stay published meanwhile.
         """
         feed = self.publisher_loop.feeds.get(name)
-        remembered = None
+        cached_list = None
         if feed is not None:
-            remembered = feed.listed_endpoints.snapshot()
+            cached_list = feed.listed_endpoints.snapshot()
             feed.close()
-        self.start_cluster(name, remembered)
+        self.start_cluster(name, cached_list)
 
     def _refresh_access(self) -> None:
         if isinstance(self.server, WorkerPool):
