--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -65,9 +65,6 @@
 SERVERS = [Endpoint(number, zone=number % 2) for number in SERVER_NAMES.values()]
 
 
-# ---- the store's file -----------------------------------------------------------------------------------
-
-
 def write_store(path: Path, keep: int | None = None) -> None:
     """Writes documents of two kinds with their records, and leases. Compacts to `keep` records if that is given."""
     store = Store(str(path))
@@ -92,9 +89,6 @@
     store.close()
 
 
-# ---- a shift --------------------------------------------------------------------------------------------
-
-
 def shift_controller(store: Store, holder: str = "controller-a") -> Controller:
     plan = read_plan(ROOT / "deploy" / "shift.toml")
     return Controller(plan, ("read",), store, holder, lambda fencing_token, share: None, 0.0)
@@ -116,9 +110,6 @@
     store.close()
 
 
-# ---- the handover store of a node -----------------------------------------------------------------------
-
-
 def write_maintenance_state(folder: Path) -> None:
     """Writes the maintenance file of the node `n/0`. The "/" must be replaced in the file's name."""
     NodeStore(str(folder), "n/0").update(
@@ -155,8 +146,6 @@
         NodeStore(str(folder), "n/0").write_learned_state(text)
 
 
-# ---- cached DNS answers ---------------------------------------------------------------------------------
-
 CACHED_DNS_ANSWERS = {
     "_readings._tcp.site3.example.org": CachedSet(
         SrvAnswer(
@@ -177,9 +166,6 @@
     write_cache_file(str(path), CACHED_DNS_ANSWERS)
 
 
-# ---- an attempt log -------------------------------------------------------------------------------------
-
-
 class UnusedCaller:
     """Stands in for the caller of a request, which is not used."""
 
@@ -271,8 +257,6 @@
         processes: dict[int, ServerProcess] = {}
 
 
-# ---- the control service's remembered lists -------------------------------------------------------------
-
 CONTROL_LIST = {
     "reset": True,
     "generation": 41,
@@ -314,8 +298,6 @@
     asyncio.run(body())
 
 
-# ---- the report of a failed seed of the soak ------------------------------------------------------------
-
 SEED = 7
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -271,9 +271,6 @@
     run(body())
 
 
-# ---- inside a node --------------------------------------------------------------------------------------
-
-
 def test_a_node_publishes_its_own_view(tmp_path):
     from harecross.xds.embedded import EmbeddedControlService
 
--- a/tests/test_control_access.py
+++ b/tests/test_control_access.py
@@ -24,8 +24,6 @@
 from harecross.standins.xds import ASSIGNMENT, CLUSTER, XdsProxy  # noqa: E402
 from harecross.xds.config import read_control  # noqa: E402
 
-# ---- access rules ---------------------------------------------------------------------------------------
-
 
 @pytest.mark.parametrize("workers", [1, 2])
 def test_clients_see_what_their_certificate_allows_and_changed_files_apply_without_a_restart(
@@ -116,9 +114,6 @@
     run(body())
 
 
-# ---- commands and the configuration file ----------------------------------------------------------------
-
-
 def test_status_shows_what_each_proxy_accepted_or_refused_and_why(tmp_path):
     async def body() -> None:
         async with control_site(tmp_path) as site:
--- a/tests/test_control_rules.py
+++ b/tests/test_control_rules.py
@@ -26,8 +26,6 @@
 from harecross.standins.servers import StandinServer  # noqa: E402
 from harecross.standins.xds import DRAINING, XdsProxy, pick  # noqa: E402
 
-# ---- drains and slow start, counted at the servers ------------------------------------------------------
-
 
 def test_drains_and_slow_start_are_respected_by_all_proxies_together(tmp_path):
     """Eight proxies pick servers by their assignments, and the test counts the picks of each server."""
@@ -89,9 +87,6 @@
     run(body())
 
 
-# ---- load reports ---------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("workers", [1, 2])
 def test_failures_that_most_proxies_report_eject_a_server_that_passes_its_health_checks(tmp_path, workers):
     from envoy.service.load_stats.v3 import lrs_pb2
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -190,9 +190,6 @@
     run(test())
 
 
-# ---- without sockets --------------------------------------------------------------------------------------
-
-
 class FakeSocket:
     """A socket whose TCP_INFO reports that its last bytes arrived `age_ms` ago; None makes `getsockopt` fail."""
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -162,9 +162,6 @@
     run_with_node(test, servers=2, settings={"layers": ["front", "back"], "tier": 1})
 
 
-# ---- arbitrary orders of lists, losses and restarts, compared with the changes sent -------------------
-
-
 def watch_without_calls(discovery: DiscoveryClient, generation: int | None) -> Watch:
     """Returns a watch that makes no calls; the test passes updates to it."""
     watch = object.__new__(Watch)
--- a/tests/test_learned_state.py
+++ b/tests/test_learned_state.py
@@ -109,9 +109,6 @@
     assert new.controller.measuring_min_rtt
 
 
-# ---- the file -----------------------------------------------------------------------------------------
-
-
 @pytest.fixture
 def stores(tmp_path):
     """The stores of two processes of one node. The first process runs and has written its learned state."""
@@ -155,9 +152,6 @@
     HandoverStore(None, "n0").write_learned_state(b"z")
 
 
-# ---- the node -----------------------------------------------------------------------------------------
-
-
 def test_a_node_imports_the_learned_state_of_the_running_process(tmp_path, capfd):
     async def test(site: MultiProcessSite) -> None:
         async with site.node() as old:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -28,9 +28,6 @@
 }
 
 
-# ---- the cache file -----------------------------------------------------------------------------------------
-
-
 def test_a_cache_file_is_read_back_unchanged():
     assert cache_file.decode(cache_file.encode(SETS)) == SETS
 
@@ -92,9 +89,6 @@
     assert name.due(0.0)
 
 
-# ---- address files ------------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize(
     ("text", "problem"),
     [
@@ -123,9 +117,6 @@
     assert (two.address, two.zone, two.draining) == ("[::1]:81", "z", True)
 
 
-# ---- weights and priorities ---------------------------------------------------------------------------------
-
-
 def test_weights_are_relative_to_their_priority_and_priorities_to_their_name():
     statements = srv_statements(
         [
@@ -357,9 +348,6 @@
     assert started_at_ms(consumer, "3") == [1_050_000]
 
 
-# ---- the reconciler -----------------------------------------------------------------------------------------
-
-
 def test_reconciling_only_what_has_changed_gives_the_same_endpoints():
     """Compares with a reconciler that checks every endpoint at each step."""
     for seed in range(150):
@@ -422,9 +410,6 @@
     assert len(reconciler.sources["a"].drop_times) < 20
 
 
-# ---- simulated failures -------------------------------------------------------------------------------------
-
-
 def publish_view(publisher: MembershipPublisher, now: float, source: str, view: CacheView) -> None:
     """Passes the view of an SRV name to the publisher, as a DNS source does."""
     if view.status in (CacheStatus.FRESH, CacheStatus.EMPTY):
--- a/tests/test_operators_surface.py
+++ b/tests/test_operators_surface.py
@@ -78,9 +78,6 @@
     assert (done.exit_code, done.stdout, done.stderr) == (2, "", message)
 
 
-# ---- admin server ----------------------------------------------------------------------------------------
-
-
 def test_the_admin_server_has_these_calls(tmp_path):
     async def test(site: MultiProcessSite) -> None:
         async with site.node() as node:
@@ -172,8 +169,6 @@
     run_with_site(test, tmp_path, servers=2)
 
 
-# ---- the log --------------------------------------------------------------------------------------------
-
 REPORT_KEYS = (
     "served refused failed left open reports spoilt "
     "rejected connect_failed not_sent ok error timeout reset cancelled unknown "
--- a/tests/test_process_table.py
+++ b/tests/test_process_table.py
@@ -174,8 +174,6 @@
     assert result.update["instances"] == items
 
 
-# ---- arbitrary orders of events, compared with the real servers ---------------------------------------
-
 MAX_LAG_S = 3.0  # the longest lag of a new discovery; the protocol allows 4 s after a migration
 STEP_S = 0.5  # the time between two events
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -219,9 +219,6 @@
     run(test())
 
 
-# ---- freshness and readiness without a node -----------------------------------------------------------
-
-
 def test_freshness_and_readiness_from_the_start_to_a_stale_list():
     schedule, list_readiness = SubscriptionSchedule(DiscoverySettings(), Random(1)), ListReadiness(100.0, 6.0)
     assert list_readiness.freshness(100.0, schedule) is Freshness.NONE
@@ -268,9 +265,6 @@
     )
 
 
-# ---- many nodes that start at once, in the rehearsal model --------------------------------------------
-
-
 def start_at_once(nodes: int, seed: int, queue_s: float = 5.0, **changes: object) -> RehearsalResult:
     """Simulates 70 % of the nodes starting at once during a release; discovery needs `queue_s` s to answer them all."""
     scenario = Scenario(
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -56,9 +56,6 @@
     assert (await client.answer())[0] == 200
 
 
-# ---- client connections -----------------------------------------------------------------------------------
-
-
 async def client_disconnects(world: NodeEnvironment) -> None:
     (await world.client()).writer.close()
 
@@ -129,9 +126,6 @@
     run_with_node(test)
 
 
-# ---- upstream connections ---------------------------------------------------------------------------------
-
-
 async def server_closes(world: NodeEnvironment) -> None:
     client = await world.client()
     client.send("/pay/1", X_Request_ID="lost")
@@ -199,9 +193,6 @@
     run_with_node(test)
 
 
-# ---- answers and retries ----------------------------------------------------------------------------------
-
-
 async def start_request(world: NodeEnvironment, path: str = "/pay/1", left: str = "25000m") -> asyncio.Task:
     """Sends a request and returns the task that waits for its answer."""
     client = await world.client()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -24,9 +24,6 @@
 LIMITS = ReleaseLimits(drain_timeout_s=20, restart_timeout_s=20, warm_up_timeout_s=20)
 
 
-# ---- the state machine, against simulated nodes with faults ------------------------------------------------
-
-
 @dataclass
 class SimulatedNodes:
     """Nodes and servers with a simulated clock.
@@ -241,9 +238,6 @@
         assert not w.release.servers_in_maintenance()
 
 
-# ---- the command, against real nodes -------------------------------------------------------------------------
-
-
 class Site:
     """Two nodes with admin servers, and three servers behind them."""
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -62,8 +62,6 @@
     assert make_plan(1) != make_plan(2)
 
 
-# ---- the oracle -------------------------------------------------------------------------------------------
-
 CLIENT = ClientRecord(
     "r", "n.1", Idempotency.NON_IDEMPOTENT, 10.0, 1.0, True, ClientOutcome.ANSWERED, 200, 10.2
 )
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -34,8 +34,6 @@
     "no drop is a no": lambda e: not any(w == "no" for _, w in e),
 }
 
-# ---- the rule -----------------------------------------------------------------------------------------------
-
 
 def table() -> list[tuple[str, str, str, str]]:
     rows = re.findall(r"^\| (\d+) \| ?(.*?) ?\| ?(.*?) ?\| (\w+) \|$", TABLE.read_text(), re.M)
@@ -87,9 +85,6 @@
             assert decide(evidence).decision == MergeDecision.DRAIN
 
 
-# ---- the reconciler -----------------------------------------------------------------------------------------
-
-
 def in_service(reconciler: MembershipReconciler, now: float) -> set[str]:
     return {a for a, endpoint in reconciler.reconcile(now).items() if endpoint.in_service}
 
@@ -278,9 +273,6 @@
     assert min(seen.values()) > 500, seen
 
 
-# ---- priorities ---------------------------------------------------------------------------------------------
-
-
 def health(*counts: tuple[int, int]) -> dict[int, Health]:
     """Returns the health by priority, from pairs of the numbers of healthy endpoints and all endpoints."""
     return {priority: Health(*count) for priority, count in enumerate(counts)}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -88,8 +88,6 @@
         db.close()
 
 
-# ---- the store's file -----------------------------------------------------------------------------------
-
 ORDERS_RECORDS = [
     {
         "record of": ["shift", "orders"],
@@ -178,8 +176,6 @@
     assert without_library_version(new) == without_library_version(old)
 
 
-# ---- a shift --------------------------------------------------------------------------------------------
-
 ZEROS = [0.0, 0.0, 0.0, 0.0]
 SHIFT_STATE = {
     "plan": "034eb20fb9dd0054",
@@ -296,8 +292,6 @@
     ]
 
 
-# ---- the maintenance file -------------------------------------------------------------------------------
-
 MAINTENANCE_FILE, LEARNED_STATE_FILE = "harecross-n_0.held", "harecross-n_0.learned"
 
 
@@ -324,9 +318,6 @@
     assert (tmp_path / MAINTENANCE_FILE).read_bytes() == (DATA / MAINTENANCE_FILE).read_bytes()
 
 
-# ---- the learned state file -----------------------------------------------------------------------------
-
-
 def learned_state_from_file(folder: Path, monkeypatch: pytest.MonkeyPatch) -> bytes | None:
     """Reads the stored file as a new process does, one second after it was written and while the old process lives."""
     shutil.copy(DATA / LEARNED_STATE_FILE, folder)
@@ -403,9 +394,6 @@
     store.release_process_lock()
 
 
-# ---- cached DNS answers ---------------------------------------------------------------------------------
-
-
 def test_stored_dns_sets_are_read():
     sets = read_cache_file(str(DATA / "kept-dns-sets"))
     assert list(sets) == ["_readings._tcp.site3.example.org", "_empty._tcp.example.org"]
@@ -446,9 +434,6 @@
     }
 
 
-# ---- the control service's remembered lists -------------------------------------------------------------
-
-
 def test_stored_lists_of_the_control_service_are_read_and_count_as_old(tmp_path):
     path = tmp_path / "lists.json"
     shutil.copy(DATA / "control-lists.json", path)
@@ -504,8 +489,6 @@
     }
 
 
-# ---- an attempt log -------------------------------------------------------------------------------------
-
 UPTIME = re.compile(rb'"process\.uptime":[0-9.]+')
 
 
@@ -670,8 +653,6 @@
     assert [line["said"] for line in by_lifecycle] == ["in service", "draining", "gone"]
 
 
-# ---- the report of a failed seed of the soak ------------------------------------------------------------
-
 SOAK_REPORT = "soak-seed-7-20231114T221320.txt"
 
 
@@ -682,9 +663,6 @@
     assert (tmp_path / SOAK_REPORT).read_bytes() == (DATA / SOAK_REPORT).read_bytes()
 
 
-# ---- configurations -------------------------------------------------------------------------------------
-
-
 def node_config() -> Any:
     return json.loads((DATA / "node-config.json").read_text())
 
--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -52,9 +52,6 @@
     return schedule
 
 
-# ---- the schedule on its own --------------------------------------------------------------------------
-
-
 def test_states_response_deadlines_and_the_staleness_limit():
     schedule = SubscriptionSchedule(FLEET, Random(1))
     assert schedule.state is SubscriptionState.IDLE
@@ -202,9 +199,6 @@
     assert schedule.response_deadline() == 3.0 + AGENT_RESPONSE_TIMEOUT_S
 
 
-# ---- in a node and in the adapter ---------------------------------------------------------------------
-
-
 def test_a_node_reopens_a_silent_watch_in_its_slot_and_pauses_after_a_failed_call(monkeypatch):
     for name, value in (
         ("WATCH_HEARTBEAT_TIMEOUT_S", 0.2),
--- a/tests/test_xds_decisions.py
+++ b/tests/test_xds_decisions.py
@@ -49,9 +49,6 @@
     return [snapshot.server for snapshot in balancer.endpoint_snapshots(now) if snapshot.ejected]
 
 
-# ---- the decision module's snapshots ------------------------------------------------------------------------
-
-
 def test_the_snapshots_cover_every_server_and_change_nothing():
     balancer = balancer_of(200)
     before = balancer.stats()
@@ -130,9 +127,6 @@
     assert all(0 < s.cost < 1e9 and not s.ejected for s in balancer.endpoint_snapshots(0))
 
 
-# ---- releases ---------------------------------------------------------------------------------------------
-
-
 def cluster(*weights: int, drained: int | None = None) -> PublishedCluster:
     return PublishedCluster(
         tuple(
@@ -230,9 +224,6 @@
     assert releases_in_ten_seconds(lambda step: 1.0) == 1
 
 
-# ---- limits and priorities ----------------------------------------------------------------------------------
-
-
 def test_the_request_limit_is_twice_a_proxys_share_of_the_capacity():
     views = [ServerView(f"s{i}", "h:1") for i in range(10)]
     assert request_limit(views, 10, 1) == 100
@@ -262,9 +253,6 @@
     assert [priority(zone, "c", zones) for zone in ("a", "b")] == [0, 0]
 
 
-# ---- endpoint lists -----------------------------------------------------------------------------------------
-
-
 def listed(name: str, state: str = "in_service", port: int = 1) -> dict:
     return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "lifecycle": state}
 
@@ -310,9 +298,6 @@
     assert not endpoints.is_publishable()
 
 
-# ---- load reports -------------------------------------------------------------------------------------------
-
-
 def reports(*failing: bool) -> LoadReports:
     """Returns the load reports of several proxies on one server, one proxy for each argument.
 
@@ -357,9 +342,6 @@
     assert abs(collected.collect()[0].latency_ms - 100) < 1
 
 
-# ---- health checks ------------------------------------------------------------------------------------------
-
-
 def test_health_checks_are_spread_over_their_interval():
     schedule, servers = HealthCheckSchedule(SECOND, Random(1)), range(100)
     assert schedule.take_due(0, servers) == []
@@ -384,8 +366,6 @@
     assert not schedule.due_at
 
 
-# ---- access -------------------------------------------------------------------------------------------------
-
 RULES = {"*.partner.example": ["orders"], "edge.example": ["*"], "a.partner.example": ["stock"]}
 
 
--- a/tests/test_xds_publish.py
+++ b/tests/test_xds_publish.py
@@ -28,9 +28,6 @@
     return publisher
 
 
-# ---- health and urgency -------------------------------------------------------------------------------------
-
-
 def test_a_drain_and_an_ejection_are_published_and_urgent():
     publisher = ClusterPublisher()
     before = publisher.update_endpoints(0, views())
@@ -66,9 +63,6 @@
     assert [endpoint.health for endpoint in published] == [Health.UNHEALTHY] * 2 + [Health.HEALTHY] * 2
 
 
-# ---- mass removals ------------------------------------------------------------------------------------------
-
-
 def test_the_servers_of_a_mass_removal_stay_published_for_the_hold_time():
     publisher = publisher_of(6)
     assert len(publisher.update_endpoints(1_000_000, views(1))) == 6
@@ -108,9 +102,6 @@
     assert len(publisher.update_endpoints(2, views(1), terminated=terminated)) == 6
 
 
-# ---- weights ------------------------------------------------------------------------------------------------
-
-
 def test_a_weight_that_fluctuates_within_the_hysteresis_is_published_once():
     publisher, rng = publisher_of(4), Random(1)
     changes = 0
@@ -148,9 +139,6 @@
     assert ClusterPublisher().update_endpoints(0, starting)[0].weight <= 50
 
 
-# ---- terminated servers -------------------------------------------------------------------------------------
-
-
 def test_a_list_keeps_the_names_of_terminated_servers_until_they_are_listed_again():
     endpoints = ListedEndpoints()
     endpoints.apply(update(1, entry("a", "h:1"), entry("b", "h:2")), full=True, cached=False)
--- a/tests/test_xds_server.py
+++ b/tests/test_xds_server.py
@@ -463,9 +463,6 @@
     run(body())
 
 
-# ---- grpcio's xDS client ------------------------------------------------------------------------------
-
-
 def test_grpcios_xds_client_follows_weights_drains_and_a_restart(tmp_path):
     async def body() -> None:
         servers, addresses = zip(*[await start_backend(f"b{i}") for i in range(3)], strict=True)
--- a/tests/test_xds_streams.py
+++ b/tests/test_xds_streams.py
@@ -70,9 +70,6 @@
     return response
 
 
-# ---- state of the world -----------------------------------------------------------------------------
-
-
 def test_an_ack_gets_no_response_and_a_change_is_pushed():
     stream = SotwStream(A1)
     response = single(send_request(stream, EDS, "", ["a"]))
@@ -149,9 +146,6 @@
     assert again.version == before.version
 
 
-# ---- delta ------------------------------------------------------------------------------------------
-
-
 def test_a_reconnecting_proxy_is_sent_only_what_differs():
     held = {
         name: resource.version
@@ -193,9 +187,6 @@
             send_request(stream, EDS, "", [str(i) for i in range(10_001)])
 
 
-# ---- versions and order -----------------------------------------------------------------------------
-
-
 def test_versions_depend_on_content_alone():
     assert combined_version(A1.get(EDS).values()) == combined_version(
         snapshot(eds={"a": "e1"}).get(EDS).values()
@@ -222,8 +213,6 @@
     assert update_steps(before, before) == (before,)
 
 
-# ---- random interleavings ---------------------------------------------------------------------------
-
 NAMES = "abcd"
 
 
