--- a/tests/race_support.py
+++ b/tests/race_support.py
@@ -75,9 +75,9 @@
         self.sock.close()
 
 
-async def wait_until_accepted(w: NodeEnvironment, clients: int) -> None:
+async def wait_until_accepted(env: NodeEnvironment, clients: int) -> None:
     """Waits until the node has accepted `clients` connections."""
-    while len(w.node.client_connections.open) < clients:
+    while len(env.node.client_connections.open) < clients:
         await asyncio.sleep(0)
 
 
@@ -87,18 +87,18 @@
         await asyncio.sleep(0.001)
 
 
-async def warm_up(w: NodeEnvironment, servers: int | None = None) -> None:
+async def warm_up(env: NodeEnvironment, servers: int | None = None) -> None:
     """Sends requests until the node has an idle connection to each server and has measured each request class."""
-    client = await Client.open(w.node.address)
-    wanted = len(w.upstreams) if servers is None else servers
-    while sum(bool(t.idle) for t in w.node.pool.processes.values()) < wanted:
+    client = await Client.open(env.node.address)
+    wanted = len(env.upstreams) if servers is None else servers
+    while sum(bool(t.idle) for t in env.node.pool.processes.values()) < wanted:
         for path, key in REQUEST_KINDS:
             client.send(path, key=key)
-            for o in w.upstreams:
+            for o in env.upstreams:
                 if not hasattr(o, "answer_task"):
                     o.answer_all()
             await client.answer()
-    for o in w.upstreams:
+    for o in env.upstreams:
         if hasattr(o, "answer_task"):
             o.answer_task.cancel()
             del o.answer_task
--- a/tests/streaming_support.py
+++ b/tests/streaming_support.py
@@ -33,13 +33,13 @@
 def run_with_peers(test, *peers: Peer, **more) -> None:
     """Runs a test on a node with one server per function in `peers`, which is called for each connection."""
 
-    async def with_servers(world) -> None:
+    async def with_servers(env) -> None:
         listening = [await asyncio.start_server(p, "127.0.0.1", 0, limit=1 << 20) for p in peers]
-        world.addresses = ["{}:{}".format(*s.sockets[0].getsockname()) for s in listening]
-        known = [entry(f"s{i}", a) for i, a in enumerate(world.addresses)]
-        world.node.registry.apply({"reset": True, "instances": known})
+        env.addresses = ["{}:{}".format(*s.sockets[0].getsockname()) for s in listening]
+        known = [entry(f"s{i}", a) for i, a in enumerate(env.addresses)]
+        env.node.registry.apply({"reset": True, "instances": known})
         try:
-            await test(world)
+            await test(env)
         finally:
             for server in listening:
                 server.close()
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -23,13 +23,13 @@
 BEHIND = {"tier": 1, "layers": ["front", "store"]}  # a node in tier 1 queues requests
 
 
-def requests_at_servers(world: NodeEnvironment) -> int:
-    return sum(o.received.qsize() for o in world.upstreams)
+def requests_at_servers(env: NodeEnvironment) -> int:
+    return sum(o.received.qsize() for o in env.upstreams)
 
 
-def assert_nothing_counted(world: NodeEnvironment) -> None:
-    balancer = world.node.dispatcher.balancer
-    assert not world.node.dispatcher.requests
+def assert_nothing_counted(env: NodeEnvironment) -> None:
+    balancer = env.node.dispatcher.balancer
+    assert not env.node.dispatcher.requests
     assert not balancer.requests
     assert balancer.controller.in_flight == 0
     assert all(server_state.in_flight == 0 for server_state in balancer.subset.servers.values())
@@ -39,31 +39,31 @@
 @cancels
 @pytest.mark.parametrize("order", ["before it is open", "after it is open"])
 def test_a_client_that_disconnects_while_the_upstream_connection_is_opened(kind, cancel, order):
-    async def test(world: NodeEnvironment) -> None:
-        held, client = DelayedConnects(world.node.pool), await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        held, client = DelayedConnects(env.node.pool), await env.client()
         client.send(kind[0], key=kind[1])
         await held.started_connects.get()
         if order == "before it is open":
             client.writer.close()
-            await wait_until(lambda: world.node.dispatcher.statistics.final_answers["left"])
+            await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"])
             held.release()
-            await wait_until(lambda: not world.node.pool.connect_tasks)
+            await wait_until(lambda: not env.node.pool.connect_tasks)
             await run_event_loop()
-            assert requests_at_servers(world) == 0
-            assert world.node.pool.open_connections == 1
-            assert_nothing_counted(world)
+            assert requests_at_servers(env) == 0
+            assert env.node.pool.open_connections == 1
+            assert_nothing_counted(env)
         else:
             held.release()
-            received = await world.upstreams[0].received.get()
+            received = await env.upstreams[0].received.get()
             client.writer.close()
-            await wait_until(lambda: world.node.dispatcher.statistics.final_answers["left"])
+            await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"])
             await run_event_loop()
             # The request may be running. Closing the connection cancels it, which the settings must allow.
             assert received.disconnected.is_set() == cancel
             if not cancel:
                 received.answer()
-            await wait_until(lambda: not world.node.dispatcher.requests)
-            assert_nothing_counted(world)
+            await wait_until(lambda: not env.node.dispatcher.requests)
+            assert_nothing_counted(env)
 
     run_with_node(test, settings=cancel_settings(cancel))
 
@@ -73,34 +73,34 @@
 def test_a_client_whose_disconnect_is_unread_when_the_upstream_connection_is_open(kind, cancel):
     """The upstream connection opens in a turn of the event loop in which the disconnect has not been read yet."""
 
-    async def test(world: NodeEnvironment) -> None:
-        held, client = DelayedConnects(world.node.pool), BlockingClient(world.node.address)
-        await wait_until_accepted(world, 1)
+    async def test(env: NodeEnvironment) -> None:
+        held, client = DelayedConnects(env.node.pool), BlockingClient(env.node.address)
+        await wait_until_accepted(env, 1)
         client.send(*kind)
         await held.started_connects.get()
         # The client disconnects in the turn of the event loop in which the connection is opened.
-        world.node.loop.call_soon(client.close)
+        env.node.loop.call_soon(client.close)
         held.release()
-        await wait_until(lambda: world.node.dispatcher.statistics.final_answers["left"])
+        await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"])
         await run_event_loop()
-        assert requests_at_servers(world) == 0
-        assert_nothing_counted(world)
+        assert requests_at_servers(env) == 0
+        assert_nothing_counted(env)
 
     run_with_node(test, settings=cancel_settings(cancel))
 
 
 @every_kind
 def test_a_client_whose_disconnect_was_received_with_its_request(kind):
-    async def test(world: NodeEnvironment) -> None:
-        await warm_up(world)
-        client = BlockingClient(world.node.address)
-        await wait_until_accepted(world, 1)
+    async def test(env: NodeEnvironment) -> None:
+        await warm_up(env)
+        client = BlockingClient(env.node.address)
+        await wait_until_accepted(env, 1)
         client.send(*kind)
         client.close()
-        await wait_until(lambda: not world.node.client_connections.open)
+        await wait_until(lambda: not env.node.client_connections.open)
         await run_event_loop()
-        assert requests_at_servers(world) == 0
-        assert_nothing_counted(world)
+        assert requests_at_servers(env) == 0
+        assert_nothing_counted(env)
 
     run_with_node(test)
 
@@ -109,18 +109,18 @@
 def test_a_client_that_disconnects_after_pipelined_requests(kind):
     """While the first request is unanswered, nothing after it is read, not even the end of the connection."""
 
-    async def test(world: NodeEnvironment) -> None:
-        await warm_up(world)
-        client = BlockingClient(world.node.address)
-        await wait_until_accepted(world, 1)
+    async def test(env: NodeEnvironment) -> None:
+        await warm_up(env)
+        client = BlockingClient(env.node.address)
+        await wait_until_accepted(env, 1)
         client.send(kind[0], key=kind[1], times=5)
-        received = await first_received(*world.upstreams)
+        received = await first_received(*env.upstreams)
         client.close()
         received.answer()
-        await wait_until(lambda: not world.node.client_connections.open)
+        await wait_until(lambda: not env.node.client_connections.open)
         await run_event_loop()
-        assert requests_at_servers(world) == 0
-        assert_nothing_counted(world)
+        assert requests_at_servers(env) == 0
+        assert_nothing_counted(env)
 
     run_with_node(test)
 
@@ -130,18 +130,18 @@
 def test_a_client_that_disconnects_before_a_retry(kind, cancel):
     """A rejected attempt would be retried at the other server; the disconnect is behind data that is not read yet."""
 
-    async def test(world: NodeEnvironment) -> None:
-        await warm_up(world)
-        client = BlockingClient(world.node.address)
-        await wait_until_accepted(world, 1)
+    async def test(env: NodeEnvironment) -> None:
+        await warm_up(env)
+        client = BlockingClient(env.node.address)
+        await wait_until_accepted(env, 1)
         client.send(kind[0], key=kind[1], times=2)
-        received = await first_received(*world.upstreams)
+        received = await first_received(*env.upstreams)
         client.close()
         received.answer(503, extra=b"X-Not-Processed: 1\r\n")
-        await wait_until(lambda: not world.node.client_connections.open)
+        await wait_until(lambda: not env.node.client_connections.open)
         await run_event_loop()
-        assert requests_at_servers(world) == 0
-        assert_nothing_counted(world)
+        assert requests_at_servers(env) == 0
+        assert_nothing_counted(env)
 
     run_with_node(test, servers=2, settings=cancel_settings(cancel))
 
@@ -150,23 +150,23 @@
     "seen", [True, False], ids=["the disconnect is read", "unread data precedes the disconnect"]
 )
 def test_a_client_that_disconnects_while_its_request_is_queued(seen):
-    async def test(world: NodeEnvironment) -> None:
+    async def test(env: NodeEnvironment) -> None:
         clients = []
-        while not world.node.dispatcher.balancer.queue:
-            clients.append(BlockingClient(world.node.address))
-            await wait_until_accepted(world, len(clients))
+        while not env.node.dispatcher.balancer.queue:
+            clients.append(BlockingClient(env.node.address))
+            await wait_until_accepted(env, len(clients))
             clients[-1].send("/put/1", key=f"k{len(clients)}", times=1 if seen else 2)
             await run_event_loop(3)
-        received = [o.received.get_nowait() for o in world.upstreams for _ in range(o.received.qsize())]
+        received = [o.received.get_nowait() for o in env.upstreams for _ in range(o.received.qsize())]
         clients.pop().close()
         if seen:
-            await wait_until(lambda: world.node.dispatcher.statistics.final_answers["left"] == 1)
+            await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"] == 1)
         received[0].answer()
-        await wait_until(lambda: world.node.dispatcher.statistics.final_answers["left"] == 1)
+        await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"] == 1)
         await run_event_loop()
         # After the first answer that client's second request is sent, but none of the disconnected client.
-        assert requests_at_servers(world) == (0 if seen else 1)
-        assert not world.node.dispatcher.balancer.queue
+        assert requests_at_servers(env) == (0 if seen else 1)
+        assert not env.node.dispatcher.balancer.queue
 
     run_with_node(test, servers=2, settings=BEHIND)
 
@@ -182,13 +182,13 @@
     """
     rng, counted = Random(seed), dict.fromkeys(MOMENTS, 0)
 
-    async def test(world: NodeEnvironment) -> None:
+    async def test(env: NodeEnvironment) -> None:
         left: dict[str, int] = {}
-        held = DelayedConnects(world.node.pool)
+        held = DelayedConnects(env.node.pool)
         clients: list[tuple[str, BlockingClient, str]] = []
         for n in range(40):
             moment = rng.choice(MOMENTS)
-            client, name = BlockingClient(world.node.address), f"c{n}"
+            client, name = BlockingClient(env.node.address), f"c{n}"
             await run_event_loop(2)
             path, key = rng.choice(REQUEST_KINDS)
             times = 3 if moment in ("queued", "between") else 1
@@ -201,7 +201,7 @@
                 await run_event_loop(2)
         await run_event_loop()
         if any(moment == "stopping" for moment, *_ in clients):
-            world.node.stop_requested.set()
+            env.node.stop_requested.set()
         rng.shuffle(clients)
         for moment, client, name in clients:
             if moment == "unread":
@@ -215,7 +215,7 @@
         held.release()
         over = monotonic_us() + 300_000
         while monotonic_us() < over:
-            for origin in world.upstreams:
+            for origin in env.upstreams:
                 while origin.received.qsize():
                     received = origin.received.get_nowait()
                     name = received.head.split(b" ")[1].split(b"/")[3].decode()
--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -43,12 +43,12 @@
     return int(text.split(b" ")[1])
 
 
-async def idle_client(world: NodeEnvironment) -> BlockingClient:
+async def idle_client(env: NodeEnvironment) -> BlockingClient:
     """Returns a client that has received an answer and keeps its connection open."""
-    client = BlockingClient(world.node.address)
+    client = BlockingClient(env.node.address)
     client.send("/_health")
     assert await status(client) == 200
-    assert world.node.client_connections.idle
+    assert env.node.client_connections.idle
     return client
 
 
@@ -73,24 +73,24 @@
     if path == "drains immediately":
         monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
 
-    async def test(world: NodeEnvironment) -> None:
-        for origin in world.upstreams:
+    async def test(env: NodeEnvironment) -> None:
+        for origin in env.upstreams:
             origin.answer_all()
-        client = await idle_client(world)
-        run_before(world.node.client_connections, "close_idle", lambda: client.send(*kind))
-        world.node.stop_requested.set()
+        client = await idle_client(env)
+        run_before(env.node.client_connections, "close_idle", lambda: client.send(*kind))
+        env.node.stop_requested.set()
         assert await status(client) == 200
-        await world.task
+        await env.task
 
     run_with_node(test, settings=SHORT_DEADLINES if path == "serves before draining" else None)
 
 
-async def silent_client(world: NodeEnvironment) -> BlockingClient:
+async def silent_client(env: NodeEnvironment) -> BlockingClient:
     """Returns a client whose accepted connection has sent nothing; the servers answer all requests."""
-    for origin in world.upstreams:
+    for origin in env.upstreams:
         origin.answer_all()
-    client = BlockingClient(world.node.address)
-    await wait_until_accepted(world, 1)
+    client = BlockingClient(env.node.address)
+    await wait_until_accepted(env, 1)
     return client
 
 
@@ -98,31 +98,31 @@
 def test_a_request_that_arrives_as_a_shutdown_closes_the_last_connections_is_answered(kind):
     """A connection without a request is kept open until the end; its first request arrives just before the close."""
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await silent_client(world)
-        run_before(world.node.client_connections, "has_open_requests", lambda: client.send(*kind))
-        world.node.stop_requested.set()
+    async def test(env: NodeEnvironment) -> None:
+        client = await silent_client(env)
+        run_before(env.node.client_connections, "has_open_requests", lambda: client.send(*kind))
+        env.node.stop_requested.set()
         assert await status(client) == 200
-        await world.task
+        await env.task
 
     run_with_node(test, settings=SHORT_DEADLINES)
 
 
 @every_request_kind
 def test_connections_in_the_backlog_as_the_listener_closes_are_answered(kind):
-    async def test(world: NodeEnvironment) -> None:
-        for origin in world.upstreams:
+    async def test(env: NodeEnvironment) -> None:
+        for origin in env.upstreams:
             origin.answer_all()
         clients = []
 
         def connect_many() -> None:
             for _ in range(40):  # more than are accepted in one iteration
-                clients.append(BlockingClient(world.node.address))
+                clients.append(BlockingClient(env.node.address))
                 clients[-1].send(*kind)
 
-        run_before(world.node.client_connections, "drain_listener", connect_many)
-        world.node.stop_requested.set()
-        await world.task
+        run_before(env.node.client_connections, "drain_listener", connect_many)
+        env.node.stop_requested.set()
+        await env.task
         assert all([await status(client) in (200, 503) for client in clients])
         assert len(clients) == 40
 
@@ -136,14 +136,14 @@
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 300_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 300_000)
 
-    async def test(world: NodeEnvironment) -> None:
-        for origin in world.upstreams:
+    async def test(env: NodeEnvironment) -> None:
+        for origin in env.upstreams:
             origin.answer_all()
         if state == "idle":
-            client = await idle_client(world)
+            client = await idle_client(env)
         else:
-            client = BlockingClient(world.node.address)
-            await wait_until_accepted(world, 1)
+            client = BlockingClient(env.node.address)
+            await wait_until_accepted(env, 1)
         if state == "incomplete head":
             messages = []
             client.sock, sock = type("RecordingSocket", (), {"sendall": messages.append})(), client.sock
@@ -153,12 +153,12 @@
             send = lambda: client.sock.sendall(messages[0][20:])  # noqa: E731
         else:
             send = lambda: client.send(*kind)  # noqa: E731
-        (connection,) = world.node.client_connections.open
-        manager = world.node.client_connections
+        (connection,) = env.node.client_connections.open
+        manager = env.node.client_connections
         timed_out = lambda: manager.loop.time() > started + 0.35  # noqa: E731
         started = manager.loop.time()
         run_before(manager, "sweep", send, timed_out)
-        sweep = world.node.sweeper.sweep
+        sweep = env.node.sweeper.sweep
         while not timed_out():
             await run_event_loop(2)
             for since_us in (manager.silent, manager.receiving, manager.idle):
@@ -175,13 +175,13 @@
 
 @every_request_kind
 def test_a_request_that_races_with_an_eviction_is_answered(kind):
-    async def test(world: NodeEnvironment) -> None:
-        for origin in world.upstreams:
+    async def test(env: NodeEnvironment) -> None:
+        for origin in env.upstreams:
             origin.answer_all()
-        client, other = await idle_client(world), await idle_client(world)
+        client, other = await idle_client(env), await idle_client(env)
         client.send(*kind)
         # The oldest idle connection would be evicted if no request had arrived on it.
-        assert world.node.client_connections.evict_one()
+        assert env.node.client_connections.evict_one()
         assert await status(client) == 200
         assert await status(other) == 0
 
@@ -194,17 +194,17 @@
     """The request is answered before the process would be killed, and is not sent to a server after its answer."""
     monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.0)
 
-    async def test(world: NodeEnvironment) -> None:
-        client = BlockingClient(world.node.address)
-        await wait_until_accepted(world, 1)
-        held = DelayedConnects(world.node.pool)
-        world.node.stop_requested.set()
+    async def test(env: NodeEnvironment) -> None:
+        client = BlockingClient(env.node.address)
+        await wait_until_accepted(env, 1)
+        held = DelayedConnects(env.node.pool)
+        env.node.stop_requested.set()
         await run_event_loop()
         client.send(*kind)
         await held.started_connects.get()
         if state != "a connect is pending":
             held.release()
-            received = await world.upstreams[0].received.get()
+            received = await env.upstreams[0].received.get()
         if state == "a retry is pending":
             held.hold()
             received.answer(503, extra=b"X-Not-Processed: 1\r\nConnection: close\r\n")
@@ -212,24 +212,24 @@
         answered = await status(client)
         assert answered in (502, 503)
         held.release()
-        await world.task
-        assert world.upstreams[0].received.empty()
+        await env.task
+        assert env.upstreams[0].received.empty()
 
     run_with_node(test, settings={**SHORT_DEADLINES, **cancel_settings(False)})
 
 
 def test_a_client_that_resets_during_a_shutdown_does_not_delay_it():
-    async def test(world: NodeEnvironment) -> None:
-        client = BlockingClient(world.node.address)
-        await wait_until_accepted(world, 1)
+    async def test(env: NodeEnvironment) -> None:
+        client = BlockingClient(env.node.address)
+        await wait_until_accepted(env, 1)
 
         def reset() -> None:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
 
-        run_before(world.node.client_connections, "has_open_requests", reset)
-        world.node.stop_requested.set()
-        await world.task
+        run_before(env.node.client_connections, "has_open_requests", reset)
+        env.node.stop_requested.set()
+        await env.task
 
     run_with_node(test, settings=SHORT_DEADLINES)
 
@@ -238,9 +238,9 @@
 def test_a_first_request_that_races_with_the_sweep_of_a_standby_is_answered(kind):
     """A standby closes silent connections early, but not one whose first request arrived and was not read yet."""
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await silent_client(world)
-        manager = world.node.client_connections
+    async def test(env: NodeEnvironment) -> None:
+        client = await silent_client(env)
+        manager = env.node.client_connections
         (connection,) = manager.silent
         manager.enter_standby()
         manager.standby_since -= connection_manager.STANDBY_DRAIN_US + 1
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -49,9 +49,9 @@
     monkeypatch.setattr(connection_manager, "STALLED_HEAD_US", 1_000_000)
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
-    async def test(w) -> None:
-        w.upstreams[0].answer_all()
-        slow = await w.client()
+    async def test(env) -> None:
+        env.upstreams[0].answer_all()
+        slow = await env.client()
         text = b"GET /read/1 HTTP/1.1\r\nX-Request-ID: slow\r\nX-Timeout: 9000m\r\n\r\n"
 
         async def write_slowly() -> None:
@@ -60,16 +60,17 @@
                 await asyncio.sleep(0.04)
 
         writing = asyncio.create_task(write_slowly())
-        w.node.descriptor_budget.total = 16
-        stalled = [await send_partial_head(await w.client(), PARTIAL_HEAD) for _ in range(40)]
-        client = await w.client()
+        env.node.descriptor_budget.total = 16
+        stalled = [await send_partial_head(await env.client(), PARTIAL_HEAD) for _ in range(40)]
+        client = await env.client()
         client.send()
         assert (await client.answer())[0] == 200  # the connection waits for a descriptor and is then served
         await writing
         assert (await slow.answer())[0] == 200
         await wait_until(
             lambda: (
-                w.node.descriptor_budget.client_connections + w.node.descriptor_budget.upstream_connections
+                env.node.descriptor_budget.client_connections
+                + env.node.descriptor_budget.upstream_connections
                 <= 16
             )
         )
@@ -82,17 +83,17 @@
 def test_a_new_connection_waits_for_a_descriptor_and_is_served(monkeypatch):
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 20_000_000)
 
-    async def test(w) -> None:
-        w.node.descriptor_budget.client_connections += 1000  # requests in flight hold all descriptors
-        waiting_client = await w.client()
+    async def test(env) -> None:
+        env.node.descriptor_budget.client_connections += 1000  # requests in flight hold all descriptors
+        waiting_client = await env.client()
         waiting_client.send("/_health")
         answer = asyncio.create_task(waiting_client.answer())
-        await wait_until(lambda: w.node.client_connections.budget_full_since is not None)
+        await wait_until(lambda: env.node.client_connections.budget_full_since is not None)
         assert not answer.done()
-        assert w.node.client_connections.refused_connections == 0
-        w.node.descriptor_budget.client_connections -= 1000
+        assert env.node.client_connections.refused_connections == 0
+        env.node.descriptor_budget.client_connections -= 1000
         assert (await answer)[0] == 200
-        assert w.node.client_connections.refused_connections == 0
+        assert env.node.client_connections.refused_connections == 0
 
     run_with_node(test)
 
@@ -100,43 +101,43 @@
 def test_a_new_connection_without_a_descriptor_is_refused_after_a_while(monkeypatch):
     monkeypatch.setattr(connection_manager, "DESCRIPTOR_WAIT_US", 30_000)
 
-    async def test(w) -> None:
-        w.node.descriptor_budget.client_connections += 1000
-        waiting_client = await w.client()
+    async def test(env) -> None:
+        env.node.descriptor_budget.client_connections += 1000
+        waiting_client = await env.client()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await waiting_client.answer()
-        assert w.node.client_connections.refused_connections == 1
+        assert env.node.client_connections.refused_connections == 1
 
     run_with_node(test)
 
 
 def test_an_upstream_connection_evicts_an_idle_client_connection():
-    async def test(w) -> None:
-        w.upstreams[0].answer_all()
-        idle_clients = [await w.client() for _ in range(6)]
+    async def test(env) -> None:
+        env.upstreams[0].answer_all()
+        idle_clients = [await env.client() for _ in range(6)]
         for client in idle_clients:
             client.send("/_health")
             assert (await client.answer())[0] == 200
-        w.node.descriptor_budget.total = 6
+        env.node.descriptor_budget.total = 6
         idle_clients[0].send("/put/1", key="k")
         assert (await idle_clients[0].answer())[0] == 200
-        await wait_until(lambda: w.node.descriptor_budget.client_connections == 5)
+        await wait_until(lambda: env.node.descriptor_budget.client_connections == 5)
 
     run_with_node(test)
 
 
 def test_one_new_connection_evicts_one_idle_connection():
-    async def test(w) -> None:
-        idle_clients = [await w.client() for _ in range(6)]
+    async def test(env) -> None:
+        idle_clients = [await env.client() for _ in range(6)]
         for client in idle_clients:
             client.send("/_health")
             assert (await client.answer())[0] == 200
         # Six client connections and a quarter for upstream connections use up the budget.
-        w.node.descriptor_budget.total = 8
-        new = await w.client()
+        env.node.descriptor_budget.total = 8
+        new = await env.client()
         new.send("/_health")
         assert (await new.answer())[0] == 200
-        await wait_until(lambda: w.node.descriptor_budget.client_connections == 6)
-        assert len(w.node.client_connections.idle) == 6
+        await wait_until(lambda: env.node.descriptor_budget.client_connections == 6)
+        assert len(env.node.client_connections.idle) == 6
 
     run_with_node(test)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -52,21 +52,21 @@
 def test_a_full_list_older_than_the_last_change_restores_no_server():
     """Guards against a poll response that was generated before a drain and is read after it."""
 
-    async def test(w: NodeEnvironment) -> None:
-        watch = await w.watch()
-        before = [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
-        w.discovery_server.full_list = line(42, *before, reset=True)
+    async def test(env: NodeEnvironment) -> None:
+        watch = await env.watch()
+        before = [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
+        env.discovery_server.full_list = line(42, *before, reset=True)
         ScriptedDiscovery.push(watch, line(43, {**before[0], "lifecycle": "terminating"}))
-        await wait_until(lambda: len(w.node.registry.listed) == 1)
-        await w.node.discovery.poll_once()
-        assert len(w.node.registry.listed) == 1
-        assert w.node.discovery.current.generation == 43
+        await wait_until(lambda: len(env.node.registry.listed) == 1)
+        await env.node.discovery.poll_once()
+        assert len(env.node.registry.listed) == 1
+        assert env.node.discovery.current.generation == 43
         ScriptedDiscovery.push(
             watch, line(42, *before, reset=True)
         )  # an older list on the watch itself is ignored too
         ScriptedDiscovery.push(watch, line(44, before[0]))
-        await wait_until(lambda: w.node.discovery.current.generation == 44)
-        assert len(w.node.registry.listed) == 2
+        await wait_until(lambda: env.node.discovery.current.generation == 44)
+        assert len(env.node.registry.listed) == 2
 
     run_with_node(test, servers=2)
 
@@ -77,25 +77,25 @@
     """The first list of a restarted discovery may be older than a drain that it sent before the restart."""
     monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
-    async def test(w: NodeEnvironment) -> None:
-        watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
+    async def test(env: NodeEnvironment) -> None:
+        watch, entries = await env.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
         ScriptedDiscovery.push(watch, line(43, {**entries[0], "lifecycle": "terminating"}))
-        await wait_until(lambda: w.node.discovery.current.generation == 43)
+        await wait_until(lambda: env.node.discovery.current.generation == 43)
         watch.close()
-        watch = await w.watch()
+        watch = await env.watch()
         ScriptedDiscovery.push(watch, line(3, *entries, reset=True))
-        await wait_until(lambda: w.node.discovery.current.generation == 3)
-        assert list(w.node.registry.listed) == [w.node.registry.numbers["s1"]]
+        await wait_until(lambda: env.node.discovery.current.generation == 3)
+        assert list(env.node.registry.listed) == [env.node.registry.numbers["s1"]]
         await asyncio.sleep(0.3)
-        assert len(w.node.registry.listed) == 1
+        assert len(env.node.registry.listed) == 1
         ScriptedDiscovery.push(watch, b"")
-        await wait_until(lambda: len(w.node.registry.listed) == 2)
+        await wait_until(lambda: len(env.node.registry.listed) == 2)
         watch.close()
-        w.discovery_server.full_list = line(2, entries[1], reset=True)
-        watch = await w.watch()
+        env.discovery_server.full_list = line(2, entries[1], reset=True)
+        watch = await env.watch()
         ScriptedDiscovery.push(watch, line(1, {**entries[1], "lifecycle": "terminating"}))
-        await wait_until(lambda: w.node.discovery.current.generation == 2)
-        assert [n for n, at in w.node.registry.numbers.items() if at in w.node.registry.listed] == ["s1"]
+        await wait_until(lambda: env.node.discovery.current.generation == 2)
+        assert [n for n, at in env.node.registry.numbers.items() if at in env.node.registry.listed] == ["s1"]
 
     run_with_node(test, servers=2)
 
@@ -103,37 +103,37 @@
 def test_versions_of_a_new_address_may_be_lower():
     """The first list after a migration is a full list, and counts as newer regardless of its version."""
 
-    async def test(w: NodeEnvironment) -> None:
-        watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
+    async def test(env: NodeEnvironment) -> None:
+        watch, entries = await env.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
         ScriptedDiscovery.push(watch, line(43))
-        await wait_until(lambda: w.node.discovery.current.generation == 43)
+        await wait_until(lambda: env.node.discovery.current.generation == 43)
         other = await ScriptedDiscovery().start()
         other.full_list = line(5, entries[1], reset=True)
         host, port = other.address.split(":")
-        assert w.node.discovery.migrate((host, int(port)))
+        assert env.node.discovery.migrate((host, int(port)))
         await other.watches.get()
-        assert w.node.discovery.current.generation == 5
-        assert len(w.node.registry.listed) == 1
+        assert env.node.discovery.current.generation == 5
+        assert len(env.node.registry.listed) == 1
 
     run_with_node(test, servers=2)
 
 
 def test_a_retry_never_goes_to_a_server_that_drains_since_the_first_attempt():
-    async def test(w: NodeEnvironment) -> None:
-        watch, client = await w.watch(), await w.client()
+    async def test(env: NodeEnvironment) -> None:
+        watch, client = await env.watch(), await env.client()
         client.send("/put/1", key="k")
-        arrived = [asyncio.ensure_future(o.received.get()) for o in w.upstreams]
+        arrived = [asyncio.ensure_future(o.received.get()) for o in env.upstreams]
         await asyncio.wait(arrived, return_when=asyncio.FIRST_COMPLETED)
         at = next(i for i, a in enumerate(arrived) if a.done())
-        leaves = entry(f"s{1 - at}", w.upstreams[1 - at].address, "terminating")
+        leaves = entry(f"s{1 - at}", env.upstreams[1 - at].address, "terminating")
         ScriptedDiscovery.push(watch, line(42, leaves))
-        await wait_until(lambda: len(w.node.registry.listed) == 1)
+        await wait_until(lambda: len(env.node.registry.listed) == 1)
         arrived[at].result().answer(503, extra=b"X-Not-Processed: 1\r\n")
-        again = asyncio.ensure_future(w.upstreams[at].received.get())
+        again = asyncio.ensure_future(env.upstreams[at].received.get())
         answered = asyncio.ensure_future(client.answer())
         await asyncio.wait([again, answered], return_when=asyncio.FIRST_COMPLETED)
         assert not arrived[1 - at].done()
-        assert w.upstreams[1 - at].connection_count == 0
+        assert env.upstreams[1 - at].connection_count == 0
         for task in (again, answered, arrived[1 - at]):
             task.cancel()
 
@@ -143,21 +143,21 @@
 def test_a_queued_request_is_sent_by_the_list_at_the_time_of_sending():
     """In lower tiers a request waits for a slot; the server that frees the slot may start draining in the meantime."""
 
-    async def test(w: NodeEnvironment) -> None:
-        watch = await w.watch()
-        clients = [await w.client() for _ in range(40)]
+    async def test(env: NodeEnvironment) -> None:
+        watch = await env.watch()
+        clients = [await env.client() for _ in range(40)]
         for i, client in enumerate(clients):
             client.send("/put/1", key=f"k{i}")
-        await wait_until(lambda: w.node.dispatcher.balancer.queue)
-        ScriptedDiscovery.push(watch, line(42, entry("s0", w.upstreams[0].address, "terminating")))
-        await wait_until(lambda: len(w.node.registry.listed) == 1)
-        queued_count = w.upstreams[0].received.qsize()
+        await wait_until(lambda: env.node.dispatcher.balancer.queue)
+        ScriptedDiscovery.push(watch, line(42, entry("s0", env.upstreams[0].address, "terminating")))
+        await wait_until(lambda: len(env.node.registry.listed) == 1)
+        queued_count = env.upstreams[0].received.qsize()
         for _ in range(queued_count):
-            w.upstreams[0].received.get_nowait().answer()
-        w.upstreams[1].answer_all()
+            env.upstreams[0].received.get_nowait().answer()
+        env.upstreams[1].answer_all()
         for client in clients:
             await client.answer()
-        assert w.upstreams[0].received.empty()
+        assert env.upstreams[0].received.empty()
 
     run_with_node(test, servers=2, settings={"layers": ["front", "back"], "tier": 1})
 
--- a/tests/test_discovery_races.py
+++ b/tests/test_discovery_races.py
@@ -138,49 +138,49 @@
         monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
         monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
-    async def test(w: NodeEnvironment) -> None:
-        watch, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
+    async def test(env: NodeEnvironment) -> None:
+        watch, entries = await env.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
         ScriptedDiscovery.push(watch, line(43, {**entries[0], "lifecycle": state}))
-        await wait_until(lambda: len(w.node.registry.listed) == 1)
+        await wait_until(lambda: len(env.node.registry.listed) == 1)
         other = await ScriptedDiscovery().start()
         other.full_list = line(5, *entries, reset=True)
-        assert w.node.discovery.migrate(host_and_port(other.address))
+        assert env.node.discovery.migrate(host_and_port(other.address))
         _, watch = await other.watches.get()
-        client = await w.client()
+        client = await env.client()
         for _ in range(6):
             client.send("/put/1", key="k")
-            (await w.upstreams[1].received.get()).answer()
+            (await env.upstreams[1].received.get()).answer()
             assert (await client.answer())[0] == 200
-        assert w.upstreams[0].connection_count == 0
+        assert env.upstreams[0].connection_count == 0
         if then == "receives the drain":
             ScriptedDiscovery.push(watch, line(6, {**entries[0], "lifecycle": "terminating"}))
-            await wait_until(lambda: w.node.discovery.current.generation == 6)
-            assert list(w.node.registry.listed) == [w.node.registry.numbers["s1"]]
-            assert w.node.discovery.table.state("s0") is process_table.ProcessState.DRAINING
+            await wait_until(lambda: env.node.discovery.current.generation == 6)
+            assert list(env.node.registry.listed) == [env.node.registry.numbers["s1"]]
+            assert env.node.discovery.table.state("s0") is process_table.ProcessState.DRAINING
         elif then == "lists a restart":
             ScriptedDiscovery.push(watch, line(6, {**entries[0], "startedAtMs": 77}))
-            await wait_until(lambda: len(w.node.registry.listed) == 2)
+            await wait_until(lambda: len(env.node.registry.listed) == 2)
         else:
             # Elapsed time alone does not restore the server, because a silent discovery may still lag.
             await asyncio.sleep(0.5)
-            assert len(w.node.registry.listed) == 1
+            assert len(env.node.registry.listed) == 1
             ScriptedDiscovery.push(watch, b"")
-            await wait_until(lambda: len(w.node.registry.listed) == 2)
+            await wait_until(lambda: len(env.node.registry.listed) == 2)
 
     run_with_node(test, servers=2)
 
 
 def test_a_drain_by_the_old_discovery_after_the_migration_counts_until_it_is_recalled_there():
-    async def test(w: NodeEnvironment) -> None:
-        old, entries = await w.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
-        registry = w.node.registry
+    async def test(env: NodeEnvironment) -> None:
+        old, entries = await env.watch(), [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
+        registry = env.node.registry
 
         def used() -> set[str]:
             return {name for name, number in registry.numbers.items() if number in registry.listed}
 
         other = await ScriptedDiscovery().start()
         other.full_list = line(5, *entries, reset=True)
-        assert w.node.discovery.migrate(host_and_port(other.address))
+        assert env.node.discovery.migrate(host_and_port(other.address))
         _, new = await other.watches.get()
         ScriptedDiscovery.push(
             old, line(43, {**entries[0], "lifecycle": "terminating"}, entry("s9", "127.0.0.1:9"))
@@ -196,8 +196,8 @@
         ScriptedDiscovery.push(old, line(44, entries[0], entries[1]))
         await wait_until(lambda: used() == {"s0", "s1"})
         old.close()
-        await wait_until(lambda: not w.node.discovery.retired)
-        assert w.discovery_server.watches.empty(), "the old discovery is not called again"
+        await wait_until(lambda: not env.node.discovery.retired)
+        assert env.discovery_server.watches.empty(), "the old discovery is not called again"
 
     run_with_node(test, servers=2)
 
@@ -206,47 +206,47 @@
     monkeypatch.setattr(discovery_client, "MAX_MIGRATION_LAG_S", 0.2)
     monkeypatch.setattr(process_table, "REPLAY_SETTLE_S", 0.2)
 
-    async def test(w: NodeEnvironment) -> None:
-        await w.watch()
-        entries = [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
+    async def test(env: NodeEnvironment) -> None:
+        await env.watch()
+        entries = [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
         for number in range(discovery_client.MAX_RETIRED_WATCHES + 4):
             other = await ScriptedDiscovery().start()
             other.full_list = line(5, *entries, reset=True)
-            assert w.node.discovery.migrate(host_and_port(other.address))
+            assert env.node.discovery.migrate(host_and_port(other.address))
             _, watch = await other.watches.get()
-            assert len(w.node.discovery.retired) == min(number + 1, discovery_client.MAX_RETIRED_WATCHES)
+            assert len(env.node.discovery.retired) == min(number + 1, discovery_client.MAX_RETIRED_WATCHES)
         await asyncio.sleep(0.5)
         ScriptedDiscovery.push(watch, b"")
         await wait_until(
-            lambda: not w.node.discovery.retired and not w.node.discovery.table.earlier_statements
+            lambda: not env.node.discovery.retired and not env.node.discovery.table.earlier_statements
         )
-        assert len(w.node.registry.listed) == 2
+        assert len(env.node.registry.listed) == 2
 
     run_with_node(test, servers=2)
 
 
 def test_migrating_twice_and_back_before_the_first_watch_is_ready_leaves_one_watch():
-    async def test(w: NodeEnvironment) -> None:
-        await w.watch()
-        first = w.node.discovery.current
+    async def test(env: NodeEnvironment) -> None:
+        await env.watch()
+        first = env.node.discovery.current
         unanswered, calls = await unanswered_discovery()
         third = await ScriptedDiscovery().start()
-        third.full_list = line(9, entry("s0", w.upstreams[0].address), reset=True)
-        assert w.node.discovery.migrate(host_and_port(unanswered))
+        third.full_list = line(9, entry("s0", env.upstreams[0].address), reset=True)
+        assert env.node.discovery.migrate(host_and_port(unanswered))
         call = await calls.get()
-        assert w.node.discovery.migrate(host_and_port(w.discovery_server.address))
-        assert w.node.discovery.pending is None
-        assert w.node.discovery.current is first
+        assert env.node.discovery.migrate(host_and_port(env.discovery_server.address))
+        assert env.node.discovery.pending is None
+        assert env.node.discovery.current is first
         whole = line(99, reset=True)
         call.write(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole)
         )  # too late to count
         await run_event_loop()
-        assert len(w.node.registry.listed) == 1
-        assert w.node.discovery.migrate(host_and_port(unanswered))
-        assert w.node.discovery.migrate(host_and_port(third.address))
+        assert len(env.node.registry.listed) == 1
+        assert env.node.discovery.migrate(host_and_port(unanswered))
+        assert env.node.discovery.migrate(host_and_port(third.address))
         await third.watches.get()
-        assert w.node.discovery.current.generation == 9
-        assert w.node.discovery.pending is None
+        assert env.node.discovery.current.generation == 9
+        assert env.node.discovery.pending is None
 
     run_with_node(test)
--- a/tests/test_drain_after_migration.py
+++ b/tests/test_drain_after_migration.py
@@ -91,12 +91,12 @@
 @asynccontextmanager
 async def running_node(folder: Path) -> AsyncIterator[NodeAndServers]:
     """Starts a node with its servers, and stops it however the test ends."""
-    world = NodeAndServers(folder)
+    env = NodeAndServers(folder)
     try:
-        await world.start()
-        yield world
+        await env.start()
+        yield env
     finally:
-        await world.end()
+        await env.end()
 
 
 def test_a_server_recalled_and_drained_again_gets_nothing_when_the_new_discovery_has_caught_up(tmp_path):
@@ -107,18 +107,18 @@
     """
 
     async def test() -> None:
-        async with running_node(tmp_path) as world:
-            world.old.put(*(world.entry(name, "terminating") for name in DRAINED))
+        async with running_node(tmp_path) as env:
+            env.old.put(*(env.entry(name, "terminating") for name in DRAINED))
             await asyncio.sleep(SEND_STOP_GRACE_S)
-            migrated_at = await world.migrate()
+            migrated_at = await env.migrate()
             await asyncio.sleep(1.0)
-            world.new.put(*(world.entry(name) for name in DRAINED))
-            await asyncio.sleep(migrated_at + 8.0 - world.loop.time())
-            drained_at = world.loop.time()
-            world.new.put(*(world.entry(name, "terminating") for name in DRAINED))
-            await asyncio.sleep(migrated_at + 14.0 - world.loop.time())
-            assert world.sends(migrated_at, drained_at), "recalled servers are used again"
-            late = world.sends(drained_at + SEND_STOP_GRACE_S, world.loop.time())
+            env.new.put(*(env.entry(name) for name in DRAINED))
+            await asyncio.sleep(migrated_at + 8.0 - env.loop.time())
+            drained_at = env.loop.time()
+            env.new.put(*(env.entry(name, "terminating") for name in DRAINED))
+            await asyncio.sleep(migrated_at + 14.0 - env.loop.time())
+            assert env.sends(migrated_at, drained_at), "recalled servers are used again"
+            late = env.sends(drained_at + SEND_STOP_GRACE_S, env.loop.time())
             assert not late, f"{len(late)} sends, the first {late[0] - migrated_at:.2f} s after the migration"
 
     run(test())
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -126,20 +126,20 @@
     Any other request may have been processed, so its client gets an error.
     """
 
-    async def test(w: NodeEnvironment) -> None:
-        client = await w.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         for warm in range(3):  # without these samples, a class of low weight may be shed
             client.send("/put/1", key=f"w{warm}")
-            arrived = await first_received(*w.upstreams)
+            arrived = await first_received(*env.upstreams)
             arrived.answer()
             await client.answer()
         client.send(path, key=key)
-        (await first_received(*w.upstreams)).writer.transport.abort()
+        (await first_received(*env.upstreams)).writer.transport.abort()
         if runs == 2:
-            (await first_received(*w.upstreams)).answer(body=b"second")
+            (await first_received(*env.upstreams)).answer(body=b"second")
         status, _, body = await client.answer()
         assert (status, body) == ((200, b"second") if runs == 2 else (502, b""))
-        assert all(o.received.empty() for o in w.upstreams)
+        assert all(o.received.empty() for o in env.upstreams)
 
     run_with_node(test, servers=2)
 
@@ -174,8 +174,8 @@
 def test_tables_keep_no_entries_of_servers_that_were_replaced_at_the_same_addresses():
     """Ten releases in a row replace six in ten servers, in steps; new ids get the addresses of the old ones."""
 
-    async def test(w: NodeEnvironment) -> None:
-        registry, servers = w.node.registry, 20
+    async def test(env: NodeEnvironment) -> None:
+        registry, servers = env.node.registry, 20
         now = {i: entry(f"r0-{i}", f"127.0.0.1:{2000 + i}", zone=f"z{i % 3}") for i in range(servers)}
         registry.apply(update(42, *now.values(), reset=True))
         generation = 42
@@ -191,15 +191,15 @@
                 registry.apply(update(generation, *changed))
                 used = {n for n, at in registry.numbers.items() if at in registry.listed}
                 assert used == {item["instanceId"] for item in now.values()}
-                assert {t.port for t in w.node.pool.processes.values() if t.in_service} == set(
+                assert {t.port for t in env.node.pool.processes.values() if t.in_service} == set(
                     range(2000, 2020)
                 )
             generation += 1
             registry.apply(update(generation, *now.values(), reset=True))
             assert len(registry.numbers) == len(registry.listed) == len(registry.owner_by_address) == servers
-            assert len(w.node.pool.processes) == servers
+            assert len(env.node.pool.processes) == servers
             assert not registry.draining
-            assert len(w.node.dispatcher.balancer.subset.servers) == servers
+            assert len(env.node.dispatcher.balancer.subset.servers) == servers
             assert len(registry.zones.dynamic) <= 6
 
     run_with_node(test, servers=1)
@@ -228,17 +228,19 @@
 def test_a_list_that_arrives_in_single_bytes_between_requests_is_applied_as_a_whole():
     """A slow discovery sends an endpoint list in pieces; a part of a list must not be applied."""
 
-    async def test(w: NodeEnvironment) -> None:
-        watch, client = await w.watch(), await w.client()
-        w.upstreams[0].answer_all()
-        text = chunk(line(42, entry("s1", "127.0.0.1:9", "in_service"), entry("s0", w.upstreams[0].address)))
+    async def test(env: NodeEnvironment) -> None:
+        watch, client = await env.watch(), await env.client()
+        env.upstreams[0].answer_all()
+        text = chunk(
+            line(42, entry("s1", "127.0.0.1:9", "in_service"), entry("s0", env.upstreams[0].address))
+        )
         for i in range(len(text)):
             watch.write(text[i : i + 1])
             if i % 40 == 0:
                 client.send("/put/1", key="k")
                 assert (await client.answer())[0] == 200
-                assert len(w.node.registry.listed) == 1
-        await wait_until(lambda: len(w.node.registry.listed) == 2)
+                assert len(env.node.registry.listed) == 1
+        await wait_until(lambda: len(env.node.registry.listed) == 2)
 
     run_with_node(test)
 
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -69,12 +69,12 @@
     monkeypatch.setattr(connection, "MAX_REUSE_DELAY_US", 0)
     path = tmp_path / "n0.log"
 
-    async def test(world: NodeEnvironment) -> None:
-        world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        env.node.dispatcher.tracer = AttemptLog("n0", str(path), env.node.registry.numbers)
+        client = await env.client()
         client.send("/put/1", key="k", body=b"x", X_Request_ID="one")
-        (await world.upstreams[0].received.get()).answer(500)
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer(500)
+        (await env.upstreams[0].received.get()).answer()
         assert (await client.answer())[0] == 200
 
     run_with_node(test)
@@ -239,11 +239,11 @@
 def test_a_node_logs_each_state_change_of_a_server_and_who_stated_it(tmp_path):
     path = tmp_path / "n0.log"
 
-    async def test(world: NodeEnvironment) -> None:
-        world.node.dispatcher.tracer = AttemptLog("n0", str(path), world.node.registry.numbers)
-        watch = await world.watch()
-        ScriptedDiscovery.push(watch, update_line(42, entry("s0", world.upstreams[0].address, "terminating")))
-        await wait_until(lambda: not world.node.registry.listed)
+    async def test(env: NodeEnvironment) -> None:
+        env.node.dispatcher.tracer = AttemptLog("n0", str(path), env.node.registry.numbers)
+        watch = await env.watch()
+        ScriptedDiscovery.push(watch, update_line(42, entry("s0", env.upstreams[0].address, "terminating")))
+        await wait_until(lambda: not env.node.registry.listed)
 
     run_with_node(test)
     changes = [e for events in read_logs([path]).node_events.values() for e in events if e.name == "process"]
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -127,11 +127,11 @@
 def test_a_watch_and_a_full_list_may_be_indented(layout, end):
     """Lists arrive in many small writes. After a truncated change, the node asks again from the previous version."""
 
-    async def test(w: NodeEnvironment) -> None:
-        path, watch = await w.discovery_server.watches.get()
+    async def test(env: NodeEnvironment) -> None:
+        path, watch = await env.discovery_server.watches.get()
         assert path.endswith(b"after=41")
         change = (
-            json.dumps(update(42, entry("s0", w.upstreams[0].address, "terminating")), **layout).encode()
+            json.dumps(update(42, entry("s0", env.upstreams[0].address, "terminating")), **layout).encode()
             + b"\n\n"
         )
         if end == "broken off":
@@ -142,24 +142,24 @@
             await watch.drain()
             await asyncio.sleep(0)
         if end == "broken off":
-            path, watch = await w.discovery_server.watches.get()
+            path, watch = await env.discovery_server.watches.get()
             assert path.endswith(b"after=41")
-            assert len(w.node.registry.listed) == 2
+            assert len(env.node.registry.listed) == 2
         else:
-            while len(w.node.registry.listed) == 2:
+            while len(env.node.registry.listed) == 2:
                 await asyncio.sleep(0.005)
-            assert w.node.discovery.current.generation == 42
-            assert w.discovery_server.watches.empty()
-        _host, _, _port = w.discovery_server.address.partition(":")
-        w.node.discovery.generation = None
-        entries = [entry(f"s{i}", o.address) for i, o in enumerate(w.upstreams)]
-        w.discovery_server.full_list = json.dumps(update(50, *entries, reset=True), **layout).encode()
-        w.node.discovery.unsubscribe()
-        w.node.discovery.generation = None
-        w.node.discovery.subscribe()
-        path, watch = await w.discovery_server.watches.get()
+            assert env.node.discovery.current.generation == 42
+            assert env.discovery_server.watches.empty()
+        _host, _, _port = env.discovery_server.address.partition(":")
+        env.node.discovery.generation = None
+        entries = [entry(f"s{i}", o.address) for i, o in enumerate(env.upstreams)]
+        env.discovery_server.full_list = json.dumps(update(50, *entries, reset=True), **layout).encode()
+        env.node.discovery.unsubscribe()
+        env.node.discovery.generation = None
+        env.node.discovery.subscribe()
+        path, watch = await env.discovery_server.watches.get()
         assert path.endswith(b"after=50")
-        assert len(w.node.registry.listed) == 2
+        assert len(env.node.registry.listed) == 2
 
     run_with_node(test, servers=2)
 
@@ -168,10 +168,10 @@
     monkeypatch.setattr(subscription_schedule, "WATCH_HEARTBEAT_TIMEOUT_S", 0.3)
     monkeypatch.setattr(watch_module, "PARTIAL_UPDATE_TIMEOUT_S", 0.3)
 
-    async def test(w: NodeEnvironment) -> None:
-        path, watch = await w.discovery_server.watches.get()
+    async def test(env: NodeEnvironment) -> None:
+        path, watch = await env.discovery_server.watches.get()
         watch.write(b'c\r\n{"generation\r\n')
-        again = asyncio.ensure_future(w.discovery_server.watches.get())
+        again = asyncio.ensure_future(env.discovery_server.watches.get())
         while not again.done():
             if not watch.transport.is_closing():
                 watch.write(b"1\r\nx\r\n")
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -22,13 +22,13 @@
 def test_some_malformed_responses_do_not_count_as_overload():
     """Guards against one malformed response in eight halving the concurrency limit of a healthy node."""
 
-    async def test(world: NodeEnvironment) -> None:
-        controller = world.node.dispatcher.balancer.controller
+    async def test(env: NodeEnvironment) -> None:
+        controller = env.node.dispatcher.balancer.controller
         controller.end_min_rtt_window(monotonic_us())
-        client = await world.client()
+        client = await env.client()
         for i in range(64):
             client.send("/pay/1")
-            received = await world.upstreams[0].received.get()
+            received = await env.upstreams[0].received.get()
             if i % 8 == 7:
                 received.writer.write(b"\x00\x01 noise\r\n\r\n")
             else:
@@ -40,20 +40,20 @@
     run_with_node(test)
 
 
-async def next_arrival(world: NodeEnvironment) -> tuple[int, ReceivedRequest]:
+async def next_arrival(env: NodeEnvironment) -> tuple[int, ReceivedRequest]:
     """Returns the index of the server that receives the next request, and the request."""
     while True:
-        for number, origin in enumerate(world.upstreams):
+        for number, origin in enumerate(env.upstreams):
             if not origin.received.empty():
                 return number, origin.received.get_nowait()
         await asyncio.sleep(0)
 
 
-async def learn_short_round_trips(world: NodeEnvironment, client: Client) -> None:
+async def learn_short_round_trips(env: NodeEnvironment, client: Client) -> None:
     """Sends enough requests that are answered immediately for the node to expect short round-trips."""
     for _ in range(200):
         client.send()
-        (await next_arrival(world))[1].answer()
+        (await next_arrival(env))[1].answer()
         assert (await client.answer())[0] == 200
 
 
@@ -61,17 +61,17 @@
 def test_a_silent_connection_uses_a_part_of_the_timeout_and_leaves_time_for_a_retry(data):
     """The per-try timeout ends the attempt long before the request's deadline."""
 
-    async def test(world: NodeEnvironment) -> None:
-        unsafe, client = await world.client(), await world.client()
-        await learn_short_round_trips(world, client)
+    async def test(env: NodeEnvironment) -> None:
+        unsafe, client = await env.client(), await env.client()
+        await learn_short_round_trips(env, client)
         unsafe.send("/pay/1")
-        _, kept = await next_arrival(world)
+        _, kept = await next_arrival(env)
         client.send()
-        first, lost = await next_arrival(world)
+        first, lost = await next_arrival(env)
         lost.writer.write(data)
         # The retry must precede the answer: at the request's deadline there would be an answer without a retry.
         answer = asyncio.create_task(client.answer())
-        retried = asyncio.create_task(next_arrival(world))
+        retried = asyncio.create_task(next_arrival(env))
         await asyncio.wait([answer, retried], return_when=asyncio.FIRST_COMPLETED)
         assert not answer.done()
         second, received = await retried
@@ -80,7 +80,7 @@
         await lost.disconnected.wait()
         received.answer()
         assert (await answer)[0] == 200
-        assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
+        assert env.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
         # A non-idempotent request keeps its full timeout.
         assert not kept.disconnected.is_set()
         kept.answer()
@@ -108,17 +108,17 @@
 
     monkeypatch.setattr(Balancer, "per_try_timeout", per_try_timeout)
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
-        set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.2)
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
+        set_round_trips(env.node.dispatcher.balancer, 40_000, 20_000, late=0.2)
         client.send()
-        _, received = await next_arrival(world)
+        _, received = await next_arrival(env)
         await waited.wait()  # three times the longest per-try timeout while few attempts are late
         assert not received.disconnected.is_set()
         received.answer()
         assert (await client.answer())[0] == 200
-        assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 0
-        assert all(origin.received.empty() for origin in world.upstreams)
+        assert env.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 0
+        assert all(origin.received.empty() for origin in env.upstreams)
 
     run_with_node(test, servers=2)
 
@@ -127,23 +127,23 @@
     """The response to the later attempt ends the earlier one long before its own per-try timeout."""
     monkeypatch.setattr(balancer, "LOST_DEVIATIONS", 10**6)
 
-    async def test(world: NodeEnvironment) -> None:
-        clients = [await world.client() for _ in "ab"]
-        set_round_trips(world.node.dispatcher.balancer, 40_000, 20_000, late=0.0)
+    async def test(env: NodeEnvironment) -> None:
+        clients = [await env.client() for _ in "ab"]
+        set_round_trips(env.node.dispatcher.balancer, 40_000, 20_000, late=0.0)
         clients[0].send()
-        _, lost = await next_arrival(world)
-        sent = world.node.dispatcher.loop.time()
+        _, lost = await next_arrival(env)
+        sent = env.node.dispatcher.loop.time()
         while True:
             clients[1].send()
-            _, received = await next_arrival(world)
+            _, received = await next_arrival(env)
             received.answer()
             if received.header(b"X-Request-ID") == lost.header(b"X-Request-ID"):
                 break
             assert (await clients[1].answer())[0] == 200
         assert (await clients[0].answer())[0] == 200
         await lost.disconnected.wait()
-        assert world.node.dispatcher.loop.time() - sent < 20  # its own per-try timeout would come after 25 s
-        assert world.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
+        assert env.node.dispatcher.loop.time() - sent < 20  # its own per-try timeout would come after 25 s
+        assert env.node.dispatcher.balancer.stats()["rq_per_try_timeout"] == 1
 
     run_with_node(test)
 
@@ -151,22 +151,22 @@
 def test_early_per_try_timeouts_do_not_eject_a_zone():
     """Attempts whose responses are not due yet must not count against their zone."""
 
-    async def test(world: NodeEnvironment) -> None:
-        first = await world.client()
-        await learn_short_round_trips(world, first)
+    async def test(env: NodeEnvironment) -> None:
+        first = await env.client()
+        await learn_short_round_trips(env, first)
         # The other classes get the same short round-trips.
-        world.node.dispatcher.balancer.traffic.mean_rtt[1:] = [1000.0, 1000.0]
+        env.node.dispatcher.balancer.traffic.mean_rtt[1:] = [1000.0, 1000.0]
         held = 0
         while held < 3:
-            client = await world.client()
+            client = await env.client()
             client.send()
-            number, received = await next_arrival(world)
+            number, received = await next_arrival(env)
             held += number
             if number == 0:
                 received.answer()
         # The first of the three held requests is retried after its per-try timeout.
-        retry_server, _ = await next_arrival(world)
-        stats = world.node.dispatcher.balancer.stats()
+        retry_server, _ = await next_arrival(env)
+        stats = env.node.dispatcher.balancer.stats()
         assert retry_server == 0
         assert stats["rq_per_try_timeout"] == 1
         assert stats["zones_cut"] == 0
@@ -187,22 +187,22 @@
         )[1],
     )
 
-    async def test(world: NodeEnvironment) -> None:
-        clients = [await world.client() for _ in "ab"]
+    async def test(env: NodeEnvironment) -> None:
+        clients = [await env.client() for _ in "ab"]
         # First without any response, then with a response to a later attempt.
         for i, later_response in enumerate((False, True)):
             clients[0].send("/pay/1", left="1500m")
-            await world.upstreams[0].received.get()
+            await env.upstreams[0].received.get()
             if later_response:
                 clients[1].send("/pay/2")
-                (await world.upstreams[0].received.get()).answer()
+                (await env.upstreams[0].received.get()).answer()
                 assert (await clients[1].answer())[0] == 200
             assert (await clients[0].answer())[0] == 502
-            while world.node.dispatcher.requests:
+            while env.node.dispatcher.requests:
                 await asyncio.sleep(0)
             assert sum(latency >= 1_400_000 for latency in latencies) == 1
             assert len(latencies) == 1 + i
-        assert world.node.dispatcher.balancer.stats()["rq_overtaken"] == 1
+        assert env.node.dispatcher.balancer.stats()["rq_overtaken"] == 1
 
     run_with_node(test)
 
@@ -210,20 +210,20 @@
 def test_resets_do_not_count_as_overload():
     """A server that closes an idle connection may reset an attempt without being overloaded."""
 
-    async def test(world: NodeEnvironment) -> None:
-        controller = world.node.dispatcher.balancer.controller
+    async def test(env: NodeEnvironment) -> None:
+        controller = env.node.dispatcher.balancer.controller
         controller.end_min_rtt_window(monotonic_us())
-        client = await world.client()
+        client = await env.client()
         for failure in ("reset", "error"):
             client.send("/pay/1")
-            received = await world.upstreams[0].received.get()
+            received = await env.upstreams[0].received.get()
             if failure == "reset":
                 received.writer.transport.abort()
             else:
                 received.answer(500)
             assert (await client.answer())[0] == 502
             assert (controller.lost_fraction > 0) == (failure == "error")
-        assert world.node.dispatcher.statistics.outcomes[Outcome.RESET] == 1
+        assert env.node.dispatcher.statistics.outcomes[Outcome.RESET] == 1
 
     run_with_node(test)
 
@@ -231,16 +231,16 @@
 def test_an_overloaded_server_of_the_local_zone_is_no_longer_preferred():
     """Guards against the only server of the zone getting nearly all requests while the others are idle."""
 
-    async def test(world: NodeEnvironment) -> None:
-        balancer = world.node.dispatcher.balancer
+    async def test(env: NodeEnvironment) -> None:
+        balancer = env.node.dispatcher.balancer
         balancer.on_window_end = lambda now: None  # the cross-zone fraction stays at 0
         balancer.zone_preference.fraction = 0.0
         balancer.controller.end_min_rtt_window(monotonic_us())
         balancer.controller.limit = 12.0
-        clients = [await world.client() for _ in range(12)]
+        clients = [await env.client() for _ in range(12)]
         for client in clients:
             client.send("/pay/1")
-        held = [await next_arrival(world) for _ in clients]
+        held = [await next_arrival(env) for _ in clients]
         # The server gets up to 1.2 times its equal part of the limit, and beyond that what the choice of the better of
         # two random servers gives it.
         assert 4 <= sum(number == 0 for number, _ in held) <= 6
@@ -251,7 +251,7 @@
         # Below that load it is preferred again.
         for _ in range(3):
             clients[0].send("/pay/1")
-            number, received = await next_arrival(world)
+            number, received = await next_arrival(env)
             received.answer()
             assert number == 0
             assert (await clients[0].answer())[0] == 200
@@ -262,11 +262,11 @@
 def test_a_node_that_starts_under_full_traffic_serves_all_requests():
     """No request is shed in the first seconds after the start."""
 
-    async def test(world: NodeEnvironment) -> None:
-        clients = [await world.client() for _ in range(16)]
+    async def test(env: NodeEnvironment) -> None:
+        clients = [await env.client() for _ in range(16)]
         for i, client in enumerate(clients):
             client.send(X_Request_ID=f"r{i}")
-        for origin in world.upstreams:
+        for origin in env.upstreams:
             origin.answer_all()
         assert {(await client.answer())[0] for client in clients} == {200}
 
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -24,8 +24,8 @@
     """Guards against silent connections and incomplete requests that hold a descriptor indefinitely."""
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 100_000)
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.writer.write(text)
         if text:
             assert (await client.answer())[0] == 408
@@ -37,13 +37,13 @@
 def test_idle_connections_are_closed(monkeypatch):
     monkeypatch.setattr(connection_manager, "IDLE_TIMEOUT_US", 100_000)
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/_health")
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
-        assert not world.node.client_connections.open
-        assert world.node.descriptor_budget.client_connections == 0
+        assert not env.node.client_connections.open
+        assert env.node.descriptor_budget.client_connections == 0
 
     run_with_node(test)
 
@@ -57,18 +57,18 @@
         connection_manager.ClientConnection, "pause_writing", lambda c: (full.set(), pause(c))[1]
     )
 
-    async def test(world: NodeEnvironment) -> None:
+    async def test(env: NodeEnvironment) -> None:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(sock, world.node.address)
+        await loop.sock_connect(sock, env.node.address)
         answered = 0
 
         async def answer() -> None:
             nonlocal answered
             while True:
-                (await world.upstreams[0].received.get()).answer(body=b"x" * 65536)
+                (await env.upstreams[0].received.get()).answer(body=b"x" * 65536)
                 answered += 1
 
         task = asyncio.create_task(answer())
@@ -82,7 +82,7 @@
             if full.is_set():
                 break
         assert full.is_set()
-        while world.node.client_connections.open:
+        while env.node.client_connections.open:
             await asyncio.sleep(0.01)
         task.cancel()
         sock.close()
@@ -91,9 +91,9 @@
 
 
 def test_bodies_are_bounded_by_the_memory_limit():
-    async def test(world: NodeEnvironment) -> None:
-        assert world.node.client_connections.max_buffered_body_bytes == 1 << 18
-        clients = [await world.client() for _ in range(5)]
+    async def test(env: NodeEnvironment) -> None:
+        assert env.node.client_connections.max_buffered_body_bytes == 1 << 18
+        clients = [await env.client() for _ in range(5)]
         for client in clients:
             client.writer.write(b"POST /pay/1" + HEAD + b"Content-Length: 65536\r\n\r\n" + b"x" * 65535)
         done, waiting = await asyncio.wait(
@@ -110,28 +110,28 @@
     """Guards against hundreds of silent connections that use every descriptor, so that no server can be reached."""
     monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 0)
 
-    async def test(world: NodeEnvironment) -> None:
-        active_client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        active_client = await env.client()
         active_client.send()
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         await active_client.answer()
-        budget = world.node.descriptor_budget
+        budget = env.node.descriptor_budget
         max_clients = budget.total - budget.upstream_reserve()
         assert max_clients < 128
-        silent = [await world.client() for _ in range(max_clients + 20)]
-        assert len(world.node.client_connections.open) <= max_clients
+        silent = [await env.client() for _ in range(max_clients + 20)]
+        assert len(env.node.client_connections.open) <= max_clients
         active_client.send()  # the connection is still open
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await active_client.answer())[0] == 200
         # If no connection may be evicted, the newest one is refused, and nothing else is affected.
         monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
         active_client.send()
-        received = await world.upstreams[0].received.get()
-        extra = [await world.client() for _ in range(max_clients)]
+        received = await env.upstreams[0].received.get()
+        extra = [await env.client() for _ in range(max_clients)]
         with contextlib.suppress(ConnectionError):
             assert await extra[-1].reader.read() == b""
-        assert world.node.client_connections.refused_connections > 0
-        assert world.node.descriptor_budget.client_connections <= max_clients
+        assert env.node.client_connections.refused_connections > 0
+        assert env.node.descriptor_budget.client_connections <= max_clients
         received.answer()
         assert (await active_client.answer())[0] == 200
         assert len(silent) == max_clients + 20
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -31,8 +31,8 @@
 
 
 def test_nothing_new_goes_to_a_server_that_drains_or_was_restarted():
-    async def test(w: NodeEnvironment) -> None:
-        client, watch, origin = await w.client(), await w.watch(), w.upstreams[0]
+    async def test(env: NodeEnvironment) -> None:
+        client, watch, origin = await env.client(), await env.watch(), env.upstreams[0]
         client.send()
         (await origin.received.get()).answer()
         await client.answer()
@@ -51,7 +51,7 @@
                 await asyncio.sleep(0.05)
         at = await arrival
         ScriptedDiscovery.push(watch, line(43, entry("s0", origin.address, "terminating", startedAtMs=1000)))
-        while w.node.discovery.current.generation < 43:
+        while env.node.discovery.current.generation < 43:
             await asyncio.sleep(0)
         at.answer(body=b"finished")  # the request in flight is still answered
         assert at.connection_number == 1
@@ -66,21 +66,21 @@
 
 
 def test_a_reopened_watch_continues_after_the_last_version_that_was_applied():
-    async def test(w: NodeEnvironment) -> None:
-        path, watch = await w.discovery_server.watches.get()
+    async def test(env: NodeEnvironment) -> None:
+        path, watch = await env.discovery_server.watches.get()
         assert path == b"/catalog/members?watch=1&after=41"
         ScriptedDiscovery.push(watch, b"")
-        ScriptedDiscovery.push(watch, line(44, entry("s0", w.upstreams[0].address), reset=True))
+        ScriptedDiscovery.push(watch, line(44, entry("s0", env.upstreams[0].address), reset=True))
         ScriptedDiscovery.push(watch, b'{"generation": 45, "instances": 7}')
-        path, watch = await w.discovery_server.watches.get()  # the malformed line is not skipped
+        path, watch = await env.discovery_server.watches.get()  # the malformed line is not skipped
         assert path.endswith(b"after=44")
         ScriptedDiscovery.push(
-            watch, line(46, entry("s0", w.upstreams[0].address, "terminated"), {"instanceId": "s9"})
+            watch, line(46, entry("s0", env.upstreams[0].address, "terminated"), {"instanceId": "s9"})
         )
         watch.close()
-        path, _ = await w.discovery_server.watches.get()
+        path, _ = await env.discovery_server.watches.get()
         assert path.endswith(b"after=46")
-        client = await w.client()
+        client = await env.client()
         client.send()
         assert (await client.answer())[0] == 503
 
@@ -88,19 +88,19 @@
 
 
 def test_a_list_in_pieces_and_a_server_with_a_new_address():
-    async def test(w: NodeEnvironment) -> None:
-        watch = await w.watch()
-        text = line(42, entry("s0", w.upstreams[1].address), reset=True) + b"\n"
+    async def test(env: NodeEnvironment) -> None:
+        watch = await env.watch()
+        text = line(42, entry("s0", env.upstreams[1].address), reset=True) + b"\n"
         for part in (text[:20], text[20:]):
             watch.write(b"%x\r\n%s\r\n" % (len(part), part))
             await watch.drain()
-        while w.node.discovery.current.generation < 42:
+        while env.node.discovery.current.generation < 42:
             await asyncio.sleep(0)
-        client = await w.client()
+        client = await env.client()
         client.send("/pay/1")
-        (await w.upstreams[1].received.get()).answer()
+        (await env.upstreams[1].received.get()).answer()
         assert (await client.answer())[0] == 200
-        assert w.upstreams[0].connection_count == 0
+        assert env.upstreams[0].connection_count == 0
 
     run_with_node(test, servers=2)
 
@@ -154,22 +154,22 @@
 
 
 def test_the_old_discovery_is_used_until_the_new_one_has_sent_a_list():
-    async def test(w: NodeEnvironment) -> None:
-        watch, new = await w.watch(), await ScriptedDiscovery().start()
-        assert w.node.discovery.migrate(("127.0.0.1", 1))  # nothing listens there
-        ScriptedDiscovery.push(watch, line(42, entry("s0", w.upstreams[1].address)))
-        while w.node.discovery.current.generation < 42:
+    async def test(env: NodeEnvironment) -> None:
+        watch, new = await env.watch(), await ScriptedDiscovery().start()
+        assert env.node.discovery.migrate(("127.0.0.1", 1))  # nothing listens there
+        ScriptedDiscovery.push(watch, line(42, entry("s0", env.upstreams[1].address)))
+        while env.node.discovery.current.generation < 42:
             await asyncio.sleep(0)
-        client = await w.client()
+        client = await env.client()
         client.send("/pay/1")
-        (await w.upstreams[1].received.get()).answer()
+        (await env.upstreams[1].received.get()).answer()
         assert (await client.answer())[0] == 200
         host, _, port = new.address.rpartition(":")
-        new.full_list = line(3, entry("s0", w.upstreams[0].address), reset=True)
-        assert w.node.discovery.migrate((host, int(port)))
+        new.full_list = line(3, entry("s0", env.upstreams[0].address), reset=True)
+        assert env.node.discovery.migrate((host, int(port)))
         assert (await new.watches.get())[0].endswith(b"after=3")
         client.send("/pay/2")
-        (await w.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await client.answer())[0] == 200
 
     run_with_node(test, servers=2)
--- a/tests/test_node_lifecycle.py
+++ b/tests/test_node_lifecycle.py
@@ -39,21 +39,21 @@
 def test_requests_leave_no_reference_cycles():
     """Reference cycles between responses and their parsers once took 7 MB more memory after a minute of requests."""
 
-    async def test(w: NodeEnvironment) -> None:
-        client = await w.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         gc.collect()
         gc.disable()
         try:
             for status in (200, 500, 0):
                 client.send("/pay/1", left="300m")
-                at = await w.upstreams[0].received.get()
+                at = await env.upstreams[0].received.get()
                 if status:
                     at.answer(status)
                 await client.answer()
             client.writer.close()
-            while w.node.client_connections.open or w.node.pool.open_connections:
-                for target in w.node.pool.processes.values():
-                    w.node.pool.close_idle_to_process(target, CloseReason.IDLE)
+            while env.node.client_connections.open or env.node.pool.open_connections:
+                for target in env.node.pool.processes.values():
+                    env.node.pool.close_idle_to_process(target, CloseReason.IDLE)
                 await asyncio.sleep(0)
             kinds = (ResponseParser, connection_manager.ClientConnection, ServerConnection, DispatchedRequest)
             assert not [o for o in gc.get_objects() if isinstance(o, kinds)]
@@ -81,8 +81,8 @@
     classes = [{**c, "goal_time": 12_000_000, "hard_limit": 15_000_000} for c in SETTINGS["classes"]]
     monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 15.0)
 
-    async def test(w: NodeEnvironment) -> None:
-        server, address = w.upstreams[0], w.node.address
+    async def test(env: NodeEnvironment) -> None:
+        server, address = env.upstreams[0], env.node.address
         old, idle = await Client.open(address), await Client.open(address)
         idle.send("/_health")
         assert (await idle.answer())[0] == 200
@@ -92,7 +92,7 @@
         )  # an incomplete request, which must not delay the exit
         old.send()
         in_flight = await server.received.get()
-        w.node.stop_requested.set()
+        env.node.stop_requested.set()
         status = 200
         while status == 200:
             idle.send("/_health")
@@ -111,7 +111,7 @@
         in_flight.answer(body=b"late")
         assert (await old.answer())[2] == b"late"
         assert b"200" not in await incomplete.reader.read()  # the incomplete request is abandoned
-        await w.task
+        await env.task
 
     run_with_node(test, settings={"classes": classes})
 
@@ -124,28 +124,28 @@
     monkeypatch.setattr(shutdown_schedule, "MAX_DEADLINE_S", 0.2)
     monkeypatch.setattr(shutdown_schedule, "COUNTED_FROM_S", 0.1)
 
-    async def test(w: NodeEnvironment) -> None:
-        server, address = w.upstreams[0], w.node.address
+    async def test(env: NodeEnvironment) -> None:
+        server, address = env.upstreams[0], env.node.address
         idle, early, late = [await Client.open(address) for _ in range(3)]
         idle.send("/_health")
         assert (await idle.answer())[0] == 200
         early.send()
         first = await server.received.get()
-        w.node.stop_requested.set()
+        env.node.stop_requested.set()
         # Responses take longer than the remaining time, so idle connections are closed at once.
         assert await idle.reader.read() == b""
-        while monotonic_us() < w.node.dispatcher.deadlines.shutdown_applies_from_us:
+        while monotonic_us() < env.node.dispatcher.deadlines.shutdown_applies_from_us:
             await asyncio.sleep(0.01)
         late.send()
         second = await server.received.get()
         status, head, _ = await late.answer()  # its server has not answered
         assert status in (502, 503)
         assert b"Connection: close" in head
-        assert monotonic_us() < w.node.dispatcher.deadlines.shutdown_deadline_us + 200_000
+        assert monotonic_us() < env.node.dispatcher.deadlines.shutdown_deadline_us + 200_000
         await second.disconnected.wait()
         first.answer(body=b"came early")  # an early request would not count as lost, but is still served
         assert (await early.answer())[2] == b"came early"
-        await w.task
+        await env.task
 
     run_with_node(test)
 
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -17,8 +17,8 @@
 
 
 def test_a_request_is_forwarded_unchanged_and_its_response_returned():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send(
             "/put/user-7?x=1",
             body=b"\x00body",
@@ -27,7 +27,7 @@
             X_Tenant_Id="acme",
             X_Request_ID="r1",
         )
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         assert received.head.startswith(b"POST /put/user-7?x=1 HTTP/1.1\r\n")
         assert received.body == b"\x00body"
         assert (received.header(b"X-Request-ID"), received.header(b"Idempotency-Key")) == (b"r1", b"k1")
@@ -45,37 +45,37 @@
 
 @pytest.mark.usefixtures("no_reuse_delay")
 def test_requests_may_arrive_byte_by_byte_or_pipelined():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         text = b"GET /read/%d HTTP/1.1\r\nX-Request-ID: r%d\r\nX-Timeout: 20s\r\n\r\n".replace(
             b"20s", b"20000m"
         )
         for i in text % (1, 1):
             client.writer.write(bytes([i]))
             await client.writer.drain()
-        (await world.upstreams[0].received.get()).answer(body=b"one")
+        (await env.upstreams[0].received.get()).answer(body=b"one")
         assert (await client.answer())[2] == b"one"
         client.writer.write(text % (2, 2) + text % (3, 3))
-        first = await world.upstreams[0].received.get()
+        first = await env.upstreams[0].received.get()
         assert b"/read/2" in first.head
-        assert world.upstreams[0].received.empty()
+        assert env.upstreams[0].received.empty()
         first.answer(body=b"two")
-        second = await world.upstreams[0].received.get()
+        second = await env.upstreams[0].received.get()
         second.answer(body=b"three")
         assert [(await client.answer())[2] for _ in "ab"] == [b"two", b"three"]
-        assert world.upstreams[0].connection_count == 1
+        assert env.upstreams[0].connection_count == 1
 
     run_with_node(test)
 
 
 def test_chunked_bodies_are_forwarded_both_ways():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.writer.write(
             b"POST /pay/1 HTTP/1.1\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         assert received.body == b"abcde"
         assert b"chunked" not in received.head
         received.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwxyz\r\n0\r\n\r\n")
@@ -127,18 +127,18 @@
 def test_a_bad_request_gets_its_status_and_reaches_no_server(name):
     text, status = BAD[name]
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.writer.write(text)
         got, head, _ = await client.answer()
         assert got == status
         assert b"Connection: close" in head
-        assert world.node.dispatcher.last_request_number == 0
-        assert world.upstreams[0].connection_count == 0
+        assert env.node.dispatcher.last_request_number == 0
+        assert env.upstreams[0].connection_count == 0
         assert await client.reader.read() == b""
-        client = await world.client()
+        client = await env.client()
         client.send()
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await client.answer())[0] == 200
 
     run_with_node(test)
@@ -147,9 +147,9 @@
 def test_limits_on_one_request_do_not_add_up_over_a_connection():
     """The limits on heads and on pipelined requests apply to the current request, not to the whole connection."""
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
-        world.upstreams[0].answer_all()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
+        env.upstreams[0].answer_all()
         for i in range(60):
             client.send("/pay/1", body=b"x" * 8192)
             if i % 2:
@@ -161,27 +161,27 @@
 def test_the_id_of_an_open_request_gets_409():
     """Forwarding the second request could run it twice, and shedding it would tell the client that a retry is safe."""
 
-    async def test(world: NodeEnvironment) -> None:
-        first, second = await world.client(), await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        first, second = await env.client(), await env.client()
         first.send("/pay/1", X_Request_ID="same")
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         second.send("/pay/1", X_Request_ID="same")
         assert (await second.answer())[0] == 409
         received.answer()
         assert (await first.answer())[0] == 200
-        assert world.upstreams[0].connection_count == 1
-        assert not world.node.dispatcher.open_request_ids
+        assert env.upstreams[0].connection_count == 1
+        assert not env.node.dispatcher.open_request_ids
         # The first request has its answer, so its id may be used again.
         first.send("/pay/1", X_Request_ID="same")
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await first.answer())[0] == 200
 
     run_with_node(test)
 
 
 def test_the_health_check_of_a_running_node_gets_200():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/_health")
         assert (await client.answer())[0] == 200
 
@@ -194,28 +194,28 @@
 
 
 def test_a_client_that_disconnects_ends_its_attempt():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send()
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         client.writer.close()
         await received.disconnected.wait()
-        while world.node.dispatcher.requests:
+        while env.node.dispatcher.requests:
             await asyncio.sleep(0)
-        assert world.node.dispatcher.statistics.final_answers["left"] == 1
+        assert env.node.dispatcher.statistics.final_answers["left"] == 1
 
     run_with_node(test)
 
 
 def test_a_server_that_does_not_answer_fails_the_request_at_its_deadline():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1", left="300m")
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         assert (await client.answer())[0] == 502
         # The connection is closed, because a late response would be mistaken for that of the next request.
         await received.disconnected.wait()
-        assert not world.node.dispatcher.requests
+        assert not env.node.dispatcher.requests
 
     run_with_node(test)
 
@@ -231,30 +231,30 @@
 
 @pytest.mark.parametrize("fault", [ignore_request, raise_error])
 def test_a_balancer_that_ignores_a_request_or_fails_leaves_no_client_without_an_answer(monkeypatch, fault):
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         with monkeypatch.context() as m:
             m.setattr(Balancer, "request", fault)
             client.send(left="300m")
             assert (await client.answer())[0] == 502
-        assert not world.node.dispatcher.requests
+        assert not env.node.dispatcher.requests
         client.send()
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await client.answer())[0] == 200
 
     run_with_node(test)
 
 
 def test_an_exception_at_an_outcome_fails_that_request_alone(monkeypatch):
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         with monkeypatch.context() as m:
             m.setattr(Balancer, "outcome", raise_error)
             client.send("/pay/1")
-            (await world.upstreams[0].received.get()).answer(500)
+            (await env.upstreams[0].received.get()).answer(500)
             assert (await client.answer())[0] == 502
         client.send()
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await client.answer())[0] == 200
 
     run_with_node(test)
--- a/tests/test_node_responses.py
+++ b/tests/test_node_responses.py
@@ -26,26 +26,26 @@
 def test_a_request_whose_reused_connection_is_closed_may_have_run():
     """The close looks like a failed connect, but the server may have read the request."""
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1")
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await client.answer())[0] == 200
         client.send("/pay/2")
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         received.writer.close()
         assert (await client.answer())[0] == 502  # failed: it may have run
         assert received.connection_number == 0
-        assert all(origin.received.empty() for origin in world.upstreams)
+        assert all(origin.received.empty() for origin in env.upstreams)
 
     run_with_node(test)
 
 
 def test_an_error_response_fails_a_non_idempotent_request():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1")
-        (await world.upstreams[0].received.get()).answer(500)
+        (await env.upstreams[0].received.get()).answer(500)
         assert (await client.answer())[0] == 502
 
     run_with_node(test)
@@ -84,14 +84,14 @@
 def test_a_malformed_response_fails_a_request_and_is_not_forwarded(name):
     """A non-idempotent request is neither retried nor shed, and the connection is closed as unusable."""
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1")
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         received.writer.write(MALFORMED[name])
         status, _, body = await client.answer()
         assert (status, body) == (502, b"")
-        assert world.upstreams[0].received.empty()
+        assert env.upstreams[0].received.empty()
         if name != "X-Not-Processed in an interim response":
             await received.disconnected.wait()
 
@@ -117,18 +117,18 @@
 @pytest.mark.parametrize("name", GOOD_WITH_EXTRA)
 @pytest.mark.usefixtures("no_reuse_delay")
 def test_a_valid_response_is_served_despite_extra_data(name):
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1")
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         text, reusable = GOOD_WITH_EXTRA[name]
         received.writer.write(text)
         assert (await client.answer())[::2] == (200, b"good")
-        assert world.node.pool.load_reports == 0
+        assert env.node.pool.load_reports == 0
         if not reusable:
             await received.disconnected.wait()
         client.send("/pay/1")
-        next_request = await world.upstreams[0].received.get()
+        next_request = await env.upstreams[0].received.get()
         next_request.answer(body=b"next")
         assert next_request.connection_number == (0 if reusable else 1)
         assert (await client.answer())[2] == b"next"
@@ -137,10 +137,10 @@
 
 
 def test_a_rejected_attempt_is_retried():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1")
-        origin = world.upstreams[0]
+        origin = env.upstreams[0]
         (await origin.received.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
         (await origin.received.get()).answer(504, extra=b"x-not-processed: 1\r\n")
         (await origin.received.get()).answer(200, body=b"done")
@@ -152,24 +152,24 @@
 def test_rejected_attempts_do_not_use_up_the_retry_budget():
     """Guards against a few rejected attempts exhausting the retry budget, so that requests would be shed."""
 
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         for _ in range(6):
             client.send("/pay/1")
             for _ in range(2):
-                (await world.upstreams[0].received.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
-            (await world.upstreams[0].received.get()).answer(body=b"done")
+                (await env.upstreams[0].received.get()).answer(503, extra=b"X-Not-Processed: 1\r\n")
+            (await env.upstreams[0].received.get()).answer(body=b"done")
             assert (await client.answer())[2] == b"done"
 
     run_with_node(test)
 
 
 def test_a_request_with_an_idempotency_key_is_retried_with_its_key():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/put/1", key="k")
-        (await world.upstreams[0].received.get()).writer.write(b"\x00 noise\r\n\r\n")
-        next_request = await world.upstreams[0].received.get()
+        (await env.upstreams[0].received.get()).writer.write(b"\x00 noise\r\n\r\n")
+        next_request = await env.upstreams[0].received.get()
         assert next_request.header(b"Idempotency-Key") == b"k"
         next_request.answer(body=b"once")
         assert (await client.answer())[2] == b"once"
@@ -178,21 +178,21 @@
 
 
 def test_a_503_without_x_not_processed_may_have_run():
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send("/pay/1")
-        (await world.upstreams[0].received.get()).answer(503)
+        (await env.upstreams[0].received.get()).answer(503)
         assert (await client.answer())[0] == 502
-        assert world.upstreams[0].received.empty()
+        assert env.upstreams[0].received.empty()
 
     run_with_node(test)
 
 
 def test_a_refused_connection_sheds_the_request_with_retry_after():
-    async def test(world: NodeEnvironment) -> None:
-        world.upstreams[0].server.close()
-        await world.upstreams[0].server.wait_closed()
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        env.upstreams[0].server.close()
+        await env.upstreams[0].server.wait_closed()
+        client = await env.client()
         client.send("/pay/1")
         status, head, _ = await client.answer()
         assert status == 503
@@ -203,10 +203,10 @@
 
 @pytest.mark.parametrize("case", ["connection close", "stray bytes", "early response"])
 def test_a_connection_with_stray_bytes_or_an_early_response_is_not_used_again(case):
-    async def test(world: NodeEnvironment) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        client = await env.client()
         client.send()
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         if case == "stray bytes":
             received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n")
         else:
@@ -216,7 +216,7 @@
             received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
         await received.disconnected.wait()
         client.send()
-        next_request = await world.upstreams[0].received.get()
+        next_request = await env.upstreams[0].received.get()
         next_request.answer(body=b"right")
         assert next_request.connection_number == 1
         assert (await client.answer())[2] == b"right"
@@ -226,19 +226,19 @@
 
 @pytest.mark.usefixtures("no_reuse_delay")
 def test_the_most_recently_used_connection_is_reused_first():
-    async def test(world: NodeEnvironment) -> None:
-        clients = [await world.client() for _ in "ab"]
+    async def test(env: NodeEnvironment) -> None:
+        clients = [await env.client() for _ in "ab"]
         for client in clients:
             client.send()
-        held = [await world.upstreams[0].received.get() for _ in clients]
+        held = [await env.upstreams[0].received.get() for _ in clients]
         for received in held:
             received.answer()
         for client in clients:
             await client.answer()
-        (target,) = world.node.pool.processes.values()
+        (target,) = env.node.pool.processes.values()
         last = target.idle[-1]
         clients[0].send()
-        received = await world.upstreams[0].received.get()
+        received = await env.upstreams[0].received.get()
         assert last.exchange is not None
         assert len(target.idle) == 1
         received.answer()
@@ -246,8 +246,8 @@
         # The node closes an idle connection before the server would close it.
         for conn in target.idle:
             conn.idle_since_us -= 14_000_000
-        world.node.pool.sweep()
-        assert {await world.upstreams[0].closed.get() for _ in clients} == {0, 1}
+        env.node.pool.sweep()
+        assert {await env.upstreams[0].closed.get() for _ in clients} == {0, 1}
 
     run_with_node(test)
 
@@ -327,33 +327,33 @@
 def test_without_free_descriptors_requests_are_shed(monkeypatch):
     monkeypatch.setattr(connection_manager, "EVICTION_GRACE_US", 10**9)
 
-    async def test(world: NodeEnvironment) -> None:
-        clients = [await world.client() for _ in range(4)]
-        await wait_until(lambda: world.node.descriptor_budget.client_connections == 4)
-        world.node.descriptor_budget.total = 6
+    async def test(env: NodeEnvironment) -> None:
+        clients = [await env.client() for _ in range(4)]
+        await wait_until(lambda: env.node.descriptor_budget.client_connections == 4)
+        env.node.descriptor_budget.total = 6
         held = []
         for client in clients[:2]:
             client.send()
-            held.append(await world.upstreams[0].received.get())
+            held.append(await env.upstreams[0].received.get())
         clients[2].send()
         assert (await clients[2].answer())[0] == 503
         for received in held:
             received.answer()
         assert {(await client.answer())[0] for client in clients[:2]} == {200}
         clients[3].send()
-        (await world.upstreams[0].received.get()).answer()
+        (await env.upstreams[0].received.get()).answer()
         assert (await clients[3].answer())[0] == 200
-        assert world.upstreams[0].connection_count == 2
+        assert env.upstreams[0].connection_count == 2
 
     run_with_node(test)
 
 
 def test_a_health_check_reads_the_load_report():
-    async def test(world: NodeEnvironment) -> None:
+    async def test(env: NodeEnvironment) -> None:
         seen: asyncio.Queue[tuple] = asyncio.Queue()
-        world.node.dispatcher.balancer.health_checked = lambda *args: seen.put_nowait(args[1:])
-        world.node.dispatcher.health_check(1)
-        received = await world.upstreams[0].received.get()
+        env.node.dispatcher.balancer.health_checked = lambda *args: seen.put_nowait(args[1:])
+        env.node.dispatcher.health_check(1)
+        received = await env.upstreams[0].received.get()
         assert received.head.startswith(b"GET /_load ")
         received.answer(body=b"util=0.5,eps=1")
         server, ok, _, report = await seen.get()
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -67,12 +67,12 @@
 
 def run_with_starting_node(test, **settings: object) -> None:
     async def body() -> None:
-        s = StartingNode()
-        await s.start(**settings)
+        starting = StartingNode()
+        await starting.start(**settings)
         try:
-            await test(s)
+            await test(starting)
         finally:
-            s.task.cancel()
+            starting.task.cancel()
 
     run(body())
 
@@ -86,18 +86,18 @@
     """Nothing is sent based on the configured list before the agent's first line is read."""
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
-    async def test(s: StartingNode) -> None:
-        s.b.answer_all()
-        clients = [await s.client() for _ in range(2)]
+    async def test(starting: StartingNode) -> None:
+        starting.b.answer_all()
+        clients = [await starting.client() for _ in range(2)]
         for client in clients:
             client.send("/put/1", key="k")
-        writer = await s.discovery_calls.get()
+        writer = await starting.discovery_calls.get()
         await asyncio.sleep(0.1)  # long enough for a node that does not wait to send a request
-        assert s.a.received.empty()
-        assert s.b.connection_count == 0
-        writer.write(WATCH_RESPONSE_HEAD + chunk(line(42, entry("a", s.a.address, "terminating"))))
+        assert starting.a.received.empty()
+        assert starting.b.connection_count == 0
+        writer.write(WATCH_RESPONSE_HEAD + chunk(line(42, entry("a", starting.a.address, "terminating"))))
         assert [(await c.answer())[0] for c in clients] == [200] * 2
-        assert s.a.received.empty(), "nothing went to the server that leaves"
+        assert starting.a.received.empty(), "nothing went to the server that leaves"
 
     run_with_starting_node(test)
 
@@ -105,20 +105,20 @@
 def test_until_a_late_list_requests_are_refused_at_once_and_the_health_check_fails(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
 
-    async def test(s: StartingNode) -> None:
-        client = await s.client()
+    async def test(starting: StartingNode) -> None:
+        client = await starting.client()
         assert await health_status(client) == 503
         client.send()
         status, head, _ = await client.answer()
         assert status == 503
         assert b"Retry-After: 0.250" in head
-        assert s.node.dispatcher.statistics.shed_without_endpoint_list == 1
-        assert s.a.connection_count == s.b.connection_count == 0
-        await s.answer_discovery_call(b"")  # nothing has changed since the version in the request
-        await wait_until(s.node.membership.first_list_received.is_set)
+        assert starting.node.dispatcher.statistics.shed_without_endpoint_list == 1
+        assert starting.a.connection_count == starting.b.connection_count == 0
+        await starting.answer_discovery_call(b"")  # nothing has changed since the version in the request
+        await wait_until(starting.node.membership.first_list_received.is_set)
         assert await health_status(client) == 200
         client.send()
-        arrived = await first_received(s.a, s.b)
+        arrived = await first_received(starting.a, starting.b)
         arrived.answer()
         assert (await client.answer())[0] == 200
 
@@ -129,12 +129,12 @@
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(admin_operations, "FIRST_LIST_WAIT_S", 0.0)
 
-    async def test(s: StartingNode) -> None:
-        await s.node.started.wait()
-        assert s.node.admin_operations.status(b"") == (503, "waiting for discovery")
-        await s.answer_discovery_call(b"")
-        await wait_until(s.node.membership.first_list_received.is_set)
-        assert s.node.admin_operations.status(b"")[0] == 200
+    async def test(starting: StartingNode) -> None:
+        await starting.node.started.wait()
+        assert starting.node.admin_operations.status(b"") == (503, "waiting for discovery")
+        await starting.answer_discovery_call(b"")
+        await wait_until(starting.node.membership.first_list_received.is_set)
+        assert starting.node.admin_operations.status(b"")[0] == 200
 
     run_with_starting_node(test)
 
@@ -144,14 +144,17 @@
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 0.01)
     monkeypatch.setattr(readiness, "MAX_PUSHED_WAIT_S", 0.2)
 
-    async def test(s: StartingNode) -> None:
-        client = await s.client()
+    async def test(starting: StartingNode) -> None:
+        client = await starting.client()
         while await health_status(client) != 200:
             await asyncio.sleep(0.01)
         client.send()
-        (await first_received(s.a, s.b)).answer()
+        (await first_received(starting.a, starting.b)).answer()
         assert (await client.answer())[0] == 200
-        assert s.node.membership.readiness.freshness(0.0, s.node.discovery.schedule) is Freshness.CONFIGURED
+        assert (
+            starting.node.membership.readiness.freshness(0.0, starting.node.discovery.schedule)
+            is Freshness.CONFIGURED
+        )
 
     run_with_starting_node(test)
 
@@ -159,9 +162,9 @@
 def test_a_stop_during_the_wait_stops_the_node(monkeypatch):
     monkeypatch.setattr(node_module, "FIRST_LIST_TIMEOUT_S", 20.0)
 
-    async def test(s: StartingNode) -> None:
-        s.node.stop_requested.set()
-        await s.task
+    async def test(starting: StartingNode) -> None:
+        starting.node.stop_requested.set()
+        await starting.task
 
     run_with_starting_node(test, classes=[{**SETTINGS["classes"][0], "hard_limit": 100_000}])
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -182,15 +182,15 @@
 @pytest.mark.parametrize("batch", [1, 2, 7])
 def test_without_faults_each_server_is_restarted_once_and_none_stays_in_maintenance(batch):
     for seed in range(10):
-        w = simulate(seed, batch, 0)
-        w.run([])
-        r = w.release
-        assert not r.stop_reason
-        assert not r.servers_in_maintenance()
-        assert not any(w.in_maintenance.values())
-        assert w.restarts == Counter(SERVERS[:6])
-        assert all(s.phase == Phase.DONE for s in r.servers)
-        assert w.max_in_maintenance == min(batch, 4), "four of eight stay in use"
+        simulation = simulate(seed, batch, 0)
+        simulation.run([])
+        release = simulation.release
+        assert not release.stop_reason
+        assert not release.servers_in_maintenance()
+        assert not any(simulation.in_maintenance.values())
+        assert simulation.restarts == Counter(SERVERS[:6])
+        assert all(s.phase == Phase.DONE for s in release.servers)
+        assert simulation.max_in_maintenance == min(batch, 4), "four of eight stay in use"
 
 
 def test_with_faults_servers_left_in_maintenance_are_listed_and_none_is_restarted_with_requests_in_flight():
@@ -198,27 +198,27 @@
     for seed in range(600):
         rng = Random(seed)
         restart_fails = rng.choice([0, 0.1])
-        w = simulate(seed, rng.choice([1, 2, 3]), rng.choice([0.0005, 0.01, 0.05]), restart_fails)
-        w.run(sorted(rng.uniform(0, 60) for _ in range(rng.choice([0, 0, 0, 1, 2]))))
-        r = w.release
-        held = {(node, name) for name, nodes in r.servers_in_maintenance().items() for node in nodes}
-        unnamed = {(node, name) for node, names in w.in_maintenance.items() for name in names} - held
+        simulation = simulate(seed, rng.choice([1, 2, 3]), rng.choice([0.0005, 0.01, 0.05]), restart_fails)
+        simulation.run(sorted(rng.uniform(0, 60) for _ in range(rng.choice([0, 0, 0, 1, 2]))))
+        release = simulation.release
+        held = {(node, name) for name, nodes in release.servers_in_maintenance().items() for node in nodes}
+        unnamed = {(node, name) for node, names in simulation.in_maintenance.items() for name in names} - held
         # Calls in progress at a second Ctrl-C may still take effect, so their servers are listed as well.
         assert not unnamed, (seed, unnamed)
-        assert w.max_in_maintenance <= r.limits.batch
-        assert all(n == 1 for n in w.restarts.values())
-        if not r.stop_reason:
-            assert set(w.restarts) == set(SERVERS[:6])
+        assert simulation.max_in_maintenance <= release.limits.batch
+        assert all(n == 1 for n in simulation.restarts.values())
+        if not release.stop_reason:
+            assert set(simulation.restarts) == set(SERVERS[:6])
             assert not held
-        if r.interrupts < 2:
-            assert not w.running
-            assert not r.running_restarts()
-            left = {s.id for s in r.servers if s.phase == Phase.LEFT_IN_MAINTENANCE}
+        if release.interrupts < 2:
+            assert not simulation.running
+            assert not release.running_restarts()
+            left = {s.id for s in release.servers if s.phase == Phase.LEFT_IN_MAINTENANCE}
             assert {name for _, name in held} <= left
-            if not (restart_fails or w.seen["node unreachable"] or w.seen["restart hangs"]):
+            if not (restart_fails or simulation.seen["node unreachable"] or simulation.seen["restart hangs"]):
                 assert not held, (seed, held)
-        results["stopped" if r.stop_reason else "done"] += 1
-        seen += w.seen
+        results["stopped" if release.stop_reason else "done"] += 1
+        seen += simulation.seen
     assert min(results["done"], results["stopped"]) > 50, "releases ended in both ways"
     assert len(seen) == 10 and min(seen.values()) > 2, f"every fault occurred: {seen}"
 
@@ -229,13 +229,13 @@
         ("s0", 0.5, "s0", "not in use but out"),
         ("s0", 1.0, "", "8 servers are in use and 8 must stay"),
     ):
-        w = simulate(1, 1, 0, keep=keep)
-        w.release = Release([name], NODES, ReleaseLimits(min_in_use=keep))
-        w.in_maintenance["b:1"] = {out} - {""}
-        w.run([])
-        assert why in w.release.stop_reason
-        assert not w.restarts
-        assert not w.release.servers_in_maintenance()
+        simulation = simulate(1, 1, 0, keep=keep)
+        simulation.release = Release([name], NODES, ReleaseLimits(min_in_use=keep))
+        simulation.in_maintenance["b:1"] = {out} - {""}
+        simulation.run([])
+        assert why in simulation.release.stop_reason
+        assert not simulation.restarts
+        assert not simulation.release.servers_in_maintenance()
 
 
 class Site:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -80,27 +80,27 @@
 
 @pytest.mark.parametrize("hours", [-1, 1])
 def test_a_new_server_is_in_slow_start_from_its_first_list_on_though_wall_clocks_are_an_hour_apart(hours):
-    async def test(w: NodeEnvironment) -> None:
-        watch = await w.watch()
+    async def test(env: NodeEnvironment) -> None:
+        watch = await env.watch()
         started = int((time.time() + hours * 3600) * 1000)
-        new_server = entry("new", w.upstreams[1].address, startedAtMs=started)
+        new_server = entry("new", env.upstreams[1].address, startedAtMs=started)
         ScriptedDiscovery.push(watch, b"")
         await asyncio.sleep(0.05)
         listed_from = monotonic_us()
         ScriptedDiscovery.push(watch, line(42, new_server))
-        await wait_until(lambda: "new" in w.node.registry.numbers)
-        server = w.node.registry.numbers["new"]
+        await wait_until(lambda: "new" in env.node.registry.numbers)
+        server = env.node.registry.numbers["new"]
         (view,) = [
-            v for v in w.node.dispatcher.balancer.endpoint_snapshots(monotonic_us()) if v.server == server
+            v for v in env.node.dispatcher.balancer.endpoint_snapshots(monotonic_us()) if v.server == server
         ]
         assert view.slow_start_factor < 0.7, "it has just started"
-        assert listed_from - 2 * SECOND <= w.node.registry.listed[server].ready_at <= monotonic_us()
+        assert listed_from - 2 * SECOND <= env.node.registry.listed[server].ready_at <= monotonic_us()
         # A server that is recalled after a drain is still the same process.
-        ready_at = w.node.registry.listed[server].ready_at
+        ready_at = env.node.registry.listed[server].ready_at
         ScriptedDiscovery.push(watch, line(43, {**new_server, "lifecycle": "terminating"}))
-        await wait_until(lambda: server not in w.node.registry.listed)
+        await wait_until(lambda: server not in env.node.registry.listed)
         ScriptedDiscovery.push(watch, line(44, new_server))
-        await wait_until(lambda: w.node.registry.numbers.get("new") in w.node.registry.listed)
-        assert w.node.registry.listed[w.node.registry.numbers["new"]].ready_at == ready_at
+        await wait_until(lambda: env.node.registry.numbers.get("new") in env.node.registry.listed)
+        assert env.node.registry.listed[env.node.registry.numbers["new"]].ready_at == ready_at
 
     run_with_node(test, servers=2, known=None)
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -26,21 +26,21 @@
 @pytest.mark.parametrize("form", sorted(RESPONSE_FRAMINGS))
 @pytest.mark.parametrize("size", [700, 300_000])
 def test_a_response_of_any_framing_reaches_the_client(form, size):
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         for _ in range(2):
             client.send()
             status, head, body = await client.answer()
             assert (status, body) == (200, LARGE_BODY[:size])
             assert b"close" not in head
-        assert world.node.dispatcher.statistics.final_answers["served"] == 2
+        assert env.node.dispatcher.statistics.final_answers["served"] == 2
 
     run_with_peers(test, server_that_sends(RESPONSE_FRAMINGS[form](LARGE_BODY[:size]), close=form == "close"))
 
 
 def test_an_http_1_0_client_gets_a_chunked_response_delimited_by_the_close():
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
         text = await client.reader.read()
         assert b"chunked" not in text
@@ -50,12 +50,12 @@
 
 
 def test_a_streamed_response_continues_past_the_deadline():
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.send(left="150m")
         status, _, body = await client.answer()
         assert (status, body) == (200, LARGE_BODY)
-        assert not world.node.dispatcher.requests
+        assert not env.node.dispatcher.requests
 
     async def slow(reader, writer) -> None:
         await read_message(reader)
@@ -77,15 +77,15 @@
         await writer.drain()
         writer.close()
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await wait_until(lambda: not (world.node.dispatcher.requests))
+        await wait_until(lambda: not (env.node.dispatcher.requests))
         assert len(attempts) == 1
-        assert world.node.dispatcher.statistics.final_answers["failed"] == 1
-        assert max(s.failure_rate for s in world.node.dispatcher.balancer.subset.servers.values()) > 0
+        assert env.node.dispatcher.statistics.final_answers["failed"] == 1
+        assert max(s.failure_rate for s in env.node.dispatcher.balancer.subset.servers.values()) > 0
 
     run_with_peers(test, truncates, truncates)
 
@@ -97,8 +97,8 @@
         await writer.drain()
         writer.close()
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(b"GET /read/1 HTTP/1.0\r\nX-Request-ID: r\r\nX-Timeout: 9000m\r\n\r\n")
         with pytest.raises(ConnectionError):
             await client.reader.read()
@@ -113,8 +113,8 @@
         await writer.drain()
         reset_connection(writer)
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         for _ in range(6):
             client.send()
             status, _, body = await client.answer()
@@ -131,13 +131,13 @@
         await read_message(reader)
         writer.write(RESPONSE_FRAMINGS["length"](LARGE_BODY)[:100_000])
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await client.answer()
-        await wait_until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
-        assert not world.node.pool.streaming
+        await wait_until(lambda: not (env.node.dispatcher.requests or env.node.pool.open_connections))
+        assert not env.node.pool.streaming
 
     run_with_peers(test, stalls)
 
@@ -157,16 +157,16 @@
         except ConnectionError:
             stopped.set()
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.send()
         await asyncio.sleep(0)
         await stopped.wait()
         # The bytes written are in the kernel's buffers, including those of this test process, and not in the node.
         assert written[0] < 12_000_000
-        await wait_until(lambda: not (world.node.client_connections.open))
-        assert not world.node.dispatcher.requests
-        assert not world.node.dispatcher.open_request_ids
+        await wait_until(lambda: not (env.node.client_connections.open))
+        assert not env.node.dispatcher.requests
+        assert not env.node.dispatcher.open_request_ids
         client.writer.close()
 
     run_with_peers(test, sends_large_response)
@@ -182,13 +182,13 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def test(world) -> None:
-        pool = world.node.pool
+    async def test(env) -> None:
+        pool = env.node.pool
         pool.set_streaming_budget(1 << 20)
         assert pool.initial_buffer_bytes == MIN_STREAM_BUFFER_BYTES
         clients = []
         for _ in range(40):
-            client = await world.client()
+            client = await env.client()
             client.send()
             clients.append(client)
         streaming = list(pool.streaming)
@@ -197,7 +197,7 @@
             streaming = list(pool.streaming)
         buffered_bytes = [
             c.transport.get_write_buffer_size()
-            for c in world.node.client_connections.open
+            for c in env.node.client_connections.open
             if c.transport is not None
         ]
         assert max(buffered_bytes) <= 3 * MIN_STREAM_BUFFER_BYTES
@@ -208,7 +208,7 @@
         pool.sweep()
         assert pool.stream_buffer_bytes == MAX_STREAM_BUFFER_BYTES
         # A single response gets the full buffer again and arrives completely.
-        client = await world.client()
+        client = await env.client()
         client.send()
         assert len((await client.answer())[2]) == 3_000_000
         client.writer.close()
--- a/tests/test_streamed_uploads.py
+++ b/tests/test_streamed_uploads.py
@@ -85,8 +85,8 @@
     heads: list[bytes] = []
     bodies: list[bytes] = []
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         for i in range(2):
             if form == "length":
                 client.writer.write(PUT % i + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY))
@@ -97,16 +97,16 @@
             client.writer.write(text[:150_000])
             while len(heads) <= i:
                 await asyncio.sleep(0.005)
-            (open_request,) = world.node.dispatcher.requests.values()
-            while not (held := world.node.dispatcher.balancer.requests[open_request.id]).uploading:
+            (open_request,) = env.node.dispatcher.requests.values()
+            while not (held := env.node.dispatcher.balancer.requests[open_request.id]).uploading:
                 await asyncio.sleep(0.005)
             assert held.server.in_flight == 0
             assert len(bodies) == i
             client.writer.write(text[150_000:])
             assert (await client.answer())[0] == 200
         assert bodies == [LARGE_BODY, LARGE_BODY]
-        assert world.node.dispatcher.balancer.controller.in_flight == 0
-        assert world.node.client_connections.buffered_body_bytes == 0
+        assert env.node.dispatcher.balancer.controller.in_flight == 0
+        assert env.node.client_connections.buffered_body_bytes == 0
 
     run_with_peers(test, server_that_stores(heads, bodies))
 
@@ -114,8 +114,8 @@
 def test_a_client_that_expects_100_continue_gets_it():
     bodies: list[bytes] = []
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         for i, size in enumerate((5, 200_000)):
             client.writer.write(PUT % i + b"Expect: 100-continue\r\nContent-Length: %d\r\n\r\n" % size)
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
@@ -147,10 +147,10 @@
             pass
         writer.transport.abort()
 
-    async def test(world) -> None:
+    async def test(env) -> None:
         # The node still has the first bytes: if the first attempt fails, the other server receives the whole body.
         for i in range(4):
-            client = await world.client()
+            client = await env.client()
             client.writer.write(
                 PUT % i + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:20_000]
             )
@@ -162,9 +162,9 @@
         # The node no longer has the first bytes, and no server can have run the request: it is shed with Retry-After
         # and not retried.
         bytes_before_abort[0] = 250_000
-        world.node.registry.enter_maintenance("s1")
+        env.node.registry.enter_maintenance("s1")
         before = len(heads)
-        client = await world.client()
+        client = await env.client()
         client.writer.write(PUT % 9 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:280_000])
         status, head, _ = await client.answer()
         assert status == 503
@@ -184,17 +184,17 @@
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 100_000)
     heads: list[bytes] = []
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:150_000])
         status, head, _ = await client.answer()
         assert status == 408
         assert b"Connection: close" in head
-        await wait_until(lambda: not (world.node.pool.open_connections))
-        assert not world.node.dispatcher.requests
-        assert world.node.dispatcher.statistics.final_answers["served"] == 0
-        assert world.node.dispatcher.balancer.controller.in_flight == 0
-        assert world.node.client_connections.buffered_body_bytes == 0
+        await wait_until(lambda: not (env.node.pool.open_connections))
+        assert not env.node.dispatcher.requests
+        assert env.node.dispatcher.statistics.final_answers["served"] == 0
+        assert env.node.dispatcher.balancer.controller.in_flight == 0
+        assert env.node.client_connections.buffered_body_bytes == 0
 
     run_with_peers(test, server_that_stores(heads, []))
 
@@ -203,8 +203,8 @@
     monkeypatch.setattr(connection_manager, "RECEIVE_TIMEOUT_US", 60_000)
     monkeypatch.setattr(request_receiver, "RECEIVE_TIMEOUT_US", 60_000)
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(PUT % 1 + b"Content-Length: 1000\r\n\r\n")
 
         async def trickle() -> None:
@@ -222,17 +222,17 @@
 def test_a_body_with_a_broken_chunk_is_not_run():
     bodies: list[bytes] = []
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(
             PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LARGE_BODY, 5000)[:200_000]
         )
         await asyncio.sleep(0.02)
         client.writer.write(b"\r\nno chunk\r\n" * 2000)
         assert (await client.answer())[0] == 400
-        await wait_until(lambda: not (world.node.pool.open_connections))
+        await wait_until(lambda: not (env.node.pool.open_connections))
         assert not bodies
-        assert not world.node.dispatcher.requests
+        assert not env.node.dispatcher.requests
 
     run_with_peers(test, server_that_stores([], bodies))
 
@@ -240,18 +240,18 @@
 def test_a_shed_body_is_read_to_its_end_and_the_connection_is_kept():
     bodies: list[bytes] = []
 
-    async def test(world) -> None:
-        client = await world.client()
-        world.node.registry.enter_maintenance("s0")  # no server is left
+    async def test(env) -> None:
+        client = await env.client()
+        env.node.registry.enter_maintenance("s0")  # no server is left
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:1000])
         assert (await client.answer())[0] == 503
-        world.node.registry.in_maintenance.clear()
-        world.node.registry.apply({"instances": [entry("s0", world.addresses[0])]})
+        env.node.registry.in_maintenance.clear()
+        env.node.registry.apply({"instances": [entry("s0", env.addresses[0])]})
         client.writer.write(LARGE_BODY[1000:])
         client.writer.write(PUT % 2 + b"Content-Length: 2\r\n\r\nhi")
         assert (await client.answer())[0] == 200
         assert bodies == [b"hi"]
-        assert world.node.client_connections.buffered_body_bytes == 0
+        assert env.node.client_connections.buffered_body_bytes == 0
 
     run_with_peers(test, server_that_stores([], bodies))
 
@@ -260,24 +260,24 @@
     monkeypatch.setattr(request_receiver, "MAX_BODY_BYTES", 200_000)
     bodies: list[bytes] = []
 
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(PUT % 1 + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LARGE_BODY, 5000))
         assert (await client.answer())[0] == 413
-        await wait_until(lambda: not (world.node.pool.open_connections))
+        await wait_until(lambda: not (env.node.pool.open_connections))
         assert not bodies
 
     run_with_peers(test, server_that_stores([], bodies))
 
 
 def test_a_client_that_disconnects_within_its_body_leaves_no_state():
-    async def test(world) -> None:
-        client = await world.client()
+    async def test(env) -> None:
+        client = await env.client()
         client.writer.write(PUT % 1 + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY[:150_000])
-        await wait_until(lambda: world.node.pool.streaming)
+        await wait_until(lambda: env.node.pool.streaming)
         client.writer.transport.abort()
-        await wait_until(lambda: not (world.node.dispatcher.requests or world.node.pool.open_connections))
-        assert world.node.dispatcher.balancer.controller.in_flight == 0
-        assert world.node.dispatcher.statistics.outcomes[Outcome.OK] == 0
+        await wait_until(lambda: not (env.node.dispatcher.requests or env.node.pool.open_connections))
+        assert env.node.dispatcher.balancer.controller.in_flight == 0
+        assert env.node.dispatcher.statistics.outcomes[Outcome.OK] == 0
 
     run_with_peers(test, server_that_stores([], []))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -25,7 +25,7 @@
 def shim(tmp_path_factory) -> Path:
     built = build_shim(tmp_path_factory.mktemp("shim"))
     if built is None:
-        pytest.skip("no C compiler here: the fault shim cannot be built")
+        pytest.skip("no C compiler found: the fault shim cannot be built")
     return built
 
 
@@ -114,21 +114,21 @@
 SHORTAGES = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-async def send_during_shutdown(world: FaultyNode) -> None:
+async def send_during_shutdown(faulty: FaultyNode) -> None:
     """Sends requests on new connections from SIGTERM until the node refuses them; asserts that none is lost."""
     lost, answered = [], []
 
     async def one() -> None:
         try:
-            status = await world.request()
+            status = await faulty.request()
         except (ConnectionError, asyncio.IncompleteReadError) as e:
             lost.append(e)
         else:
             answered.append(status)
 
     tasks = [asyncio.create_task(one())]
-    world.node.signal(signal.SIGTERM)
-    process = world.node.process
+    faulty.node.signal(signal.SIGTERM)
+    process = faulty.node.process
     assert process is not None
     while process.returncode is None and None not in answered:
         tasks += [asyncio.create_task(one()) for _ in range(8)]
@@ -136,14 +136,14 @@
     await asyncio.gather(*tasks)
     assert not lost, f"{len(lost)} of {len(tasks)}: {lost[0]!r}"
     assert sum(s is not None for s in answered) > 50
-    assert not world.tracebacks()
+    assert not faulty.tracebacks()
 
 
 @pytest.mark.parametrize("error", ABORTS + SHORTAGES, ids=errno.errorcode.get)
 def test_a_failing_accept_during_shutdown_resets_no_connection_of_the_backlog(error, shim, tmp_path):
     async def test() -> None:
-        async with faulty_node(tmp_path, shim, CallFault("accept", error, 0.8, 0, ALWAYS)) as world:
-            await send_during_shutdown(world)
+        async with faulty_node(tmp_path, shim, CallFault("accept", error, 0.8, 0, ALWAYS)) as faulty:
+            await send_during_shutdown(faulty)
 
     run(test())
 
@@ -153,8 +153,8 @@
 
     async def test() -> None:
         fault = CallFault("close_listener", DELAYED, 1.0, 0, ALWAYS)
-        async with faulty_node(tmp_path, shim, fault) as world:
-            await send_during_shutdown(world)
+        async with faulty_node(tmp_path, shim, fault) as faulty:
+            await send_during_shutdown(faulty)
 
     run(test())
 
@@ -163,18 +163,18 @@
 def test_a_shortage_at_accept_uses_no_processor_time_and_open_connections_are_served(error, shim, tmp_path):
     async def test() -> None:
         # The shortage begins after the start, when the connection that is served throughout is already open.
-        async with faulty_node(tmp_path, shim, CallFault("accept", error, 1.0, 2.0, 5.0)) as world:
-            connection = await Client.open(world.node.address)
-            assert await world.request(connection) == 200
+        async with faulty_node(tmp_path, shim, CallFault("accept", error, 1.0, 2.0, 5.0)) as faulty:
+            connection = await Client.open(faulty.node.address)
+            assert await faulty.request(connection) == 200
             await asyncio.sleep(2.1)
-            waiting = asyncio.create_task(world.request())
+            waiting = asyncio.create_task(faulty.request())
             await asyncio.sleep(0.1)
-            before = world.processor_seconds()
+            before = faulty.processor_seconds()
             for _ in range(10):
-                assert await world.request(connection) == 200
+                assert await faulty.request(connection) == 200
                 await asyncio.sleep(0.1)
             assert not waiting.done()
-            assert world.processor_seconds() - before < 0.5, "over more than a second of wall time"
+            assert faulty.processor_seconds() - before < 0.5, "over more than a second of wall time"
             assert await waiting in (200, 503)
 
     run(test())
@@ -183,13 +183,13 @@
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.EINVAL], ids=errno.errorcode.get)
 def test_a_socket_option_that_cannot_be_set_loses_no_request(error, shim, tmp_path):
     async def test() -> None:
-        async with faulty_node(tmp_path, shim, CallFault("setsockopt", error, 0.4, 1.0, ALWAYS)) as world:
+        async with faulty_node(tmp_path, shim, CallFault("setsockopt", error, 0.4, 1.0, ALWAYS)) as faulty:
             await asyncio.sleep(1.0)
             for _ in range(6):
-                answers = await asyncio.gather(*(world.request() for _ in range(40)))
+                answers = await asyncio.gather(*(faulty.request() for _ in range(40)))
                 assert set(answers) <= {200, 503}
                 assert answers.count(200) > 20
-            assert not world.tracebacks()
+            assert not faulty.tracebacks()
 
     run(test())
 
@@ -245,10 +245,10 @@
 def test_the_admin_server_answers_again_after_accept_has_failed(error, shim, tmp_path):
     async def test() -> None:
         fault = CallFault("accept", error, 0.9, 1.0, 2.0)
-        async with faulty_node(tmp_path, shim, fault, admin="127.0.0.1:0") as world:
+        async with faulty_node(tmp_path, shim, fault, admin="127.0.0.1:0") as faulty:
             await asyncio.sleep(1.0)
             for _ in range(5):
-                assert (await admin_call(world.node, "GET", "/status"))[0] == 200
+                assert (await admin_call(faulty.node, "GET", "/status"))[0] == 200
 
     run(test())
 
@@ -274,21 +274,21 @@
     """Servers close after each response, so every request needs a new connection; a third of the connects fail."""
 
     async def test() -> None:
-        async with faulty_node(tmp_path, shim, CallFault(call, error, 0.33, 2.0, 5.0)) as world:
-            for origin in world.upstreams:
+        async with faulty_node(tmp_path, shim, CallFault(call, error, 0.33, 2.0, 5.0)) as faulty:
+            for origin in faulty.upstreams:
                 origin.closes = True
-            client = await Client.open(world.node.address)
+            client = await Client.open(faulty.node.address)
             answers = []
             loop = asyncio.get_running_loop()
             began = loop.time()
             while loop.time() < began + 5.0:
-                answers.append(await world.request(client))
+                answers.append(await faulty.request(client))
                 await asyncio.sleep(0.01)
             assert set(answers) <= {200, 503} and answers.count(200) > 0.9 * len(answers), answers.count(200)
-            assert not local or not any("eject" in text for text in world.node.log_lines), (
-                world.node.log_lines
+            assert not local or not any("eject" in text for text in faulty.node.log_lines), (
+                faulty.node.log_lines
             )
-            assert not world.tracebacks()
+            assert not faulty.tracebacks()
 
     run(test())
 
@@ -296,9 +296,9 @@
 @pytest.mark.parametrize("call", ["read", "write"])
 def test_short_reads_and_writes_change_nothing(call, shim, tmp_path):
     async def test() -> None:
-        async with faulty_node(tmp_path, shim, CallFault(call, CUT_SHORT, 0.5, 0, ALWAYS)) as world:
-            client = await Client.open(world.node.address)
+        async with faulty_node(tmp_path, shim, CallFault(call, CUT_SHORT, 0.5, 0, ALWAYS)) as faulty:
+            client = await Client.open(faulty.node.address)
             for _ in range(100):
-                assert await world.request(client) == 200
+                assert await faulty.request(client) == 200
 
     run(test())
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -50,10 +50,10 @@
     """Runs a test on a node whose only server is a `RawServer`."""
     servers: list[RawServer] = []
 
-    async def body(world: NodeEnvironment) -> None:
+    async def body(env: NodeEnvironment) -> None:
         servers.append(RawServer())
-        world.node.pool.update(1, servers[0].address, 0)
-        await test(world, servers[0])
+        env.node.pool.update(1, servers[0].address, 0)
+        await test(env, servers[0])
 
     run_with_node(body)
 
@@ -68,15 +68,15 @@
     in the same iteration of the event loop.
     """
 
-    async def test(world: NodeEnvironment, server: RawServer) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment, server: RawServer) -> None:
+        client = await env.client()
         client.send("/pay/1")
         conn = await server.accept()
         await server.request(conn)
         conn.sendall(answer(b"one"))
         assert (await client.answer())[2] == b"one"
         await asyncio.sleep(connection.MAX_REUSE_DELAY_US / 1e6 + 0.01)
-        process = world.node.pool.processes[1]
+        process = env.node.pool.processes[1]
         assert len(process.idle) == 1
 
         def trigger() -> None:
@@ -89,19 +89,19 @@
             await wait_until(lambda: not process.idle)
             client.send(kind[0], key=kind[1])
         else:
-            original = world.node.dispatcher.balancer.request
+            original = env.node.dispatcher.balancer.request
 
             def request(*args) -> None:
                 trigger()  # in the iteration in which the request is admitted
                 original(*args)
 
-            world.node.dispatcher.balancer.request = request
+            env.node.dispatcher.balancer.request = request
             client.send(kind[0], key=kind[1])
         new_conn = await server.accept()
         await server.request(new_conn)
         new_conn.sendall(answer(b"two"))
         assert (await client.answer())[2] == b"two"
-        assert world.node.dispatcher.statistics.outcomes[Outcome.RESET] == 0
+        assert env.node.dispatcher.statistics.outcomes[Outcome.RESET] == 0
 
     with_raw_server(test)
 
@@ -113,8 +113,8 @@
     The connection would otherwise be reused for the next request; its reuse delay prevents that.
     """
 
-    async def test(world: NodeEnvironment, server: RawServer) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment, server: RawServer) -> None:
+        client = await env.client()
         client.send("/pay/1")
         conn = await server.accept()
         await server.request(conn)
@@ -133,26 +133,26 @@
             new_conn.sendall(answer(b"two"))
         status, _, body = await client.answer()
         assert (status, body) == (200, b"two")
-        assert not world.node.pool.processes[1].idle or len(world.node.pool.processes[1].idle) == 1
+        assert not env.node.pool.processes[1].idle or len(env.node.pool.processes[1].idle) == 1
 
     with_raw_server(test)
 
 
 def test_a_connection_is_reused_after_its_reuse_delay_which_is_short_for_a_fast_server():
-    async def test(world: NodeEnvironment, server: RawServer) -> None:
-        client = await world.client()
+    async def test(env: NodeEnvironment, server: RawServer) -> None:
+        client = await env.client()
         client.send("/pay/1")
         conn = await server.accept()
         for number in range(30):
             await server.request(conn)
             conn.sendall(answer(b"%d" % number))
             assert (await client.answer())[2] == b"%d" % number
-            (kept,) = world.node.pool.processes[1].idle
+            (kept,) = env.node.pool.processes[1].idle
             reuse_delay_us = kept.reusable_from_us - kept.idle_since_us
             assert reuse_delay_us <= connection.MAX_REUSE_DELAY_US
             await asyncio.sleep(max(0, reuse_delay_us) / 1e6 + 0.002)
             client.send("/pay/1")
-        assert world.node.pool.open_connections == 1
+        assert env.node.pool.open_connections == 1
 
     with_raw_server(test)
 
@@ -164,23 +164,23 @@
     After the window, servers no longer recognize the retry as a duplicate and would run the request again.
     """
 
-    async def test(world: NodeEnvironment) -> None:
-        await warm_up(world)
-        for process in world.node.pool.processes.values():
-            world.node.pool.close_idle_to_process(process, CloseReason.IDLE)
-        client = await world.client()
+    async def test(env: NodeEnvironment) -> None:
+        await warm_up(env)
+        for process in env.node.pool.processes.values():
+            env.node.pool.close_idle_to_process(process, CloseReason.IDLE)
+        client = await env.client()
         client.send("/put/1", key="k")
-        received = await first_received(*world.upstreams)
-        held = DelayedConnects(world.node.pool)
+        received = await first_received(*env.upstreams)
+        held = DelayedConnects(env.node.pool)
         received.writer.transport.abort()  # the server may have run the request
         await held.started_connects.get()  # the retry waits for its connection
         if late:
             await asyncio.sleep(0.45)
         held.release()
         if not late:
-            (await first_received(*world.upstreams)).answer(body=b"again")
+            (await first_received(*env.upstreams)).answer(body=b"again")
         status, _, body = await client.answer()
         assert (status, body) == ((502, b"") if late else (200, b"again"))
-        assert all(origin.received.empty() for origin in world.upstreams)
+        assert all(origin.received.empty() for origin in env.upstreams)
 
     run_with_node(test, servers=2, settings=deduplication_window(400 if late else 20_000))
