--- a/tests/control_support.py
+++ b/tests/control_support.py
@@ -73,8 +73,8 @@
     async def add_cluster(self, name: str, servers: int = 3) -> StandinDiscovery:
         discovery = self.discoveries[name] = await StandinDiscovery().start()
         for i in range(servers):
-            s = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", ServerCapacity()).start()
-            discovery.put(entry(s.name, s.address))
+            server = self.servers[f"{name}{i}"] = await StandinServer(f"{name}{i}", ServerCapacity()).start()
+            discovery.put(entry(server.name, server.address))
         return discovery
 
     async def start_service(self, **parts: str) -> ControlService:
--- a/tests/race_support.py
+++ b/tests/race_support.py
@@ -81,9 +81,9 @@
         await asyncio.sleep(0)
 
 
-async def run_event_loop(n: int = 20) -> None:
-    """Runs `n` iterations of the event loop, in which the node reads and answers all bytes that the kernel has now."""
-    for _ in range(n):
+async def run_event_loop(iterations: int = 20) -> None:
+    """Runs this many iterations of the event loop. The node then has read and answered all received bytes."""
+    for _ in range(iterations):
         await asyncio.sleep(0.001)
 
 
@@ -94,12 +94,12 @@
     while sum(bool(t.idle) for t in env.node.pool.processes.values()) < wanted:
         for path, key in REQUEST_KINDS:
             client.send(path, key=key)
-            for o in env.upstreams:
-                if not hasattr(o, "answer_task"):
-                    o.answer_all()
+            for upstream in env.upstreams:
+                if not hasattr(upstream, "answer_task"):
+                    upstream.answer_all()
             await client.answer()
-    for o in env.upstreams:
-        if hasattr(o, "answer_task"):
-            o.answer_task.cancel()
-            del o.answer_task
+    for upstream in env.upstreams:
+        if hasattr(upstream, "answer_task"):
+            upstream.answer_task.cancel()
+            del upstream.answer_task
     client.writer.close()
--- a/tests/stored_states.py
+++ b/tests/stored_states.py
@@ -212,7 +212,7 @@
     times = one_second_apart(START_UNIX_S)
     with monkeypatch.context() as patch:
         patch.setattr(time, "time_ns", lambda: next(times))
-        log = AttemptLog("n3", str(path), SERVER_NAMES)  # start
+        log = AttemptLog("n3", str(path), SERVER_NAMES)  # writes the event `start`
         log.endpoints_listed(EndpointUpdateKind.CACHED, 41, ["s2", "s1"], [])
         good = request("good-1")
         log.request_admitted(good, 0)
--- a/tests/test_accept_filter.py
+++ b/tests/test_accept_filter.py
@@ -13,7 +13,8 @@
 from harecross.downstream.accept_filter import refuse_new_connections
 from harecross.downstream.listener import Listener
 
-REFUSED_WITHIN = 5.0  # seconds; Linux retransmits a SYN after one second
+# A new connection is refused within this many seconds. Linux retransmits a SYN after one second.
+REFUSED_WITHIN = 5.0
 
 
 def listening_socket() -> socket.socket:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,7 +15,7 @@
 from harecross.interface import DeduplicationScope, Idempotency
 
 ROOT = Path(__file__).parent.parent
-ENV = {
+SETTINGS = {
     "classes": [
         {"effect": "guarded", "goal_time": 2000000, "hard_limit": 5000000, "worth": 8, "group": "cell"},
         {"effect": "brand_new", "goal_time": 1000000, "hard_limit": 2000000, "worth": 1, "late_value": 0.5},
@@ -32,8 +32,8 @@
 }
 
 
-def create(env=ENV, node=3):
-    text = json.dumps(env).encode() if isinstance(env, dict) else env
+def create(settings=SETTINGS, node=3):
+    text = json.dumps(settings).encode() if isinstance(settings, dict) else settings
     return struct.pack("<BHQI", 6, node, 99, len(text)) + text
 
 
@@ -145,11 +145,11 @@
     "extra bytes": (struct.pack("<IIQ", 0, 9, 0) + b"\0", "after the last record"),
     "bad json": (frame(create(b"{nope")), "not JSON"),
     "missing key": (
-        frame(create({k: v for k, v in ENV.items() if k != "group_size"})),
+        frame(create({k: v for k, v in SETTINGS.items() if k != "group_size"})),
         "missing value for group_size",
     ),
-    "invalid value": (frame(create({**ENV, "tick": "soon"})), "invalid value for tick: 'soon'"),
-    "zero instances": (frame(create({**ENV, "group_size": 0})), "invalid value for instance_count: 0"),
+    "invalid value": (frame(create({**SETTINGS, "tick": "soon"})), "invalid value for tick: 'soon'"),
+    "zero instances": (frame(create({**SETTINGS, "group_size": 0})), "invalid value for instance_count: 0"),
     "unsent list": (frame(create(), struct.pack("<BHBII", 7, 3, 1, 1, 9)), "list 9"),
     "unknown list kind": (frame(create(), members(kind=8)), "record 2 at byte .* list kind 8"),
     "truncated list": (frame(struct.pack("<BII", 1, 0, 5)), "record 0 .* event 1 is cut short"),
@@ -157,12 +157,15 @@
     "settings not utf-8": (frame(create(b"\xff{}")), "not JSON"),
     "settings nested too deep": (frame(create(b"[" * 100_000)), "not JSON"),
     "settings not an object": (frame(create(b"[]")), "the top level is not an object"),
-    "class not an object": (frame(create({**ENV, "classes": [5]})), r"classes\[0\] is not an object"),
-    "tenant not an object": (frame(create({**ENV, "tenants": [5]})), r"tenants\[0\] is not an object"),
-    "layers not a list": (frame(create({**ENV, "layers": 7})), "layers"),
-    "infinite number": (frame(create({**ENV, "tick": float("inf")})), "tick: inf"),
-    "not a number": (frame(create({**ENV, "over_share_worth": float("nan")})), "over_share_worth"),
-    "group not a string": (frame(create({**ENV, "classes": [{**ENV["classes"][0], "group": []}]})), "group"),
+    "class not an object": (frame(create({**SETTINGS, "classes": [5]})), r"classes\[0\] is not an object"),
+    "tenant not an object": (frame(create({**SETTINGS, "tenants": [5]})), r"tenants\[0\] is not an object"),
+    "layers not a list": (frame(create({**SETTINGS, "layers": 7})), "layers"),
+    "infinite number": (frame(create({**SETTINGS, "tick": float("inf")})), "tick: inf"),
+    "not a number": (frame(create({**SETTINGS, "over_share_worth": float("nan")})), "over_share_worth"),
+    "group not a string": (
+        frame(create({**SETTINGS, "classes": [{**SETTINGS["classes"][0], "group": []}]})),
+        "group",
+    ),
 }
 
 
@@ -213,10 +216,15 @@
 
 
 def test_unknown_values_are_treated_as_the_most_restrictive():
-    odd = {**ENV["classes"][0], "effect": "guarded", "group": "galaxy"}
-    (c, _) = parse_settings_json(json.dumps({**ENV, "classes": [odd, ENV["classes"][1]]}).encode()).classes
-    assert c.deduplication_scope == DeduplicationScope.CELL
-    assert parse_settings_json(json.dumps(ENV).encode()).classes[1].idempotency == Idempotency.NON_IDEMPOTENT
+    unknown_scope = {**SETTINGS["classes"][0], "effect": "guarded", "group": "galaxy"}
+    (class_settings, _) = parse_settings_json(
+        json.dumps({**SETTINGS, "classes": [unknown_scope, SETTINGS["classes"][1]]}).encode()
+    ).classes
+    assert class_settings.deduplication_scope == DeduplicationScope.CELL
+    assert (
+        parse_settings_json(json.dumps(SETTINGS).encode()).classes[1].idempotency
+        == Idempotency.NON_IDEMPOTENT
+    )
     # After an unknown outcome the request may have been processed, so a non-idempotent one fails without a retry.
     reply = run(frame(create(), members(), accept(request_class=1)) + frame(verdict(status=599)))
     assert reply[4] == 65
@@ -224,19 +232,19 @@
 
 
 def test_platform_keys_are_mapped_to_settings():
-    s = parse_settings_json(json.dumps(ENV).encode())
-    assert s.report_fields == ("inflight", "odd")
-    assert s.instance_count == 2
-    assert s.tiers == 2
-    assert [int(c.idempotency) for c in s.classes] == [1, 2]
+    parsed = parse_settings_json(json.dumps(SETTINGS).encode())
+    assert parsed.report_fields == ("inflight", "odd")
+    assert parsed.instance_count == 2
+    assert parsed.tiers == 2
+    assert [int(c.idempotency) for c in parsed.classes] == [1, 2]
 
 
-def run_nodes(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
+def run_nodes(settings: dict, nodes: tuple[int, ...]) -> list[bytes]:
     """Returns the replies of one process that hosts these nodes, to some requests and outcomes."""
     host = InstanceHost()
     replies = []
     for node in nodes:
-        replies.append(host.handle_batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0))
+        replies.append(host.handle_batch(3, create(settings, node) + members(node, servers=(11, 12, 13)), 0))
     for i in range(60):
         for node in nodes:
             reply = host.handle_batch(1, accept(node, i, request_class=i % 2), 1000 * i)
@@ -251,10 +259,10 @@
 
 def test_names_in_the_settings_do_not_change_the_decisions():
     def named(prefix: str) -> dict:
-        classes = [{**c, "name": f"{prefix}{i}"} for i, c in enumerate(ENV["classes"])]
+        classes = [{**c, "name": f"{prefix}{i}"} for i, c in enumerate(SETTINGS["classes"])]
         tenants = [{"name": prefix, "quota_rps": 5000.0}]
         names = {"kinds": [prefix], "dcs": [prefix + "z"], "layers": [prefix + "a", prefix + "b"]}
-        return {**ENV, **names, "classes": classes, "tenants": tenants}
+        return {**SETTINGS, **names, "classes": classes, "tenants": tenants}
 
     replies = run_nodes(named("alpha"), (3,))
     assert replies == run_nodes(named("other"), (3,))
@@ -262,8 +270,8 @@
 
 
 def test_nodes_act_the_same_in_one_process_and_in_separate_ones():
-    together = run_nodes(ENV, (3, 4))
-    separate = {node: run_nodes(ENV, (node,)) for node in (3, 4)}
+    together = run_nodes(SETTINGS, (3, 4))
+    separate = {node: run_nodes(SETTINGS, (node,)) for node in (3, 4)}
     by_node = {3: [], 4: []}
     for reply in together:
         if len(reply) > 4:
--- a/tests/test_client_disconnect_races.py
+++ b/tests/test_client_disconnect_races.py
@@ -20,7 +20,8 @@
 
 every_kind = pytest.mark.parametrize("kind", REQUEST_KINDS, ids=REQUEST_KIND_NAMES)
 cancels = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no cancel"])
-BEHIND = {"tier": 1, "layers": ["front", "store"]}  # a node in tier 1 queues requests
+# A node in tier 1 queues requests.
+SECOND_TIER = {"tier": 1, "layers": ["front", "store"]}
 
 
 def requests_at_servers(env: NodeEnvironment) -> int:
@@ -38,22 +39,24 @@
 @every_kind
 @cancels
 @pytest.mark.parametrize("order", ["before it is open", "after it is open"])
-def test_a_client_that_disconnects_while_the_upstream_connection_is_opened(kind, cancel, order):
+def test_a_disconnect_drops_a_request_that_is_not_forwarded_and_may_cancel_one_that_is(kind, cancel, order):
+    """A request that has not been forwarded is dropped; one that has been is cancelled if the settings allow it."""
+
     async def test(env: NodeEnvironment) -> None:
-        held, client = DelayedConnects(env.node.pool), await env.client()
+        delayed_connects, client = DelayedConnects(env.node.pool), await env.client()
         client.send(kind[0], key=kind[1])
-        await held.started_connects.get()
+        await delayed_connects.started_connects.get()
         if order == "before it is open":
             client.writer.close()
             await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"])
-            held.release()
+            delayed_connects.release()
             await wait_until(lambda: not env.node.pool.connect_tasks)
             await run_event_loop()
             assert requests_at_servers(env) == 0
             assert env.node.pool.open_connections == 1
             assert_nothing_counted(env)
         else:
-            held.release()
+            delayed_connects.release()
             received = await env.upstreams[0].received.get()
             client.writer.close()
             await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"])
@@ -70,17 +73,19 @@
 
 @every_kind
 @cancels
-def test_a_client_whose_disconnect_is_unread_when_the_upstream_connection_is_open(kind, cancel):
-    """The upstream connection opens in a turn of the event loop in which the disconnect has not been read yet."""
+def test_a_request_is_not_forwarded_if_the_disconnect_is_unread_when_the_upstream_connection_opens(
+    kind, cancel
+):
+    """The upstream connection opens in an iteration of the event loop in which the disconnect is still unread."""
 
     async def test(env: NodeEnvironment) -> None:
-        held, client = DelayedConnects(env.node.pool), BlockingClient(env.node.address)
+        delayed_connects, client = DelayedConnects(env.node.pool), BlockingClient(env.node.address)
         await wait_until_accepted(env, 1)
         client.send(*kind)
-        await held.started_connects.get()
-        # The client disconnects in the turn of the event loop in which the connection is opened.
+        await delayed_connects.started_connects.get()
+        # The client disconnects in the iteration of the event loop in which the connection is opened.
         env.node.loop.call_soon(client.close)
-        held.release()
+        delayed_connects.release()
         await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"])
         await run_event_loop()
         assert requests_at_servers(env) == 0
@@ -90,7 +95,7 @@
 
 
 @every_kind
-def test_a_client_whose_disconnect_was_received_with_its_request(kind):
+def test_a_request_received_together_with_its_clients_disconnect_is_not_forwarded(kind):
     async def test(env: NodeEnvironment) -> None:
         await warm_up(env)
         client = BlockingClient(env.node.address)
@@ -106,7 +111,7 @@
 
 
 @every_kind
-def test_a_client_that_disconnects_after_pipelined_requests(kind):
+def test_pipelined_requests_are_not_forwarded_after_their_client_has_disconnected(kind):
     """While the first request is unanswered, nothing after it is read, not even the end of the connection."""
 
     async def test(env: NodeEnvironment) -> None:
@@ -127,7 +132,7 @@
 
 @every_kind
 @cancels
-def test_a_client_that_disconnects_before_a_retry(kind, cancel):
+def test_a_rejected_attempt_is_not_retried_after_its_client_has_disconnected(kind, cancel):
     """A rejected attempt would be retried at the other server; the disconnect is behind data that is not read yet."""
 
     async def test(env: NodeEnvironment) -> None:
@@ -149,7 +154,7 @@
 @pytest.mark.parametrize(
     "seen", [True, False], ids=["the disconnect is read", "unread data precedes the disconnect"]
 )
-def test_a_client_that_disconnects_while_its_request_is_queued(seen):
+def test_a_queued_request_is_not_forwarded_after_its_client_has_disconnected(seen):
     async def test(env: NodeEnvironment) -> None:
         clients = []
         while not env.node.dispatcher.balancer.queue:
@@ -164,11 +169,12 @@
         received[0].answer()
         await wait_until(lambda: env.node.dispatcher.statistics.final_answers["left"] == 1)
         await run_event_loop()
-        # After the first answer that client's second request is sent, but none of the disconnected client.
+        # The answered client may have pipelined a second request, which is then sent. No request of the
+        # disconnected client is sent.
         assert requests_at_servers(env) == (0 if seen else 1)
         assert not env.node.dispatcher.balancer.queue
 
-    run_with_node(test, servers=2, settings=BEHIND)
+    run_with_node(test, servers=2, settings=SECOND_TIER)
 
 
 MOMENTS = ["connecting", "held", "between", "queued", "unread", "stopping"]
@@ -178,13 +184,13 @@
 def test_no_attempt_is_sent_after_its_client_has_disconnected(seed):
     """Many clients disconnect at seeded moments; no server may receive a request more than 0.3 s after that.
 
-    Before the fix, 287 requests of the 240 clients in the six seeds were sent later than that.
+    An earlier version sent 287 requests of the 240 clients in the six seeds later than that.
     """
     rng, counted = Random(seed), dict.fromkeys(MOMENTS, 0)
 
     async def test(env: NodeEnvironment) -> None:
         left: dict[str, int] = {}
-        held = DelayedConnects(env.node.pool)
+        delayed_connects = DelayedConnects(env.node.pool)
         clients: list[tuple[str, BlockingClient, str]] = []
         for n in range(40):
             moment = rng.choice(MOMENTS)
@@ -207,14 +213,14 @@
             if moment == "unread":
                 continue
             if moment == "between" and seed % 3 and rng.random() < 0.5:
-                held.release()
+                delayed_connects.release()
             left[name] = monotonic_us()
             client.close()
             await run_event_loop(rng.randrange(3))
         await asyncio.sleep(0.31)
-        held.release()
-        over = monotonic_us() + 300_000
-        while monotonic_us() < over:
+        delayed_connects.release()
+        end_us = monotonic_us() + 300_000
+        while monotonic_us() < end_us:
             for origin in env.upstreams:
                 while origin.received.qsize():
                     received = origin.received.get_nowait()
@@ -222,9 +228,11 @@
                     late = received.received_at_us - left[name] > 300_000
                     counted[next(m for m, _, n in clients if n == name)] += late
                     if not received.writer.transport.is_closing():
-                        unseen = rng.random() < 0.5
-                        received.answer(503, extra=b"X-Not-Processed: 1\r\n") if unseen else received.answer()
+                        rejected = rng.random() < 0.5
+                        received.answer(
+                            503, extra=b"X-Not-Processed: 1\r\n"
+                        ) if rejected else received.answer()
             await run_event_loop(2)
         assert counted == dict.fromkeys(MOMENTS, 0)
 
-    run_with_node(test, servers=3, settings={**BEHIND, **cancel_settings(seed % 2 == 0)})
+    run_with_node(test, servers=3, settings={**SECOND_TIER, **cancel_settings(seed % 2 == 0)})
--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -116,7 +116,7 @@
         clients = []
 
         def connect_many() -> None:
-            for _ in range(40):  # more than are accepted in one iteration
+            for _ in range(40):  # one iteration of the event loop accepts fewer
                 clients.append(BlockingClient(env.node.address))
                 clients[-1].send(*kind)
 
@@ -162,7 +162,7 @@
         while not timed_out():
             await run_event_loop(2)
             for since_us in (manager.silent, manager.receiving, manager.idle):
-                if connection in since_us:  # must not be swept before the race
+                if connection in since_us:  # it must not be swept before the race
                     since_us[connection] = max(since_us[connection], int((manager.loop.time() - 0.2) * 1e6))
         for since_us in (manager.silent, manager.receiving, manager.idle):
             if connection in since_us:
@@ -197,21 +197,21 @@
     async def test(env: NodeEnvironment) -> None:
         client = BlockingClient(env.node.address)
         await wait_until_accepted(env, 1)
-        held = DelayedConnects(env.node.pool)
+        delayed_connects = DelayedConnects(env.node.pool)
         env.node.stop_requested.set()
         await run_event_loop()
         client.send(*kind)
-        await held.started_connects.get()
+        await delayed_connects.started_connects.get()
         if state != "a connect is pending":
-            held.release()
+            delayed_connects.release()
             received = await env.upstreams[0].received.get()
         if state == "a retry is pending":
-            held.hold()
+            delayed_connects.hold()
             received.answer(503, extra=b"X-Not-Processed: 1\r\nConnection: close\r\n")
             await run_event_loop()
         answered = await status(client)
         assert answered in (502, 503)
-        held.release()
+        delayed_connects.release()
         await env.task
         assert env.upstreams[0].received.empty()
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -277,8 +277,8 @@
     async def body() -> None:
         discovery = await StandinDiscovery().start()
         servers = [await StandinServer(f"s{i}", ServerCapacity()).start() for i in range(3)]
-        for s in servers:
-            discovery.put(entry(s.name, s.address))
+        for server in servers:
+            discovery.put(entry(server.name, server.address))
         embedded = EmbeddedControlService("127.0.0.1:0", "mine", interval_s=0.1)
         async with started_node(discovery.address, embedded_service=embedded) as node:
             assert node.options.embedded_service is embedded
@@ -289,7 +289,7 @@
                 await proxy.until(lambda proxy: health(proxy, "mine")["s1"] == DRAINING)
                 await proxy.stop()
         await discovery.stop()
-        for s in servers:
-            s.stop()
+        for server in servers:
+            server.stop()
 
     run(body())
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -36,7 +36,7 @@
 from harecross.standins.discovery import StandinDiscovery
 
 SLACK = 0.15  # seconds
-STOPPED_S = 0.35  # time for which the process is stopped
+STOPPED_S = 0.35  # the process is stopped for this time
 MS = 1000
 
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -61,9 +61,8 @@
         await env.node.discovery.poll_once()
         assert len(env.node.registry.listed) == 1
         assert env.node.discovery.current.generation == 43
-        ScriptedDiscovery.push(
-            watch, line(42, *before, reset=True)
-        )  # an older list on the watch itself is ignored too
+        # An older list that arrives on the watch itself is ignored too.
+        ScriptedDiscovery.push(watch, line(42, *before, reset=True))
         ScriptedDiscovery.push(watch, line(44, before[0]))
         await wait_until(lambda: env.node.discovery.current.generation == 44)
         assert len(env.node.registry.listed) == 2
@@ -173,7 +172,12 @@
 
 
 class Fleet:
-    """The servers' real lifecycles: discovery's list at each version."""
+    """The servers' real lifecycles: discovery's list at each version.
+
+    Attributes:
+        now: By server, its current lifecycle and the number that determines its port.
+        versions: The content of the list at each version, in the form of `now`.
+    """
 
     def __init__(self) -> None:
         self.now: dict[str, tuple[str, int]] = {f"s{i}": ("in_service", i) for i in range(4)}
@@ -195,6 +199,7 @@
         return update(self.version, entry(name, f"127.0.0.1:{1000 + place}", state))
 
     def whole(self, version: int) -> dict:
+        """Returns the full list of a version."""
         entries = (entry(n, f"127.0.0.1:{1000 + p}", s) for n, (s, p) in self.versions[version].items())
         return update(version, *entries, reset=True)
 
@@ -209,6 +214,14 @@
         return {name for name, (state, _) in self.versions[version].items() if state == "in_service"}
 
 
+# Besides a change of one server's lifecycle, a step is one of these events, each with a number that selects a version:
+# "replay": an earlier change is received again.
+# "older": the full list of an earlier version is received on the watch.
+# "beside": such a list is received in answer to a poll beside the watch.
+# "lost": the watch is lost and reopened with the full list.
+# "anew": discovery restarts and counts its versions from 1 again.
+# "restart": the node restarts with the list of an earlier version as its configured list.
+# "move": the node migrates to a discovery that lags by this many versions.
 STEPS = st.lists(
     st.one_of(
         st.tuples(
--- a/tests/test_discovery_races.py
+++ b/tests/test_discovery_races.py
@@ -113,10 +113,10 @@
         other, calls = await unanswered_discovery()
         migrated_at = node.loop.time()
         assert node.discovery.migrate(host_and_port(other))
-        await calls.get()  # never answered
+        await calls.get()  # the first call is never answered
         writer = await calls.get()
-        whole = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole))
+        full_list = line(7, entry("s0", "127.0.0.1:1", "terminating"), reset=True)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(full_list), full_list))
         await wait_until(lambda: not node.registry.listed)
         overruns.append(
             node.loop.time()
@@ -237,10 +237,10 @@
         assert env.node.discovery.migrate(host_and_port(env.discovery_server.address))
         assert env.node.discovery.pending is None
         assert env.node.discovery.current is first
-        whole = line(99, reset=True)
+        full_list = line(99, reset=True)
         call.write(
-            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(whole), whole)
-        )  # too late to count
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(full_list), full_list)
+        )  # the node has already migrated back, so it ignores this list
         await run_event_loop()
         assert len(env.node.registry.listed) == 1
         assert env.node.discovery.migrate(host_and_port(unanswered))
--- a/tests/test_dns_lookup.py
+++ b/tests/test_dns_lookup.py
@@ -87,7 +87,8 @@
         servers = NameServers([f"10.0.0.{i}:53" for i in range(rng.choice([1, 2, 3]))], rng)
         self.now = 0.0
         self.lookup = Lookup(Question(NAME, "SRV"), servers, rng, self.now)
-        self.arrivals: list[tuple[float, int, bytes | None]] = []  # time, attempt, message
+        # Each arrival holds its time, the attempt that it belongs to and its message.
+        self.arrivals: list[tuple[float, int, bytes | None]] = []
 
     def send(self, queries: list[OutgoingQuery]) -> None:
         for query in queries:
--- a/tests/test_fleet_cases.py
+++ b/tests/test_fleet_cases.py
@@ -74,9 +74,9 @@
         for origin in origins:
             origin.answer_all()
         known = update(41, *(entry(f"s{i}", o.address) for i, o in enumerate(origins)), reset=True)
-        desk = SerialDiscovery(0.0)
-        desk.entries = {item["instanceId"]: item for item in known["instances"]}
-        address = await desk.start()
+        discovery = SerialDiscovery(0.0)
+        discovery.entries = {item["instanceId"]: item for item in known["instances"]}
+        address = await discovery.start()
         fleet = [Node(config_from(config_dict(address, {"classes": classes}, known=known))) for _ in range(6)]
         tasks = [asyncio.create_task(n.run()) for n in fleet]
         await wait_until(lambda: all(n.started.is_set() for n in fleet))
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("path", "key", "runs"), [("/read/1", "", 2), ("/put/1", "k", 2), ("/pay/1", "", 1)])
-def test_a_reset_after_the_last_byte_and_before_the_answer(path, key, runs):
+def test_a_request_that_is_reset_before_its_answer_is_retried_only_if_it_may_run_twice(path, key, runs):
     """Idempotent requests and those with a key are retried.
 
     Any other request may have been processed, so its client gets an error.
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -46,10 +46,10 @@
 @pytest.mark.parametrize(
     ("previous", "on_time", "any_warm", "span_us", "expected"),
     [
-        (2.0, False, False, 10**6, 0.75),  # starts again
-        (1.0, True, False, 10**6, 1.5),  # grows
-        (2.9, True, False, 10**7, 3.0),  # up to the overload multiple
-        (2.0, True, True, 10**6, 2.0),  # stays the same while a member is warm
+        (2.0, False, False, 10**6, 0.75),  # late responses: the fraction starts again
+        (1.0, True, False, 10**6, 1.5),  # responses on time: it grows
+        (2.9, True, False, 10**7, 3.0),  # it grows up to the overload multiple
+        (2.0, True, True, 10**6, 2.0),  # it stays the same while a member is warm
     ],
 )
 def test_the_all_warming_up_fraction_grows_while_responses_are_on_time(
--- a/tests/test_node_discovery.py
+++ b/tests/test_node_discovery.py
@@ -87,7 +87,7 @@
     run_with_node(test)
 
 
-def test_a_list_in_pieces_and_a_server_with_a_new_address():
+def test_a_list_received_in_pieces_moves_a_server_to_its_new_address():
     async def test(env: NodeEnvironment) -> None:
         watch = await env.watch()
         text = line(42, entry("s0", env.upstreams[1].address), reset=True) + b"\n"
@@ -114,7 +114,7 @@
         self.updates.append((kind, list(entries)))
 
 
-def test_entries_are_converted_to_endpoints_of_the_module():
+def test_entries_are_converted_to_endpoints_of_the_decision_module():
     async def test() -> None:
         host, pool = RecordingDispatcher(), ConnectionPool(1, 1, [], DescriptorBudget(1))
         registry = EndpointRegistry(host, pool, ["here", "there"], ["m1", "m2"])
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -107,7 +107,8 @@
     of its attempts.
     """
     node, recorder = balancer(10, instance_count=4)
-    in_flight: list[tuple[int, int, int, int]] = []  # (end, request, attempt, server)
+    # Each item holds the end, the request, the attempt and the server.
+    in_flight: list[tuple[int, int, int, int]] = []
     now, attempts = 0, {}
     for step in range(2 * rounds):
         now += 5_000
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -108,12 +108,12 @@
         if kind != EndpointUpdateKind.CHANGES:
             for server in set(self.entries) - set(servers):
                 self.removed_at.setdefault(server, self.now)
-        for e in entries:
-            self.entries[e.server] = e
-            if e.state == EndpointState.READY:
-                self.removed_at.pop(e.server, None)
+        for endpoint in entries:
+            self.entries[endpoint.server] = endpoint
+            if endpoint.state == EndpointState.READY:
+                self.removed_at.pop(endpoint.server, None)
             else:
-                self.removed_at.setdefault(e.server, self.now)
+                self.removed_at.setdefault(endpoint.server, self.now)
         self.node.endpoint_update(self.now, kind, entries)
         self.check()
 
@@ -132,8 +132,8 @@
             self.node.request(self.now, i, request_class, rng.randrange(2), left, False)
             self.check()
         elif roll < 0.85 and self.in_flight:
-            a = self.in_flight.pop(rng.randrange(len(self.in_flight)))
-            self.end_attempt(a, rng.choice(list(Outcome)))
+            attempt = self.in_flight.pop(rng.randrange(len(self.in_flight)))
+            self.end_attempt(attempt, rng.choice(list(Outcome)))
         elif roll < 0.88 and self.open:
             request = rng.choice(sorted(self.open))
             del self.open[request]
@@ -145,26 +145,33 @@
         else:
             self.advance(rng.choice([1000, 20_000, 300_000]))
 
-    def end_attempt(self, a: dict, outcome: Outcome) -> None:
-        request, r = a["request"], self.open.get(a["request"])
-        a["outcome"] = outcome
-        final = r is None or outcome == Outcome.OK
-        if outcome == Outcome.OK and r is not None:
+    def end_attempt(self, attempt: dict, outcome: Outcome) -> None:
+        request, open_request = attempt["request"], self.open.get(attempt["request"])
+        attempt["outcome"] = outcome
+        final = open_request is None or outcome == Outcome.OK
+        if outcome == Outcome.OK and open_request is not None:
             del self.open[request]
             self.closed.add(request)
-        if r is not None and outcome not in NOT_PROCESSED and r["processed_by"] is None:
-            r["processed_by"] = a
+        if open_request is not None and outcome not in NOT_PROCESSED and open_request["processed_by"] is None:
+            open_request["processed_by"] = attempt
         unusual = [0.0, 0.5, 1.0, 40.0, -1.0, float("inf"), float("nan")]
         report = [self.rng.choice(unusual) for _ in range(self.rng.randrange(4))]
         self.node.outcome(
-            self.now, request, a["attempt"], a["server"], outcome, self.now - a["at"], final, report
+            self.now,
+            request,
+            attempt["attempt"],
+            attempt["server"],
+            outcome,
+            self.now - attempt["at"],
+            final,
+            report,
         )
         self.check()
 
     def advance(self, span: int) -> None:
         target = self.now + span
         while True:
-            due = [(a["deadline"], 0, j) for j, a in enumerate(self.in_flight)]
+            due = [(attempt["deadline"], 0, j) for j, attempt in enumerate(self.in_flight)]
             due += [(at, 1, j) for j, (at, _) in enumerate(self.timers)]
             if not due or min(due)[0] > target:
                 break
@@ -176,8 +183,10 @@
                 self.node.timer(self.now, self.timers.pop(j)[1])
                 self.check()
         self.now = target
-        for r in self.open.values():
-            assert r["deadline"] + self.settings.tick >= self.now, "rule 1: no final answer in time"
+        for open_request in self.open.values():
+            assert open_request["deadline"] + self.settings.tick >= self.now, (
+                "rule 1: no final answer in time"
+            )
 
     def check(self) -> None:
         self.max_warm_rate = max(self.max_warm_rate, self.node.slow_start.warm_rate)
@@ -201,40 +210,41 @@
             elif name == "send":
                 self.check_send(*args)
             elif name in ("shed", "fail"):
-                r = self.open.pop(args[0])  # rule 1: a final answer is for an open request, once
+                open_request = self.open.pop(args[0])  # rule 1: a final answer is for an open request, once
                 self.closed.add(args[0])
-                assert self.now <= r["deadline"]
+                assert self.now <= open_request["deadline"]
                 if name == "shed":
-                    self.check_shed(r, *args)
+                    self.check_shed(open_request, *args)
 
-    def check_shed(self, r: dict, request: int, retry_after: int) -> None:
-        c = self.settings.classes[r["request_class"]]
+    def check_shed(self, open_request: dict, request: int, retry_after: int) -> None:
+        class_settings = self.settings.classes[open_request["request_class"]]
         assert retry_after == 0 or (
             self.settings.retry_after and retry_after <= self.settings.max_retry_after
         )
         assert (
-            r["processed_by"] is None
-            or c.idempotency == Idempotency.IDEMPOTENT
-            or (c.idempotency, c.deduplication_scope) == (Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL)
+            open_request["processed_by"] is None
+            or class_settings.idempotency == Idempotency.IDEMPOTENT
+            or (class_settings.idempotency, class_settings.deduplication_scope)
+            == (Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL)
         )
-        assert not any(a["request"] == request for a in self.in_flight)
+        assert not any(attempt["request"] == request for attempt in self.in_flight)
 
     def check_send(self, request: int, server: int, timeout: int) -> None:
-        r = self.open[request]  # rule 1: nothing is sent after the final answer
-        c = self.settings.classes[r["request_class"]]
+        open_request = self.open[request]  # rule 1: nothing is sent after the final answer
+        class_settings = self.settings.classes[open_request["request_class"]]
         assert timeout > 0
-        assert self.now + timeout <= r["deadline"]
-        assert len(r["attempts"]) < self.settings.max_attempts
-        assert not any(a["request"] == request for a in self.in_flight), "two attempts in flight"
+        assert self.now + timeout <= open_request["deadline"]
+        assert len(open_request["attempts"]) < self.settings.max_attempts
+        assert not any(attempt["request"] == request for attempt in self.in_flight), "two attempts in flight"
         assert server in self.entries and server not in self.removed_at, "rule 3"
-        first = r["processed_by"]
+        first = open_request["processed_by"]
         if first is not None:
-            assert c.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2"
-            if c.idempotency == Idempotency.IDEMPOTENCY_KEY:
-                assert self.now <= first["at"] + c.deduplication_window
-                if c.deduplication_scope == DeduplicationScope.CELL:
+            assert class_settings.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2"
+            if class_settings.idempotency == Idempotency.IDEMPOTENCY_KEY:
+                assert self.now <= first["at"] + class_settings.deduplication_window
+                if class_settings.deduplication_scope == DeduplicationScope.CELL:
                     assert server % 3 == first["server"] % 3
-                elif c.deduplication_scope == DeduplicationScope.ZONE:
+                elif class_settings.deduplication_scope == DeduplicationScope.ZONE:
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
         if ready_at and self.now < ready_at + self.settings.slow_start_duration:
@@ -243,10 +253,15 @@
             sends.append(self.now)
             recent = [t for t in sends if t > self.now - self.settings.overload_duration]
             assert len(recent) <= 2 + self.max_warm_rate * self.settings.overload_duration / SEC, "rule 4"
-        a = {"request": request, "server": server, "attempt": len(r["attempts"]), "at": self.now}
-        a["deadline"] = self.now + timeout
-        r["attempts"].append(a)
-        self.in_flight.append(a)
+        attempt = {
+            "request": request,
+            "server": server,
+            "attempt": len(open_request["attempts"]),
+            "at": self.now,
+        }
+        attempt["deadline"] = self.now + timeout
+        open_request["attempts"].append(attempt)
+        self.in_flight.append(attempt)
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -92,7 +92,7 @@
         for client in clients:
             client.send("/put/1", key="k")
         writer = await starting.discovery_calls.get()
-        await asyncio.sleep(0.1)  # long enough for a node that does not wait to send a request
+        await asyncio.sleep(0.1)  # a node that does not wait would send a request by now
         assert starting.a.received.empty()
         assert starting.b.connection_count == 0
         writer.write(WATCH_RESPONSE_HEAD + chunk(line(42, entry("a", starting.a.address, "terminating"))))
@@ -173,12 +173,12 @@
     nodes, servers = 30, 6
 
     async def test() -> None:
-        desk = SerialDiscovery(0.05)
+        discovery = SerialDiscovery(0.05)
         origins = [await ScriptedServer().start() for _ in range(servers)]
-        desk.entries = {f"s{i}": entry(f"s{i}", o.address) for i, o in enumerate(origins)}
-        known = desk.full_list()
-        address = await desk.start()
-        desk.drain("s0")
+        discovery.entries = {f"s{i}": entry(f"s{i}", o.address) for i, o in enumerate(origins)}
+        known = discovery.full_list()
+        address = await discovery.start()
+        discovery.drain("s0")
         started = []
         for i in range(nodes):
             config = config_dict(address, polling_settings(nodes, i), known=known)
@@ -189,7 +189,7 @@
         async def answer(i: int) -> None:
             while True:
                 arrived = await origins[i].received.get()
-                if f"s{i}" in desk.draining:
+                if f"s{i}" in discovery.draining:
                     sent_after_drain.append(i)
                 arrived.answer()
 
@@ -206,10 +206,10 @@
                 await asyncio.sleep(0.05)
 
         calls = [asyncio.create_task(call(n)) for n in started]
-        await wait_until(lambda: desk.answered >= nodes // 2)
-        desk.drain("s1")
-        await wait_until(lambda: desk.answered >= nodes)
-        desk.drain("s2")
+        await wait_until(lambda: discovery.answered >= nodes // 2)
+        discovery.drain("s1")
+        await wait_until(lambda: discovery.answered >= nodes)
+        discovery.drain("s2")
         await asyncio.gather(*calls)
         # Requests sent at the moment of a drain are allowed for 250 ms. Only `s0` is checked, because it left before
         # any node started.
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("nodes", [40, 230, 1024])
-def test_a_start_waits_no_longer_than_discovery_s_queue_takes(nodes):
+def test_a_start_waits_no_longer_than_discoverys_queue_takes(nodes):
     assert start_at_once(nodes, 1, local_agent=True).ready_times[-1] < 0.5, "an agent's list costs no wait"
     quick = start_at_once(nodes, 1, queue_s=1.5)
     assert quick.ready_times[-1] < 0.3 + 1.5 + 0.1, "one queue"
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -130,7 +130,7 @@
 
     def restart(self, server: str) -> None:
         for node in NODES:
-            # Somebody else's call may have arrived after the last status, which the release cannot know.
+            # Another operator may have ended the maintenance after the last status, which the release cannot know.
             assert server in self.in_maintenance[node] or self.seen["maintenance ended by others"]
             assert self.requests_until[node, server] <= self.now, "restarted with requests in flight"
             assert self.other_process_until.get(node, 0) <= self.now, (
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -51,12 +51,12 @@
     No server is ever warm. Responses take 0.1 s, or 1.9 s if `late`. Returns the fraction of requests that was
     shed in the second half, and the largest number of requests that one server got in any second.
     """
-    s, rng, alive = SEC, Random(seed), list(range(1, 13))
+    second, rng, alive = SEC, Random(seed), list(range(1, 13))
     entries = [Endpoint(i, ready_at=1) for i in alive]
     node, recorder = balancer(entries, seed, slow_start_duration=8 * SEC)
     in_flight, shed, requested, received = [], 0, 0, Counter()
-    for now in range(0, 30 * s, s // 20):
-        if now % (s // 2) == 0 and now:
+    for now in range(0, 30 * second, second // 20):
+        if now % (second // 2) == 0 and now:
             gone, new = alive.pop(0), alive[-1] + 1
             alive.append(new)
             node.endpoint_update(
@@ -67,13 +67,13 @@
         for due, request, server in [o for o in in_flight if o[0] <= now]:
             in_flight.remove((due, request, server))
             end_attempt(node, recorder, now, request, 0, server, Outcome.OK, (1_900_000 if late else 100_000))
-        number = now // (s // 20) + 1
+        number = now // (second // 20) + 1
         action = send_request(node, recorder, now, number, request_class=2)
-        if now >= 15 * s:
+        if now >= 15 * second:
             requested += 1
             shed += action[0] == "shed"
         if action[0] == "send":
-            received[action[2], now // s] += 1
+            received[action[2], now // second] += 1
             in_flight.append(
                 (now + (1_900_000 if late else 100_000) + rng.randrange(20_000), number, action[2])
             )
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -16,7 +16,8 @@
 
 SECOND = 1_000_000
 HOUR = 3600 * SECOND
-WALL = 1_700_000_000 * SECOND  # Unix microseconds at monotonic zero
+# The Unix time in microseconds at which the monotonic clock was zero.
+WALL = 1_700_000_000 * SECOND
 
 
 @pytest.mark.parametrize("clock_offset", [-HOUR, -5 * SECOND, 0, 5 * SECOND, HOUR])
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,7 +17,7 @@
 from harecross.standins.discovery import StandinDiscovery
 from harecross.standins.http import answer, read_message
 
-ALWAYS = 1000.0  # seconds
+ALWAYS = 1000.0  # seconds, longer than any test takes
 DEADLINE = 1_000_000  # microseconds
 
 
--- a/tests/test_upstream_connection_races.py
+++ b/tests/test_upstream_connection_races.py
@@ -92,7 +92,7 @@
             original = env.node.dispatcher.balancer.request
 
             def request(*args) -> None:
-                trigger()  # in the iteration in which the request is admitted
+                trigger()  # the event occurs in the iteration in which the request is admitted
                 original(*args)
 
             env.node.dispatcher.balancer.request = request
@@ -171,12 +171,12 @@
         client = await env.client()
         client.send("/put/1", key="k")
         received = await first_received(*env.upstreams)
-        held = DelayedConnects(env.node.pool)
+        delayed_connects = DelayedConnects(env.node.pool)
         received.writer.transport.abort()  # the server may have run the request
-        await held.started_connects.get()  # the retry waits for its connection
+        await delayed_connects.started_connects.get()  # the retry waits for its connection
         if late:
             await asyncio.sleep(0.45)
-        held.release()
+        delayed_connects.release()
         if not late:
             (await first_received(*env.upstreams)).answer(body=b"again")
         status, _, body = await client.answer()
