--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -428,11 +428,11 @@
     as a flapping source changes its list.
     """
     seen: Counter[str] = Counter()
-    for day in range(2000):
-        rng = Random(day)
+    for seed in range(2000):
+        rng = Random(seed)
         consumer = RecordingConsumer()
         publisher = MembershipPublisher(consumer, MergeLimits(grace_s=60))
-        limits = CacheLimits(empty_confirmation=30, max_stale=20_000 if day % 2 else 600)
+        limits = CacheLimits(empty_confirmation=30, max_stale=20_000 if seed % 2 else 600)
         dns_names = {f"srv:{i}": CachedName(limits, rng, 0.0) for i in range(rng.choice([1, 2]))}
         for i, source in enumerate(dns_names):
             publisher.reconciler.add_source(source, 1 + i)
@@ -482,16 +482,16 @@
             present = {f"10.0.0.{n}:80" for n in actual}
             drained_addresses = {f"10.0.0.{n}:80" for n in drained}
             if states[WATCH] not in ("dead", "empty"):
-                assert not after & {f"10.0.0.{n}:80" for n in drained if n in actual[:4]}, (day, step)
+                assert not after & {f"10.0.0.{n}:80" for n in drained if n in actual[:4]}, (seed, step)
             if states[WATCH] == "good":
-                assert after >= present - drained_addresses, (day, step, "a listed endpoint is missing")
+                assert after >= present - drained_addresses, (seed, step, "a listed endpoint is missing")
             confirmed_empty = any(name.view(now).status == CacheStatus.EMPTY for name in dns_names.values())
             if failing and not confirmed_empty:
                 seen["failing"] += 1
-                assert after >= before, (day, step, "failures alone removed an endpoint")
+                assert after >= before, (seed, step, "failures alone removed an endpoint")
             if failing and before:
-                assert after or confirmed_empty, (day, step, "failures alone emptied the list")
+                assert after or confirmed_empty, (seed, step, "failures alone emptied the list")
             for address in (before ^ after) & present - drained_addresses:
                 state_changes[address] += 1
-        assert max(state_changes.values(), default=0) <= 14, (day, state_changes)
+        assert max(state_changes.values(), default=0) <= 14, (seed, state_changes)
     assert min(seen[k] for k in ("good", "dead", "half", "flap", "empty", "failing")) > 500, seen
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -43,7 +43,9 @@
 
 def decide_by_table(rows, evidence) -> tuple[str, str]:
     for number, status, condition, decision in rows:
-        applies = not status or any(w == status or (status == "drop" and w in DROPS) for _, w in evidence)
+        applies = not status or any(
+            listing == status or (status == "drop" and listing in DROPS) for _, listing in evidence
+        )
         if applies and CONDITIONS[condition](evidence):
             return decision, number
     raise AssertionError("no line of the table applies")
