--- a/tests/test_subscription_schedule.py
+++ b/tests/test_subscription_schedule.py
@@ -9,7 +9,7 @@
 
 import pytest
 from node_support import SETTINGS, config_dict, config_from, run, unanswered_discovery, wait_until
-from test_adapter import ENV
+from test_adapter import SETTINGS as ADAPTER_SETTINGS
 
 from harecross.adapter import SUBSCRIBE_TOKEN, InstanceHost
 from harecross.discovery import subscription_schedule
@@ -239,7 +239,7 @@
 
 def test_the_adapter_calls_again_by_the_same_schedule():
     host = InstanceHost()
-    text = json.dumps({**ENV, "discovery": "ask"}).encode()
+    text = json.dumps({**ADAPTER_SETTINGS, "discovery": "ask"}).encode()
     host.handle_batch(1, struct.pack("<BHQI", 6, 3, 1, len(text)) + text, 0)
     assert host.subscription_schedules[3].state is SubscriptionState.CALLING
     failed = struct.pack("<BHBII", 7, 3, 3, 0, 0)
